--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -12,70 +12,71 @@
 	"github.com/micarudder/micarudder/upstream"
 )
 
-// attempt sends the request to one endpoint and relays the answer. again is set
-// when the request got no answer that could be passed on.
+// attempt sends the request to one endpoint and relays the answer. again is set if there was no
+// answer that could be passed on.
 func (x *exchange) attempt(ctx context.Context, at *place) (o outcome, again bool) {
 	defer at.release()
-	if !x.allTake(at, time.Now()) {
-		return x.withdraw()
+	if !x.allAccept(at, time.Now()) {
+		return x.abandonAttempt()
 	}
 	var memory *reservations
 	if len(at.reserve) > 0 {
 		var err error
 		if memory, err = x.g.reserve(ctx, x.call.ID, at); err != nil {
-			x.notReserved(err)
+			x.handleReserveFailure(err)
 			return "", true
 		}
 		defer memory.end()
-		at.memory, ctx = memory, memory.send
+		at.memory, ctx = memory, memory.sendCtx
 	}
 	if o, ok := x.mayProceed(); !ok {
 		return o, false
 	}
 	now := time.Now()
-	if !x.allTake(at, now) || !x.withinLimits(at, now) {
-		return x.withdraw()
+	if !x.allAccept(at, now) || !x.withinLimits(at, now) {
+		return x.abandonAttempt()
 	}
-	req := x.request(at, memory, now)
-	x.begun = false
+	req := x.upstreamRequest(at, memory, now)
+	x.answerBegun = false
 	res, err := x.g.do(ctx, at.endpoint, req, callersRequest, x.call.ID)
 	if at.endSend(err == nil) {
 		x.g.deps.Log.Logger().Info("Endpoint has rested.", "endpoint", at.endpoint.ID)
 	}
 	if err != nil {
-		x.failed(ctx, at, err)
+		x.handleSendFailure(ctx, at, err)
 		return "", true
 	}
 	defer res.Body.Close()
-	x.reached(at)
+	x.countAttempt(at)
 	verdict := x.g.deps.Protocol.Verdict(res)
 	x.status = res.StatusCode
 	if verdict == NotRun || verdict == WrongEndpoint {
-		x.notTaken(at, res, verdict)
+		x.handleRejection(at, res, verdict)
 		return "", true
 	}
 	x.tried = append(x.tried, at.endpoint.ID)
 	x.mayRun = true
 	if verdict == Failed && x.route.Kind == catalog.Streaming {
-		x.note(at, health.Bad) // plain services also fail by the request itself
+		x.recordOutcome(at, health.Bad) // requests to plain services may also fail through their own fault
 	}
 	if verdict == Failed && x.mayRepeat() {
-		x.lastError = errors.New("the endpoint failed: " + res.Status)
-		x.granted = true
+		x.lastError = errors.New("endpoint failed with status " + res.Status)
+		x.retryGranted = true
 		return "", true
 	}
 	return x.relay(ctx, at, res)
 }
 
-// withdraw ends a send that was not made, since endpoints say that they do not take it. The request is placed again: the next send is
-// no more of the budget.
-func (x *exchange) withdraw() (o outcome, again bool) {
-	x.granted = true
+// abandonAttempt ends an attempt before anything was sent, because an endpoint does not accept the
+// request now. The request is placed again, and its next attempt is not charged to the retry
+// budget.
+func (x *exchange) abandonAttempt() (o outcome, again bool) {
+	x.retryGranted = true
 	return "", true
 }
 
-// allTake reports whether the endpoint of a place, and those that read for it, still take requests.
-func (x *exchange) allTake(at *place, now time.Time) bool {
+// allAccept reports whether the chosen endpoint and all of its helpers still accept requests.
+func (x *exchange) allAccept(at *place, now time.Time) bool {
 	for _, e := range at.helpers {
 		if !x.g.state.StillTakes(e.ID, now) {
 			return false
@@ -84,16 +85,16 @@
 	return x.g.state.StillTakes(at.endpoint.ID, now)
 }
 
-// notTaken takes in an answer that says that the request did not run. Where it names
-// another endpoint, a helper, that one is avoided from now on and the one that told of it
-// may be chosen again: otherwise the next send has the same helper, and long prompts whose
-// helpers included a dead engine were given up after two sends.
-func (x *exchange) notTaken(at *place, res *http.Response, verdict Verdict) {
-	x.lastError = errors.New("the endpoint did not take the request: " + res.Status)
+// handleRejection handles an answer that says that the request did not run. If the answer names
+// another endpoint, a helper, that helper is avoided from now on and the endpoint that answered may
+// be chosen again. Otherwise the next attempt would use the same helper: long prompts with a dead
+// engine among their helpers were given up after two attempts.
+func (x *exchange) handleRejection(at *place, res *http.Response, verdict Verdict) {
+	x.lastError = errors.New("endpoint rejected the request with status " + res.Status)
 	address := x.g.deps.Protocol.AtFault(res)
 	if address != "" && address != at.endpoint.Address {
 		if id, ok := x.g.state.AtAddress(address); ok {
-			x.noteAt(id, health.Unreachable)
+			x.recordOutcomeAt(id, health.Unreachable)
 			x.unfit = append(x.unfit, id)
 			x.helperFailures++
 			return
@@ -102,27 +103,27 @@
 	x.tried = append(x.tried, at.endpoint.ID)
 	switch {
 	case verdict == WrongEndpoint:
-		x.note(at, health.Replaced)
+		x.recordOutcome(at, health.Replaced)
 	case x.g.state.Resting(at.endpoint.ID, time.Now()):
-		// It wants rest from this gateway, which is no fault.
-	case hasRoom(at, x.service, x.call.Input):
-		x.note(at, health.Bad)
+		// The endpoint asked this gateway to back off, which is not a failure.
+	case hasCapacity(at, x.service, x.call.Input):
+		x.recordOutcome(at, health.Bad)
 	}
 }
 
-// reached counts a send that may have reached an endpoint.
-func (x *exchange) reached(at *place) {
+// countAttempt counts an attempt that may have reached an endpoint.
+func (x *exchange) countAttempt(at *place) {
 	x.attempts++
-	if !slices.Contains(x.sentTo, at.endpoint.ID) {
-		x.sentTo = append(x.sentTo, at.endpoint.ID)
+	if !slices.Contains(x.sentEndpoints, at.endpoint.ID) {
+		x.sentEndpoints = append(x.sentEndpoints, at.endpoint.ID)
 	}
 }
 
-// hasRoom reports whether an endpoint should have taken a request, as far as the
-// gateways know: less than half of its slots and of its memory were taken.
-func hasRoom(at *place, s *catalog.Service, tokens int) bool {
+// hasCapacity reports whether, as far as the gateways know, an endpoint should have accepted a
+// request: less than half of its slots and less than half of its memory were in use.
+func hasCapacity(at *place, s *catalog.Service, tokens int) bool {
 	if len(at.helpers) > 0 {
-		return false // a helper may have been at fault
+		return false // a helper may have failed
 	}
 	if s.Engine != nil && 2*(at.before.Tokens+tokens) > s.Engine.MemoryTokens {
 		return false
@@ -130,61 +131,61 @@
 	return 2*(at.before.Short+at.before.Long) < at.endpoint.Slots
 }
 
-// notReserved takes in that memory could not be set aside: the endpoints that
-// failed have less than the gateways believe.
-func (x *exchange) notReserved(err error) {
+// handleReserveFailure handles a failed memory reservation: the endpoints that refused it have less
+// free memory than the gateways assume.
+func (x *exchange) handleReserveFailure(err error) {
 	x.lastError = err
 	x.unsent++
-	var failure *noMemory
+	var failure *reserveError
 	if errors.As(err, &failure) {
 		x.unfit = append(x.unfit, failure.endpoints...)
 	}
 }
 
-// failed takes in a send without an answer.
-func (x *exchange) failed(ctx context.Context, at *place, err error) {
-	x.brokenBy(at, err)
+// handleSendFailure handles an attempt that got no answer.
+func (x *exchange) handleSendFailure(ctx context.Context, at *place, err error) {
+	x.recordFailure(at, err)
 	var failure *upstream.Error
 	if errors.Is(err, upstream.ErrWithdrawn) {
-		x.withdraw()
+		x.abandonAttempt()
 		return
 	}
 	if errors.As(err, &failure) && failure.Stage == upstream.NotSent {
 		x.unsent++
 		if ctx.Err() == nil {
-			x.note(at, health.Unreachable)
+			x.recordOutcome(at, health.Unreachable)
 			x.tried = append(x.tried, at.endpoint.ID)
 		}
 		return
 	}
-	x.reached(at)
+	x.countAttempt(at)
 	x.tried = append(x.tried, at.endpoint.ID)
 	x.mayRun = true
 	if ctx.Err() == nil {
-		x.note(at, health.Bad)
-		x.broke(at)
+		x.recordOutcome(at, health.Bad)
+		x.handleBrokenExchange(at)
 	}
 }
 
-// brokenBy notes why an exchange has ended without a whole answer.
-func (x *exchange) brokenBy(at *place, err error) {
+// recordFailure records why an exchange ended without a complete answer.
+func (x *exchange) recordFailure(at *place, err error) {
 	x.lastError = err
-	if at.memory.unused() {
+	if at.memory.endedUnused() {
 		x.lastError = errMemoryUnused
 	}
 }
 
-// note takes in what a send showed of the endpoint that it went to.
-func (x *exchange) note(at *place, o health.Outcome) { x.noteAt(at.endpoint.ID, o) }
+// recordOutcome records what an attempt showed about the health of its endpoint.
+func (x *exchange) recordOutcome(at *place, o health.Outcome) { x.recordOutcomeAt(at.endpoint.ID, o) }
 
-func (x *exchange) noteAt(endpoint string, o health.Outcome) {
+func (x *exchange) recordOutcomeAt(endpoint string, o health.Outcome) {
 	if x.g.picker.note(endpoint, o, time.Now()) {
 		x.g.deps.Log.Logger().Warn("Endpoint suspect.", "endpoint", endpoint, "request", x.call.ID, "err", x.lastError)
 	}
 }
 
-// request builds what is sent to the endpoint.
-func (x *exchange) request(at *place, memory *reservations, now time.Time) *upstream.Request {
+// upstreamRequest builds the request that is sent to the endpoint.
+func (x *exchange) upstreamRequest(at *place, memory *reservations, now time.Time) *upstream.Request {
 	s := Send{
 		EndpointID:  at.endpoint.ID,
 		Remaining:   x.deadline.Sub(now),
@@ -206,11 +207,12 @@
 		Body:    x.body,
 		Echo:    x.g.deps.Protocol.Echo(),
 		MaxIdle: x.maxIdle(),
-		// An endpoint resets connections beyond those that it takes from all gateways together.
+		// An endpoint resets connections beyond the number that it accepts from all gateways
+		// together.
 		KeepIdle: idleShare(x.service.MaxConnections, x.g.limits.gatewayCount()),
 		Check: func() bool {
 			now := time.Now()
-			if !x.allTake(at, now) || !x.withinLimits(at, now) {
+			if !x.allAccept(at, now) || !x.withinLimits(at, now) {
 				return false
 			}
 			x.g.meter.sends.Inc()
@@ -220,12 +222,13 @@
 	return req
 }
 
-// idlePart is the part of the connections that an endpoint takes, as a divisor, which gateways may keep without use; the
-// rest is for those in use.
+// idlePart is the divisor for the share of an endpoint's connections that the gateways may keep
+// idle; the rest is left for connections in use.
 const idlePart = 2
 
-// idleShare returns how many connections without use one of so many gateways keeps to an endpoint that takes
-// at most so many from all of them; zero: it does not say. Each keeps one, or every request would open one.
+// idleShare returns how many idle connections one of the given number of gateways keeps to an
+// endpoint that accepts at most this many from all of them, or zero if the endpoint sets no limit.
+// Each gateway keeps at least one, because otherwise every request would open a connection.
 func idleShare(most, gateways int) int {
 	if most <= 0 {
 		return 0
@@ -233,5 +236,5 @@
 	return max(1, most/idlePart/gateways)
 }
 
-// DefaultPriority is the rank of a request that endpoints take as usual.
+// DefaultPriority is the priority of a usual request.
 const DefaultPriority = 5
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -12,48 +12,48 @@
 )
 
 const (
-	// probeTime bounds the question whether an endpoint's process still runs. The host of
-	// one that crashed says so within a round trip, which a busy gateway on a fraction of a
-	// core sees later; the stream that broke waits for it before it goes on elsewhere.
-	probeTime = 300 * time.Millisecond
-	// probeLife is how long an answer holds for the other exchanges that broke with the
-	// same endpoint: they are noticed within some milliseconds of each other, and later
-	// where the gateway is busy.
-	probeLife = 250 * time.Millisecond
+	// probeTimeout bounds the probe whether an endpoint's process still runs. The host of a crashed
+	// process answers within a round trip, which a busy gateway on a fraction of a core sees later.
+	// A broken stream waits for the probe before it resumes elsewhere.
+	probeTimeout = 300 * time.Millisecond
+	// probeResultTTL is how long a probe's result is used for other exchanges that broke at the
+	// same endpoint. They are noticed within milliseconds of each other, and later if the gateway
+	// is busy.
+	probeResultTTL = 250 * time.Millisecond
 )
 
-// crashProbes finds out whether endpoints whose exchanges broke have crashed: an endpoint
-// that is alive may have broken off a single answer.
+// crashProbes checks whether endpoints whose exchanges broke have crashed, since an endpoint that
+// is alive may have broken off a single answer.
 type crashProbes struct {
 	mu     sync.Mutex
-	newest map[string]*crashProbe // by endpoint
+	latest map[string]*crashProbe // by endpoint
 }
 
-// crashProbe is one question. Its result is set when done is closed.
+// crashProbe is one probe. Its result is set when done is closed.
 type crashProbe struct {
-	done    chan struct{}
-	ended   time.Time
-	listens upstream.Listens
+	done       chan struct{}
+	finishedAt time.Time
+	result     upstream.Listens
 }
 
-func newCrashProbes() *crashProbes { return &crashProbes{newest: make(map[string]*crashProbe)} }
+func newCrashProbes() *crashProbes { return &crashProbes{latest: make(map[string]*crashProbe)} }
 
-// hasCrashed tells whether an endpoint whose exchange broke has crashed. One question at a
-// time is under way to each endpoint.
+// hasCrashed reports whether an endpoint whose exchange broke has crashed. At most one probe of
+// each endpoint runs at a time.
 func (g *Gateway) hasCrashed(e catalog.Endpoint) bool {
-	p, asks := g.crashProbes.join(e.ID, time.Now())
-	if !asks {
+	p, created := g.crashProbes.joinOrCreate(e.ID, time.Now())
+	if !created {
 		<-p.done
-		return p.listens == upstream.NotRunning
+		return p.result == upstream.NotRunning
 	}
-	ctx, cancel := context.WithTimeout(g.ctx, probeTime)
+	ctx, cancel := context.WithTimeout(g.ctx, probeTimeout)
 	defer cancel()
-	p.listens = g.deps.Endpoints.Probe(ctx, e.ID, e.Address)
-	p.ended = time.Now()
+	p.result = g.deps.Endpoints.Probe(ctx, e.ID, e.Address)
+	p.finishedAt = time.Now()
 	close(p.done)
 	g.meter.probes.Inc()
-	g.crashProbes.forgetOld(p.ended)
-	if p.listens != upstream.NotRunning {
+	g.crashProbes.removeExpired(p.finishedAt)
+	if p.result != upstream.NotRunning {
 		return false
 	}
 	g.meter.crashes.Inc()
@@ -61,57 +61,56 @@
 	return true
 }
 
-// join returns the newest question to an endpoint if its answer holds, or a new one, which
-// the caller has to ask.
-func (c *crashProbes) join(endpoint string, now time.Time) (p *crashProbe, asks bool) {
+// joinOrCreate returns the newest probe of an endpoint if it is still valid, or a new one, which
+// the caller must run.
+func (c *crashProbes) joinOrCreate(endpoint string, now time.Time) (p *crashProbe, created bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.newest[endpoint]; p != nil && p.holds(now) {
+	if p := c.latest[endpoint]; p != nil && p.valid(now) {
 		return p, false
 	}
 	p = &crashProbe{done: make(chan struct{})}
-	c.newest[endpoint] = p
+	c.latest[endpoint] = p
 	return p, true
 }
 
-// holds reports whether the question is under way or was answered not long ago.
-func (p *crashProbe) holds(now time.Time) bool {
+// valid reports whether the probe is running or ended less than probeResultTTL ago.
+func (p *crashProbe) valid(now time.Time) bool {
 	select {
 	case <-p.done:
-		return now.Sub(p.ended) <= probeLife
+		return now.Sub(p.finishedAt) <= probeResultTTL
 	default:
 		return true
 	}
 }
 
-// forgetOld drops answers that no longer hold.
-func (c *crashProbes) forgetOld(now time.Time) {
+// removeExpired removes probes whose result is no longer used.
+func (c *crashProbes) removeExpired(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for id, p := range c.newest {
-		if !p.holds(now) {
-			delete(c.newest, id)
+	for id, p := range c.latest {
+		if !p.valid(now) {
+			delete(c.latest, id)
 		}
 	}
 }
 
-// mayHaveCrashed reports whether an exchange that broke in this way may have lost its
-// endpoint's process. A host that gives no sign of itself does not answer the question either:
-// its streams would go on probeTime later for nothing.
+// mayHaveCrashed reports whether an exchange that broke with this error may have lost its
+// endpoint's process. After a time-out the answer is no: a host that does not respond does not
+// answer a probe either, which would only delay the resumption of its streams by probeTimeout.
 func mayHaveCrashed(err error) bool {
 	var failure net.Error
 	return !errors.As(err, &failure) || !failure.Timeout()
 }
 
-// broke takes in that the exchange with an endpoint broke before its answer was whole, and
-// nobody on this side ended it.
-func (x *exchange) broke(at *place) {
+// handleBrokenExchange handles an exchange that its endpoint broke before the answer was complete.
+func (x *exchange) handleBrokenExchange(at *place) {
 	crashed := mayHaveCrashed(x.lastError) && x.g.hasCrashed(at.endpoint)
-	x.g.meter.broken.Inc()
-	x.g.deps.Log.Request("Exchange broke.", "request", x.call.ID, "fingerprint", x.identity(), "endpoint", at.endpoint.ID,
-		"begun", x.begun, "crashed", crashed, "in_flight_ms", time.Since(at.chosen).Milliseconds(), "err", x.lastError)
-	// An endpoint that was leaving ended as it said, whatever was still on it.
+	x.g.meter.brokenExchanges.Inc()
+	x.g.deps.Log.Request("Exchange broke.", "request", x.call.ID, "fingerprint", x.requestFingerprint(), "endpoint", at.endpoint.ID,
+		"begun", x.answerBegun, "crashed", crashed, "in_flight_ms", time.Since(at.chosen).Milliseconds(), "err", x.lastError)
+	// An endpoint that was draining ended as announced, whatever requests it still had.
 	if _, inUse := x.g.state.Endpoint(at.endpoint.ID); crashed && inUse {
-		x.crashed(at)
+		x.recordCrash(at)
 	}
 }
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -16,21 +16,21 @@
 	"github.com/micarudder/micarudder/upstream"
 )
 
-// TestCrashIsSeen: an exchange that breaks because its endpoint ended is told from one that
-// the endpoint, which still runs, broke off. Without it nobody could say from logs or
-// metrics whether requests end endpoints or endpoints fail requests.
-func TestCrashIsSeen(t *testing.T) {
+// TestCrashDetection: an exchange that broke because its endpoint crashed is distinguished from one
+// that a live endpoint broke off. Otherwise neither logs nor metrics show whether requests crash
+// endpoints or endpoints fail requests.
+func TestCrashDetection(t *testing.T) {
 	cases := []struct {
 		name    string
 		path    string
 		fail    func(b *bench, c *net.TCPConn)
-		begun   bool // whether an event comes before
+		begun   bool // whether an event arrives first
 		crashes uint64
 	}{
-		{"crash before the answer", "/stream/x", (*bench).crash, false, 1},
-		{"crash inside the answer", "/stream/x", (*bench).crash, true, 1},
-		{"crash inside an answer that cannot go on", "/story/x", (*bench).crash, true, 1},
-		{"crash of a plain service", "/safe/x", (*bench).crash, false, 1},
+		{"crash before the answer", "/stream/x", (*bench).crashEndpoint, false, 1},
+		{"crash inside the answer", "/stream/x", (*bench).crashEndpoint, true, 1},
+		{"crash inside an answer that cannot resume", "/story/x", (*bench).crashEndpoint, true, 1},
+		{"crash of a plain service", "/safe/x", (*bench).crashEndpoint, false, 1},
 		{"answer broken off", "/stream/x", func(_ *bench, c *net.TCPConn) { reset(c) }, true, 0},
 		{"no answer", "/safe/x", func(_ *bench, c *net.TCPConn) { reset(c) }, false, 0},
 	}
@@ -51,57 +51,56 @@
 			})
 			b.know()
 			b.ask(t.Context(), "POST", tc.path, "text", nil)
-			is.Equal(b.gateway.meter.broken.Get(), uint64(1))
+			is.Equal(b.gateway.meter.brokenExchanges.Get(), uint64(1))
 			is.Equal(b.gateway.meter.crashes.Get(), tc.crashes)
 		})
 	}
 }
 
-// mostAfterThird is how many sends of a request may reach endpoints once it has ended three
-// of them and every gateway in touch had the time to hear of it.
-const mostAfterThird = 3
+// maxSendsAfterThird is how many attempts of a request may reach endpoints once it has crashed
+// three of them and every connected gateway had the time to learn of it.
+const maxSendsAfterThird = 3
 
-// TestCrashingRequest: users saw a tenth and more of all requests fail for twenty seconds, three
-// times in a day, while endpoints ended one after the other. One caller's request ended each
-// endpoint that began it. It came two to three times a second, at any gateway, and each copy was new to
-// the gateway, which sent it to an endpoint and, when that broke, to a second one; the
-// streams that shared these endpoints were cut each time. Nothing remembered what an
-// endpoint ran when it ended. The evidence: of 42 endpoints that ended while logs were kept,
-// 41 had a copy of the same size on them; one request ended up to 40 endpoints, 17 to 22
-// after the third.
+// TestCrashingRequest: copies of one request crashed every endpoint that started them, up to 40,
+// with 17 to 22 crashes after the third. They came two to three times a second at any gateway, and
+// each was sent to two endpoints, whose other streams broke. Three times in a day over a tenth of
+// all requests failed for 20 s. 41 of 42 logged crashes had a copy of the same size.
 func TestCrashingRequest(t *testing.T) {
+	// Each copy was new to its gateway, since nothing recorded which requests a crashed endpoint
+	// had. The gateway sent it to an endpoint and, when that crashed, to a second one; the streams
+	// that shared these endpoints were cut each time.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCrashFleet(t, 1, 5, 18)
 		time.Sleep(time.Second)
-		r := c.play(load{length: 15 * time.Second, soundEvery: 25 * time.Millisecond, crashEvery: 400 * time.Millisecond})
-		t.Logf("%+v; %d sends of the crashing request, %d after the third crash, %d engines ended, %d sound streams on them", r, c.sendCount(), c.sentAfterThird(), c.crashCount(), c.broken)
+		r := c.run(crashLoad{duration: 15 * time.Second, harmlessInterval: 25 * time.Millisecond, crashInterval: 400 * time.Millisecond})
+		t.Logf("%+v; %d attempts of the crashing request, %d after the third crash, %d engines crashed, %d harmless streams on them", r, c.sendCount(), c.sendsAfterThird(), c.crashCount(), c.brokenHarmless)
 		is.True(c.crashCount() >= 3)
-		is.True(c.sentAfterThird() <= mostAfterThird)
+		is.True(c.sendsAfterThird() <= maxSendsAfterThird)
 	})
 }
 
-// TestEnginesOfAnotherKind: where one engine bears the request that ends all others, and fails
-// it or ends it well, its answers do not speak for the request: in one run of the fault soak
-// 25 workers ended, since each good end at the one made the gateways forget the crashes.
-func TestEnginesOfAnotherKind(t *testing.T) {
-	for name, status := range map[string]string{"ends it well": "200 OK", "fails it": "500 Internal Server Error"} {
+// TestEngineUnaffectedByCrashingRequest: if one engine survives the request that crashes all
+// others, whether it fails or completes it, its answers do not clear the request. In one fault soak
+// run, 25 workers crashed because each success at that engine made the gateways forget the crashes.
+func TestEngineUnaffectedByCrashingRequest(t *testing.T) {
+	for name, status := range map[string]string{"completes it": "200 OK", "fails it": "500 Internal Server Error"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				c := newCrashFleet(t, 1, 5, 3)
-				c.bears, c.bearsStatus = addressOf(2), status
+				c.immune, c.immuneStatus = addressOf(2), status
 				time.Sleep(time.Second)
-				r := c.play(load{length: 15 * time.Second, soundEvery: 100 * time.Millisecond, crashEvery: 400 * time.Millisecond})
-				t.Logf("%+v; %d sends of the crashing request, %d after the third crash, %d engines ended", r, c.sendCount(), c.sentAfterThird(), c.crashCount())
-				is.True(c.sentAfterThird() <= mostAfterThird)
+				r := c.run(crashLoad{duration: 15 * time.Second, harmlessInterval: 100 * time.Millisecond, crashInterval: 400 * time.Millisecond})
+				t.Logf("%+v; %d attempts of the crashing request, %d after the third crash, %d engines crashed", r, c.sendCount(), c.sendsAfterThird(), c.crashCount())
+				is.True(c.sendsAfterThird() <= maxSendsAfterThird)
 				is.True(c.crashCount() <= 8)
 			})
 		})
 	}
 }
 
-// TestSilentHosts: nobody asks a host that has gone silent whether its process crashed.
+// TestSilentHosts: a host that does not respond is not probed for a crashed process.
 func TestSilentHosts(t *testing.T) {
 	is := is.New(t)
 	read := func(err error) error {
--- a/relay/crashfleet_test.go
+++ b/relay/crashfleet_test.go
@@ -23,61 +23,61 @@
 )
 
 const (
-	crashPath = "/crash" // of the request that ends each engine that begins it
-	// beginTime is how long an engine usually takes until it begins a request, crashTime how
-	// long one that crashes it runs then.
-	beginTime = 100 * time.Millisecond
-	crashTime = 70 * time.Millisecond
-	// backTime is how long after a crash the engine runs again, under a new name; its old
-	// entry lapses lapseTime after the crash.
-	backTime  = 3 * time.Second
-	lapseTime = 2500 * time.Millisecond
-	// events is how many events a stream has, eventTime the time between two.
-	events    = 12
-	eventTime = 50 * time.Millisecond
+	crashPath = "/crash" // path of the request that crashes each engine that starts it
+	// startDelay is how long an engine usually takes to start a request, and crashDelay how long a
+	// request that crashes it runs before the crash.
+	startDelay = 100 * time.Millisecond
+	crashDelay = 70 * time.Millisecond
+	// restartDelay is how long after a crash the engine runs again, under a new name; its old entry
+	// is removed entryTTL after the crash.
+	restartDelay = 3 * time.Second
+	entryTTL     = 2500 * time.Millisecond
+	// streamEvents is the number of events in a stream, and eventInterval the time between two.
+	streamEvents  = 12
+	eventInterval = 50 * time.Millisecond
 )
 
-// crashFleet is a fleet under virtual time whose engines answer requests, and end when they
-// run one certain request.
+// crashFleet is a fleet under virtual time whose engines answer requests and crash when they run
+// one particular request.
 type crashFleet struct {
 	*testFleet
 	t *testing.T
-	// begin is how long an engine takes until it begins a request.
-	begin time.Duration
+	// startDelay is how long an engine takes to start a request.
+	startDelay time.Duration
 
-	// bears is the address of an engine that does not crash, and bearsStatus what it answers
-	// to the request that ends the others; empty: there is none.
-	bears, bearsStatus string
+	// immune is the address of an engine that does not crash, and immuneStatus its answer to the
+	// request that crashes the others; empty: there is none.
+	immune, immuneStatus string
 
-	mu      sync.Mutex
-	engines map[string]*scriptedEngine // by address
-	sends   []time.Time                // of the crashing request, at any engine
-	crashes []time.Time                // of engines that began it
-	broken  int                        // sound requests that were on these
+	mu             sync.Mutex
+	engines        map[string]*scriptedEngine // by address
+	sends          []time.Time                // of the crashing request, at any engine
+	crashes        []time.Time                // of engines that started it
+	brokenHarmless int                        // harmless requests that were on these engines
 
-	refusedCrashing int // tries of the crashing request that were refused
+	refusedCrashing int // attempts of the crashing request that were refused
 }
 
-// scriptedEngine is one engine; each start has a new name.
+// scriptedEngine is one engine; it gets a new name at each start.
 type scriptedEngine struct {
 	catalog.Endpoint
 	starts int
 	down   bool
 	listed bool
-	conns  map[net.Conn]bool // true: a sound request is on it
+	conns  map[net.Conn]bool // true: it carries a harmless request
 }
 
 func newCrashFleet(t *testing.T, dataCentres, gateways, engines int) *crashFleet {
-	c := &crashFleet{testFleet: newFleet(t, dataCentres, gateways, engines), t: t, begin: beginTime, engines: make(map[string]*scriptedEngine)}
+	c := &crashFleet{testFleet: newFleet(t, dataCentres, gateways, engines), t: t, startDelay: startDelay, engines: make(map[string]*scriptedEngine)}
 	for _, e := range c.gateways[0].state.Endpoints("s") {
 		c.engines[e.Address] = &scriptedEngine{Endpoint: e, listed: true, conns: make(map[net.Conn]bool)}
 	}
-	c.connect = func(_ int, address string) (net.Conn, error) { return c.open(address) }
+	c.connect = func(_ int, address string) (net.Conn, error) { return c.dialEngine(address) }
 	return c
 }
 
-// open connects to the engine at an address.
-func (c *crashFleet) open(address string) (net.Conn, error) {
+// dialEngine connects to the engine at an address.
+func (c *crashFleet) dialEngine(address string) (net.Conn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.engines[address]
@@ -108,7 +108,7 @@
 	}
 }
 
-// answer answers one request; it reports false when the connection is over.
+// answer answers one request. It reports false when the connection must be closed.
 func (c *crashFleet) answer(e *scriptedEngine, conn net.Conn, r *http.Request) bool {
 	crashing := strings.HasPrefix(r.URL.Path, crashPath)
 	c.mu.Lock()
@@ -128,13 +128,13 @@
 	}
 	e.conns[conn] = !crashing
 	c.mu.Unlock()
-	time.Sleep(c.begin)
-	if crashing && c.bears == e.Address {
-		_, err := fmt.Fprintf(conn, "HTTP/1.1 %s\r\nId: %s\r\nContent-Length: 0\r\n\r\n", c.bearsStatus, r.Header.Get("Id"))
+	time.Sleep(c.startDelay)
+	if crashing && c.immune == e.Address {
+		_, err := fmt.Fprintf(conn, "HTTP/1.1 %s\r\nId: %s\r\nContent-Length: 0\r\n\r\n", c.immuneStatus, r.Header.Get("Id"))
 		return err == nil
 	}
 	if crashing {
-		time.Sleep(crashTime)
+		time.Sleep(crashDelay)
 		c.crash(e, id)
 		return false
 	}
@@ -145,24 +145,24 @@
 	return ok
 }
 
-// stream sends the events after the one that the request names.
+// stream sends the events that follow the one named in the request.
 func stream(conn net.Conn, r *http.Request) bool {
 	if _, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id")); err != nil {
 		return false
 	}
 	after, _ := strconv.Atoi(r.Header.Get("After"))
-	for n := after + 1; n <= events; n++ {
+	for n := after + 1; n <= streamEvents; n++ {
 		event := fmt.Sprintf("id: %d\n\n", n)
 		if _, err := fmt.Fprintf(conn, "%x\r\n%s\r\n", len(event), event); err != nil {
 			return false
 		}
-		time.Sleep(eventTime)
+		time.Sleep(eventInterval)
 	}
 	_, err := io.WriteString(conn, "0\r\n\r\n")
 	return err == nil
 }
 
-// crash ends an engine that still has that name; it is back after a while.
+// crash crashes an engine that still has the given name; it restarts after restartDelay.
 func (c *crashFleet) crash(e *scriptedEngine, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,16 +171,16 @@
 	}
 	e.down = true
 	c.crashes = append(c.crashes, time.Now())
-	for conn, sound := range e.conns {
+	for conn, harmless := range e.conns {
 		_ = conn.Close()
-		if sound {
-			c.broken++
+		if harmless {
+			c.brokenHarmless++
 		}
 	}
 	e.conns = make(map[net.Conn]bool)
-	time.AfterFunc(lapseTime, func() { c.change(func() { e.listed = false }) })
-	time.AfterFunc(backTime, func() {
-		c.change(func() {
+	time.AfterFunc(entryTTL, func() { c.update(func() { e.listed = false }) })
+	time.AfterFunc(restartDelay, func() {
+		c.update(func() {
 			e.starts++
 			e.ID = fmt.Sprintf("%s.%d", strings.SplitN(e.ID, ".", 2)[0], e.starts)
 			e.down, e.listed = false, true
@@ -188,8 +188,8 @@
 	})
 }
 
-// change changes an engine and tells all gateways the new list.
-func (c *crashFleet) change(do func()) {
+// update modifies an engine and passes the new list to all gateways.
+func (c *crashFleet) update(do func()) {
 	c.mu.Lock()
 	do()
 	list := c.list()
@@ -202,21 +202,21 @@
 	}
 }
 
-// got is what a caller got of one try.
-type got struct {
+// callResult is what a caller got from one request.
+type callResult struct {
 	status     int
 	lastID     int // of the newest event
 	whole      bool
 	retryAfter time.Duration
 }
 
-// try sends one request to one of the fleet's gateways.
-func (c *crashFleet) try(gateway int, path string, after int) got {
-	return c.tryAt(c.gateways[gateway], path, after)
+// attempt sends one request to one of the fleet's gateways.
+func (c *crashFleet) attempt(gateway int, path string, after int) callResult {
+	return c.attemptAt(c.gateways[gateway], path, after)
 }
 
-// tryAt sends one request to a gateway.
-func (c *crashFleet) tryAt(g *Gateway, path string, after int) (out got) {
+// attemptAt sends one request to the given gateway.
+func (c *crashFleet) attemptAt(g *Gateway, path string, after int) (out callResult) {
 	w := httptest.NewRecorder()
 	defer func() {
 		if p := recover(); p != nil && p != http.ErrAbortHandler {
@@ -239,22 +239,22 @@
 		c.refusedCrashing++
 		c.mu.Unlock()
 	}
-	return got{whole: true}
+	return callResult{whole: true}
 }
 
-// fingerprint returns the identity of the requests that try sends to a path.
+// fingerprint returns the fingerprint of the requests that attempt sends to a path.
 func (c *crashFleet) fingerprint(path string) quarantine.Fingerprint {
 	r := quarantine.Request{Method: "POST", Host: "h", Target: path, Body: []byte("text of " + path)}
 	return r.Fingerprint()
 }
 
-// crashBusy ends that many engines on which requests are.
+// crashBusy crashes up to that many engines that have requests.
 func (c *crashFleet) crashBusy(most int) {
 	for _, e := range c.engines {
 		c.mu.Lock()
 		busy, id := false, e.ID
-		for _, sound := range e.conns {
-			busy = busy || sound
+		for _, harmless := range e.conns {
+			busy = busy || harmless
 		}
 		c.mu.Unlock()
 		if busy && most > 0 {
@@ -264,9 +264,9 @@
 	}
 }
 
-// freshGateways returns as many gateways as there are, which know nothing of before and hear
-// nobody.
-func (c *crashFleet) freshGateways() []*Gateway {
+// restartedGateways returns as many new gateways as the fleet has, without any state and without
+// peers.
+func (c *crashFleet) restartedGateways() []*Gateway {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []*Gateway
@@ -293,43 +293,43 @@
 	return out
 }
 
-// call sends a request as a caller does, which tries once more at another gateway after a
-// failure. It reports whether the answer came whole, in one or two parts.
+// call sends a request as a caller does, with one retry at another gateway after a failure. It
+// reports whether the answer was complete, in one or two parts.
 func (c *crashFleet) call(gateway int, path string) bool {
-	first := c.try(gateway, path, 0)
+	first := c.attempt(gateway, path, 0)
 	if first.whole && first.status == http.StatusOK {
 		return true
 	}
 	time.Sleep(min(first.retryAfter, 3*time.Second))
-	second := c.try((gateway+1)%len(c.gateways), path, first.lastID)
-	return second.whole && second.status == http.StatusOK && second.lastID == events
+	second := c.attempt((gateway+1)%len(c.gateways), path, first.lastID)
+	return second.whole && second.status == http.StatusOK && second.lastID == streamEvents
 }
 
-// load is what callers ask for.
-type load struct {
-	length     time.Duration
-	soundEvery time.Duration
-	crashEvery time.Duration
+// crashLoad describes the load that callers generate.
+type crashLoad struct {
+	duration         time.Duration
+	harmlessInterval time.Duration
+	crashInterval    time.Duration
 }
 
-// soundResult is what became of the sound requests.
-type soundResult struct{ asked, served int }
+// harmlessResult counts the harmless requests by result.
+type harmlessResult struct{ asked, served int }
 
-// play lets callers ask at the gateways in turn; a few of them are hit by each crash.
-func (c *crashFleet) play(l load) soundResult {
-	var all sync.WaitGroup
+// run generates the load at all gateways in turn; a few of the callers are hit by each crash.
+func (c *crashFleet) run(l crashLoad) harmlessResult {
+	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var out soundResult
-	end := time.Now().Add(l.length)
-	all.Go(func() {
+	var out harmlessResult
+	end := time.Now().Add(l.duration)
+	wg.Go(func() {
 		for n := 0; time.Now().Before(end); n++ {
-			all.Go(func() { c.call(n%len(c.gateways), crashPath) })
-			time.Sleep(l.crashEvery)
+			wg.Go(func() { c.call(n%len(c.gateways), crashPath) })
+			time.Sleep(l.crashInterval)
 		}
 	})
 	for n := 0; time.Now().Before(end); n++ {
 		out.asked++
-		all.Go(func() {
+		wg.Go(func() {
 			served := c.call(n%len(c.gateways), fmt.Sprint("/sound/", n))
 			mu.Lock()
 			defer mu.Unlock()
@@ -337,14 +337,14 @@
 				out.served++
 			}
 		})
-		time.Sleep(l.soundEvery)
+		time.Sleep(l.harmlessInterval)
 	}
-	all.Wait()
+	wg.Wait()
 	return out
 }
 
-// sendCount returns how often the crashing request reached an engine, crashCount how many
-// engines ended.
+// sendCount returns how often the crashing request reached an engine, and crashCount how many
+// engines crashed.
 func (c *crashFleet) sendCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -357,13 +357,13 @@
 	return len(c.crashes)
 }
 
-// contactTime is how long a gateway may be without word of the others until it counts as
-// out of touch.
-const contactTime = 3 * time.Second
+// contactTimeout is how long a gateway may be without messages from the others before it counts as
+// partitioned.
+const contactTimeout = 3 * time.Second
 
-// sentAfterThird returns how many sends of the crashing request reached engines later than
-// contactTime after it had ended three of them.
-func (c *crashFleet) sentAfterThird() int {
+// sendsAfterThird returns how many attempts of the crashing request reached engines later than
+// contactTimeout after it had crashed three of them.
+func (c *crashFleet) sendsAfterThird() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.crashes) < 3 {
@@ -371,7 +371,7 @@
 	}
 	n := 0
 	for _, at := range c.sends {
-		if at.Sub(c.crashes[2]) > contactTime {
+		if at.Sub(c.crashes[2]) > contactTimeout {
 			n++
 		}
 	}
--- a/relay/engines_memory_test.go
+++ b/relay/engines_memory_test.go
@@ -12,47 +12,47 @@
 	"time"
 )
 
-// testEngines are endpoints with memory, in one process under virtual time. They carry out
-// orders about it, forget what is not renewed, and tell what is set aside and whether it is
-// used. A script plays what becomes of the requests.
+// testEngines are endpoints with memory, in one process under virtual time. They execute reserve
+// and release orders, let reservations expire, and report the reservations and whether they are
+// used. A script determines what happens to the requests.
 type testEngines struct {
-	play engineScript
+	script engineScript
 
 	mu                 sync.Mutex
-	used               bool // what is set aside counts as used, whatever the script does
-	noReports          bool // no question is answered
-	waiting            int  // what reports say of the endpoints' queues
-	reserved, released int  // orders
-	asked              int  // reports
+	alwaysUsed         bool // reservations are reported as used, whatever the script does
+	noReports          bool // queries get no answer
+	waiting            int  // queue length in the reports
+	reserved, released int  // numbers of orders
+	reports            int  // number of reports
 	sent               []string
-	aside              map[string]*setAside
-	longestIdle        time.Duration // that any memory stayed set aside and unused
+	reservations       map[string]*testReservation
+	longestIdle        time.Duration // longest time that any memory was reserved without use
 }
 
-// setAside is memory set aside at one endpoint.
-type setAside struct {
-	until time.Time
-	idle  time.Time // since when it is not used; zero: it is
+// testReservation is memory reserved at one endpoint.
+type testReservation struct {
+	expiresAt time.Time
+	idleSince time.Time // since when it is not used; zero: it is used
 }
 
-// engineScript plays the nth request to any of the endpoints, counted from 1.
+// engineScript handles the nth request to any of the endpoints, counted from 1.
 type engineScript func(n int, r *engineRun)
 
 // engineRun is one request at an endpoint.
 type engineRun struct {
 	engines      *testEngines
 	reservations []string
-	after        int // the event after which the stream goes on
+	after        int // the event after which the stream resumes
 	w            *bufio.Writer
 	conn         net.Conn
 	br           *bufio.Reader
 }
 
-func newTestEngines(play engineScript) *testEngines {
-	return &testEngines{play: play, aside: make(map[string]*setAside)}
+func newTestEngines(script engineScript) *testEngines {
+	return &testEngines{script: script, reservations: make(map[string]*testReservation)}
 }
 
-// dial connects to the endpoint of that address.
+// dial connects to the endpoint at an address.
 func (e *testEngines) dial(_ context.Context, address string) (net.Conn, error) {
 	near, far := net.Pipe()
 	go e.serve(address, far)
@@ -67,10 +67,10 @@
 		if err != nil {
 			return
 		}
-		words := strings.Split(r.RequestURI, "/")
-		switch words[1] {
+		parts := strings.Split(r.RequestURI, "/")
+		switch parts[1] {
 		case "reserve", "release", "report":
-			header, ok := e.take(words)
+			header, ok := e.handleOrder(parts)
 			if !ok {
 				return
 			}
@@ -80,10 +80,10 @@
 			e.sent = append(e.sent, address)
 			n := len(e.sent)
 			e.mu.Unlock()
-			after, _ := strconv.Atoi(r.Header.Get("After")) // 0 where it is empty
+			after, _ := strconv.Atoi(r.Header.Get("After")) // 0 if it is empty
 			run := &engineRun{engines: e, reservations: r.Header["Reservation"], after: after, w: bw, conn: c, br: br}
-			e.play(n, run)
-			run.use(false)
+			e.script(n, run)
+			run.setUsed(false)
 		}
 		if bw.Flush() != nil {
 			return
@@ -91,43 +91,44 @@
 	}
 }
 
-// take carries out an order, or returns the header of a report; ok is false when it is not
-// answered.
-func (e *testEngines) take(words []string) (header string, ok bool) {
+// handleOrder executes an order, or returns the header of a report; ok is false if there is no
+// answer.
+func (e *testEngines) handleOrder(parts []string) (header string, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lapse()
+	e.removeExpired()
 	now := time.Now()
-	switch words[1] {
+	switch parts[1] {
 	case "reserve":
 		e.reserved++
-		hold, err := strconv.Atoi(words[4])
+		hold, err := strconv.Atoi(parts[4])
 		if err != nil {
 			panic(err)
 		}
-		a := e.aside[words[2]]
+		a := e.reservations[parts[2]]
 		if a == nil {
-			a = &setAside{idle: now}
-			e.aside[words[2]] = a
+			a = &testReservation{idleSince: now}
+			e.reservations[parts[2]] = a
 		}
-		a.until = now.Add(time.Duration(hold) * time.Millisecond)
+		a.expiresAt = now.Add(time.Duration(hold) * time.Millisecond)
 	case "release":
 		e.released++
-		e.end(words[2], now)
+		e.endReservation(parts[2], now)
 	case "report":
-		e.asked++
+		e.reports++
 		if e.noReports {
 			return "", false
 		}
-		return fmt.Sprintf("Pace: 1\r\nWaiting: %d\r\n", e.waiting) + e.states(), true
+		return fmt.Sprintf("Pace: 1\r\nWaiting: %d\r\n", e.waiting) + e.reservationHeader(), true
 	}
 	return "", true
 }
 
-// states returns the header fields of a report that tell what is set aside; the caller holds mu.
-func (e *testEngines) states() (header string) {
-	for id, a := range e.aside {
-		if e.used || a.idle.IsZero() {
+// reservationHeader returns the header fields of a report that list the reservations. The caller
+// holds mu.
+func (e *testEngines) reservationHeader() (header string) {
+	for id, a := range e.reservations {
+		if e.alwaysUsed || a.idleSince.IsZero() {
 			header += "Used: " + id + "\r\n"
 		} else {
 			header += "Idle: " + id + "\r\n"
@@ -136,47 +137,47 @@
 	return header
 }
 
-// lapse ends what was not renewed; the caller holds mu.
-func (e *testEngines) lapse() {
-	for id, a := range e.aside {
-		if time.Now().After(a.until) {
-			e.end(id, a.until)
+// removeExpired ends the reservations that were not renewed. The caller holds mu.
+func (e *testEngines) removeExpired() {
+	for id, a := range e.reservations {
+		if time.Now().After(a.expiresAt) {
+			e.endReservation(id, a.expiresAt)
 		}
 	}
 }
 
-// end gives memory back at that time; the caller holds mu.
-func (e *testEngines) end(id string, at time.Time) {
-	a := e.aside[id]
+// endReservation releases memory at the given time. The caller holds mu.
+func (e *testEngines) endReservation(id string, at time.Time) {
+	a := e.reservations[id]
 	if a == nil {
 		return
 	}
-	if !a.idle.IsZero() {
-		e.longestIdle = max(e.longestIdle, at.Sub(a.idle))
+	if !a.idleSince.IsZero() {
+		e.longestIdle = max(e.longestIdle, at.Sub(a.idleSince))
 	}
-	delete(e.aside, id)
+	delete(e.reservations, id)
 }
 
-// orders returns how many orders of each kind came.
+// orders returns the number of orders of each kind.
 func (e *testEngines) orders() (reserved, released int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.reserved, e.released
 }
 
-// longest returns how long any memory stayed set aside without use.
-func (e *testEngines) longest() time.Duration {
-	longest, _ := e.memory()
+// longestUnused returns the longest time that any memory was reserved without use.
+func (e *testEngines) longestUnused() time.Duration {
+	longest, _ := e.memoryState()
 	return longest
 }
 
-// memory returns how long any memory stayed set aside without use, and how many reservations
-// there are now.
-func (e *testEngines) memory() (longestIdle time.Duration, setAside int) {
+// memoryState returns the longest time that any memory was reserved without use, and the number of
+// current reservations.
+func (e *testEngines) memoryState() (longestIdle time.Duration, reserved int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lapse()
-	return e.longestIdle, len(e.aside)
+	e.removeExpired()
+	return e.longestIdle, len(e.reservations)
 }
 
 func (e *testEngines) sends() int {
@@ -185,29 +186,29 @@
 	return len(e.sent)
 }
 
-// use says whether the request uses its memory from now on.
-func (r *engineRun) use(used bool) {
+// setUsed sets whether the request uses its memory from now on.
+func (r *engineRun) setUsed(used bool) {
 	e := r.engines
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lapse()
+	e.removeExpired()
 	for _, id := range r.reservations {
-		a := e.aside[id]
+		a := e.reservations[id]
 		switch {
 		case a == nil:
 		case used:
-			if !a.idle.IsZero() {
-				e.longestIdle = max(e.longestIdle, time.Since(a.idle))
+			if !a.idleSince.IsZero() {
+				e.longestIdle = max(e.longestIdle, time.Since(a.idleSince))
 			}
-			a.idle = time.Time{}
-		case a.idle.IsZero():
-			a.idle = time.Now()
+			a.idleSince = time.Time{}
+		case a.idleSince.IsZero():
+			a.idleSince = time.Now()
 		}
 	}
 }
 
-// queue waits in the endpoint's queue.
-func (r *engineRun) queue(d time.Duration) {
+// waitInQueue waits in the endpoint's queue.
+func (r *engineRun) waitInQueue(d time.Duration) {
 	set := func(n int) {
 		r.engines.mu.Lock()
 		defer r.engines.mu.Unlock()
@@ -218,19 +219,19 @@
 	set(0)
 }
 
-// hang brings nothing until the gateway closes the connection.
+// hang sends nothing until the gateway closes the connection.
 func (r *engineRun) hang() {
 	_, _ = r.br.ReadByte()
 }
 
-// head begins a stream.
-func (r *engineRun) head() {
+// writeHead starts a stream.
+func (r *engineRun) writeHead() {
 	_, _ = r.w.WriteString("HTTP/1.1 200 OK\r\nId: r1\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 	_ = r.w.Flush()
 }
 
-// event writes one event of a stream, unless the caller has it.
-func (r *engineRun) event(id int) {
+// writeEvent writes one event of a stream, unless the caller already has it.
+func (r *engineRun) writeEvent(id int) {
 	if id <= r.after {
 		return
 	}
@@ -239,8 +240,8 @@
 	_ = r.w.Flush()
 }
 
-// end ends a stream.
-func (r *engineRun) end() {
+// endStream ends a stream.
+func (r *engineRun) endStream() {
 	_, _ = r.w.WriteString("0\r\n\r\n")
 	_ = r.w.Flush()
 }
--- a/relay/engines_test.go
+++ b/relay/engines_test.go
@@ -9,10 +9,10 @@
 	"github.com/micarudder/micarudder/health"
 )
 
-// TestSlowEngines: ten of sixty engines turn five times slower in a burst of long prompts.
-// Once a few of them were late all gateways know, and parts go there only where they are
-// read in time: all 24 prompts of the two seconds after are in time, and 8 of them were
-// while the choice took all engines as equally fast.
+// TestSlowEngines: ten of sixty engines become five times slower in a burst of long prompts. After
+// a few late answers all gateways know, and place parts there only if they are prefilled in time.
+// All 24 prompts of the next two seconds are in time; 8 were while the placement took all engines
+// as equally fast.
 func TestSlowEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 20, 60)
@@ -33,14 +33,14 @@
 	})
 }
 
-// TestDeadEngines: when three of sixty engines die, all gateways leave them alone within
-// half a second after the first of them has failed there, without failing themselves.
+// TestDeadEngines: when three of sixty engines die, all gateways avoid them within half a second
+// after the first failure there, without failures of their own.
 func TestDeadEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 20, 60)
 		time.Sleep(time.Second)
 		f.mu.Lock()
-		f.dead = map[string]bool{addressOf(3): true, addressOf(4): true, addressOf(5): true}
+		f.down = map[string]bool{addressOf(3): true, addressOf(4): true, addressOf(5): true}
 		f.mu.Unlock()
 		for n, id := range []string{"e3", "e4", "e5"} {
 			f.gateways[n].picker.note(id, health.Unreachable, time.Now())
@@ -48,30 +48,30 @@
 		time.Sleep(500 * time.Millisecond)
 		for _, g := range f.gateways {
 			for _, id := range []string{"e3", "e4", "e5"} {
-				if !f.suspects(g, id) {
-					t.Errorf("%s does not leave %s alone", g.config.Name, id)
+				if !f.isSuspect(g, id) {
+					t.Errorf("%s does not avoid %s", g.config.Name, id)
 				}
 			}
 		}
 		f.mu.Lock()
 		tried := f.dials
-		f.dead = nil
+		f.down = nil
 		f.mu.Unlock()
 		if tried > 20 {
-			t.Errorf("%d connections were tried", tried)
+			t.Errorf("%d connection attempts to dead engines, want 20 at most", tried)
 		}
 		time.Sleep(3 * time.Second)
 		for _, g := range f.gateways {
-			if f.suspects(g, "e3") {
-				t.Errorf("%s leaves a live engine alone", g.config.Name)
+			if f.isSuspect(g, "e3") {
+				t.Errorf("%s avoids a live engine", g.config.Name)
 			}
 		}
 	})
 }
 
-// TestGatewayThatIsCutOff: one that reaches no engine and says so takes none from the
-// others, although it watches some and is the first to fail there.
-func TestGatewayThatIsCutOff(t *testing.T) {
+// TestIsolatedGatewayDoesNotSpreadSuspicion: a gateway that can reach no engine and reports so does
+// not make the others avoid any, although it watches some and is the first to fail there.
+func TestIsolatedGatewayDoesNotSpreadSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 20, 60)
 		time.Sleep(time.Second)
@@ -85,8 +85,8 @@
 			time.Sleep(200 * time.Millisecond)
 			for _, g := range f.gateways[1:] {
 				for i := range 60 {
-					if f.suspects(g, fmt.Sprint("e", i)) {
-						t.Fatalf("%s leaves e%d alone", g.config.Name, i)
+					if f.isSuspect(g, fmt.Sprint("e", i)) {
+						t.Fatalf("%s avoids e%d", g.config.Name, i)
 					}
 				}
 			}
@@ -94,8 +94,8 @@
 	})
 }
 
-// suspects reports whether a gateway leaves an engine alone.
-func (f *testFleet) suspects(g *Gateway, id string) bool {
+// isSuspect reports whether a gateway avoids an engine.
+func (f *testFleet) isSuspect(g *Gateway, id string) bool {
 	g.picker.mu.Lock()
 	defer g.picker.mu.Unlock()
 	return g.picker.health.Suspect(id, time.Now())
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -10,59 +10,61 @@
 	"github.com/micarudder/micarudder/quarantine"
 )
 
-// outcome is how a request ended, as it stands in logs and metrics.
+// outcome is how a request ended, as written to logs and metrics.
 type outcome string
 
 const (
 	answered    outcome = "answered"
 	brokenOff   outcome = "broken-off"   // the answer ended early
-	refusedFull outcome = "refused-full" // not run: no endpoint took it
-	refusedBusy outcome = "refused-busy" // not run: all slots are taken
-	// refusedLimit: not run: endpoints limit their requests, and none can take it in its time.
+	refusedFull outcome = "refused-full" // not run: no endpoint accepted it
+	refusedBusy outcome = "refused-busy" // not run: all slots are in use
+	// refusedLimit: not run, because endpoints limit their request rate and none can accept the
+	// request within its deadline.
 	refusedLimit outcome = "refused-limit"
-	// refusedRest: not run: endpoints want rest from this gateway, and none can take it in its time.
+	// refusedRest: not run, because endpoints asked this gateway to back off and none can accept
+	// the request within its deadline.
 	refusedRest outcome = "refused-rest"
-	refusedKey  outcome = "refused-key"  // not run: no proof that the key is still good
+	refusedKey  outcome = "refused-key"  // not run: no proof that the key is still valid
 	noRoute     outcome = "no-route"     // 404
-	noKey       outcome = "unknown-key"  // 401
+	unknownKey  outcome = "unknown-key"  // 401
 	badRequest  outcome = "bad-request"  // 4xx
-	unknownEnd  outcome = "may-have-run" // 502: sent, no answer, must not be sent again
-	outOfTime   outcome = "out-of-time"  // deadline
+	mayHaveRun  outcome = "may-have-run" // 502: sent without an answer and must not be sent again
+	outOfTime   outcome = "out-of-time"  // deadline exceeded
 	callerGone  outcome = "caller-gone"  // the caller closed its connection
 	notStarted  outcome = "not-started"  // 503: no configuration is known yet
-	stopping    outcome = "stopping"     // 503: the process is about to end
+	stopping    outcome = "stopping"     // 503: the process is about to exit
 	tooLarge    outcome = "body-too-large"
-	// quarantinedEnd is 503, or 502 where it was sent before: endpoints crash under it.
-	quarantinedEnd outcome = "quarantined"
+	// quarantinedOutcome is a 503: endpoints crash when they run the request. One that was sent
+	// before gets a 502 and the outcome mayHaveRun.
+	quarantinedOutcome outcome = "quarantined"
 )
 
 const (
-	// retryAfterFull is the time to come back that a refused caller is told:
-	// about one pass of a busy engine.
+	// retryAfterFull is the Retry-After of a refused request: about one pass of a busy engine.
 	retryAfterFull = 200 * time.Millisecond
-	// retryAfterStore is told while the gateway waits for the store or peers.
+	// retryAfterStore is the Retry-After while the gateway waits for the store or for peers.
 	retryAfterStore = 500 * time.Millisecond
-	// startTime is how long after the start of the process its requests wait for a
-	// configuration: a host with 0.144 of a core read one of 1,400 routes in 0.34 s.
-	startTime = 500 * time.Millisecond
-	// retryAfterStop is told by a gateway that is about to end.
+	// startupWait is how long after the start of the process its requests wait for a configuration.
+	// A host with 0.144 of a core read a configuration of 1,400 routes in 0.34 s.
+	startupWait = 500 * time.Millisecond
+	// retryAfterStop is the Retry-After of a gateway that is about to exit.
 	retryAfterStop = 50 * time.Millisecond
-	// freshPatience is how long a request waits for a younger proof.
-	freshPatience = 600 * time.Millisecond
-	// proofMargin is taken off RevokeAfter for timers that run late.
+	// proofWait is how long a request waits for a newer proof of the configuration.
+	proofWait = 600 * time.Millisecond
+	// proofMargin is subtracted from RevokeAfter to allow for timers that fire late.
 	proofMargin = 150 * time.Millisecond
-	// leastRemaining is the time below which a request is not sent any more:
-	// nothing can answer in it.
-	leastRemaining = 20 * time.Millisecond
-	// staleBefore is the age of the proof beyond which an unknown route or key
-	// is not answered as such, since a newer configuration may have it.
-	staleBefore = 2 * time.Second
-	// unsafeIdle is how long a kept connection may have been idle to carry a
-	// request that may run only once: endpoints forget idle connections.
+	// minRemaining is the shortest remaining time with which a request is still sent; no endpoint
+	// can answer in less.
+	minRemaining = 20 * time.Millisecond
+	// maxDenialProofAge is the age of the proof above which a request with an unknown route or key
+	// is not denied, because a newer configuration may contain the route or key.
+	maxDenialProofAge = 2 * time.Second
+	// unsafeIdle is how long a pooled connection may have been idle to carry a request that may run
+	// only once: endpoints drop idle connections.
 	unsafeIdle = 1500 * time.Millisecond
 )
 
-// exchange is one caller's request on its way through the gateway.
+// exchange is one caller's request in the gateway.
 type exchange struct {
 	g         *Gateway
 	w         http.ResponseWriter
@@ -73,53 +75,52 @@
 	service   *catalog.Service
 	workspace *catalog.Workspace
 	body      []byte
-	held      int64 // what the body counts against Config.BodyMemory
+	heldBytes int64 // size counted against Config.BodyMemory
 	started   time.Time
 	deadline  time.Time
 
-	attempts int // sends that may have reached an endpoint
-	unsent   int // sends that did not
-	// helperFailures counts those of the attempts that did not run because of a helper, and
-	// sentTo lists the endpoints that any attempt went to.
-	helperFailures int
-	sentTo         []string
-	tried          []string // endpoints that were sent to, or could not be reached
-	unfit          []string // endpoints that had not the memory, or were named at fault
-	mayRun         bool     // whether a send may have run or run later
-	granted        bool     // whether the next send was already taken out of the budget
-	stream         *eventStream
-	firstAt        time.Time     // of the first part of the answer
-	lastAt         time.Time     // of the newest part
-	maxGap         time.Duration // longest pause between two parts
-	lastError      error
-	status         int                     // of the newest answer
-	begun          bool                    // whether the newest send brought a part of the answer
-	suspended      time.Duration           // how long the host was suspended until then, as far as started and deadline count it
-	fingerprint    *quarantine.Fingerprint // see identity; nil: not worked out yet
+	attempts int // attempts that may have reached an endpoint
+	unsent   int // attempts that did not reach an endpoint
+	// helperFailures counts those of the attempts that did not run because a helper failed.
+	// sentEndpoints lists the endpoints that any attempt was sent to.
+	helperFailures    int
+	sentEndpoints     []string
+	tried             []string // endpoints that an attempt was sent to or that could not be reached
+	unfit             []string // endpoints that lacked memory or were reported as faulty
+	mayRun            bool     // whether an attempt may have run, or may run later
+	retryGranted      bool     // whether the next attempt is already paid for from the retry budget
+	stream            *eventStream
+	firstPartAt       time.Time     // when the first part of the answer arrived
+	lastPartAt        time.Time     // when the newest part of the answer arrived
+	maxGap            time.Duration // longest pause between two parts
+	lastError         error
+	status            int                     // status of the newest answer
+	answerBegun       bool                    // whether the newest attempt delivered a part of the answer
+	countedSuspension time.Duration           // total suspension of the host that started and deadline account for
+	fingerprint       *quarantine.Fingerprint // see requestFingerprint; nil: not computed yet
 }
 
-// refuse answers a request that has not run with a status that says so, or
-// ends it when the head of an answer is already out.
-func (x *exchange) refuse(status int, after time.Duration, o outcome) outcome {
+// refuse answers a request that has not run with the given status, or aborts the connection if the
+// head of an answer has already been sent.
+func (x *exchange) refuse(status int, retryAfter time.Duration, o outcome) outcome {
 	if x.stream != nil && x.stream.headSent {
 		return x.abort()
 	}
-	if after > 0 {
-		x.w.Header().Set("Retry-After", seconds(after))
+	if retryAfter > 0 {
+		x.w.Header().Set("Retry-After", formatSeconds(retryAfter))
 	}
 	x.w.Header().Set("Content-Length", "0")
 	x.w.WriteHeader(status)
 	return o
 }
 
-// abort cuts the caller's connection, so that an answer that ends early does
-// not look whole.
+// abort closes the caller's connection, so that a truncated answer does not look complete.
 func (x *exchange) abort() outcome {
-	x.finish(brokenOff)
+	x.recordEnd(brokenOff)
 	panic(http.ErrAbortHandler)
 }
 
-// giveUp ends a request for which nothing more can be done.
+// giveUp ends a request that must not or cannot be sent again.
 func (x *exchange) giveUp(o outcome) outcome {
 	switch {
 	case x.r.Context().Err() != nil:
@@ -127,14 +128,14 @@
 	case x.mayRun && o == outOfTime:
 		return x.refuse(http.StatusGatewayTimeout, 0, o)
 	case x.mayRun:
-		return x.refuse(http.StatusBadGateway, 0, unknownEnd)
+		return x.refuse(http.StatusBadGateway, 0, mayHaveRun)
 	default:
-		return x.refuse(http.StatusServiceUnavailable, x.comeBack(time.Now()), o)
+		return x.refuse(http.StatusServiceUnavailable, x.retryAfter(time.Now()), o)
 	}
 }
 
-// comeBack returns when the caller of a request that was turned away everywhere had better come back.
-func (x *exchange) comeBack(now time.Time) time.Duration {
+// retryAfter returns the Retry-After for a request that no endpoint accepted.
+func (x *exchange) retryAfter(now time.Time) time.Duration {
 	if x.service == nil {
 		return retryAfterFull
 	}
@@ -144,7 +145,7 @@
 	return retryAfterFull
 }
 
-// run sends the request until it is answered or must be given up.
+// run sends the request until it is answered or has to be given up.
 func (x *exchange) run() outcome {
 	ctx, cancel := context.WithDeadline(x.r.Context(), x.deadline)
 	defer cancel()
@@ -165,7 +166,7 @@
 		if ctx.Err() != nil {
 			return x.giveUp(outOfTime)
 		}
-		if o, ok := x.admissible(); !ok {
+		if o, ok := x.checkQuarantine(); !ok {
 			return o
 		}
 		if !x.mayRepeat() {
@@ -174,31 +175,31 @@
 	}
 }
 
-// maySendTo reports whether the request may go to an endpoint: to one that it was sent to
-// already, which a helper kept from running it, or to another one while there are not as
-// many as the route allows.
+// maySendTo reports whether the request may be sent to an endpoint: to one that it was sent to
+// before, where a helper kept it from running, or to another one while fewer endpoints than the
+// route's MaxAttempts have been used.
 func (x *exchange) maySendTo(endpoint string) bool {
-	return slices.Contains(x.sentTo, endpoint) || len(x.sentTo) < x.route.MaxAttempts
+	return slices.Contains(x.sentEndpoints, endpoint) || len(x.sentEndpoints) < x.route.MaxAttempts
 }
 
-// mayProceed looks again at everything that a wait or a freeze may have
-// changed, right before the request is sent. What others tell of crashes comes in while it
-// waits for an endpoint.
+// mayProceed checks again, right before the request is sent, everything that may have changed while
+// the request waited or the process was frozen. Peers may have reported crashes while the request
+// waited for an endpoint.
 func (x *exchange) mayProceed() (outcome, bool) {
 	x.countSuspension()
-	if time.Until(x.deadline) < leastRemaining {
+	if time.Until(x.deadline) < minRemaining {
 		return x.giveUp(outOfTime), false
 	}
-	if o, ok := x.admissible(); !ok {
+	if o, ok := x.checkQuarantine(); !ok {
 		return o, false
 	}
 	return x.authorize()
 }
 
-// mayRepeat reports whether the request may be sent once more.
+// mayRepeat reports whether the request may be sent again.
 func (x *exchange) mayRepeat() bool {
-	if x.granted {
-		x.granted = false
+	if x.retryGranted {
+		x.retryGranted = false
 		return true
 	}
 	switch x.patience().afterSend(x.route, x.mayRun) {
--- a/relay/faces.go
+++ b/relay/faces.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// Bounds that hold until a configuration with limits is known.
-	firstHeaderBytes   = 16 << 10
-	firstHeaderTimeout = 3 * time.Second
-	firstIdleTimeout   = 15 * time.Second
+	// Limits that apply until a configuration with limits is known.
+	defaultHeaderBytes   = 16 << 10
+	defaultHeaderTimeout = 3 * time.Second
+	defaultIdleTimeout   = 15 * time.Second
 )
 
-// faces serves callers. The limits of the configuration are those of an
-// http.Server, which cannot change; a new server takes the connections that
-// come after a change, and the old one keeps those that it has.
-type faces struct {
+// callerServers serves the callers' connections. The limits of the configuration are settings of an
+// http.Server, which cannot change while it runs. After a change, a new server takes the new
+// connections, and the old one keeps its own.
+type callerServers struct {
 	g *Gateway
 
 	mu      sync.Mutex
 	limits  catalog.Limits
-	current *face
-	all     []*face
+	current *callerServer
+	all     []*callerServer
 }
 
-// face is one http.Server and the connections that are handed to it.
-type face struct {
-	server *http.Server
-	conns  *handover
+// callerServer is one http.Server with the listener that passes connections to it.
+type callerServer struct {
+	server   *http.Server
+	listener *connListener
 }
 
-func newFaces(g *Gateway) *faces { return &faces{g: g} }
+func newCallerServers(g *Gateway) *callerServers { return &callerServers{g: g} }
 
-// Serve takes callers' connections from l until it is closed.
+// Serve accepts callers' connections from l until l is closed.
 func (g *Gateway) Serve(l net.Listener) error {
 	for {
 		c, err := l.Accept()
@@ -47,20 +47,19 @@
 				return nil
 			}
 			var temporary net.Error
-			if errors.As(err, &temporary) && g.pause(acceptPause) {
+			if errors.As(err, &temporary) && g.pause(acceptRetryDelay) {
 				continue
 			}
 			return err
 		}
-		g.faces.hand(c)
+		g.servers.assign(c)
 	}
 }
 
-// acceptPause is the pause after a failed accept, such as one for lack of
-// descriptors.
-const acceptPause = 10 * time.Millisecond
+// acceptRetryDelay is the pause after a failed accept, for example for lack of file descriptors.
+const acceptRetryDelay = 10 * time.Millisecond
 
-func (f *faces) hand(c net.Conn) {
+func (f *callerServers) assign(c net.Conn) {
 	var limits catalog.Limits
 	if t := f.g.state.Table(); t != nil {
 		limits = t.Limits
@@ -68,89 +67,89 @@
 	f.mu.Lock()
 	if f.current == nil || f.limits != limits {
 		f.limits = limits
-		f.current = f.open(limits)
+		f.current = f.startServer(limits)
 		f.all = append(f.all, f.current)
 	}
 	current := f.current
 	f.mu.Unlock()
-	current.conns.hand(c)
+	current.listener.push(c)
 }
 
-// open starts a server with the limits.
-func (f *faces) open(limits catalog.Limits) *face {
+// startServer starts a server with the limits.
+func (f *callerServers) startServer(limits catalog.Limits) *callerServer {
 	if limits.HeaderBytes <= 0 {
-		limits.HeaderBytes = firstHeaderBytes
+		limits.HeaderBytes = defaultHeaderBytes
 	}
 	if limits.HeaderTimeout <= 0 {
-		limits.HeaderTimeout = firstHeaderTimeout
+		limits.HeaderTimeout = defaultHeaderTimeout
 	}
 	if limits.IdleTimeout <= 0 {
-		limits.IdleTimeout = firstIdleTimeout
+		limits.IdleTimeout = defaultIdleTimeout
 	}
-	one := &face{conns: newHandover()}
-	one.server = &http.Server{
+	s := &callerServer{listener: newConnListener()}
+	s.server = &http.Server{
 		Handler:           f.g,
 		MaxHeaderBytes:    limits.HeaderBytes,
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		IdleTimeout:       limits.IdleTimeout,
-		ErrorLog:          stdlog.New(errorLines{f.g}, "", 0),
+		ErrorLog:          stdlog.New(errorLogWriter{f.g}, "", 0),
 	}
-	one.server.SetKeepAlivesEnabled(!f.g.leaving.Load())
-	go func() { _ = one.server.Serve(one.conns) }()
-	return one
+	s.server.SetKeepAlivesEnabled(!f.g.leaving.Load())
+	go func() { _ = s.server.Serve(s.listener) }()
+	return s
 }
 
-// closeIdle closes idle connections, and the others after their next answer.
-func (f *faces) closeIdle() {
+// disableKeepAlives closes idle connections at once and the others after their next answer.
+func (f *callerServers) disableKeepAlives() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, one := range f.all {
-		one.server.SetKeepAlivesEnabled(false)
+	for _, s := range f.all {
+		s.server.SetKeepAlivesEnabled(false)
 	}
 }
 
-// errorLines passes what net/http says on to the log.
-type errorLines struct{ g *Gateway }
+// errorLogWriter writes the error log of net/http to the gateway's log.
+type errorLogWriter struct{ g *Gateway }
 
-func (e errorLines) Write(p []byte) (int, error) {
-	e.g.deps.Log.Request("Connection problem.", "text", string(p))
+func (e errorLogWriter) Write(p []byte) (int, error) {
+	e.g.deps.Log.Request("HTTP server error.", "text", string(p))
 	return len(p), nil
 }
 
-// handover is a listener that is given its connections.
-type handover struct {
+// connListener is a listener whose connections are pushed by the gateway.
+type connListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 }
 
-func newHandover() *handover {
-	return &handover{conns: make(chan net.Conn), done: make(chan struct{})}
+func newConnListener() *connListener {
+	return &connListener{conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-func (h *handover) hand(c net.Conn) {
+func (l *connListener) push(c net.Conn) {
 	select {
-	case h.conns <- c:
-	case <-h.done:
+	case l.conns <- c:
+	case <-l.done:
 		_ = c.Close()
 	}
 }
 
 // Accept implements net.Listener.
-func (h *handover) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-h.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-h.done:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (h *handover) Close() error {
-	h.once.Do(func() { close(h.done) })
+func (l *connListener) Close() error {
+	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (h *handover) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *connListener) Addr() net.Addr { return &net.TCPAddr{} }
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -30,38 +30,38 @@
 )
 
 const (
-	nearDelay = time.Millisecond     // of a word inside a data centre
-	farDelay  = 3 * time.Millisecond // of a word between two
+	nearDelay = time.Millisecond     // of a message inside a data centre
+	farDelay  = 3 * time.Millisecond // of a message between two data centres
 )
 
-// testFleet is gateways in several data centres before engines, in one process under
-// virtual time. Its network loses nothing unless lose says so.
+// testFleet is a set of gateways in several data centres with engines, in one process under virtual
+// time. No message is lost unless drops says so.
 type testFleet struct {
 	gateways []*Gateway
 	members  []peers.Member
 	table    *catalog.Table
-	lose     func(from, to int) bool
+	drops    func(from, to int) bool
 
-	mu    sync.Mutex
-	sent  []int                // words, by gateway
-	loads []int                // loads of endpoints in them
-	heard []int                // reports of crashes that reached a gateway
-	reads map[string]time.Time // until when an engine reads what it was given
-	met   int                  // parts that met another one that was still read
-	paces map[string]float64   // of slow engines, by address
-	dead  map[string]bool      // engines that take no connection, by address
-	// cutOff gateways reach no engine.
+	mu           sync.Mutex
+	messagesSent []int                // by gateway
+	loadsSent    []int                // endpoint loads in the messages, by gateway
+	crashReports []int                // crash reports that reached a gateway
+	busyUntil    map[string]time.Time // until when an engine prefills the prompts that it was given, by endpoint
+	overlaps     int                  // parts of prompts that were placed on an engine that was still prefilling another one
+	paces        map[string]float64   // of slow engines, by address
+	down         map[string]bool      // engines that refuse connections, by address
+	// cutOff gateways cannot reach any engine.
 	cutOff map[int]bool
-	dials  int // connections that were tried to dead engines
-	// connect replaces dial where it is set.
+	dials  int // connection attempts to engines that are down
+	// connect replaces dial if it is set.
 	connect func(gateway int, address string) (net.Conn, error)
 }
 
-// dial connects a gateway to an engine that tells its pace and nothing else.
+// dial connects a gateway to an engine that reports its pace and nothing else.
 func (f *testFleet) dial(gateway int, address string) (net.Conn, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.dead[address] || f.cutOff[gateway] {
+	if f.down[address] || f.cutOff[gateway] {
 		f.dials++
 		return nil, syscall.ECONNREFUSED
 	}
@@ -84,20 +84,20 @@
 	return near, nil
 }
 
-// watch plays how a gateway watches endpoints until ctx ends.
-func (f *testFleet) watch(ctx context.Context, i int) {
+// runWatch simulates how a gateway watches endpoints until ctx ends.
+func (f *testFleet) runWatch(ctx context.Context, i int) {
 	g := f.gateways[i]
 	others := slices.Delete(slices.Clone(f.members), i, i+1)
 	var list map[string]*watched
-	for ; ctx.Err() == nil; time.Sleep(watchTick) {
+	for ; ctx.Err() == nil; time.Sleep(watchInterval) {
 		now := time.Now()
-		list = g.watchedNow(list, others, now)
-		g.askDue(list, now)
+		list = g.assignedEndpoints(list, others, now)
+		g.queryDue(list, now)
 	}
 	g.Close()
 }
 
-// newFleet starts gateways whose engines stand in as many data centres.
+// newFleet starts gateways and engines, spread evenly over the data centres.
 func newFleet(t *testing.T, dataCentres, gateways, engines int) *testFleet {
 	t.Helper()
 	c := &catalog.Configuration{
@@ -106,7 +106,7 @@
 			Objective: 3 * time.Second, GapObjective: time.Second, Targets: []catalog.Target{{Service: "s", Weight: 1}}}},
 		Services: []catalog.Service{{Name: "s", Engine: &catalog.Engine{Slots: 10, MemoryTokens: 232000, StepMs: 1, ReadPerMs: 206, PairsPerM: 0.138, ChunkTokens: 2048, Stride: 68}}},
 	}
-	f := &testFleet{table: catalog.NewTable(c), sent: make([]int, gateways), loads: make([]int, gateways), heard: make([]int, gateways), reads: make(map[string]time.Time)}
+	f := &testFleet{table: catalog.NewTable(c), messagesSent: make([]int, gateways), loadsSent: make([]int, gateways), crashReports: make([]int, gateways), busyUntil: make(map[string]time.Time)}
 	var list []catalog.Endpoint
 	for i := range engines {
 		list = append(list, catalog.Endpoint{ID: fmt.Sprint("e", i), Service: "s", Address: addressOf(i), DataCentre: fmt.Sprint("dc", i%dataCentres), Slots: 10})
@@ -129,11 +129,11 @@
 		f.gateways = append(f.gateways, g)
 		f.members = append(f.members, peers.Member{Name: g.config.Name, DataCentre: dc, Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(i+1))})
 	}
-	var telling sync.WaitGroup
-	t.Cleanup(telling.Wait) // the context ends before
+	var wg sync.WaitGroup
+	t.Cleanup(wg.Wait) // the context ends first
 	for i := range f.gateways {
-		telling.Go(func() { f.tell(t.Context(), i) })
-		telling.Go(func() { f.watch(t.Context(), i) })
+		wg.Go(func() { f.sendMessages(t.Context(), i) })
+		wg.Go(func() { f.runWatch(t.Context(), i) })
 	}
 	return f
 }
@@ -141,30 +141,30 @@
 // addressOf returns the address of an engine.
 func addressOf(engine int) string { return fmt.Sprint("127.0.0.1:", 1000+engine) }
 
-// tell plays the words of one gateway until ctx ends.
-func (f *testFleet) tell(ctx context.Context, i int) {
+// sendMessages simulates the peer messages of one gateway until ctx ends.
+func (f *testFleet) sendMessages(ctx context.Context, i int) {
 	g := f.gateways[i]
-	time.Sleep(time.Duration(i) * 7 * time.Millisecond) // gateways are not in step
+	time.Sleep(time.Duration(i) * 7 * time.Millisecond) // gateways are not synchronized
 	heartbeat := time.NewTicker(tellEvery)
 	defer heartbeat.Stop()
 	for beat := 0; ctx.Err() == nil; {
-		why := changed
+		reason := changed
 		select {
 		case <-ctx.Done():
 			return
 		case <-heartbeat.C:
-			why = due
+			reason = due
 			if beat++; beat%digestEvery == 0 {
-				why = dueDigests
+				reason = dueDigests
 			}
 		case <-g.news:
-			why = proved
+			reason = proved
 		case <-g.picker.urgent:
 		}
 		now := time.Now()
 		others := slices.Delete(slices.Clone(f.members), i, i+1)
 		a := newAudience(g.config.Name, g.config.DataCentre, g.state.Cells(), others, g.sharing.peers(now))
-		for _, l := range g.outgoing(a, why, now) {
+		for _, l := range g.outgoing(a, reason, now) {
 			f.deliver(i, l, now)
 		}
 		time.Sleep(tellGap)
@@ -175,23 +175,23 @@
 	w := l.word
 	w.From = f.gateways[from].config.Name
 	f.mu.Lock()
-	f.sent[from] += len(l.to)
-	f.loads[from] += len(l.to) * len(w.Loads)
+	f.messagesSent[from] += len(l.to)
+	f.loadsSent[from] += len(l.to) * len(w.Loads)
 	f.mu.Unlock()
 	for _, to := range l.to {
 		n := int(to.Port()) - 1
-		if f.loses(from, n) {
+		if f.isDropped(from, n) {
 			continue
 		}
 		f.mu.Lock()
-		f.heard[n] += len(w.Crashes)
+		f.crashReports[n] += len(w.Crashes)
 		f.mu.Unlock()
 		delay := nearDelay
 		if f.members[n].DataCentre != f.members[from].DataCentre {
 			delay = farDelay
 		}
 		w := w
-		w.Loads = maps.Clone(w.Loads) // receivers change what they keep
+		w.Loads = maps.Clone(w.Loads) // receivers modify the map that they keep
 		time.AfterFunc(delay, func() {
 			now := time.Now()
 			g := f.gateways[n]
@@ -207,22 +207,23 @@
 	}
 }
 
-// setLose sets which words do not arrive from now on.
+// setLose sets which messages are lost from now on.
 func (f *testFleet) setLose(lose func(from, to int) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lose = lose
+	f.drops = lose
 }
 
-// loses reports whether a word does not arrive.
-func (f *testFleet) loses(from, to int) bool {
+// isDropped reports whether a message is lost.
+func (f *testFleet) isDropped(from, to int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lose != nil && f.lose(from, to)
+	return f.drops != nil && f.drops(from, to)
 }
 
-// ask lets a gateway place a prompt and plays what the engines do with it. It returns
-// how long the prompt waited for endpoints, and whether it got any.
+// ask places a prompt at a gateway and simulates what the engines do with it. It returns how long
+// the prompt waited for endpoints, whether it was placed, and whether endpoints of other cells took
+// part.
 func (f *testFleet) ask(ctx context.Context, gateway, tokens int) (waited time.Duration, placed, remote bool) {
 	began := time.Now()
 	x := &exchange{
@@ -234,9 +235,9 @@
 	if at == nil {
 		return waited, false, false
 	}
-	first := f.read(at)
+	first := f.simulateRead(at)
 	time.Sleep(first)
-	x.part(at)
+	x.recordPart(at)
 	time.Sleep(time.Second)
 	at.release()
 	return waited, true, at.remote > 0
@@ -248,40 +249,40 @@
 	return e.Address
 }
 
-// read counts the reading of a prompt at its engines and returns how long the slowest
-// part takes.
-func (f *testFleet) read(at *place) time.Duration {
+// simulateRead records the prefill of a prompt at its engines and returns how long the slowest part
+// takes.
+func (f *testFleet) simulateRead(at *place) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	var last time.Duration
 	for _, l := range at.loads {
-		if f.reads[l.endpoint].After(now) {
-			f.met++
+		if f.busyUntil[l.endpoint].After(now) {
+			f.overlaps++
 		} else {
-			f.reads[l.endpoint] = now
+			f.busyUntil[l.endpoint] = now
 		}
 		reading := l.load.ReadMs * max(1, f.paces[f.address(l.endpoint)])
-		f.reads[l.endpoint] = f.reads[l.endpoint].Add(time.Duration(reading * float64(time.Millisecond)))
-		last = max(last, f.reads[l.endpoint].Sub(now))
+		f.busyUntil[l.endpoint] = f.busyUntil[l.endpoint].Add(time.Duration(reading * float64(time.Millisecond)))
+		last = max(last, f.busyUntil[l.endpoint].Sub(now))
 	}
 	return last + 100*time.Millisecond
 }
 
-// result is what callers got.
-type result struct {
+// burstResult counts the prompts of a burst by result.
+type burstResult struct {
 	asked, placed, remote, quick int
 	inTime                       int // whose first event came within the objective
 }
 
-// burst asks at gateways in turn, so many times a second, for two seconds.
-func (f *testFleet) burst(t *testing.T, perSecond, tokens int, at func(n int) int) result {
-	var r result
+// burst sends prompts to the gateways that at returns, this many per second, for two seconds.
+func (f *testFleet) burst(t *testing.T, perSecond, tokens int, at func(n int) int) burstResult {
+	var r burstResult
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for n := range 2 * perSecond {
 		r.asked++
-		all.Go(func() {
+		wg.Go(func() {
 			began := time.Now()
 			waited, placed, remote := f.ask(t.Context(), at(n), tokens)
 			mu.Lock()
@@ -302,56 +303,56 @@
 		})
 		time.Sleep(time.Second / time.Duration(perSecond))
 	}
-	all.Wait()
+	wg.Wait()
 	return r
 }
 
-// TestBurstOverCells: forty long prompts a second choose among 150 engines of five data
-// centres within a moment, and no two on the same engine. While all gateways were one
-// cell, their turns let through 30 a second.
-func TestBurstOverCells(t *testing.T) {
+// TestBurstAcrossCells: forty long prompts a second are placed on 150 engines of five data centres
+// without delay, and no two on the same engine. When all gateways formed a single cell, taking
+// turns limited them to 30 a second.
+func TestBurstAcrossCells(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 5, 20, 150)
 		time.Sleep(3 * time.Second)
 		r := f.burst(t, 40, 120_000, func(n int) int { return n % 20 })
-		t.Logf("%+v, %d parts met another", r, f.met)
+		t.Logf("%+v, %d overlapping parts", r, f.overlaps)
 		is.True(r.placed >= r.asked*95/100)
 		is.True(r.quick >= r.asked*80/100)
 		is.True(r.inTime >= r.asked*90/100)
 	})
 }
 
-// TestFullCellSpillsOver: callers of one data centre alone ask for more than its engines
-// can read; the others' engines help, without two cells meeting on the same ones.
-func TestFullCellSpillsOver(t *testing.T) {
+// TestFullCellUsesOtherCells: the callers of one data centre ask for more than its engines can
+// prefill. Engines of the other data centres help, without two cells choosing the same ones.
+func TestFullCellUsesOtherCells(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 5, 20, 150)
 		time.Sleep(3 * time.Second)
 		r := f.burst(t, 24, 190_000, func(n int) int { return n % 4 * 5 }) // all in the first data centre
-		t.Logf("%+v, %d parts met another", r, f.met)
+		t.Logf("%+v, %d overlapping parts", r, f.overlaps)
 		is.True(r.placed >= r.asked*90/100)
 		is.True(r.remote > 0)
-		is.True(f.met*100 <= r.placed*20)
+		is.True(f.overlaps*100 <= r.placed*20)
 	})
 }
 
-// TestWordsDoNotGrowWithTheFleet: what a gateway of the same cell sends in a quiet
-// second is the same whether there is one cell or five, for those that do not speak to
-// other cells; those that do send a few words more for each cell.
-func TestWordsDoNotGrowWithTheFleet(t *testing.T) {
+// TestMessageRateIndependentOfFleetSize: in a second without requests, a gateway sends as many
+// messages with five cells as with one if it does not speak to other cells. One that does sends a
+// few more for each cell.
+func TestMessageRateIndependentOfFleetSize(t *testing.T) {
 	quiet := func(dataCentres int) (words []int) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, dataCentres, 6*dataCentres, 30*dataCentres)
 			time.Sleep(3 * time.Second)
 			f.mu.Lock()
-			before := slices.Clone(f.sent)
+			before := slices.Clone(f.messagesSent)
 			f.mu.Unlock()
 			time.Sleep(time.Second)
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			for i, n := range f.sent {
+			for i, n := range f.messagesSent {
 				words = append(words, n-before[i])
 			}
 		})
@@ -360,25 +361,25 @@
 	}
 	is := is.New(t)
 	one, five := quiet(1), quiet(5)
-	is.Equal(one[len(one)/2], 20) // four words a second to five others
+	is.Equal(one[len(one)/2], 20) // four messages a second to five others
 	is.Equal(five[len(five)/2], one[len(one)/2])
 	is.True(five[len(five)-1] <= one[len(one)-1]+2*4*(acrossReceivers+readers))
 }
 
-// TestOthersSpeakForACell: a cell whose two speakers fell silent is spoken for by others
-// within two seconds. Where a third of all words is lost, prompts meet others on the same
-// endpoints and wait, but three quarters are placed (41 to 48 of 48 in 25 plays; the
-// order of maps differs from play to play).
-func TestOthersSpeakForACell(t *testing.T) {
+// TestCellSpeakerFailover: when the two speakers of a cell fall silent, other gateways speak for it
+// within two seconds. If a third of all messages is lost, prompts overlap on endpoints and wait,
+// but three quarters are placed (41 to 48 of 48 in 25 runs, which differ in the order of map
+// iteration).
+func TestCellSpeakerFailover(t *testing.T) {
 	for name, c := range map[string]struct {
-		lost  func(f *testFleet) func(from, to int) bool
-		least int // of 100 prompts, placed
+		drops     func(f *testFleet) func(from, to int) bool
+		minPlaced int // percentage of prompts that must be placed
 	}{
 		"speakers silent": {func(f *testFleet) func(from, to int) bool {
 			silent := f.speakers()
 			return func(from, to int) bool { return silent[from] || silent[to] }
 		}, 90},
-		"words lost": {func(*testFleet) func(from, to int) bool {
+		"messages lost": {func(*testFleet) func(from, to int) bool {
 			n := 0
 			return func(int, int) bool { n++; return n%3 == 0 }
 		}, 75},
@@ -388,13 +389,13 @@
 				is := is.New(t)
 				f := newFleet(t, 5, 20, 150)
 				time.Sleep(3 * time.Second)
-				lose := c.lost(f)
-				asking := f.firstCell() // before others speak
+				lose := c.drops(f)
+				asking := f.firstCellMembers() // before others speak
 				f.setLose(lose)
 				time.Sleep(2 * time.Second)
 				r := f.burst(t, 24, 190_000, func(n int) int { return asking[n%len(asking)] })
-				t.Logf("%+v, %d parts met another", r, f.met)
-				is.True(r.placed >= r.asked*c.least/100)
+				t.Logf("%+v, %d overlapping parts", r, f.overlaps)
+				is.True(r.placed >= r.asked*c.minPlaced/100)
 				is.True(r.remote > 0)
 			})
 		})
@@ -414,8 +415,8 @@
 	return out
 }
 
-// firstCell returns the gateways of the first data centre that do not speak.
-func (f *testFleet) firstCell() []int {
+// firstCellMembers returns the gateways of the first data centre that do not speak to other cells.
+func (f *testFleet) firstCellMembers() []int {
 	speakers := f.speakers()
 	var out []int
 	for i, m := range f.members {
--- a/relay/gateway.go
+++ b/relay/gateway.go
@@ -18,40 +18,39 @@
 	"github.com/micarudder/micarudder/upstream"
 )
 
-// Config holds the gateway's own bounds.
+// Config holds the gateway's own settings.
 type Config struct {
 	Name       string
 	DataCentre string
-	// RevokeAfter is how long after a key was withdrawn the last request for it
-	// may be sent; a gateway without a younger proof of its configuration
-	// refuses requests with keys. Zero: no proof is needed.
+	// RevokeAfter is how long after a key was revoked the last request with it may be sent. A
+	// gateway without a proof of its configuration that is newer than this refuses requests with
+	// keys. Zero: no proof is needed.
 	RevokeAfter time.Duration
 	Retries     limits.WindowConfig
-	// UnusedMemory is the longest that memory may stay set aside at an endpoint without use.
+	// UnusedMemory is the longest that memory may stay reserved at an endpoint without use.
 	UnusedMemory time.Duration
 	// DrainTime is the time from the stop signal to the end of the process.
 	DrainTime time.Duration
 	Policy    balance.Policy
-	// Seeds are the peer addresses of some gateways, which a starting one asks first.
+	// Seeds are the peer addresses of some gateways, which a starting gateway contacts first.
 	Seeds []netip.AddrPort
 	// FirstStart is set when the whole installation starts for the first time.
 	FirstStart bool
-	// BodyMemory bounds the bytes of all request bodies that are held at once;
-	// zero: no bound.
+	// BodyMemory bounds the total size of all request bodies in memory; zero: no bound.
 	BodyMemory int64
 }
 
-// Deps are what a gateway works with.
+// Deps holds the dependencies of a gateway.
 type Deps struct {
 	Protocol  Protocol
 	Source    Source
 	Endpoints *upstream.Client
 	Mesh      *peers.Mesh
-	PeerPort  int // TCP port at which other gateways answer
+	PeerPort  int // TCP port on which other gateways answer
 	Log       *eventlog.Log
 	Metrics   *metrics.Set
-	// Suspended returns how long the host was suspended in all. Its monotonic clock, which
-	// time.Now carries, does not count that time. Nil: it never is.
+	// Suspended returns how long the host was suspended in total. The monotonic clock, which
+	// time.Now uses, does not count that time. Nil: the host is never suspended.
 	Suspended func() time.Duration
 }
 
@@ -68,30 +67,30 @@
 	cancel      context.CancelFunc
 	tasks       sync.WaitGroup
 	inFlight    atomic.Int64
-	bodies      atomic.Int64 // bytes of the bodies that are held
+	bodyBytes   atomic.Int64 // total size of the request bodies in memory
 	leaving     atomic.Bool
-	stopAt      atomic.Pointer[time.Time] // when the stop signal came
+	stopAt      atomic.Pointer[time.Time] // when the stop signal arrived
 	peers       *peerClient
 	sharing     *sharing
-	faces       *faces
+	servers     *callerServers
 	crashProbes *crashProbes
-	quarantined *quarantined
-	suspension  *suspension
+	quarantined *quarantineTable
+	suspension  *suspensionDetector
 	limits      *endpointLimits
 	grants      *peerClient
-	// askCoordinator asks another gateway for a grant.
+	// askCoordinator requests a grant from another gateway.
 	askCoordinator func(ctx context.Context, name string, q grantQuestion) (grantAnswer, error)
-	// configurationDocument and endpointsDocument are what peers ask for.
-	configurationDocument, endpointsDocument document
-	// news asks for a whole word to the peers soon.
+	// configurationDocument and endpointsDocument are the documents that peers request.
+	configurationDocument, endpointsDocument compressedDocument
+	// news requests that a complete message be sent to the peers soon.
 	news chan struct{}
-	// lastRead is the version that the last own read of the configuration brought.
+	// lastRead is the version of the configuration that this gateway's last own read returned.
 	lastRead atomic.Uint64
-	// listedGateways is how many the store's newest list named.
+	// listedGateways is the number of gateways in the store's newest list.
 	listedGateways atomic.Int64
 }
 
-// New returns a gateway whose background work runs until Close.
+// New returns a gateway whose background tasks run until Close.
 func New(c Config, d Deps) *Gateway {
 	g := &Gateway{config: c, deps: d, state: NewState(), meter: newMeter(d.Metrics), news: make(chan struct{}, 1), started: time.Now()}
 	g.picker = newPicker(c.Name, c.DataCentre, g.state, c.Policy, c.Retries)
@@ -101,23 +100,23 @@
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	g.peers = newPeerClient(d.PeerPort)
 	g.sharing = newSharing()
-	g.faces = newFaces(g)
+	g.servers = newCallerServers(g)
 	g.crashProbes = newCrashProbes()
-	g.quarantined = newQuarantined()
-	g.suspension = newSuspension(d.Suspended)
+	g.quarantined = newQuarantineTable()
+	g.suspension = newSuspensionDetector(d.Suspended)
 	g.limits = g.picker.limits
 	g.grants = newGrantClient(d.PeerPort)
 	g.askCoordinator = g.askPeerGrant
 	return g
 }
 
-// Start begins the background work.
+// Start starts the background tasks.
 func (g *Gateway) Start() {
-	for _, task := range []func(){g.followGateways, g.tell, g.hear, g.keepQuarantined, g.noticeSuspensions} {
+	for _, task := range []func(){g.followGateways, g.tell, g.hear, g.keepQuarantined, g.pollSuspensions} {
 		g.tasks.Go(task)
 	}
 	if !g.config.FirstStart {
-		g.tasks.Go(g.recallQuarantined)
+		g.tasks.Go(g.loadQuarantined)
 	}
 	g.tasks.Go(func() {
 		g.learn()
@@ -127,7 +126,7 @@
 	})
 }
 
-// Close ends the background work.
+// Close stops the background tasks.
 func (g *Gateway) Close() {
 	g.cancel()
 	if g.deps.Mesh != nil {
@@ -137,9 +136,9 @@
 	g.deps.Endpoints.Close()
 }
 
-// closeTime bounds the wait for background work at the end: orders to release
-// memory that are under way are worth a round trip, not more.
-const closeTime = orderTime
+// closeTimeout bounds the wait for background tasks at shutdown: pending release orders are given
+// one round trip.
+const closeTimeout = orderTimeout
 
 func (g *Gateway) waitForTasks() {
 	done := make(chan struct{})
@@ -149,14 +148,14 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(closeTime):
+	case <-time.After(closeTimeout):
 	}
 }
 
-// Ready reports whether the balancer may send new connections here.
+// Ready reports whether the load balancer may send new connections to this gateway.
 func (g *Gateway) Ready() bool { return !g.leaving.Load() && g.state.Table() != nil }
 
-// ReadyHandler answers the balancer.
+// ReadyHandler answers the load balancer's readiness checks.
 func (g *Gateway) ReadyHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !g.Ready() {
@@ -165,5 +164,5 @@
 	})
 }
 
-// pause waits for d; it reports false when the gateway was closed first.
+// pause waits for d. It reports false if the gateway was closed first.
 func (g *Gateway) pause(d time.Duration) bool { return sleep.For(g.ctx, d) }
--- a/relay/gateway_test.go
+++ b/relay/gateway_test.go
@@ -17,7 +17,7 @@
 	"github.com/matryer/is"
 )
 
-func TestRelayIsUnchanged(t *testing.T) {
+func TestRelaysRequestUnchanged(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
 		answer(w, "203 Fine", "Seal: x\r\nTwice: 1\r\nTwice: 2\r\nKeep-Alive: timeout=5\r\n", "body")
@@ -29,7 +29,7 @@
 	is.Equal(got.body, "body")
 	is.Equal(got.header["Twice"], []string{"1", "2"})
 	is.Equal(got.header.Get("Keep-Alive"), "")
-	sent := b.request(0)
+	sent := b.requestAt(0)
 	is.Equal(sent.RequestURI, "/safe/%2F/x?q=%20&q")
 	is.Equal(sent.Host, "h.example")
 	is.Equal(sent.Header["Twice"], []string{"1", "2"})
@@ -39,9 +39,9 @@
 	is.Equal(string(p), "asked")
 }
 
-// TestFaults: what a caller gets and how often endpoints are asked, by route and
-// fault of the first send.
-func TestFaults(t *testing.T) {
+// TestFirstAttemptFaults checks the answer and the number of attempts by route and by the fault of
+// the first attempt.
+func TestFirstAttemptFaults(t *testing.T) {
 	reset := func(_ *bufio.Writer, c *net.TCPConn) { reset(c) }
 	full := func(w *bufio.Writer, _ *net.TCPConn) { answer(w, "503 Full", "Not-Run: 1\r\n", "") }
 	failed := func(w *bufio.Writer, _ *net.TCPConn) { answer(w, "500 Failed", "", "why") }
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestAllFull: a request that no endpoint took is refused with a time to come
-// back, after as many sends as its route allows.
-func TestAllFull(t *testing.T) {
+// TestAllEndpointsFull: a request that no endpoint accepted is refused with a Retry-After, after as
+// many attempts as its route allows.
+func TestAllEndpointsFull(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
 		answer(w, "503 Full", "Not-Run: 1\r\nSeal: x\r\n", "")
@@ -108,9 +108,9 @@
 	is.Equal(b.arrivals(), 2)
 }
 
-// TestStreamGoesOn: a stream that breaks inside an event goes on at the other
-// endpoint after the last whole event, under the head of the first.
-func TestStreamGoesOn(t *testing.T) {
+// TestStreamResumesElsewhere: a stream that breaks inside an event resumes at the other endpoint
+// after the last complete event, under the head of the first answer.
+func TestStreamResumesElsewhere(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, func(n int, w *bufio.Writer, c *net.TCPConn, _ *http.Request) {
 		_, _ = w.WriteString("HTTP/1.1 200 OK\r\nId: r1\r\nSeal: " + strconv.Itoa(n) + "\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -127,12 +127,12 @@
 	is.NoErr(got.err)
 	is.Equal(got.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
 	is.Equal(got.header.Get("Seal"), "1")
-	is.Equal(b.request(1).Header.Get("After"), "1")
-	is.True(b.request(0).Header.Get("Endpoint") != b.request(1).Header.Get("Endpoint"))
+	is.Equal(b.requestAt(1).Header.Get("After"), "1")
+	is.True(b.requestAt(0).Header.Get("Endpoint") != b.requestAt(1).Header.Get("Endpoint"))
 }
 
-// TestStreamNotResumedForever: a stream that breaks at each endpoint is cut for
-// the caller, so that it does not look whole.
+// TestStreamNotResumedForever: the caller's connection is aborted if a stream breaks at each
+// endpoint, so that the answer does not look complete.
 func TestStreamNotResumedForever(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, func(n int, w *bufio.Writer, c *net.TCPConn, _ *http.Request) {
@@ -147,8 +147,8 @@
 	is.Equal(b.arrivals(), 2)
 }
 
-// TestWrongEndpoint: an endpoint whose address another incarnation has is not
-// sent to again. It is the one that is asked first, whichever that is.
+// TestWrongEndpoint: an endpoint whose address belongs to another incarnation is not used again.
+// The test picks whichever endpoint gets the first request.
 func TestWrongEndpoint(t *testing.T) {
 	is := is.New(t)
 	wrong := ""
@@ -178,7 +178,7 @@
 	b.know()
 	got := b.ask(t.Context(), "GET", "/safe/", "", http.Header{"Wait-Ms": {"200"}})
 	is.Equal(got.status, 504)
-	left, err := strconv.Atoi(b.request(0).Header.Get("Left-Ms"))
+	left, err := strconv.Atoi(b.requestAt(0).Header.Get("Left-Ms"))
 	is.NoErr(err)
 	is.True(left <= 200)
 	got = b.ask(t.Context(), "GET", "/safe/", "", http.Header{"Wait-Ms": {"1"}})
@@ -186,9 +186,9 @@
 	is.Equal(b.arrivals(), 1)
 }
 
-// TestNoMemoryAtOneEndpoint: a prompt that needs memory at helpers is placed
-// without an endpoint that refused to set it aside.
-func TestNoMemoryAtOneEndpoint(t *testing.T) {
+// TestReservationRefusedByOneEndpoint: a prompt that needs memory at helpers is placed again
+// without the endpoint that refused the reservation.
+func TestReservationRefusedByOneEndpoint(t *testing.T) {
 	is := is.New(t)
 	var b *bench
 	var mu sync.Mutex
@@ -207,7 +207,7 @@
 			answer(w, "200 OK", "", "")
 		}
 	})
-	b.knowEngines(1000, "c", "d", "e", "f", "g", "h")
+	b.configureEngines(1000, "c", "d", "e", "f", "g", "h")
 	got := b.ask(t.Context(), "POST", "/once/", "", http.Header{"Tokens": {"1500"}})
 	is.Equal(got.status, 200)
 	mu.Lock()
@@ -215,9 +215,9 @@
 	is.Equal(reserved, 1)
 }
 
-// TestHelperAtFault: a prompt whose helper is dead is sent again without it, and the
-// endpoint that told of it gets requests as before.
-func TestHelperAtFault(t *testing.T) {
+// TestFailedHelper: a prompt whose helper is dead is sent again without that helper, and the
+// endpoint that reported the helper is used as before.
+func TestFailedHelper(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	dead := ""
@@ -234,10 +234,10 @@
 		}
 		answer(w, "200 OK", "", "")
 	})
-	b.knowEngines(100000, "c", "d")
+	b.configureEngines(100000, "c", "d")
 	got := b.ask(t.Context(), "POST", "/once/", "", http.Header{"Tokens": {"9000"}})
 	is.Equal(got.status, 200)
-	is.True(dead != "") // the first send had a helper
+	is.True(dead != "") // the first attempt had a helper
 	is.Equal(b.arrivals(), 2)
 	suspects := 0
 	for _, e := range b.source.endpoints {
@@ -249,9 +249,9 @@
 	is.Equal(suspects, 1)
 }
 
-// TestHelpersLeaveAtOnce: a prompt meets another dead helper in each of its first three
-// sends. It is served in the end, by one of no more endpoints than its route allows.
-func TestHelpersLeaveAtOnce(t *testing.T) {
+// TestSeveralFailedHelpers: a prompt meets another dead helper in each of its first three attempts.
+// It is served in the end, without using more endpoints than its route allows.
+func TestSeveralFailedHelpers(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	var dead []string
@@ -272,7 +272,7 @@
 		}
 		answer(w, "200 OK", "", "")
 	})
-	b.knowEngines(100000, "c", "d", "e", "f", "g", "h")
+	b.configureEngines(100000, "c", "d", "e", "f", "g", "h")
 	got := b.ask(t.Context(), "POST", "/once/", "", http.Header{"Tokens": {"9000"}})
 	is.Equal(got.status, 200)
 	is.Equal(len(dead), 3)
@@ -280,9 +280,9 @@
 	is.True(len(asked) <= 2)
 }
 
-// TestCallerThatDoesNotRead: a caller that takes nothing of its answer holds its
-// request no longer than its time.
-func TestCallerThatDoesNotRead(t *testing.T) {
+// TestCallerDoesNotReadAnswer: a caller that reads nothing of its answer occupies the gateway no
+// longer than its deadline.
+func TestCallerDoesNotReadAnswer(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
 		_, _ = w.WriteString("HTTP/1.1 200 OK\r\nId: r1\r\n\r\n")
@@ -303,8 +303,8 @@
 	}
 }
 
-// TestBodyMemory: bodies over the memory for them are refused as not run.
-func TestBodyMemory(t *testing.T) {
+// TestBodyMemoryLimit: bodies that exceed the memory for all bodies are refused as not run.
+func TestBodyMemoryLimit(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { answer(w, "200 OK", "", "") })
 	b.know()
@@ -317,7 +317,7 @@
 	is.Equal(b.arrivals(), 2)
 }
 
-// TestCallerGone: the end of the caller's connection reaches the endpoint.
+// TestCallerGone: closing the caller's connection closes the connection to the endpoint.
 func TestCallerGone(t *testing.T) {
 	is := is.New(t)
 	arrived, closed := make(chan struct{}), make(chan struct{})
@@ -340,9 +340,9 @@
 	is.Equal(b.arrivals(), 1)
 }
 
-// TestStop: a stop makes the gateway not ready at once and lets what is in
-// flight end, on a connection that is closed after its answer.
-func TestStop(t *testing.T) {
+// TestShutdown: a shutdown makes the gateway not ready at once and lets requests in flight finish;
+// their connections are closed after the answer.
+func TestShutdown(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
 	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
@@ -368,10 +368,9 @@
 	is.Equal(b.gateway.inFlight.Load(), int64(0))
 }
 
-// TestStartingGatewayHoldsItsFirstRequests: a request that comes before the first
-// configuration of a process that has just started is served once that is known; later on
-// it is refused at once.
-func TestStartingGatewayHoldsItsFirstRequests(t *testing.T) {
+// TestRequestBeforeFirstConfiguration: a request that arrives before the first configuration of a
+// process that has just started waits for it and is served. Later it is refused at once.
+func TestRequestBeforeFirstConfiguration(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { answer(w, "200 OK", "", "x") })
 	done := make(chan reply)
@@ -385,7 +384,7 @@
 	is.Equal(got.status, http.StatusOK)
 
 	b = newBench(t, nil)
-	b.gateway.started = time.Now().Add(-startTime)
+	b.gateway.started = time.Now().Add(-startupWait)
 	got = b.ask(t.Context(), "POST", "/safe/x", "", nil)
 	is.NoErr(got.err)
 	is.Equal(got.status, http.StatusServiceUnavailable)
--- a/relay/handler.go
+++ b/relay/handler.go
@@ -14,18 +14,19 @@
 
 // ServeHTTP relays one request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	x := &exchange{g: g, w: w, r: r, started: time.Now(), suspended: g.suspendedTime()}
+	x := &exchange{g: g, w: w, r: r, started: time.Now(), countedSuspension: g.suspendedTime()}
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
-	defer x.releaseBody()
-	x.finish(x.serve())
-	// The connection may carry another request; if it is broken, that fails.
+	defer x.releaseBodyMemory()
+	x.recordEnd(x.serve())
+	// Clears the write deadline, since the connection may carry another request. On a broken
+	// connection this fails, and the error is of no use.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 }
 
-// finish logs and counts how a request ended.
-func (x *exchange) finish(o outcome) {
-	x.g.meter.ended(o, x.started)
+// recordEnd logs how a request ended and updates the metrics.
+func (x *exchange) recordEnd(o outcome) {
+	x.g.meter.recordRequest(o, x.started)
 	age, _ := x.g.state.ProofAge(time.Now())
 	var route catalog.Route
 	if x.route != nil {
@@ -34,32 +35,34 @@
 	x.g.deps.Log.Request("Request ended.", "request", x.call.ID, "outcome", string(o), "route", route.Name, "version", x.g.state.Version(),
 		"tokens", x.call.Input, "deadline_ms", x.call.Deadline.Milliseconds(), "objective_ms", route.Objective.Milliseconds(), "pause_ms", route.GapObjective.Milliseconds(),
 		"proof_age_ms", age.Milliseconds(), "attempts", x.attempts, "unsent", x.unsent, "tried", x.tried,
-		"first_ms", x.firstMs(), "gap_ms", x.maxGap.Milliseconds(), "ms", time.Since(x.started).Milliseconds(), "fingerprint", x.knownFingerprint(), "err", x.lastError)
+		"first_ms", x.firstPartMs(), "gap_ms", x.maxGap.Milliseconds(), "ms", time.Since(x.started).Milliseconds(), "fingerprint", x.knownFingerprint(), "err", x.lastError)
 }
 
-// firstMs returns how long the first part of the answer took, -1 before it.
-func (x *exchange) firstMs() int64 {
-	if x.firstAt.IsZero() {
+// firstPartMs returns the time to the first part of the answer in milliseconds, or -1 if no part
+// has arrived.
+func (x *exchange) firstPartMs() int64 {
+	if x.firstPartAt.IsZero() {
 		return -1
 	}
-	return x.firstAt.Sub(x.started).Milliseconds()
+	return x.firstPartAt.Sub(x.started).Milliseconds()
 }
 
-// configuration returns the one in force. A process that has just started waits for its
-// first one: its callers come back from another gateway that ended and have few tries
-// left. 520 that came in the first 0.3 s after all gateways were killed were refused; over
-// that day of 34 s 3.3 % of all requests were never served for a refusal, and 0.3 % since.
-func (x *exchange) configuration() *catalog.Table {
+// awaitTable returns the configuration in force. A process that has just started waits for its
+// first configuration, because its callers are retrying after another gateway ended and have few
+// attempts left. Without this wait, 520 requests that arrived within 0.3 s after all gateways had
+// been killed were refused, and 3.3 % of all requests over 34 s were never served because of a
+// refusal; with it, 0.3 %.
+func (x *exchange) awaitTable() *catalog.Table {
 	if t := x.g.state.Table(); t != nil {
 		return t
 	}
-	if left := startTime - time.Since(x.g.started); left > 0 {
+	if left := startupWait - time.Since(x.g.started); left > 0 {
 		x.g.state.Fresh(x.r.Context(), math.MaxInt64, left)
 	}
 	return x.g.state.Table()
 }
 
-// serve checks a request and runs it.
+// serve validates a request and runs it.
 func (x *exchange) serve() outcome {
 	if x.g.leaving.Load() {
 		x.w.Header().Set("Connection", "close")
@@ -67,7 +70,7 @@
 			return x.refuse(http.StatusServiceUnavailable, retryAfterStop, stopping)
 		}
 	}
-	x.table = x.configuration()
+	x.table = x.awaitTable()
 	if x.table == nil {
 		return x.refuse(http.StatusServiceUnavailable, retryAfterStore, notStarted)
 	}
@@ -85,28 +88,29 @@
 	if o, ok := x.readBody(); !ok {
 		return o
 	}
-	// The route's service is drawn once, so that a second send stays with it.
+	// The service is drawn from the route's targets only once, so that a retry uses the same
+	// service.
 	x.service = x.table.Service(target(x.route))
 	if x.service == nil {
 		return x.refuse(http.StatusServiceUnavailable, retryAfterFull, refusedFull)
 	}
-	if o, ok := x.admissible(); !ok {
+	if o, ok := x.checkQuarantine(); !ok {
 		return o
 	}
 	return x.run()
 }
 
-// authorize looks up route and key in the configuration in force. It is called
-// again before each send: a request must not go out for a route or key that was
-// withdrawn while it waited.
+// authorize looks up the route and the key in the configuration in force. It is called again before
+// each attempt, because a request must not be sent for a route or key that was revoked while the
+// request waited.
 func (x *exchange) authorize() (outcome, bool) {
 	table := x.g.state.Table()
-	route := table.Route(x.r.Host, pathOf(x.r.RequestURI))
+	route := table.Route(x.r.Host, requestPath(x.r.RequestURI))
 	if route == nil {
-		return x.denied(http.StatusNotFound, noRoute), false
+		return x.deny(http.StatusNotFound, noRoute), false
 	}
-	// A request that is under way keeps its route's definition while the route
-	// leads to the same services.
+	// A request in flight keeps the definition of its route as long as the route has the same
+	// target services.
 	if x.route == nil || !sameTargets(x.route, route) {
 		x.table, x.route = table, route
 		if x.service != nil && table.Service(x.service.Name) == nil {
@@ -118,13 +122,13 @@
 	}
 	x.workspace = table.Workspace(x.call.Key)
 	if x.workspace == nil && !route.Public {
-		return x.denied(http.StatusUnauthorized, noKey), false
+		return x.deny(http.StatusUnauthorized, unknownKey), false
 	}
 	if route.Public || x.g.config.RevokeAfter == 0 {
 		return "", true
 	}
-	if !x.g.state.Fresh(x.r.Context(), x.g.config.RevokeAfter-proofMargin, freshPatience) {
-		return x.refuseUnproved(), false
+	if !x.g.state.Fresh(x.r.Context(), x.g.config.RevokeAfter-proofMargin, proofWait) {
+		return x.refuseWithoutProof(), false
 	}
 	if x.g.state.Table() != table {
 		return x.authorize()
@@ -132,7 +136,7 @@
 	return "", true
 }
 
-// sameTargets reports whether both routes lead to the same services.
+// sameTargets reports whether both routes have the same target services.
 func sameTargets(a, b *catalog.Route) bool {
 	if a == b {
 		return true
@@ -148,27 +152,27 @@
 	return true
 }
 
-// denied answers a request that the configuration does not allow. A gateway
-// that may have missed a newer configuration does not say so for good.
-func (x *exchange) denied(status int, o outcome) outcome {
+// deny answers a request that the configuration does not allow. A gateway that may have missed a
+// newer configuration answers with a retryable status instead of a final one.
+func (x *exchange) deny(status int, o outcome) outcome {
 	if x.mayRun {
 		return x.giveUp(o)
 	}
-	if age, _ := x.g.state.ProofAge(time.Now()); age > staleBefore {
-		return x.refuseUnproved()
+	if age, _ := x.g.state.ProofAge(time.Now()); age > maxDenialProofAge {
+		return x.refuseWithoutProof()
 	}
 	return x.refuse(status, 0, o)
 }
 
-func (x *exchange) refuseUnproved() outcome {
+func (x *exchange) refuseWithoutProof() outcome {
 	if x.mayRun {
 		return x.giveUp(refusedKey)
 	}
 	return x.refuse(http.StatusServiceUnavailable, retryAfterStore, refusedKey)
 }
 
-// setDeadline takes the least of the caller's deadline and the route's timeout,
-// counted from when the head was read.
+// setDeadline sets the deadline to the shorter of the caller's deadline and the route's timeout,
+// counted from when the request head was read.
 func (x *exchange) setDeadline() {
 	limit := x.route.Timeout
 	if x.call.Deadline > 0 && (limit <= 0 || x.call.Deadline < limit) {
@@ -178,21 +182,21 @@
 		limit = defaultDeadline
 	}
 	x.deadline = x.started.Add(limit)
-	// A caller that does not take its answer must not hold its request for ever.
-	if err := http.NewResponseController(x.w).SetWriteDeadline(x.deadline.Add(writeSlack)); err != nil {
-		x.g.deps.Log.Request("No write deadline.", "request", x.call.ID, "err", err)
+	// A caller that does not read its answer must not keep its request open indefinitely.
+	if err := http.NewResponseController(x.w).SetWriteDeadline(x.deadline.Add(writeGracePeriod)); err != nil {
+		x.g.deps.Log.Request("Setting the write deadline failed.", "request", x.call.ID, "err", err)
 	}
 }
 
-// writeSlack is how long after its deadline a request's last bytes may still be
-// on their way to the caller.
-const writeSlack = time.Second
+// writeGracePeriod is how long after the deadline of a request its last bytes may still be written
+// to the caller.
+const writeGracePeriod = time.Second
 
-// defaultDeadline holds where neither caller nor route sets one.
+// defaultDeadline applies if neither the caller nor the route sets a deadline.
 const defaultDeadline = 30 * time.Second
 
-// readBody reads the whole body, so that a request can be sent again and its
-// end is known before anything is sent.
+// readBody reads the whole body, so that the request can be sent again and is known to be complete
+// before anything is sent.
 func (x *exchange) readBody() (outcome, bool) {
 	limit := x.table.Limits.BodyBytes
 	if limit > 0 && x.r.ContentLength > limit {
@@ -202,7 +206,7 @@
 	if x.r.Body == nil || x.r.Body == http.NoBody {
 		return "", true
 	}
-	if !x.holdBody() {
+	if !x.reserveBodyMemory() {
 		x.w.Header().Set("Connection", "close")
 		return x.refuse(http.StatusServiceUnavailable, retryAfterFull, refusedFull), false
 	}
@@ -214,11 +218,11 @@
 	var err error
 	x.body, err = readAll(body, x.r.ContentLength)
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Time{})
-	var large *http.MaxBytesError
+	var tooLargeErr *http.MaxBytesError
 	switch {
 	case err == nil:
 		return "", true
-	case errors.As(err, &large):
+	case errors.As(err, &tooLargeErr):
 		return x.refuse(http.StatusRequestEntityTooLarge, 0, tooLarge), false
 	case x.r.Context().Err() != nil:
 		return callerGone, false
@@ -229,22 +233,21 @@
 	}
 }
 
-// unknownBody is what a body of unknown length counts.
-const unknownBody = 256 << 10
+// unknownBodySize is the size that a body of unknown length counts against Config.BodyMemory.
+const unknownBodySize = 256 << 10
 
-// holdBody counts the body against the memory for all bodies; it reports false
-// when that is used up.
-func (x *exchange) holdBody() bool {
-	x.held = x.r.ContentLength
-	if x.held < 0 {
-		x.held = unknownBody
-	}
-	return x.g.bodies.Add(x.held) <= x.g.config.BodyMemory || x.g.config.BodyMemory == 0
+// reserveBodyMemory counts the body against Config.BodyMemory and reports whether it fits.
+func (x *exchange) reserveBodyMemory() bool {
+	x.heldBytes = x.r.ContentLength
+	if x.heldBytes < 0 {
+		x.heldBytes = unknownBodySize
+	}
+	return x.g.bodyBytes.Add(x.heldBytes) <= x.g.config.BodyMemory || x.g.config.BodyMemory == 0
 }
 
-func (x *exchange) releaseBody() { x.g.bodies.Add(-x.held) }
+func (x *exchange) releaseBodyMemory() { x.g.bodyBytes.Add(-x.heldBytes) }
 
-// readAll reads a body of the announced length, or of any where it is negative.
+// readAll reads a body of the given length, or of any length if it is negative.
 func readAll(body io.Reader, length int64) ([]byte, error) {
 	if length < 0 {
 		return io.ReadAll(body)
@@ -254,8 +257,8 @@
 	return p, err
 }
 
-// pathOf returns the path of a request target.
-func pathOf(target string) string {
+// requestPath returns the path of a request target.
+func requestPath(target string) string {
 	if strings.HasPrefix(target, "http://") {
 		if slash := strings.IndexByte(target[len("http://"):], '/'); slash >= 0 {
 			target = target[len("http://")+slash:]
@@ -265,17 +268,16 @@
 	return path
 }
 
-// hopByHop are the header fields that belong to one connection only.
+// hopByHop holds the header fields that apply to a single connection.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Transfer-Encoding": true, "Te": true, "Trailer": true,
 	"Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 }
 
-// HopByHop reports whether a header field, in its canonical form, belongs to one
-// connection only.
+// HopByHop reports whether a header field, in its canonical form, applies to a single connection.
 func HopByHop(name string) bool { return hopByHop[name] }
 
-// seconds writes a duration as Retry-After has it; fractions are allowed.
-func seconds(d time.Duration) string {
+// formatSeconds formats a duration for the Retry-After header; fractions are allowed.
+func formatSeconds(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', -1, 64)
 }
--- a/relay/harness_test.go
+++ b/relay/harness_test.go
@@ -30,7 +30,7 @@
 	"github.com/micarudder/micarudder/upstream"
 )
 
-// testProtocol is a protocol with header fields of its own.
+// testProtocol is a Protocol with header fields of its own.
 type testProtocol struct{}
 
 func (testProtocol) Call(h http.Header) (Call, error) {
@@ -90,7 +90,7 @@
 	}
 	s.Leaving = res.Header.Get("Leaves") != ""
 	if text := res.Header.Get("Rest-Ms"); text != "" {
-		ms, _ := strconv.Atoi(text) // 0 where it is no number
+		ms, _ := strconv.Atoi(text) // 0 if it is not a number
 		s.Rest = time.Duration(ms) * time.Millisecond
 	}
 	return s, err
@@ -106,7 +106,7 @@
 
 func (testProtocol) ReadReport(res *http.Response) (r EndpointReport, ok bool, err error) {
 	r.Pace, err = strconv.ParseFloat(res.Header.Get("Pace"), 64)
-	r.Waiting, _ = strconv.Atoi(res.Header.Get("Waiting")) // 0 where it is not told
+	r.Waiting, _ = strconv.Atoi(res.Header.Get("Waiting")) // 0 if it is not given
 	r.Reservations = make(map[string]ReservationState)
 	for _, id := range res.Header["Idle"] {
 		r.Reservations[id] = ReservationIdle
@@ -127,7 +127,7 @@
 
 func (testProtocol) Echo() string { return "Id" }
 
-// testSource is a store whose content a test sets.
+// testSource is a store whose content is set by the test.
 type testSource struct {
 	mu        sync.Mutex
 	config    *catalog.Configuration
@@ -135,7 +135,7 @@
 	err       error
 	era       uint64
 	unchanged bool // whether the configuration is the one that was returned last
-	kept      map[quarantine.Fingerprint]quarantine.Entry
+	stored    map[quarantine.Fingerprint]quarantine.Entry
 }
 
 func (s *testSource) set(c *catalog.Configuration, err error) {
@@ -162,29 +162,29 @@
 func (s *testSource) Quarantined(context.Context) ([]quarantine.Entry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Collect(maps.Values(s.kept)), s.err
+	return slices.Collect(maps.Values(s.stored)), s.err
 }
 
 func (s *testSource) KeepQuarantined(_ context.Context, e quarantine.Entry, _ time.Duration) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.kept == nil {
-		s.kept = make(map[quarantine.Fingerprint]quarantine.Entry)
+	if s.stored == nil {
+		s.stored = make(map[quarantine.Fingerprint]quarantine.Entry)
 	}
-	s.kept[e.Fingerprint] = e
+	s.stored[e.Fingerprint] = e
 	return s.err
 }
 
 func (s *testSource) keptCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.kept)
+	return len(s.stored)
 }
 
 func (s *testSource) DropQuarantined(_ context.Context, f quarantine.Fingerprint) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.kept, f)
+	delete(s.stored, f)
 	return s.err
 }
 
@@ -194,34 +194,33 @@
 	return s.era
 }
 
-// restore sets what the store holds in its next era.
+// restore increments the era of the store and replaces its content.
 func (s *testSource) restore(c *catalog.Configuration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.config, s.kept = c, nil
+	s.config, s.stored = c, nil
 	s.era++
 }
 
 func (s *testSource) Gateways(context.Context) ([]peers.Member, error) { return nil, nil }
 
-// bench is a gateway before scripted endpoints.
+// bench is a gateway with scripted endpoints.
 type bench struct {
 	t       *testing.T
 	gateway *Gateway
 	source  *testSource
 	url     string
-	play    script
+	script  endpointScript
 
 	mu        sync.Mutex
-	seen      []*http.Request // at all endpoints, in the order of arrival
+	requests  []*http.Request // at all endpoints, in the order of arrival
 	listeners map[string]net.Listener
 
 	suspended atomic.Int64 // how long the gateway's host was suspended, in nanoseconds
 }
 
-// script answers one request of an endpoint; n counts the requests at all
-// endpoints from 1.
-type script func(n int, w *bufio.Writer, c *net.TCPConn, r *http.Request)
+// endpointScript answers one request to an endpoint; n counts the requests to all endpoints from 1.
+type endpointScript func(n int, w *bufio.Writer, c *net.TCPConn, r *http.Request)
 
 func testConfig(version uint64) *catalog.Configuration {
 	route := func(name string, k catalog.Kind, resumable bool) catalog.Route {
@@ -237,12 +236,12 @@
 	}
 }
 
-// newBench starts a gateway before two endpoints that play the script.
-func newBench(t *testing.T, play script) *bench {
+// newBench starts a gateway with two endpoints that run the script.
+func newBench(t *testing.T, script endpointScript) *bench {
 	t.Helper()
-	b := &bench{t: t, play: play, source: &testSource{config: testConfig(1)}, listeners: make(map[string]net.Listener)}
+	b := &bench{t: t, script: script, source: &testSource{config: testConfig(1)}, listeners: make(map[string]net.Listener)}
 	for _, id := range []string{"a", "b"} {
-		b.source.endpoints = append(b.source.endpoints, catalog.Endpoint{ID: id, Service: "s", Address: b.endpoint(play), Slots: 4})
+		b.source.endpoints = append(b.source.endpoints, catalog.Endpoint{ID: id, Service: "s", Address: b.startEndpoint(script), Slots: 4})
 	}
 	events := eventlog.New(io.Discard, eventlog.Options{Level: log.InfoLevel, LinesPerSecond: 100})
 	b.gateway = New(Config{
@@ -259,7 +258,7 @@
 	return b
 }
 
-// suspend lets time pass that the monotonic clock of the gateway's host does not count.
+// suspend adds time that the monotonic clock of the gateway's host does not count.
 func (b *bench) suspend(d time.Duration) { b.suspended.Add(int64(d)) }
 
 // know makes the gateway read its source once.
@@ -272,20 +271,20 @@
 	b.gateway.state.Listed(list, time.Now(), time.Now(), time.Time{})
 }
 
-// knowEngines makes the service one of engines with so much memory, adds endpoints to it,
-// and makes the gateway read its source once.
-func (b *bench) knowEngines(memoryTokens int, ids ...string) {
+// configureEngines turns the service into one of engines with this much memory, adds endpoints to
+// it, and makes the gateway read its source once.
+func (b *bench) configureEngines(memoryTokens int, ids ...string) {
 	b.t.Helper()
 	config := testConfig(1)
 	config.Services[0].Engine = &catalog.Engine{Slots: 16, MemoryTokens: memoryTokens, StepMs: 1, ReadPerMs: 10, Stride: 1}
 	b.source.set(config, nil)
 	for _, id := range ids {
-		b.source.endpoints = append(b.source.endpoints, catalog.Endpoint{ID: id, Service: "s", Address: b.endpoint(b.play), Slots: 16})
+		b.source.endpoints = append(b.source.endpoints, catalog.Endpoint{ID: id, Service: "s", Address: b.startEndpoint(b.script), Slots: 16})
 	}
 	b.know()
 }
 
-func (b *bench) endpoint(play script) string {
+func (b *bench) startEndpoint(script endpointScript) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.t.Fatal(err)
@@ -300,13 +299,13 @@
 			if err != nil {
 				return
 			}
-			go b.serve(c.(*net.TCPConn), play)
+			go b.serve(c.(*net.TCPConn), script)
 		}
 	}()
 	return l.Addr().String()
 }
 
-func (b *bench) serve(c *net.TCPConn, play script) {
+func (b *bench) serve(c *net.TCPConn, script endpointScript) {
 	defer c.Close()
 	br, bw := bufio.NewReader(c), bufio.NewWriter(c)
 	for {
@@ -320,35 +319,36 @@
 		}
 		r.Body = io.NopCloser(strings.NewReader(string(body)))
 		b.mu.Lock()
-		b.seen = append(b.seen, r)
-		n := len(b.seen)
+		b.requests = append(b.requests, r)
+		n := len(b.requests)
 		b.mu.Unlock()
-		play(n, bw, c, r)
+		script(n, bw, c, r)
 		if bw.Flush() != nil {
 			return
 		}
 	}
 }
 
-// crash ends the endpoint whose connection c is: nothing listens there any more.
-func (b *bench) crash(c *net.TCPConn) {
+// crashEndpoint crashes the endpoint at the local end of c: its listener is closed and the
+// connection reset.
+func (b *bench) crashEndpoint(c *net.TCPConn) {
 	b.mu.Lock()
 	_ = b.listeners[c.LocalAddr().String()].Close()
 	b.mu.Unlock()
 	reset(c)
 }
 
-// request returns the nth request that arrived, counted from 0.
-func (b *bench) request(n int) *http.Request {
+// requestAt returns the nth request that arrived, counted from 0.
+func (b *bench) requestAt(n int) *http.Request {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.seen[n]
+	return b.requests[n]
 }
 
 func (b *bench) arrivals() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.seen)
+	return len(b.requests)
 }
 
 type reply struct {
@@ -358,7 +358,7 @@
 	err    error // of reading the body
 }
 
-// ask sends a request with a good key to the gateway.
+// ask sends a request with a valid key to the gateway.
 func (b *bench) ask(ctx context.Context, method, path, body string, header http.Header) reply {
 	b.t.Helper()
 	r, err := http.NewRequestWithContext(ctx, method, b.url+path, strings.NewReader(body))
@@ -379,12 +379,12 @@
 	return reply{res.StatusCode, res.Header, string(p), err}
 }
 
-// answer writes a whole answer.
+// answer writes a complete answer.
 func answer(w *bufio.Writer, status, header, body string) {
 	_, _ = w.WriteString("HTTP/1.1 " + status + "\r\nId: r1\r\n" + header + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body)
 }
 
-// reset breaks the connection without an answer.
+// reset resets the connection without an answer.
 func reset(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
--- a/relay/keys_test.go
+++ b/relay/keys_test.go
@@ -10,10 +10,10 @@
 	"github.com/matryer/is"
 )
 
-func TestDenied(t *testing.T) {
+func TestUnknownRouteOrKey(t *testing.T) {
 	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { answer(w, "200 OK", "", "") })
 	if got := b.ask(t.Context(), "GET", "/safe/", "", nil); got.status != 503 {
-		t.Fatalf("before a configuration: %d", got.status)
+		t.Fatalf("status before the first configuration: %d", got.status)
 	}
 	b.know()
 	cases := []struct {
@@ -32,13 +32,13 @@
 		}
 	}
 	if n := b.arrivals(); n != 0 {
-		t.Errorf("%d requests arrived", n)
+		t.Errorf("%d requests reached endpoints", n)
 	}
 }
 
-// TestNoProof: without a young proof of the configuration nothing is sent for a
-// key, and unknown routes and keys are not called unknown.
-func TestNoProof(t *testing.T) {
+// TestNoConfigurationProof: without a recent proof of the configuration, nothing is sent for a key,
+// and unknown routes and keys are not denied as unknown.
+func TestNoConfigurationProof(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { answer(w, "200 OK", "", "") })
 	b.gateway.state.Take(testConfig(1))
@@ -51,9 +51,9 @@
 	is.Equal(b.arrivals(), 0)
 }
 
-// TestKeyWithdrawnBetweenSends: a second send is not made for a key that was
-// withdrawn after the first.
-func TestKeyWithdrawnBetweenSends(t *testing.T) {
+// TestKeyRevokedBetweenAttempts: there is no second attempt for a key that was revoked after the
+// first.
+func TestKeyRevokedBetweenAttempts(t *testing.T) {
 	is := is.New(t)
 	var b *bench
 	b = newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
@@ -69,9 +69,9 @@
 	is.Equal(b.arrivals(), 1)
 }
 
-// TestKeyWithdrawnWhileWaiting: a request that waited for an endpoint is not sent
-// for a key that was withdrawn meanwhile.
-func TestKeyWithdrawnWhileWaiting(t *testing.T) {
+// TestKeyRevokedWhileWaiting: a request that waited for an endpoint is not sent for a key that was
+// revoked in the meantime.
+func TestKeyRevokedWhileWaiting(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { answer(w, "200 OK", "", "") })
 	is.NoErr(b.gateway.readConfiguration(time.Now())) // no endpoint is known yet
--- a/relay/memoryuse.go
+++ b/relay/memoryuse.go
@@ -6,115 +6,119 @@
 )
 
 const (
-	// askUseAfter is how long an answer may bring nothing before an endpoint is asked whether the
-	// memory set aside there is used. Events come every 100 to 500 ms, so that streams cause no
-	// questions; the reading of a prompt, one to four seconds, causes one each second.
-	askUseAfter = renewEvery
-	// tickSlack is by how much the ticks of the renewals may come early. Proofs are dated at one
-	// tick and judged at a later one: without it every second judgement came a tick late.
-	tickSlack = renewEvery / 4
-	// unusedAtEnd is how long memory that was used may be unused before it is given back: its
-	// request is over then, and the answer lost. A request that an engine put off and reads
-	// anew uses it again within a pass or two, well below a second. With a question a second
-	// the memory is back in three at most; the users allow four.
-	unusedAtEnd = 2 * time.Second
+	// queryAfter is how long an answer may stay silent before an endpoint is asked whether the
+	// memory reserved there is in use. Events arrive every 100 to 500 ms, so that streams cause no
+	// queries; the prefill of a prompt, which takes one to four seconds, causes one each second.
+	queryAfter = renewInterval
+	// tickTolerance is by how much a renewal tick may come early. Evidence of use is dated at one
+	// tick and evaluated at a later one; without the tolerance, every second evaluation came one
+	// tick late.
+	tickTolerance = renewInterval / 4
+	// maxUnusedAfterUse is how long memory that was in use may be unused before it is released: the
+	// request is then over and its answer lost. A request that an engine preempted and prefills
+	// again uses the memory again within a pass or two, well below a second. With one query a
+	// second, the memory is released after three seconds at most; four are allowed.
+	maxUnusedAfterUse = 2 * time.Second
 )
 
-// useLimits say how long memory may stay set aside without a proof that it is used.
-type useLimits struct {
-	// lost holds where it was never used, and nothing waits at the endpoint that is to use it;
-	// queued where something does, or where nobody answers.
-	lost, queued time.Duration
+// unusedLimits is how long memory may stay reserved without evidence that it is in use.
+type unusedLimits struct {
+	// notQueued applies to memory that was never used while no request waits at the generating
+	// endpoint; queued applies while requests wait there, or if the endpoint does not answer.
+	notQueued, queued time.Duration
 }
 
-// newUseLimits returns the limits below which no memory is unused for longer than most. What
-// remains of most is for a release that is lost: the memory lapses a holdTime after the last
-// renewal. Where nothing waits, half of that is enough to know that the request is lost. In the queue of an
-// engine that works for others a prompt may well be begun: one that was begun after three seconds was
-// served, while its engine still worked for a gateway that had been killed.
-func newUseLimits(most time.Duration) useLimits {
-	queued := max(most-holdTime, 2*askUseAfter) // two questions at least
-	return useLimits{lost: queued / 2, queued: queued}
+// newUnusedLimits returns limits that keep memory from being unused for longer than limit. The part
+// of limit above them allows for a lost release, after which the reservation expires reservationTTL
+// after its last renewal. If no request is queued, half of the time is enough to know that the
+// request is lost. In the queue of an engine that is busy with other requests, a prompt may still
+// be started: one that was started after three seconds was served, while its engine was still
+// working for a gateway that had been killed.
+func newUnusedLimits(limit time.Duration) unusedLimits {
+	queued := max(limit-reservationTTL, 2*queryAfter) // at least two queries
+	return unusedLimits{notQueued: queued / 2, queued: queued}
 }
 
-// useStep is what to do about memory set aside at a tick of its renewals.
-type useStep uint8
+// usageAction is what to do about reserved memory at a renewal tick.
+type usageAction uint8
 
 const (
-	keepMemory useStep = iota // renew it
-	askUse                    // renew it, and ask whether it is used
-	giveBack                  // it is not used: end the send and release it
+	renewMemory   usageAction = iota // renew the reservations
+	queryUsage                       // renew them, and ask whether the memory is in use
+	releaseUnused                    // the memory is not in use: end the attempt and release it
 )
 
-// memoryUse is what a gateway knows of whether the memory set aside for one send is used. Time
-// comes in as an argument. Its methods may be called concurrently.
-type memoryUse struct {
-	limits useLimits
+// memoryUsage tracks whether the memory reserved for one attempt is in use. The current time is
+// passed in. Its methods may be called concurrently.
+type memoryUsage struct {
+	limits unusedLimits
 
-	mu     sync.Mutex
-	proved time.Time // the newest proof of use; without one, when the memory was set aside
-	used   bool      // whether there was one
-	queued time.Time // when something waited last where it is to be used, as far as is known
-	asked  int       // how often an endpoint was asked
+	mu         sync.Mutex
+	lastUsed   time.Time // newest evidence of use; before there is any, when the memory was reserved
+	everUsed   bool      // whether there was any evidence of use
+	lastQueued time.Time // when a request was last known to wait at the generating endpoint
+	queries    int       // how often an endpoint was asked
 }
 
-func newMemoryUse(l useLimits, now time.Time) *memoryUse {
-	return &memoryUse{limits: l, proved: now, queued: now}
+func newMemoryUsage(l unusedLimits, now time.Time) *memoryUsage {
+	return &memoryUsage{limits: l, lastUsed: now, lastQueued: now}
 }
 
-// prove notes that the memory was used then: a part of the answer came, or an endpoint said so.
-func (u *memoryUse) prove(at time.Time) {
+// recordUse records that the memory was in use at that time: a part of the answer arrived, or an
+// endpoint reported the use.
+func (u *memoryUsage) recordUse(at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if at.After(u.proved) {
-		u.proved, u.used = at, true
+	if at.After(u.lastUsed) {
+		u.lastUsed, u.everUsed = at, true
 	}
 }
 
-// next returns what to do now, whatever endpoints said: no memory is kept without a proof for
-// longer than they may have it in a queue.
-func (u *memoryUse) next(now time.Time) useStep {
+// nextAction returns what to do now, whatever endpoints answered: no memory stays reserved without
+// evidence of use for longer than the limit for queued requests.
+func (u *memoryUsage) nextAction(now time.Time) usageAction {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	switch unproved := now.Sub(u.proved) + tickSlack; {
-	case unproved >= u.limits.queued:
-		return giveBack
-	case unproved >= askUseAfter:
-		return askUse
+	switch unused := now.Sub(u.lastUsed) + tickTolerance; {
+	case unused >= u.limits.queued:
+		return releaseUnused
+	case unused >= queryAfter:
+		return queryUsage
 	default:
-		return keepMemory
+		return renewMemory
 	}
 }
 
-// unused takes in that an endpoint said, to a question asked then, that no request uses its
-// memory; queued is set when something waits at the endpoint that is to use it, or when that
-// does not answer. It reports whether the memory is to be given back.
-func (u *memoryUse) unused(asked time.Time, queued bool) bool {
+// recordUnused records the answer to a query sent at queriedAt that the reserved memory is not in
+// use. queued is set if requests wait at the generating endpoint, or if it does not answer. It
+// reports whether the memory is to be released.
+func (u *memoryUsage) recordUnused(queriedAt time.Time, queued bool) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !asked.After(u.proved) {
+	if !queriedAt.After(u.lastUsed) {
 		return false
 	}
 	if queued {
-		u.queued = asked
+		u.lastQueued = queriedAt
 	}
-	if u.used {
-		return asked.Sub(u.proved)+tickSlack >= min(unusedAtEnd, u.limits.queued)
+	if u.everUsed {
+		return queriedAt.Sub(u.lastUsed)+tickTolerance >= min(maxUnusedAfterUse, u.limits.queued)
 	}
-	return asked.Sub(u.queued)+tickSlack >= u.limits.lost
+	return queriedAt.Sub(u.lastQueued)+tickTolerance >= u.limits.notQueued
 }
 
-// unproved returns for how long there has been no proof of use.
-func (u *memoryUse) unproved(now time.Time) time.Duration {
+// sinceLastUse returns how long there has been no evidence of use.
+func (u *memoryUsage) sinceLastUse(now time.Time) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return now.Sub(u.proved)
+	return now.Sub(u.lastUsed)
 }
 
-// question returns which of n endpoints to ask next: each in turn, since one may not answer.
-func (u *memoryUse) question(n int) int {
+// nextQuery returns which of n endpoints to ask next. It rotates, because an endpoint may not
+// answer.
+func (u *memoryUsage) nextQuery(n int) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.asked++
-	return (u.asked - 1) % n
+	u.queries++
+	return (u.queries - 1) % n
 }
--- a/relay/memoryuse_test.go
+++ b/relay/memoryuse_test.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	// mostUnused is how long the users allow memory to stay set aside without use.
-	mostUnused = 9 * time.Second
-	// mostAfterUse is how long they allow it to stay after the last request that used it.
-	mostAfterUse = 4 * time.Second
+	// maxUnused is how long memory may stay reserved without use.
+	maxUnused = 9 * time.Second
+	// maxUnusedAfterLastUse is how long it may stay reserved after the last request that used it.
+	maxUnusedAfterLastUse = 4 * time.Second
 )
 
-// memoryBench is a gateway before four engines under virtual time; a prompt of hugePrompt
-// tokens needs the memory of two of them.
+// memoryBench is a gateway with four engines under virtual time; a prompt of oversizePrompt tokens
+// needs the memory of two of them.
 type memoryBench struct {
 	gateway   *Gateway
 	engines   *testEngines
@@ -38,8 +38,8 @@
 }
 
 const (
-	engineMemory = 1000
-	hugePrompt   = 1500
+	engineMemory   = 1000
+	oversizePrompt = 1500
 )
 
 // newMemoryBench starts the gateway; it must be called in a synctest bubble.
@@ -48,7 +48,7 @@
 	b := &memoryBench{engines: newTestEngines(play)}
 	events := eventlog.New(io.Discard, eventlog.Options{Level: log.InfoLevel, LinesPerSecond: 100})
 	b.gateway = New(Config{
-		Name: "g", UnusedMemory: mostUnused, DrainTime: time.Minute, Policy: balance.Default(),
+		Name: "g", UnusedMemory: maxUnused, DrainTime: time.Minute, Policy: balance.Default(),
 		Retries: limits.WindowConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 	}, Deps{
 		Protocol: testProtocol{}, Log: events, Metrics: metrics.NewSet(),
@@ -70,19 +70,19 @@
 	return b
 }
 
-// ask sends a huge prompt on a route and returns the answer and how long it took.
+// ask sends an oversize prompt on a route and returns the answer and how long it took.
 func (b *memoryBench) ask(t *testing.T, route string) (*httptest.ResponseRecorder, time.Duration) {
 	began := time.Now()
 	w := httptest.NewRecorder()
-	b.askInto(t, route, w)
+	b.askWith(t, route, w)
 	return w, time.Since(began)
 }
 
-// askInto does so with a caller of the test's own.
-func (b *memoryBench) askInto(t *testing.T, route string, w http.ResponseWriter) {
+// askWith sends an oversize prompt on a route and writes the answer to w.
+func (b *memoryBench) askWith(t *testing.T, route string, w http.ResponseWriter) {
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/"+route+"/1", strings.NewReader("x"))
 	r.Host = "h.example"
-	r.Header = http.Header{"Id": {"r1"}, "Key": {"k"}, "Tokens": {strconv.Itoa(hugePrompt)}, "Wait-Ms": {"15000"}}
+	r.Header = http.Header{"Id": {"r1"}, "Key": {"k"}, "Tokens": {strconv.Itoa(oversizePrompt)}, "Wait-Ms": {"15000"}}
 	defer func() {
 		if e := recover(); e != nil && e != http.ErrAbortHandler {
 			panic(e)
@@ -91,104 +91,104 @@
 	b.gateway.ServeHTTP(w, r)
 }
 
-// wholeAnswer is what a caller of the scripts here gets.
-const wholeAnswer = "id: 1\ndata: d1\n\nid: 2\ndata: d2\n\n"
+// completeAnswer is the answer that the scripts in this file send.
+const completeAnswer = "id: 1\ndata: d1\n\nid: 2\ndata: d2\n\n"
 
-// serveWhole uses the memory and answers.
-func serveWhole(r *engineRun) {
-	r.use(true)
+// serveComplete uses the memory and sends the complete answer.
+func serveComplete(r *engineRun) {
+	r.setUsed(true)
 	time.Sleep(time.Second)
-	r.head()
-	r.event(1)
-	r.event(2)
-	r.end()
+	r.writeHead()
+	r.writeEvent(1)
+	r.writeEvent(2)
+	r.endStream()
 }
 
-// TestMemoryNobodyUses: memory was set aside at engines for over 13 s and no request used it,
-// twice within a second; meanwhile over a tenth of the longest prompts was not served. Such a
-// prompt needs the memory of several engines: the gateway sets it aside at all but the one that
-// generates, sends the prompt there and renews it each second. Where that engine never began the
-// prompt, or its answer was lost, the gateway went on renewing until its caller's time was
-// over, since it took the wait for an answer for use. Evidence: reports of the engines that held
-// the memory said "set aside, not used" from the first second to the fourteenth, while the one that was to
-// generate had no such request in its queue and nothing to do.
-func TestMemoryNobodyUses(t *testing.T) {
+// TestUnusedMemoryIsReleased: an engine never started a prompt that needs the memory of several
+// engines, or its answer was lost. The gateway took waiting for the answer for use and renewed the
+// reservations until the caller's deadline: memory stayed reserved without use for over 13 s, and
+// over a tenth of the longest prompts was not served.
+func TestUnusedMemoryIsReleased(t *testing.T) {
+	// A prompt that needs the memory of several engines gets it reserved at all of them but the
+	// generating one, which it is sent to. In the failure, the engines with the memory reported it as
+	// reserved and unused from the first second to the fourteenth, while the generating engine had
+	// neither this prompt in its queue nor other work.
 	first := func(play func(r *engineRun)) engineScript {
 		return func(n int, r *engineRun) {
 			if n == 1 {
 				play(r)
 				return
 			}
-			serveWhole(r)
+			serveComplete(r)
 		}
 	}
 	cases := []struct {
-		name string
-		play engineScript
-		most time.Duration
+		name    string
+		script  engineScript
+		maxIdle time.Duration
 	}{
-		{"the engine never begins", first((*engineRun).hang), mostUnused},
+		{"the engine never starts the prompt", first((*engineRun).hang), maxUnused},
 		{"the answer is lost", first(func(r *engineRun) {
-			r.use(true)
+			r.setUsed(true)
 			time.Sleep(2 * time.Second)
-			r.use(false)
+			r.setUsed(false)
 			r.hang()
-		}), mostAfterUse},
+		}), maxUnusedAfterLastUse},
 		{"the end of the stream is lost", first(func(r *engineRun) {
-			r.use(true)
+			r.setUsed(true)
 			time.Sleep(2 * time.Second)
-			r.head()
-			r.event(1)
-			r.use(false)
+			r.writeHead()
+			r.writeEvent(1)
+			r.setUsed(false)
 			r.hang()
-		}), mostAfterUse},
+		}), maxUnusedAfterLastUse},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newMemoryBench(t, tc.play)
+				b := newMemoryBench(t, tc.script)
 				w, took := b.ask(t, "stream")
-				t.Logf("status %d after %v, %d sends, unused for %v", w.Code, took, b.engines.sends(), b.engines.longest())
-				time.Sleep(mostAfterUse)
-				idle, left := b.engines.memory()
-				is.True(idle <= tc.most) // memory stayed set aside unused for too long
+				t.Logf("status %d after %v, %d attempts, unused for %v", w.Code, took, b.engines.sends(), b.engines.longestUnused())
+				time.Sleep(maxUnusedAfterLastUse)
+				idle, left := b.engines.memoryState()
+				is.True(idle <= tc.maxIdle) // memory stayed reserved without use for too long
 				is.Equal(left, 0)
 				is.Equal(b.engines.sends(), 2)
-				is.Equal(w.Code, http.StatusOK) // from another engine, while its caller waits
-				is.Equal(w.Body.String(), wholeAnswer)
+				is.Equal(w.Code, http.StatusOK) // from another engine, within the caller's deadline
+				is.Equal(w.Body.String(), completeAnswer)
 			})
 		})
 	}
 }
 
-// TestSlowPromptKeepsItsMemory: a prompt that waits in a queue that moves, is read for long, or
-// whose answer pauses, keeps its memory and its endpoint.
+// TestSlowPromptKeepsItsMemory: a prompt keeps its reservation and its endpoint while it waits in a
+// queue that moves, while its prefill takes long, and while its answer pauses.
 func TestSlowPromptKeepsItsMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newMemoryBench(t, func(_ int, r *engineRun) {
-			r.queue(4500 * time.Millisecond)
-			r.use(true)
+			r.waitInQueue(4500 * time.Millisecond)
+			r.setUsed(true)
 			time.Sleep(5 * time.Second)
-			r.head()
-			r.event(1)
+			r.writeHead()
+			r.writeEvent(1)
 			time.Sleep(4 * time.Second)
-			r.event(2)
-			r.end()
+			r.writeEvent(2)
+			r.endStream()
 		})
 		w, _ := b.ask(t, "stream")
 		is.Equal(w.Code, http.StatusOK)
-		is.Equal(w.Body.String(), wholeAnswer)
+		is.Equal(w.Body.String(), completeAnswer)
 		is.Equal(b.engines.sends(), 1)
 		time.Sleep(time.Second)
-		_, left := b.engines.memory()
+		_, left := b.engines.memoryState()
 		is.Equal(left, 0)
 	})
 }
 
-// TestUnusedMemoryWithoutReports: where no endpoint answers whether its memory is used, a prompt
-// that brings nothing does not keep it for longer than the users allow either.
+// TestUnusedMemoryWithoutReports: if no endpoint answers whether its memory is in use, a prompt
+// without an answer keeps it no longer than allowed either.
 func TestUnusedMemoryWithoutReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -197,33 +197,33 @@
 				r.hang()
 				return
 			}
-			serveWhole(r)
+			serveComplete(r)
 		})
 		b.engines.noReports = true
 		w, _ := b.ask(t, "stream")
-		time.Sleep(mostAfterUse)
-		idle, left := b.engines.memory()
-		is.True(idle <= mostUnused)
+		time.Sleep(maxUnusedAfterLastUse)
+		idle, left := b.engines.memoryState()
+		is.True(idle <= maxUnused)
 		is.Equal(left, 0)
 		is.Equal(w.Code, http.StatusOK)
-		is.Equal(w.Body.String(), wholeAnswer)
+		is.Equal(w.Body.String(), completeAnswer)
 	})
 }
 
-// TestStreamKeepsItsMemoryWithoutReports: the events of a stream prove that its memory is used,
-// whether or not endpoints answer.
+// TestStreamKeepsItsMemoryWithoutReports: the events of a stream are evidence that its memory is in
+// use, whether or not endpoints answer queries.
 func TestStreamKeepsItsMemoryWithoutReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const events = 13
 		b := newMemoryBench(t, func(_ int, r *engineRun) {
-			r.use(true)
-			r.head()
+			r.setUsed(true)
+			r.writeHead()
 			for id := range events {
-				r.event(id + 1)
+				r.writeEvent(id + 1)
 				time.Sleep(time.Second)
 			}
-			r.end()
+			r.endStream()
 		})
 		b.engines.noReports = true
 		w, _ := b.ask(t, "stream")
@@ -232,24 +232,24 @@
 	})
 }
 
-// TestUnusedMemoryOfAPromptThatMayRunOnce: the caller of a prompt that must not be sent again
-// hears when its endpoint does not use the memory that it may have run, and does not wait for the end of its time.
+// TestUnusedMemoryOfAPromptThatMayRunOnce: if its endpoint does not use the memory, the caller of a
+// prompt that must not be sent again is told that it may have run, before its deadline.
 func TestUnusedMemoryOfAPromptThatMayRunOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newMemoryBench(t, func(_ int, r *engineRun) { r.hang() })
 		w, took := b.ask(t, "story")
 		is.Equal(w.Code, http.StatusBadGateway)
-		is.True(took <= mostUnused)
+		is.True(took <= maxUnused)
 		is.Equal(b.engines.sends(), 1)
 		time.Sleep(time.Second)
-		idle, left := b.engines.memory()
-		is.True(idle <= mostUnused)
+		idle, left := b.engines.memoryState()
+		is.True(idle <= maxUnused)
 		is.Equal(left, 0)
 	})
 }
 
-// slowCaller is a caller that does not read for a while after the first event.
+// slowCaller is a caller that stops reading for a while after the first event.
 type slowCaller struct {
 	*httptest.ResponseRecorder
 	pause time.Duration
@@ -263,65 +263,65 @@
 	return n, err
 }
 
-// TestAnswerThatWaitsForItsCaller: the run is over and its memory unused while its caller does
-// not read. The memory goes back; the rest of the answer, which is ready, still goes out.
-func TestAnswerThatWaitsForItsCaller(t *testing.T) {
+// TestSlowCallerReleasesMemory: a run is over and its memory unused while its caller does not read.
+// The memory is released, and the rest of the answer, which is ready, is still delivered.
+func TestSlowCallerReleasesMemory(t *testing.T) {
 	for _, route := range []string{"stream", "story"} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			b := newMemoryBench(t, func(_ int, r *engineRun) {
-				r.use(true)
-				r.head()
-				r.event(1)
-				r.use(false) // the rest lies ready in the connection
-				r.event(2)
-				r.end()
+				r.setUsed(true)
+				r.writeHead()
+				r.writeEvent(1)
+				r.setUsed(false) // the rest of the answer is in the connection
+				r.writeEvent(2)
+				r.endStream()
 			})
 			w := &slowCaller{httptest.NewRecorder(), 8 * time.Second}
-			b.askInto(t, route, w)
-			is.Equal(w.Body.String(), wholeAnswer)
+			b.askWith(t, route, w)
+			is.Equal(w.Body.String(), completeAnswer)
 			is.Equal(b.engines.sends(), 1)
-			idle, left := b.engines.memory()
-			is.True(idle <= mostAfterUse)
+			idle, left := b.engines.memoryState()
+			is.True(idle <= maxUnusedAfterLastUse)
 			is.Equal(left, 0)
 		})
 	}
 }
 
-// TestSuspendedGatewayDoesNotSetMemoryAsideAnew: a gateway whose host stood still for longer than
-// its memory is held does not renew it: the endpoint has ended the request with it, and a
-// renewal would set it aside for nobody.
-func TestSuspendedGatewayDoesNotSetMemoryAsideAnew(t *testing.T) {
+// TestSuspendedGatewayDoesNotRenewMemory: a gateway whose host was suspended for longer than
+// reservationTTL does not renew its reservations. The endpoint has ended the request with them, and
+// a renewal would reserve memory for no request.
+func TestSuspendedGatewayDoesNotRenewMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newMemoryBench(t, nil)
-		b.engines.used = true
+		b.engines.alwaysUsed = true
 		first, _ := b.gateway.state.Endpoint("a")
 		memory, err := b.gateway.reserve(t.Context(), "r", &place{reserve: []wantedMemory{{first, 100}}})
 		is.NoErr(err)
-		time.Sleep(renewEvery + renewEvery/2)
+		time.Sleep(renewInterval + renewInterval/2)
 		reserved, _ := b.engines.orders()
 		is.Equal(reserved, 2)
-		b.suspended.Add(int64(holdTime))
-		time.Sleep(2 * renewEvery)
+		b.suspended.Add(int64(reservationTTL))
+		time.Sleep(2 * renewInterval)
 		reserved, released := b.engines.orders()
 		is.Equal(reserved, 2)
 		is.Equal(released, 1)
-		is.True(memory.unused())
+		is.True(memory.endedUnused())
 		memory.end()
 	})
 }
 
-// TestMemoryUse holds when memory counts as used, and what follows. Times are seconds after
-// it was set aside.
-func TestMemoryUse(t *testing.T) {
+// TestMemoryUsage checks when memory counts as used and when it is released. Times are seconds
+// after it was reserved.
+func TestMemoryUsage(t *testing.T) {
 	at := func(seconds float64) time.Time {
 		return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
 	}
 	const (
-		used   = 'u' // by a part of the answer, or by an endpoint's word
-		idle   = 'i' // an endpoint says that it is not, and nothing waits
-		queued = 'q' // ... and something waits where it is to be used
+		used   = 'u' // reported by a part of the answer or by an endpoint
+		idle   = 'i' // an endpoint reports that it is not used, and nothing is queued
+		queued = 'q' // an endpoint reports that it is not used, and requests are queued at the generating endpoint
 		silent = 's' // no answer
 	)
 	type answer struct {
@@ -335,76 +335,77 @@
 		return out
 	}
 	cases := []struct {
-		name    string
-		answers []answer
-		back    float64 // when it is given back; 0: not in 20 s
+		name          string
+		answers       []answer
+		releasedAfter float64 // when the memory is released; 0: not within 20 s
 	}{
-		{"nobody answers", every(1, 20, silent), 6},
-		{"never begun", every(1, 20, idle), 3},
-		{"in the queue for ever", every(1, 20, queued), 6},
-		{"in the queue, and begun", append(every(1, 4, queued), every(5, 20, used)...), 0},
-		{"in the queue, and lost there", append(every(1, 2, queued), every(3, 20, idle)...), 5},
-		{"begun while the report lags", append(append(every(1, 3, queued), answer{4, idle}), every(5, 20, used)...), 0},
-		{"read for long", every(1, 20, used), 0},
-		{"over, and the answer lost", append(every(1, 4, used), every(5, 20, idle)...), 6},
-		{"over, and others wait there", append(every(1, 4, used), every(5, 20, queued)...), 6},
-		{"put off and read anew", append(append(every(1, 4, used), answer{5, idle}), every(6, 20, used)...), 0},
-		{"over, and nobody answers", append(every(1, 4, used), every(5, 20, silent)...), 10},
+		{"no answers", every(1, 20, silent), 6},
+		{"never started", every(1, 20, idle), 3},
+		{"queued throughout", every(1, 20, queued), 6},
+		{"queued, then started", append(every(1, 4, queued), every(5, 20, used)...), 0},
+		{"queued, then lost", append(every(1, 2, queued), every(3, 20, idle)...), 5},
+		{"started while the report lags", append(append(every(1, 3, queued), answer{4, idle}), every(5, 20, used)...), 0},
+		{"long prefill", every(1, 20, used), 0},
+		{"ended, answer lost", append(every(1, 4, used), every(5, 20, idle)...), 6},
+		{"ended, other requests queued", append(every(1, 4, used), every(5, 20, queued)...), 6},
+		{"preempted and prefilled again", append(append(every(1, 4, used), answer{5, idle}), every(6, 20, used)...), 0},
+		{"ended, no answers", append(every(1, 4, used), every(5, 20, silent)...), 10},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			u := newMemoryUse(newUseLimits(mostUnused), at(0))
+			u := newMemoryUsage(newUnusedLimits(maxUnused), at(0))
 			back := 0.0
 			for _, a := range tc.answers {
 				asked := at(a.at + 0.001)
-				if u.next(asked) == giveBack {
+				if u.nextAction(asked) == releaseUnused {
 					back = a.at
 					break
 				}
 				if a.kind == used {
-					u.prove(asked)
+					u.recordUse(asked)
 				}
-				if (a.kind == idle || a.kind == queued) && u.unused(asked, a.kind == queued) {
+				if (a.kind == idle || a.kind == queued) && u.recordUnused(asked, a.kind == queued) {
 					back = a.at
 					break
 				}
 			}
-			if back != tc.back {
-				t.Errorf("given back after %v s, want %v", back, tc.back)
+			if back != tc.releasedAfter {
+				t.Errorf("released after %v s, want %v", back, tc.releasedAfter)
 			}
 		})
 	}
 }
 
-// TestAskUse: endpoints are asked only where an answer brings nothing, and an answer that an
-// event has overtaken counts for nothing.
-func TestAskUse(t *testing.T) {
+// TestQueryUsage: endpoints are queried only if an answer is silent, and a result that is older
+// than the newest event is ignored.
+func TestQueryUsage(t *testing.T) {
 	is := is.New(t)
 	began := time.Now()
-	u := newMemoryUse(newUseLimits(mostUnused), began)
-	is.Equal(u.next(began.Add(askUseAfter/2)), keepMemory)
-	is.Equal(u.next(began.Add(askUseAfter)), askUse)
-	u.prove(began.Add(5 * time.Second))
-	is.Equal(u.next(began.Add(5*time.Second+askUseAfter/2)), keepMemory)
-	is.True(!u.unused(began.Add(4*time.Second), false))
-	is.Equal(u.unproved(began.Add(6*time.Second)), time.Second)
+	u := newMemoryUsage(newUnusedLimits(maxUnused), began)
+	is.Equal(u.nextAction(began.Add(queryAfter/2)), renewMemory)
+	is.Equal(u.nextAction(began.Add(queryAfter)), queryUsage)
+	u.recordUse(began.Add(5 * time.Second))
+	is.Equal(u.nextAction(began.Add(5*time.Second+queryAfter/2)), renewMemory)
+	is.True(!u.recordUnused(began.Add(4*time.Second), false))
+	is.Equal(u.sinceLastUse(began.Add(6*time.Second)), time.Second)
 }
 
-// TestUseLimits: with what a lost release leaves, memory is unused no longer than is allowed.
-func TestUseLimits(t *testing.T) {
+// TestUnusedLimits: including the time until a reservation expires after a lost release, memory is
+// unused no longer than allowed.
+func TestUnusedLimits(t *testing.T) {
 	for most := 5 * time.Second; most < time.Minute; most += time.Second {
-		l := newUseLimits(most)
-		if l.queued+holdTime > most || l.lost >= l.queued {
+		l := newUnusedLimits(most)
+		if l.queued+reservationTTL > most || l.notQueued >= l.queued {
 			t.Errorf("%v: %+v", most, l)
 		}
 	}
 }
 
-// TestQuestionsGoRound: an endpoint that does not answer hides nothing for long.
-func TestQuestionsGoRound(t *testing.T) {
+// TestQueriesRotate: an endpoint that does not answer does not block the queries for long.
+func TestQueriesRotate(t *testing.T) {
 	is := is.New(t)
-	u := newMemoryUse(newUseLimits(mostUnused), time.Now())
+	u := newMemoryUsage(newUnusedLimits(maxUnused), time.Now())
 	for _, want := range []int{0, 1, 2, 0} {
-		is.Equal(u.question(3), want)
+		is.Equal(u.nextQuery(3), want)
 	}
 }
--- a/relay/meter.go
+++ b/relay/meter.go
@@ -18,7 +18,7 @@
 	reserveFailures *metrics.Counter
 	memoryUnused    *metrics.Counter
 	reports         *metrics.Counter
-	broken          *metrics.Counter
+	brokenExchanges *metrics.Counter
 	probes          *metrics.Counter
 	crashes         *metrics.Counter
 	quarantines     *metrics.Counter
@@ -32,7 +32,7 @@
 	restsAsked      *metrics.Counter
 	restRefusals    *metrics.Counter
 	firstByte       *metrics.Histogram
-	whole           *metrics.Histogram
+	requestTime     *metrics.Histogram
 	wait            *metrics.Histogram
 }
 
@@ -47,7 +47,7 @@
 		reserveFailures: set.NewCounter("relay_reserve_failures_total"),
 		memoryUnused:    set.NewCounter("relay_memory_unused_total"),
 		reports:         set.NewCounter("relay_reports_total"),
-		broken:          set.NewCounter("relay_broken_exchanges_total"),
+		brokenExchanges: set.NewCounter("relay_broken_exchanges_total"),
 		probes:          set.NewCounter("relay_crash_probes_total"),
 		crashes:         set.NewCounter("relay_endpoint_crashes_total"),
 		quarantines:     set.NewCounter("relay_quarantines_total"),
@@ -62,13 +62,13 @@
 		restRefusals:    set.NewCounter("relay_rest_refusals_total"),
 		resumes:         set.NewCounter("relay_resumes_total"),
 		firstByte:       set.NewHistogram("relay_first_event_seconds"),
-		whole:           set.NewHistogram("relay_request_seconds"),
+		requestTime:     set.NewHistogram("relay_request_seconds"),
 		wait:            set.NewHistogram("relay_wait_seconds"),
 	}
 }
 
-// ended counts a request by its outcome.
-func (m *meter) ended(o outcome, started time.Time) {
+// recordRequest counts a request by its outcome and records its duration.
+func (m *meter) recordRequest(o outcome, started time.Time) {
 	m.set.GetOrCreateCounter(`relay_requests_total{outcome="` + string(o) + `"}`).Inc()
-	m.whole.UpdateDuration(started)
+	m.requestTime.UpdateDuration(started)
 }
--- a/relay/peerclient.go
+++ b/relay/peerclient.go
@@ -18,25 +18,25 @@
 )
 
 const (
-	// peerTime bounds a question to a peer; it is in the same network.
+	// peerTime bounds a request to a peer, which is in the same network.
 	peerTime = 500 * time.Millisecond
-	// peersAsked is how many peers are asked at once.
-	peersAsked = 3
+	// peersQueried is how many peers are queried at once.
+	peersQueried = 3
 
 	pathProof         = "/peer/proof"
 	pathConfiguration = "/peer/configuration"
 )
 
-// proofAnswer is what a gateway says of its newest proof.
+// proofAnswer is a gateway's answer about its newest proof of the configuration.
 type proofAnswer struct {
 	Version uint64
 	AgeMs   int64 // since the read was sent that proved Version
-	// EndpointsAgeMs is the time since the read of its list of endpoints was sent;
-	// negative: it has none.
+	// EndpointsAgeMs is the time since the read of its list of endpoints was sent; negative: it has
+	// no list.
 	EndpointsAgeMs int64
 }
 
-// PeerHandler answers other gateways that cannot reach the store, and operators.
+// PeerHandler answers operators and gateways that cannot reach the store.
 func (g *Gateway) PeerHandler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET "+pathProof, func(w http.ResponseWriter, _ *http.Request) {
@@ -66,21 +66,21 @@
 func (g *Gateway) answerPeer(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		g.deps.Log.Logger().Debug("A peer did not take its answer.", "err", err)
+		g.deps.Log.Logger().Debug("Sending an answer to a peer failed.", "err", err)
 	}
 }
 
-// document is the compressed form of something that many peers ask for. When a
-// large configuration came, 103 gateways made 200 calls to the store within 8 s: by
-// reckoning twenty answers do not fit through a link of 20 Mbit/s within peerTime.
-type document struct {
+// compressedDocument is the compressed form of a document that many peers request. After an update
+// of a large configuration, 103 gateways made 200 calls to the store within 8 s: twenty answers,
+// uncompressed, do not fit through a link of 20 Mbit/s within peerTime.
+type compressedDocument struct {
 	mu   sync.Mutex
-	key  uint64 // identifies what body was made of; 0: nothing
+	key  uint64 // identifies the content of body; 0: none
 	body []byte
 }
 
 // get returns the compressed form of v, which key identifies.
-func (d *document) get(key uint64, v any) ([]byte, error) {
+func (d *compressedDocument) get(key uint64, v any) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.key == key {
@@ -95,22 +95,22 @@
 	return d.body, nil
 }
 
-// answerDocument answers with v, compressed; every peer takes that.
-func (g *Gateway) answerDocument(w http.ResponseWriter, d *document, key uint64, v any) {
+// answerDocument answers with the compressed form of v; every peer accepts it.
+func (g *Gateway) answerDocument(w http.ResponseWriter, d *compressedDocument, key uint64, v any) {
 	p, err := d.get(key, v)
 	if err != nil {
-		g.deps.Log.Logger().Error("A document for peers could not be written.", "err", err)
+		g.deps.Log.Logger().Error("Encoding a document for peers failed.", "err", err)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Encoding", "gzip")
 	if _, err := w.Write(p); err != nil {
-		g.deps.Log.Logger().Debug("A peer did not take its answer.", "err", err)
+		g.deps.Log.Logger().Debug("Sending an answer to a peer failed.", "err", err)
 	}
 }
 
-// peerClient asks other gateways.
+// peerClient sends requests to other gateways.
 type peerClient struct {
 	http *http.Client
 	port int
@@ -131,11 +131,11 @@
 	return c.do(req, into)
 }
 
-// do sends a question and reads the answer.
+// do sends a request and decodes the answer.
 func (c *peerClient) do(req *http.Request, into any) error {
 	res, err := c.http.Do(req)
 	if err != nil {
-		c.http.CloseIdleConnections() // they may have gone silent together
+		c.http.CloseIdleConnections() // they may have become unresponsive together
 		return trace.Wrap(err)
 	}
 	defer res.Body.Close()
@@ -145,10 +145,10 @@
 	return trace.Wrap(json.NewDecoder(res.Body).Decode(into))
 }
 
-// askPeers takes a younger proof from the peers when the own one grows old, and
-// the configuration that it is for. A peer counts its proof's age from its own
-// read; here the age counts from the time at which the peer was asked, so that
-// time on the way or in a freeze never makes a proof younger.
+// askPeers gets a newer proof from peers, and the configuration that it belongs to, when the
+// gateway's own proof is getting old. A peer counts the age of its proof from its own read. Here
+// the age counts from when the peer was queried, so that network delay or a frozen process never
+// makes a proof look newer.
 func (g *Gateway) askPeers() {
 	if g.deps.Mesh == nil {
 		return
@@ -159,19 +159,19 @@
 	members := g.deps.Mesh.Members(time.Now())
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	done := make(chan struct{})
-	asked := members[:min(peersAsked, len(members))]
-	for _, m := range asked {
+	queried := members[:min(peersQueried, len(members))]
+	for _, m := range queried {
 		go func() {
 			g.askPeerLogged(m.Address)
 			done <- struct{}{}
 		}()
 	}
-	for range asked {
+	for range queried {
 		<-done
 	}
 }
 
-// askPeer takes a peer's proof and, if that is newer, its configuration.
+// askPeer fetches a peer's proof and, if its version is newer, its configuration.
 func (g *Gateway) askPeer(m netip.AddrPort) (proof proofAnswer, err error) {
 	ctx, cancel := context.WithTimeout(g.ctx, 2*peerTime)
 	defer cancel()
@@ -192,9 +192,9 @@
 	return proof, nil
 }
 
-// askPeerLogged is askPeer for callers that go on without an answer.
+// askPeerLogged calls askPeer and logs the error, for callers that continue without an answer.
 func (g *Gateway) askPeerLogged(m netip.AddrPort) {
 	if _, err := g.askPeer(m); err != nil {
-		g.deps.Log.Logger().Warn("A peer's configuration could not be read.", "peer", m, "err", err)
+		g.deps.Log.Logger().Warn("Reading a peer's configuration failed.", "peer", m, "err", err)
 	}
 }
--- a/relay/process.go
+++ b/relay/process.go
@@ -26,18 +26,18 @@
 	listeners []net.Listener
 }
 
-// Adapter makes what translates for one platform.
+// Adapter builds the protocol and the source of one platform.
 type Adapter func(s *Settings, log *log.Logger) (Protocol, Source)
 
-// Options are what a process is built with beside its settings.
+// Options holds what a process is built from besides its settings.
 type Options struct {
 	Adapt Adapter
-	// Suspended tells suspensions of the host, see Deps; nil: the host's clocks do.
+	// Suspended returns how long the host was suspended, see Deps; nil: the host's clocks are used.
 	Suspended func() time.Duration
 }
 
-// logCloseTime is how long the end of the process waits for its last lines.
-const logCloseTime = 200 * time.Millisecond
+// logCloseTimeout bounds how long shutdown waits for the last log lines.
+const logCloseTimeout = 200 * time.Millisecond
 
 // Open builds a gateway from its settings and starts it.
 func Open(s *Settings, env daemon.Env, o Options) (*Process, error) {
@@ -54,12 +54,12 @@
 		return nil, trace.Wrap(err)
 	}
 	c := s.config()
-	c.Seeds = seeds(s, peerAddress)
-	mesh.SetMembers(unnamed(c.Seeds))
+	c.Seeds = seedAddresses(s, peerAddress)
+	mesh.SetMembers(membersWithoutNames(c.Seeds))
 	c.Policy = balance.Default()
 	suspended := o.Suspended
 	if suspended == nil {
-		suspended = hostSuspended(events.Logger())
+		suspended = hostSuspensionClock(events.Logger())
 	}
 	g := New(c, Deps{
 		Suspended: suspended,
@@ -77,9 +77,9 @@
 	return p, nil
 }
 
-// hostSuspended returns what tells suspensions by the host's clocks; nil where it has not
-// both.
-func hostSuspended(log *log.Logger) func() time.Duration {
+// hostSuspensionClock returns a function that measures suspensions with the host's clocks, or nil
+// if the host lacks one of the two clocks.
+func hostSuspensionClock(log *log.Logger) func() time.Duration {
 	clock, err := hostclock.New()
 	if err != nil {
 		log.Warn("Suspensions of this host will not be noticed.", "err", err)
@@ -88,22 +88,22 @@
 	return clock.Suspended
 }
 
-// seeds returns the peer addresses of the hosts that the settings name; this host is among
-// them if it is named.
-func seeds(s *Settings, self netip.AddrPort) []netip.AddrPort {
+// seedAddresses returns the peer addresses of the hosts that the settings name, including this host
+// if it is named.
+func seedAddresses(s *Settings, self netip.AddrPort) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, text := range s.Relay.Seeds {
 		a, err := netip.ParseAddrPort(string(text))
 		if err != nil {
-			continue // checked when the settings were read
+			continue // validated when the settings were read
 		}
 		out = append(out, netip.AddrPortFrom(a.Addr(), self.Port()))
 	}
 	return out
 }
 
-// unnamed returns members of which only the addresses are known.
-func unnamed(addresses []netip.AddrPort) []peers.Member {
+// membersWithoutNames returns members of which only the addresses are known.
+func membersWithoutNames(addresses []netip.AddrPort) []peers.Member {
 	out := make([]peers.Member, len(addresses))
 	for i, a := range addresses {
 		out[i].Address = a
@@ -127,7 +127,7 @@
 		return nil
 	}
 	handle := func(h http.Handler) func(net.Listener) error {
-		srv := &http.Server{Handler: h, ReadHeaderTimeout: firstHeaderTimeout}
+		srv := &http.Server{Handler: h, ReadHeaderTimeout: defaultHeaderTimeout}
 		return srv.Serve
 	}
 	if err := serve(string(p.settings.Relay.ReadyListen), handle(p.ReadyHandler())); err != nil {
@@ -147,16 +147,16 @@
 		_ = l.Close()
 	}
 	p.deps.Log.Logger().Info("Stopped.", "in_flight", p.inFlight.Load())
-	p.deps.Log.Close(logCloseTime)
+	p.deps.Log.Close(logCloseTimeout)
 	return err
 }
 
-// Reload implements daemon.Reloader: no setting changes while the process runs;
-// what changed takes effect at the next start, and nothing is cut off.
+// Reload implements daemon.Reloader. No setting changes while the process runs: changes take effect
+// at the next start, and no request is cut off.
 func (p *Process) Reload(fresh any) error {
 	s, ok := fresh.(*Settings)
 	if !ok {
-		return trace.BadParameter("settings of another process")
+		return trace.BadParameter("settings are not those of rudder-relay")
 	}
 	p.deps.Log.Logger().Info("Settings read again.")
 	daemon.WarnRestart(p.deps.Log.Logger(), p.settings, s, func(*Settings) {})
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -11,58 +11,60 @@
 	"github.com/micarudder/micarudder/quarantine"
 )
 
-// QuarantineStore keeps what stands against requests that crash endpoints beyond the life
-// of all gateways.
+// QuarantineStore persists the quarantine entries of requests that crash endpoints, so that they
+// outlive a restart of all gateways.
 type QuarantineStore interface {
-	// Quarantined returns all that is kept.
+	// Quarantined returns all stored entries.
 	Quarantined(ctx context.Context) ([]quarantine.Entry, error)
-	// KeepQuarantined keeps an entry, in place of an older one, for so long.
+	// KeepQuarantined stores an entry for the given time and replaces an older one of the same
+	// request.
 	KeepQuarantined(ctx context.Context, e quarantine.Entry, life time.Duration) error
 	// DropQuarantined removes an entry.
 	DropQuarantined(ctx context.Context, f quarantine.Fingerprint) error
 }
 
 const (
-	// keptFor is how long an entry is kept after the newest crash: the longest that a
-	// lease of the store lasts. It is needed only if all gateways start again.
-	keptFor = 10 * time.Minute
-	// keepAgain is the pause after an entry could not be kept, or recalled.
-	keepAgain = time.Second
-	// mostToKeep bounds the requests whose entries wait to be kept.
-	mostToKeep = 64
+	// storedEntryTTL is how long an entry stays in the store after the newest crash: the longest
+	// lease of the store. It is needed only if all gateways restart.
+	storedEntryTTL = 10 * time.Minute
+	// storeRetryDelay is the pause after an entry could not be stored, or the entries could not be
+	// loaded.
+	storeRetryDelay = time.Second
+	// maxPendingEntries bounds the requests whose entries wait to be stored.
+	maxPendingEntries = 64
 )
 
-// quarantined is the gateway's table of requests that crash endpoints.
-type quarantined struct {
-	// known is the number of requests in the table: while there are none, a request costs
+// quarantineTable is the gateway's shared table of requests that crash endpoints.
+type quarantineTable struct {
+	// known is the number of requests in the table; while it is zero, the check of a request costs
 	// nothing.
 	known atomic.Int64
-	// speaks is set while this gateway tells other cells what its own knows.
+	// speaks is set while this gateway forwards the reports of its own cell to other cells.
 	speaks atomic.Bool
-	// turn says which other cell is told next what stands against quarantined requests; it
-	// belongs to whoever tells.
+	// turn selects the other cell that is told next about quarantined requests; only the goroutine
+	// that sends peer messages uses it.
 	turn int
-	// toKeep are requests whose entry in the store is out of date.
-	toKeep chan quarantine.Fingerprint
+	// pendingEntries holds requests whose stored entry is out of date.
+	pendingEntries chan quarantine.Fingerprint
 
 	mu    sync.Mutex
 	table *quarantine.Table
 }
 
-func newQuarantined() *quarantined {
-	return &quarantined{table: quarantine.NewTable(), toKeep: make(chan quarantine.Fingerprint, mostToKeep)}
+func newQuarantineTable() *quarantineTable {
+	return &quarantineTable{table: quarantine.NewTable(), pendingEntries: make(chan quarantine.Fingerprint, maxPendingEntries)}
 }
 
-// change runs do on the table.
-func (q *quarantined) change(do func(t *quarantine.Table)) {
+// change runs do on the table under the lock.
+func (q *quarantineTable) change(do func(t *quarantine.Table)) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	do(q.table)
 	q.known.Store(int64(q.table.Len()))
 }
 
-// mayKnow reports whether there may be something to say of a request.
-func (q *quarantined) mayKnow(r *quarantine.Request) bool {
+// mayKnow reports whether the table may hold an entry for a request.
+func (q *quarantineTable) mayKnow(r *quarantine.Request) bool {
 	if q.known.Load() == 0 {
 		return false
 	}
@@ -72,21 +74,21 @@
 	return q.table.MayKnow(head)
 }
 
-func (q *quarantined) verdict(f quarantine.Fingerprint, now time.Time) quarantine.Verdict {
+func (q *quarantineTable) verdict(f quarantine.Fingerprint, now time.Time) quarantine.Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.table.Verdict(f, now)
 }
 
-// entry returns what to keep of a request; ok is false when it is not quarantined.
-func (q *quarantined) entry(f quarantine.Fingerprint, now time.Time) (e quarantine.Entry, ok bool) {
+// entry returns the entry to store for a request; ok is false if it is not quarantined.
+func (q *quarantineTable) entry(f quarantine.Fingerprint, now time.Time) (e quarantine.Entry, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.table.Entry(f), q.table.Verdict(f, now).Quarantined()
 }
 
 // fingerprints returns the quarantined requests.
-func (q *quarantined) fingerprints(now time.Time) []quarantine.Fingerprint {
+func (q *quarantineTable) fingerprints(now time.Time) []quarantine.Fingerprint {
 	if q.known.Load() == 0 {
 		return nil
 	}
@@ -95,8 +97,8 @@
 	return q.table.Quarantined(now)
 }
 
-// work returns what makes this request the same work as another one.
-func (x *exchange) work() *quarantine.Request {
+// fingerprintInput returns the parts of the request that identify it across retries and callers.
+func (x *exchange) fingerprintInput() *quarantine.Request {
 	r := &quarantine.Request{Method: x.r.Method, Host: x.r.Host, Target: x.r.RequestURI, Body: x.body}
 	if x.workspace != nil {
 		r.Workspace = x.workspace.Name
@@ -104,17 +106,17 @@
 	return r
 }
 
-// identity returns the request's fingerprint. It is worked out only where it is needed: a
-// prompt of a million tokens has megabytes.
-func (x *exchange) identity() quarantine.Fingerprint {
+// requestFingerprint returns the request's fingerprint. It is computed only on demand: a prompt of
+// a million tokens has megabytes.
+func (x *exchange) requestFingerprint() quarantine.Fingerprint {
 	if x.fingerprint == nil {
-		f := x.work().Fingerprint()
+		f := x.fingerprintInput().Fingerprint()
 		x.fingerprint = &f
 	}
 	return *x.fingerprint
 }
 
-// knownFingerprint returns the fingerprint as it stands in logs; empty: it was not needed.
+// knownFingerprint returns the fingerprint for the log, or an empty string if it was not computed.
 func (x *exchange) knownFingerprint() string {
 	if x.fingerprint == nil {
 		return ""
@@ -122,35 +124,35 @@
 	return x.fingerprint.String()
 }
 
-// crashed takes in that the endpoint crashed while the request was on it.
-func (x *exchange) crashed(at *place) {
-	g, f, now := x.g, x.identity(), time.Now()
+// recordCrash records that the endpoint crashed while it had the request.
+func (x *exchange) recordCrash(at *place) {
+	g, f, now := x.g, x.requestFingerprint(), time.Now()
 	var before, after quarantine.Verdict
 	g.quarantined.change(func(t *quarantine.Table) {
 		before = t.Verdict(f, now)
-		t.Crashed(f, quarantine.Crash{Endpoint: quarantine.IncarnationOf(at.endpoint.ID, at.endpoint.Born), Begun: x.begun, At: now}, now)
+		t.Crashed(f, quarantine.Crash{Endpoint: quarantine.IncarnationOf(at.endpoint.ID, at.endpoint.Born), Begun: x.answerBegun, At: now}, now)
 		after = t.Verdict(f, now)
 	})
-	g.tellOfCrashes()
+	g.announceCrashes()
 	if !after.Quarantined() {
 		return
 	}
 	if !before.Quarantined() {
 		g.meter.quarantines.Inc()
-		g.deps.Log.Logger().Warn("Request quarantined.", "fingerprint", f, "request", x.call.ID, "workspace", x.work().Workspace, "route", x.route.Name,
+		g.deps.Log.Logger().Warn("Request quarantined.", "fingerprint", f, "request", x.call.ID, "workspace", x.fingerprintInput().Workspace, "route", x.route.Name,
 			"crashed_before", after.Before, "crashed_within", after.Within, "for", after.Until.Sub(now))
 	}
 	g.keep(f)
 }
 
-// served takes in that the endpoint ended the request well. An endpoint's failure is no such
-// end: it may not have begun.
-func (x *exchange) served(at *place) {
+// recordSuccess records that the endpoint completed the request. A failure that the endpoint
+// reports does not count, since the request may not have started there.
+func (x *exchange) recordSuccess(at *place) {
 	g := x.g
-	if x.status/100 != 2 || !g.quarantined.mayKnow(x.work()) {
+	if x.status/100 != 2 || !g.quarantined.mayKnow(x.fingerprintInput()) {
 		return
 	}
-	f, now := x.identity(), time.Now()
+	f, now := x.requestFingerprint(), time.Now()
 	var before, after quarantine.Verdict
 	fresh := false
 	g.quarantined.change(func(t *quarantine.Table) {
@@ -161,41 +163,41 @@
 	if !fresh {
 		return
 	}
-	g.tellOfCrashes()
+	g.announceCrashes()
 	if before.Quarantined() && !after.Quarantined() {
-		g.cleared(f, after, x.call.ID)
+		g.handleCleared(f, after, x.call.ID)
 	}
 }
 
-// cleared takes in that a request is not quarantined any more. id is the copy that ended
-// well; empty: an operator cleared it.
-func (g *Gateway) cleared(f quarantine.Fingerprint, v quarantine.Verdict, id string) {
+// handleCleared logs and stores that a request is no longer quarantined. id is the request that
+// succeeded, or empty if an operator cleared it.
+func (g *Gateway) handleCleared(f quarantine.Fingerprint, v quarantine.Verdict, id string) {
 	g.deps.Log.Logger().Info("Request cleared.", "fingerprint", f, "request", id, "crashed_before", v.Before, "crashed_within", v.Within, "ended_well", v.Good)
 	g.keep(f)
 }
 
-// admissible reports whether the request may be sent as far as crashes of endpoints go. One
-// that is quarantined is refused with the time until it may be sent again, or told that it
-// may have run.
-func (x *exchange) admissible() (outcome, bool) {
+// checkQuarantine reports whether the request may be sent. A quarantined request is refused with
+// the time until it may be sent again, or, if it was sent before, with the answer that it may have
+// run.
+func (x *exchange) checkQuarantine() (outcome, bool) {
 	q := x.g.quarantined
-	if !q.mayKnow(x.work()) {
+	if !q.mayKnow(x.fingerprintInput()) {
 		return "", true
 	}
 	now := time.Now()
-	v := q.verdict(x.identity(), now)
+	v := q.verdict(x.requestFingerprint(), now)
 	if !v.Quarantined() {
 		return "", true
 	}
-	x.g.deps.Log.Request("Not sent: quarantined.", "request", x.call.ID, "fingerprint", x.identity(),
+	x.g.deps.Log.Request("Not sent: quarantined.", "request", x.call.ID, "fingerprint", x.requestFingerprint(),
 		"crashed_before", v.Before, "crashed_within", v.Within, "for", v.Until.Sub(now))
 	if x.mayRun {
-		return x.giveUp(quarantinedEnd), false
+		return x.giveUp(quarantinedOutcome), false
 	}
-	return x.refuse(http.StatusServiceUnavailable, v.Until.Sub(now).Truncate(time.Second), quarantinedEnd), false
+	return x.refuse(http.StatusServiceUnavailable, v.Until.Sub(now).Truncate(time.Second), quarantinedOutcome), false
 }
 
-// heardCrashes takes in what a peer tells of crashes.
+// heardCrashes processes the crash reports in a peer's message.
 func (g *Gateway) heardCrashes(w peers.Word) {
 	if len(w.Crashes) == 0 {
 		return
@@ -216,33 +218,33 @@
 	}
 }
 
-// keep makes the entry of a request in the store follow the table soon.
+// keep schedules an update of the stored entry of a request.
 func (g *Gateway) keep(f quarantine.Fingerprint) {
 	select {
-	case g.quarantined.toKeep <- f:
+	case g.quarantined.pendingEntries <- f:
 	default:
-		g.deps.Log.Logger().Warn("A quarantined request is not kept in the store: too many wait.", "fingerprint", f)
+		g.deps.Log.Logger().Warn("Quarantined request not stored: too many entries are pending.", "fingerprint", f)
 	}
 }
 
-// keepQuarantined makes the store's entries follow the table until the gateway is closed.
-// The gateway that saw the crash does that; if it dies first, the others still know.
+// keepQuarantined updates the stored entries from the table until the gateway is closed. The
+// gateway that saw the crash does this; if it dies first, the others still know of the crash.
 func (g *Gateway) keepQuarantined() {
 	pending := make(map[quarantine.Fingerprint]bool)
 	for {
-		var again <-chan time.Time
+		var retry <-chan time.Time
 		if len(pending) > 0 {
-			again = time.After(keepAgain)
+			retry = time.After(storeRetryDelay)
 		}
 		select {
 		case <-g.ctx.Done():
 			return
-		case f := <-g.quarantined.toKeep:
+		case f := <-g.quarantined.pendingEntries:
 			pending[f] = true
-		case <-again:
+		case <-retry:
 		}
 		for f := range pending {
-			if err := g.keepNow(f); err != nil {
+			if err := g.storeEntry(f); err != nil {
 				g.meter.storeFailures.Inc()
 				g.deps.Log.Logger().Warn("A quarantined request was not kept in the store.", "fingerprint", f, "err", err)
 				continue
@@ -252,38 +254,39 @@
 	}
 }
 
-// keepNow makes one entry follow the table.
-func (g *Gateway) keepNow(f quarantine.Fingerprint) error {
+// storeEntry updates one stored entry from the table.
+func (g *Gateway) storeEntry(f quarantine.Fingerprint) error {
 	ctx, cancel := context.WithTimeout(g.ctx, readTime)
 	defer cancel()
 	e, ok := g.quarantined.entry(f, time.Now())
 	if !ok {
 		return g.deps.Source.DropQuarantined(ctx, f)
 	}
-	return g.deps.Source.KeepQuarantined(ctx, e, keptFor)
+	return g.deps.Source.KeepQuarantined(ctx, e, storedEntryTTL)
 }
 
-// recallQuarantined takes in what the store keeps; a process that starts knows nothing, and
-// perhaps no other one does. Where the store is away it waits until somebody reads it again.
-func (g *Gateway) recallQuarantined() {
+// loadQuarantined loads the stored entries. A process that starts knows of no crashes, and possibly
+// no other process does. While the store cannot be reached it waits until some gateway has read the
+// store again.
+func (g *Gateway) loadQuarantined() {
 	for {
 		ctx, cancel := context.WithTimeout(g.ctx, readTime)
 		entries, err := g.deps.Source.Quarantined(ctx)
 		cancel()
 		if err == nil {
-			g.recall(entries)
+			g.applyStoredEntries(entries)
 			return
 		}
 		g.deps.Log.Logger().Warn("The quarantined requests could not be recalled.", "err", err)
 		for wait := true; wait; wait = g.proofAge() > takeOver {
-			if !g.pause(keepAgain) {
+			if !g.pause(storeRetryDelay) {
 				return
 			}
 		}
 	}
 }
 
-func (g *Gateway) recall(entries []quarantine.Entry) {
+func (g *Gateway) applyStoredEntries(entries []quarantine.Entry) {
 	if len(entries) == 0 {
 		return
 	}
@@ -296,18 +299,18 @@
 	g.deps.Log.Logger().Info("Quarantined requests recalled.", "requests", len(entries))
 }
 
-// PathQuarantine is where a gateway's peer address tells operators what stands against
-// requests; a DELETE of a fingerprint below it clears that request everywhere.
+// PathQuarantine is the path on a gateway's peer address under which operators list the suspected
+// and quarantined requests. A DELETE of a fingerprint below it clears that request at all gateways.
 const PathQuarantine = "/peer/quarantine"
 
-// serveQuarantine lists what stands against requests.
+// serveQuarantine lists the requests in the table.
 func (g *Gateway) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
 	var list []quarantine.Listing
 	g.quarantined.change(func(t *quarantine.Table) { list = t.List(time.Now()) })
 	g.answerPeer(w, list)
 }
 
-// serveClear clears a request on an operator's word.
+// serveClear clears a request for an operator.
 func (g *Gateway) serveClear(w http.ResponseWriter, r *http.Request) {
 	f, err := quarantine.ParseFingerprint(r.PathValue("fingerprint"))
 	if err != nil {
@@ -320,12 +323,12 @@
 		http.Error(w, "nothing stands against it", http.StatusNotFound)
 		return
 	}
-	g.tellOfCrashes()
-	g.cleared(f, quarantine.Verdict{}, "")
+	g.announceCrashes()
+	g.handleCleared(f, quarantine.Verdict{}, "")
 }
 
-// tellOfCrashes makes the next words to the peers go out soon.
-func (g *Gateway) tellOfCrashes() {
+// announceCrashes schedules messages to the peers.
+func (g *Gateway) announceCrashes() {
 	g.picker.callPeers()
 	if g.quarantined.speaks.Load() {
 		g.tellNews()
