--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -20,21 +20,21 @@
 	"github.com/micarudder/micarudder/quarantine"
 )
 
-// usualLoad is what the fleet's callers ask for while one request crashes engines.
-var usualLoad = load{length: 15 * time.Second, soundEvery: 25 * time.Millisecond, crashEvery: 400 * time.Millisecond}
+// defaultLoad is the load of the fleet while one request crashes engines.
+var defaultLoad = crashLoad{duration: 15 * time.Second, harmlessInterval: 25 * time.Millisecond, crashInterval: 400 * time.Millisecond}
 
-// TestCrashingRequestEverywhere: gateways of all cells hear in time of a request that crashes
-// engines, also where words get lost, and it ends few engines.
-func TestCrashingRequestEverywhere(t *testing.T) {
+// TestCrashingRequestAcrossCells: the gateways of all cells learn in time of a request that crashes
+// engines, even if messages are lost, and few engines crash.
+func TestCrashingRequestAcrossCells(t *testing.T) {
 	cases := []struct {
 		name                           string
 		dataCentres, gateways, engines int
-		lose                           func(from, to int) bool
-		most                           int // engines that may end
+		drops                          func(from, to int) bool
+		maxCrashes                     int // engines that may crash
 	}{
 		{"one cell", 1, 5, 18, nil, 6},
 		{"three cells", 3, 12, 90, nil, 6},
-		{"a third of all words lost", 3, 12, 90, everyThird(), 8},
+		{"a third of all messages lost", 3, 12, 90, dropEveryThird(), 8},
 		{"one gateway", 1, 1, 6, nil, 5},
 	}
 	for _, tc := range cases {
@@ -42,20 +42,20 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				c := newCrashFleet(t, tc.dataCentres, tc.gateways, tc.engines)
-				c.setLose(tc.lose)
+				c.setLose(tc.drops)
 				time.Sleep(3 * time.Second)
-				r := c.play(usualLoad)
-				t.Logf("%+v; %d sends of the crashing request, %d engines ended, %d sound streams on them", r, c.sendCount(), c.crashCount(), c.broken)
-				is.True(c.sentAfterThird() <= mostAfterThird)
-				is.True(c.crashCount() <= tc.most)
+				r := c.run(defaultLoad)
+				t.Logf("%+v; %d attempts of the crashing request, %d engines crashed, %d harmless streams on them", r, c.sendCount(), c.crashCount(), c.brokenHarmless)
+				is.True(c.sendsAfterThird() <= maxSendsAfterThird)
+				is.True(c.crashCount() <= tc.maxCrashes)
 				is.True(r.served >= r.asked*97/100)
-				is.Equal(c.refusedSound(), 0)
+				is.Equal(c.refusedHarmless(), 0)
 			})
 		})
 	}
 }
 
-func everyThird() func(from, to int) bool {
+func dropEveryThird() func(from, to int) bool {
 	n := 0
 	return func(_, _ int) bool {
 		n++
@@ -63,58 +63,59 @@
 	}
 }
 
-// refusedSound returns how many sound requests were refused as crashing ones.
-func (c *crashFleet) refusedSound() int {
+// refusedHarmless returns how many harmless requests were refused as quarantined.
+func (c *crashFleet) refusedHarmless() int {
 	n := 0
 	for _, g := range c.gateways {
-		n += int(g.meter.set.GetOrCreateCounter(`relay_requests_total{outcome="` + string(quarantinedEnd) + `"}`).Get())
+		n += int(g.meter.set.GetOrCreateCounter(`relay_requests_total{outcome="` + string(quarantinedOutcome) + `"}`).Get())
 	}
 	return n - c.refusedCrashing
 }
 
-// TestGatewayOutOfTouch: a gateway that hears nobody while the others find a request out
-// goes by what it sees itself, and by what the others know as soon as it hears them again.
-func TestGatewayOutOfTouch(t *testing.T) {
+// TestPartitionedGateway: a gateway that receives no messages while the others detect a crashing
+// request acts on its own observations, and on the others' knowledge as soon as it receives
+// messages again.
+func TestPartitionedGateway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCrashFleet(t, 1, 4, 18)
 		c.setLose(func(from, to int) bool { return from == 0 || to == 0 })
 		time.Sleep(time.Second)
-		for range 4 { // the others find it out
+		for range 4 { // the others detect it
 			c.call(1, crashPath)
 		}
 		found := c.sendCount()
 		is.True(found >= 3)
-		c.call(0, crashPath) // it knows nothing
+		c.call(0, crashPath) // this gateway does not know of it
 		is.True(c.sendCount() > found)
 		c.setLose(nil)
 		time.Sleep(time.Second)
 		known := c.sendCount()
 		for range 4 {
-			c.try(0, crashPath, 0)
+			c.attempt(0, crashPath, 0)
 		}
 		is.Equal(c.sendCount(), known)
 	})
 }
 
-// newKeepingFleet is a small fleet that keeps what it finds out in a store.
-func newKeepingFleet(t *testing.T) (*crashFleet, *testSource) {
+// newFleetWithStore returns a small fleet that stores its quarantine entries.
+func newFleetWithStore(t *testing.T) (*crashFleet, *testSource) {
 	source := &testSource{}
 	c := newCrashFleet(t, 1, 3, 18)
 	for _, g := range c.gateways {
 		g.deps.Source = source
 		g.tasks.Go(g.keepQuarantined)
 	}
-	time.Sleep(time.Second) // they hear each other
+	time.Sleep(time.Second) // until all gateways have heard from each other
 	return c, source
 }
 
-// TestAllGatewaysStartAgain: what gateways found out of a request is kept in the store, and
-// processes that start know it, if need be as soon as the store is back.
-func TestAllGatewaysStartAgain(t *testing.T) {
+// TestQuarantineSurvivesRestart: quarantine entries are stored, and gateways that start load them,
+// if necessary as soon as the store is reachable again.
+func TestQuarantineSurvivesRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c, source := newKeepingFleet(t)
+		c, source := newFleetWithStore(t)
 		for range 3 {
 			c.call(0, crashPath)
 		}
@@ -122,51 +123,50 @@
 		is.Equal(source.keptCount(), 1)
 		known := c.sendCount()
 
-		source.set(nil, errors.New("the store is away"))
-		fresh := c.freshGateways()
+		source.set(nil, errors.New("store unavailable"))
+		fresh := c.restartedGateways()
 		for _, g := range fresh {
-			g.tasks.Go(g.recallQuarantined)
+			g.tasks.Go(g.loadQuarantined)
 		}
 		time.Sleep(time.Second)
 		source.set(nil, nil)
 		for _, g := range fresh {
-			g.state.Prove(1, time.Now()) // somebody reads the store again
+			g.state.Prove(1, time.Now()) // a gateway reads the store again
 		}
 		time.Sleep(2 * time.Second)
 		for _, g := range fresh {
-			is.Equal(c.tryAt(g, crashPath, 0).status, 503)
+			is.Equal(c.attemptAt(g, crashPath, 0).status, 503)
 		}
 		is.Equal(c.sendCount(), known)
 	})
 }
 
-// TestSoundRequestOfManyCallers: the same work, asked for many times at once, is on each of
-// several engines that end. If they end together that is no sign against it; one after
-// the other, as under a request that crashes them, it is, until a copy that ends well
-// elsewhere clears it, everywhere.
-func TestSoundRequestOfManyCallers(t *testing.T) {
+// TestPopularHarmlessRequest: copies of one harmless request are on each of several engines that
+// crash. Simultaneous crashes do not count against it. Crashes one after the other do, as for a
+// request that causes them, until a copy that succeeds elsewhere clears it at all gateways.
+func TestPopularHarmlessRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c, source := newKeepingFleet(t)
-		c.begin = 10 * beginTime // it waits for its turn at the engines
+		c, source := newFleetWithStore(t)
+		c.startDelay = 10 * startDelay // requests queue at the engines
 		const path = "/sound/popular"
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for n := range 60 {
-			all.Go(func() { c.call(n%3, path) })
+			wg.Go(func() { c.call(n%3, path) })
 		}
 		verdict := func(g *Gateway) quarantine.Verdict { return g.quarantined.verdict(c.fingerprint(path), time.Now()) }
-		time.Sleep(beginTime)
+		time.Sleep(startDelay)
 		c.crashBusy(3)
-		time.Sleep(beginTime)
+		time.Sleep(startDelay)
 		is.Equal(verdict(c.gateways[0]).Before, 1)
 		for range 2 {
 			is.True(!verdict(c.gateways[0]).Quarantined())
-			time.Sleep(beginTime)
+			time.Sleep(startDelay)
 			c.crashBusy(1)
 		}
 		time.Sleep(20 * time.Millisecond)
-		is.True(verdict(c.gateways[0]).Quarantined()) // nothing tells it from a crashing one yet
-		all.Wait()
+		is.True(verdict(c.gateways[0]).Quarantined()) // cannot be told from a crashing request yet
+		wg.Wait()
 		time.Sleep(time.Second)
 		for i, g := range c.gateways {
 			is.True(!verdict(g).Quarantined())
@@ -176,9 +176,9 @@
 	})
 }
 
-// TestPlannedEnds: endpoints that end after they said that they leave, with long streams still
-// on them, say nothing against these.
-func TestPlannedEnds(t *testing.T) {
+// TestDrainingEndpointIsNoCrash: the end of an endpoint after it announced that it is draining does
+// not count against the long streams that are still on it.
+func TestDrainingEndpointIsNoCrash(t *testing.T) {
 	is := is.New(t)
 	var b *bench
 	b = newBench(t, func(_ int, _ *bufio.Writer, c *net.TCPConn, _ *http.Request) {
@@ -187,7 +187,7 @@
 			list[i].Draining = true
 		}
 		b.gateway.state.Listed(list, time.Now(), time.Now(), time.Time{})
-		b.crash(c)
+		b.crashEndpoint(c)
 	})
 	b.know()
 	is.Equal(b.ask(t.Context(), "POST", "/once/", "text", nil).status, 502)
@@ -195,21 +195,21 @@
 	is.Equal(b.gateway.quarantined.known.Load(), int64(0))
 }
 
-// TestWhatTheCallerHears: a caller whose request crashed endpoints hears that it may have run
-// as long as it was sent, and once it is quarantined, at once, that it was not, and when to come
-// back.
-func TestWhatTheCallerHears(t *testing.T) {
+// TestQuarantineAnswers: the caller of a crashing request is told that it may have run as long as
+// it is sent. Once it is quarantined, the caller is told at once that it did not run, and when to
+// retry.
+func TestQuarantineAnswers(t *testing.T) {
 	for _, path := range []string{"/safe/", "/once/", "/stream/", "/story/"} {
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
 			var b *bench
 			b = newBench(t, func(_ int, _ *bufio.Writer, c *net.TCPConn, _ *http.Request) {
-				time.Sleep(60 * time.Millisecond) // endpoints that end together count once
-				b.crash(c)
+				time.Sleep(60 * time.Millisecond) // endpoints that crash at the same moment count once
+				b.crashEndpoint(c)
 			})
 			b.know()
 			for id := range 4 {
-				b.source.endpoints = append(b.source.endpoints, catalog.Endpoint{ID: strconv.Itoa(id), Service: "s", Address: b.endpoint(b.play), Slots: 4})
+				b.source.endpoints = append(b.source.endpoints, catalog.Endpoint{ID: strconv.Itoa(id), Service: "s", Address: b.startEndpoint(b.script), Slots: 4})
 			}
 			b.know()
 			for b.arrivals() < 3 {
@@ -222,43 +222,43 @@
 			is.NoErr(err)
 			is.True(seconds > 0 && seconds <= 1200)
 			is.Equal(b.arrivals(), sent)
-			// Another request of the same caller is none of that.
+			// Another request of the same caller is not affected.
 			is.Equal(b.ask(t.Context(), "POST", path, "another text", nil).status, 502)
 			is.Equal(b.arrivals() > sent, true)
 		})
 	}
 }
 
-// TestRequestsCostNothingWhileNoneIsKnown: the body of a request is not read for a
-// fingerprint unless one with the same head crashed an endpoint.
-func TestRequestsCostNothingWhileNoneIsKnown(t *testing.T) {
+// TestBodyNotHashedWithoutSuspects: the body of a request is not hashed for a fingerprint unless an
+// endpoint crashed under a request with the same head.
+func TestBodyNotHashedWithoutSuspects(t *testing.T) {
 	is := is.New(t)
-	x := &exchange{g: &Gateway{quarantined: newQuarantined()}, r: &http.Request{Method: "POST", Host: "h", RequestURI: "/a"}, body: []byte("text")}
-	x.admissible()
+	x := &exchange{g: &Gateway{quarantined: newQuarantineTable()}, r: &http.Request{Method: "POST", Host: "h", RequestURI: "/a"}, body: []byte("text")}
+	x.checkQuarantine()
 	is.True(x.fingerprint == nil)
 	x.g.quarantined.change(func(t *quarantine.Table) {
 		t.Crashed(quarantine.Fingerprint{Head: 1, Body: 1}, quarantine.Crash{At: time.Now()}, time.Now())
 	})
-	x.admissible()
+	x.checkQuarantine()
 	is.True(x.fingerprint == nil)
 	x.g.quarantined.change(func(t *quarantine.Table) {
-		t.Crashed(x.work().Fingerprint(), quarantine.Crash{At: time.Now()}, time.Now())
+		t.Crashed(x.fingerprintInput().Fingerprint(), quarantine.Crash{At: time.Now()}, time.Now())
 	})
-	x.admissible()
+	x.checkQuarantine()
 	is.True(x.fingerprint != nil)
 }
 
-// TestOperatorClears: an operator sees what stands against requests, and lets one be sent
-// again at all gateways.
-func TestOperatorClears(t *testing.T) {
+// TestOperatorClearsQuarantine: an operator lists the quarantined requests and clears one, which
+// all gateways then send again.
+func TestOperatorClearsQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c, source := newKeepingFleet(t)
+		c, source := newFleetWithStore(t)
 		for range 3 {
 			c.call(0, crashPath)
 		}
 		time.Sleep(time.Second)
-		is.Equal(c.try(2, crashPath, 0).status, 503)
+		is.Equal(c.attempt(2, crashPath, 0).status, 503)
 		operator := func(method, path string) *httptest.ResponseRecorder {
 			w := httptest.NewRecorder()
 			c.gateways[1].PeerHandler().ServeHTTP(w, httptest.NewRequest(method, path, nil))
@@ -280,10 +280,10 @@
 	})
 }
 
-// TestReportsDoNotGrowWithTheFleet: what a gateway hears of one quarantined request, once it is
-// known everywhere, does not grow with the number of cells, and is nothing where there is
-// none. It grew with it while each cell told all others twice a second: 80 reports in five cells.
-func TestReportsDoNotGrowWithTheFleet(t *testing.T) {
+// TestCrashReportsIndependentOfFleetSize: once a quarantined request is known everywhere, the
+// reports that a gateway receives of it do not grow with the number of cells, and without one there
+// are none. When each cell told all others twice a second, the reports grew: 80 in five cells.
+func TestCrashReportsIndependentOfFleetSize(t *testing.T) {
 	quiet := func(dataCentres, crashes int) (most int) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -297,13 +297,13 @@
 				is.Equal(g.quarantined.verdict(c.fingerprint(crashPath), time.Now()).Quarantined(), crashes > 0)
 			}
 			c.testFleet.mu.Lock()
-			before := slices.Clone(c.heard)
+			before := slices.Clone(c.crashReports)
 			c.testFleet.mu.Unlock()
 			time.Sleep(time.Second)
 			c.testFleet.mu.Lock()
 			defer c.testFleet.mu.Unlock()
 			for i := range before {
-				most = max(most, c.heard[i]-before[i])
+				most = max(most, c.crashReports[i]-before[i])
 			}
 		})
 		return most
@@ -311,8 +311,8 @@
 	is := is.New(t)
 	is.Equal(quiet(5, 0), 0)
 	one, five, ten := quiet(1, 2), quiet(5, 2), quiet(10, 2)
-	t.Logf("reports heard in a second by the gateway that hears most: %d in one cell, %d in five, %d in ten", one, five, ten)
+	t.Logf("most reports received by a gateway in a second: %d in one cell, %d in five, %d in ten", one, five, ten)
 	is.True(one > 0)
-	is.True(five <= 4*one) // those that speak hear the other cells' speakers, too
+	is.True(five <= 4*one) // speakers also receive the messages of other cells' speakers
 	is.True(ten <= five+five/4)
 }
--- a/relay/reserve.go
+++ b/relay/reserve.go
@@ -17,124 +17,124 @@
 )
 
 const (
-	// holdTime is how long memory stays set aside without renewal. It bounds
-	// what a killed gateway or an order that is carried out late can leave
-	// behind; endpoints want unused memory back within four seconds.
-	holdTime = 3 * time.Second
-	// renewEvery leaves two tries before the memory lapses.
-	renewEvery = holdTime / 3
-	// orderTime bounds an order about memory; it takes one round trip.
-	orderTime = 400 * time.Millisecond
+	// reservationTTL is how long memory stays reserved without renewal. It bounds how long a killed
+	// gateway, or an order that an endpoint executes late, can keep memory reserved; endpoints must
+	// get unused memory back within four seconds.
+	reservationTTL = 3 * time.Second
+	// renewInterval allows two attempts to renew a reservation before it expires.
+	renewInterval = reservationTTL / 3
+	// orderTimeout bounds a reserve or release order, which takes one round trip.
+	orderTimeout = 400 * time.Millisecond
 )
 
-// reservation is memory set aside at one endpoint for one request.
+// reservation is memory reserved at one endpoint for one request.
 type reservation struct {
 	endpoint catalog.Endpoint
 	id       string
 	tokens   int
 }
 
-// reservations is the memory set aside for one send. It is renewed only while there is proof
-// that the request uses it (memoryUse): a send that waits for an answer is none, since its
-// endpoint may have hung or lost the answer, and nobody else can have the memory meanwhile.
+// reservations is the memory reserved for one attempt. It is renewed only while there is evidence
+// that the request uses it (see memoryUsage). An attempt that waits for an answer is no such
+// evidence: its endpoint may have hung or lost the answer, while nobody else can use the memory.
 type reservations struct {
 	g       *Gateway
 	request string
-	// generating is the endpoint that the request goes to.
+	// generating is the endpoint that the request is sent to.
 	generating catalog.Endpoint
 	list       []*reservation
-	use        *memoryUse
-	// send is what the request is sent under; it ends with memory that is given back unused.
-	send    context.Context
-	endSend context.CancelCauseFunc
-	// writing is set while the answer waits for its caller: it is then not the endpoint that
-	// brings nothing, and what is still to be read of the answer is not thrown away.
-	writing atomic.Bool
-	stop    context.CancelFunc // of the renewals
-	done    sync.WaitGroup
-	freed   sync.Once // the release
+	usage      *memoryUsage
+	// sendCtx is the context of the attempt; it is cancelled if the memory is released as unused.
+	sendCtx    context.Context
+	cancelSend context.CancelCauseFunc
+	// writingToCaller is set while the answer waits for its caller. The endpoint is then not the
+	// cause of the delay, and the unread rest of the answer must not be dropped.
+	writingToCaller atomic.Bool
+	stopRenewal     context.CancelFunc // cancels the renewals
+	background      sync.WaitGroup
+	releaseOnce     sync.Once // guards the release
 }
 
-// errMemoryUnused ends a send whose memory nobody used.
-var errMemoryUnused = errors.New("no request used the memory that was set aside for this one")
+// errMemoryUnused ends an attempt whose reserved memory was not used.
+var errMemoryUnused = errors.New("the memory reserved for this request was not used")
 
-// noMemory is a failure to set memory aside.
-type noMemory struct {
+// reserveError is a failure to reserve memory.
+type reserveError struct {
 	endpoints []string // that failed
-	err       error    // of one of them
+	err       error    // of one of the endpoints
 }
 
 // Error implements error.
-func (n *noMemory) Error() string { return n.err.Error() }
+func (n *reserveError) Error() string { return n.err.Error() }
 
 // Unwrap returns the cause.
-func (n *noMemory) Unwrap() error { return n.err }
+func (n *reserveError) Unwrap() error { return n.err }
 
-// reserve sets memory aside at every helper that the choice names, for a send under ctx. On
-// failure, which is a *noMemory, nothing stays set aside.
+// reserve reserves memory for an attempt under ctx at every endpoint that the placement names. If
+// it fails, with a *reserveError, all of the memory is released again.
 func (g *Gateway) reserve(ctx context.Context, request string, at *place) (*reservations, error) {
-	type ending struct {
+	type orderResult struct {
 		endpoint string
 		err      error
 	}
 	r := &reservations{g: g, request: request, generating: at.endpoint}
-	endings := make(chan ending, len(at.reserve))
+	results := make(chan orderResult, len(at.reserve))
 	for _, want := range at.reserve {
-		one := &reservation{endpoint: want.endpoint, id: uuid.NewString(), tokens: want.tokens}
-		r.list = append(r.list, one)
+		rv := &reservation{endpoint: want.endpoint, id: uuid.NewString(), tokens: want.tokens}
+		r.list = append(r.list, rv)
 		go func() {
-			err := g.order(ctx, one, g.deps.Protocol.Reserve(one.endpoint.ID, one.id, one.tokens, holdTime))
-			endings <- ending{one.endpoint.ID, err}
+			err := g.sendOrder(ctx, rv, g.deps.Protocol.Reserve(rv.endpoint.ID, rv.id, rv.tokens, reservationTTL))
+			results <- orderResult{rv.endpoint.ID, err}
 		}()
 	}
-	var failed noMemory
+	var failed reserveError
 	for range r.list {
-		if e := <-endings; e.err != nil {
-			failed.endpoints = append(failed.endpoints, e.endpoint)
-			failed.err = e.err
+		if res := <-results; res.err != nil {
+			failed.endpoints = append(failed.endpoints, res.endpoint)
+			failed.err = res.err
 		}
 	}
-	g.deps.Log.Request("Memory set aside.", "request", request, "generating", at.endpoint.ID, "endpoints", r.endpoints(), "reservations", r.ids(),
+	g.deps.Log.Request("Memory set aside.", "request", request, "generating", at.endpoint.ID, "endpoints", r.endpointIDs(), "reservations", r.reservationIDs(),
 		"failed", failed.endpoints, "err", failed.err)
 	if failed.err != nil {
 		g.meter.reserveFailures.Inc()
 		r.release()
 		return nil, &failed
 	}
-	r.use = newMemoryUse(newUseLimits(g.config.UnusedMemory), time.Now())
-	r.send, r.endSend = context.WithCancelCause(ctx)
+	r.usage = newMemoryUsage(newUnusedLimits(g.config.UnusedMemory), time.Now())
+	r.sendCtx, r.cancelSend = context.WithCancelCause(ctx)
 	renewing, stop := context.WithCancel(g.ctx)
-	r.stop = stop
-	r.done.Go(func() { r.renew(renewing) })
+	r.stopRenewal = stop
+	r.background.Go(func() { r.renew(renewing) })
 	return r, nil
 }
 
-// endpoints returns where memory is set aside, and ids under which names, for the log.
-func (r *reservations) endpoints() []string {
+// endpointIDs returns the endpoints of the reservations, and reservationIDs their ids, for the log.
+func (r *reservations) endpointIDs() []string {
 	out := make([]string, len(r.list))
-	for i, one := range r.list {
-		out[i] = one.endpoint.ID
+	for i, rv := range r.list {
+		out[i] = rv.endpoint.ID
 	}
 	return out
 }
 
-func (r *reservations) ids() []string {
+func (r *reservations) reservationIDs() []string {
 	out := make([]string, len(r.list))
-	for i, one := range r.list {
-		out[i] = one.id
+	for i, rv := range r.list {
+		out[i] = rv.id
 	}
 	return out
 }
 
-// helpers returns the helpers of a send with the memory set aside there.
+// helpers returns the helpers of an attempt with their reservations.
 func (r *reservations) helpers(at *place) []Helper {
 	out := make([]Helper, 0, len(at.helpers))
 	for _, e := range at.helpers {
 		h := Helper{Address: e.Address}
 		if r != nil {
-			for _, one := range r.list {
-				if one.endpoint.ID == e.ID {
-					h.Reservation = one.id
+			for _, rv := range r.list {
+				if rv.endpoint.ID == e.ID {
+					h.Reservation = rv.id
 				}
 			}
 		}
@@ -143,9 +143,9 @@
 	return out
 }
 
-// renew keeps the memory set aside until ctx ends, or until it is not used.
+// renew renews the reservations until ctx ends or the memory turns out to be unused.
 func (r *reservations) renew(ctx context.Context) {
-	tick := time.NewTicker(renewEvery)
+	tick := time.NewTicker(renewInterval)
 	defer tick.Stop()
 	last, suspended := time.Now(), r.g.suspendedTime()
 	for {
@@ -155,128 +155,131 @@
 		case <-tick.C:
 		}
 		now, total := time.Now(), r.g.suspendedTime()
-		if now.Sub(last)+total-suspended >= holdTime {
-			// This process stood still and the memory lapsed: a renewal would set it aside
-			// anew, for a request that was cut with it.
-			r.giveBack("lapsed", now)
+		if now.Sub(last)+total-suspended >= reservationTTL {
+			// This process was stopped or suspended and the reservations have expired. A renewal
+			// would reserve the memory again, for a request that ended with them.
+			r.releaseUnused("lapsed", now)
 			return
 		}
 		last, suspended = now, total
-		switch r.use.next(now) {
-		case giveBack:
-			r.giveBack("not known to be used", now)
+		switch r.usage.nextAction(now) {
+		case releaseUnused:
+			r.releaseUnused("no evidence of use", now)
 			return
-		case askUse:
-			r.done.Go(func() { r.askUse(ctx) })
+		case queryUsage:
+			r.background.Go(func() { r.queryUsage(ctx) })
 		}
 		r.renewAll(ctx)
 	}
 }
 
-// renewAll renews the memory at every endpoint, without waiting for the answers.
+// renewAll sends a renewal to every endpoint without waiting for the answers.
 func (r *reservations) renewAll(ctx context.Context) {
-	for _, one := range r.list {
-		if !r.g.state.SameLife(one.endpoint) {
-			continue // it holds nothing of this, and must not set it aside anew
+	for _, rv := range r.list {
+		if !r.g.state.SameLife(rv.endpoint) {
+			continue // the endpoint has restarted without this reservation and must not reserve the memory again
 		}
-		r.done.Go(func() {
-			if err := r.g.order(ctx, one, r.g.deps.Protocol.Reserve(one.endpoint.ID, one.id, one.tokens, holdTime)); err != nil && ctx.Err() == nil {
-				r.g.deps.Log.Request("Memory was not renewed.", "endpoint", one.endpoint.ID, "reservation", one.id, "err", err)
+		r.background.Go(func() {
+			if err := r.g.sendOrder(ctx, rv, r.g.deps.Protocol.Reserve(rv.endpoint.ID, rv.id, rv.tokens, reservationTTL)); err != nil && ctx.Err() == nil {
+				r.g.deps.Log.Request("Memory was not renewed.", "endpoint", rv.endpoint.ID, "reservation", rv.id, "err", err)
 			}
 		})
 	}
 }
 
-// askUse asks one of the endpoints that have memory set aside whether it is used. All of it is
-// used by the same request, so that one question is enough, however many endpoints have some.
-func (r *reservations) askUse(ctx context.Context) {
-	one := r.questioned(time.Now())
-	asked := time.Now()
-	report, err := r.g.report(ctx, one.endpoint)
-	switch state := report.Reservations[one.id]; {
+// queryUsage asks one of the endpoints whether the memory reserved there is in use. All
+// reservations are used by the same request, so that one query is enough, however many endpoints
+// hold one.
+func (r *reservations) queryUsage(ctx context.Context) {
+	rv := r.nextReservation(time.Now())
+	queriedAt := time.Now()
+	report, err := r.g.fetchReport(ctx, rv.endpoint)
+	switch state := report.Reservations[rv.id]; {
 	case ctx.Err() != nil:
 		return
 	case err != nil:
-		r.g.deps.Log.Request("It is not known whether memory is used.", "request", r.request, "endpoint", one.endpoint.ID, "reservation", one.id,
-			"unproved_ms", r.use.unproved(asked).Milliseconds(), "err", err)
+		r.g.deps.Log.Request("It is not known whether memory is used.", "request", r.request, "endpoint", rv.endpoint.ID, "reservation", rv.id,
+			"unproved_ms", r.usage.sinceLastUse(queriedAt).Milliseconds(), "err", err)
 	case state == ReservationUsed:
-		r.use.prove(asked)
+		r.usage.recordUse(queriedAt)
 	default:
-		r.notUsed(ctx, one, state, asked)
+		r.handleUnused(ctx, rv, state, queriedAt)
 	}
 }
 
-// questioned returns whom to ask next: each in turn, but for those that want rest while there are others.
-func (r *reservations) questioned(now time.Time) *reservation {
-	next := r.use.question(len(r.list))
+// nextReservation returns the reservation to ask about next. It rotates through the endpoints and
+// skips those that asked this gateway to back off, unless all of them did.
+func (r *reservations) nextReservation(now time.Time) *reservation {
+	next := r.usage.nextQuery(len(r.list))
 	for i := range r.list {
-		if one := r.list[(next+i)%len(r.list)]; !r.g.state.Resting(one.endpoint.ID, now) {
-			return one
+		if rv := r.list[(next+i)%len(r.list)]; !r.g.state.Resting(rv.endpoint.ID, now) {
+			return rv
 		}
 	}
 	return r.list[next]
 }
 
-// notUsed takes in that memory is not used, and asks the endpoint that the request went to whether
-// others are in the way there.
-func (r *reservations) notUsed(ctx context.Context, one *reservation, state ReservationState, asked time.Time) {
-	at, err := r.g.report(ctx, r.generating)
-	r.g.deps.Log.Request("Memory is not used.", "request", r.request, "endpoint", one.endpoint.ID, "reservation", one.id, "tokens", one.tokens, "state", state.String(),
-		"unproved_ms", r.use.unproved(asked).Milliseconds(), "generating", r.generating.ID, "waiting", at.Waiting, "running", at.Running,
+// handleUnused handles the answer that reserved memory is not in use: it asks the generating
+// endpoint whether requests are queued there.
+func (r *reservations) handleUnused(ctx context.Context, rv *reservation, state ReservationState, queriedAt time.Time) {
+	at, err := r.g.fetchReport(ctx, r.generating)
+	r.g.deps.Log.Request("Memory is not used.", "request", r.request, "endpoint", rv.endpoint.ID, "reservation", rv.id, "tokens", rv.tokens, "state", state.String(),
+		"unproved_ms", r.usage.sinceLastUse(queriedAt).Milliseconds(), "generating", r.generating.ID, "waiting", at.Waiting, "running", at.Running,
 		"memory_used", at.MemoryUsed, "memory_total", at.MemoryTotal, "reservations_there", len(at.Reservations), "err", err)
-	if ctx.Err() == nil && r.use.unused(asked, err != nil || at.Waiting > 0) {
-		r.giveBack("not used", asked)
+	if ctx.Err() == nil && r.usage.recordUnused(queriedAt, err != nil || at.Waiting > 0) {
+		r.releaseUnused("not used", queriedAt)
 	}
 }
 
-// giveBack ends a send whose memory nobody uses, and releases the memory: the request may use
-// other endpoints, and others this memory.
-func (r *reservations) giveBack(why string, now time.Time) {
-	writing := r.writing.Load()
+// releaseUnused ends an attempt whose reserved memory is not used, and releases the memory: the
+// request may then use other endpoints, and other requests the memory.
+func (r *reservations) releaseUnused(why string, now time.Time) {
+	waitsForCaller := r.writingToCaller.Load()
 	r.g.meter.memoryUnused.Inc()
-	r.g.deps.Log.Request("Memory given back.", "request", r.request, "why", why, "generating", r.generating.ID, "endpoints", r.endpoints(), "reservations", r.ids(),
-		"unproved_ms", r.use.unproved(now).Milliseconds(), "answer_waits_for_caller", writing)
-	if !writing {
-		r.endSend(errMemoryUnused)
+	r.g.deps.Log.Request("Memory given back.", "request", r.request, "why", why, "generating", r.generating.ID, "endpoints", r.endpointIDs(), "reservations", r.reservationIDs(),
+		"unproved_ms", r.usage.sinceLastUse(now).Milliseconds(), "answer_waits_for_caller", waitsForCaller)
+	if !waitsForCaller {
+		r.cancelSend(errMemoryUnused)
 	}
 	r.release()
 }
 
-// unused reports whether the send was ended because nobody used its memory; r may be nil.
-func (r *reservations) unused() bool {
-	return r != nil && errors.Is(context.Cause(r.send), errMemoryUnused)
+// endedUnused reports whether the attempt was ended because its reserved memory was not used; r may
+// be nil.
+func (r *reservations) endedUnused() bool {
+	return r != nil && errors.Is(context.Cause(r.sendCtx), errMemoryUnused)
 }
 
-// end ends the send and gives the memory back; r may be nil.
+// end ends the attempt and releases the memory; r may be nil.
 func (r *reservations) end() {
 	if r == nil {
 		return
 	}
-	r.endSend(nil)
+	r.cancelSend(nil)
 	r.release()
 }
 
-// release gives the memory back in the background, once. An order that gets no answer
-// is not repeated: the memory lapses by itself.
-func (r *reservations) release() { r.freed.Do(r.releaseAll) }
+// release releases the memory in the background, once. A release without an answer is not repeated,
+// since the reservation expires by itself.
+func (r *reservations) release() { r.releaseOnce.Do(r.releaseAll) }
 
 func (r *reservations) releaseAll() {
-	if r.stop != nil {
-		r.stop()
+	if r.stopRenewal != nil {
+		r.stopRenewal()
 	}
-	for _, one := range r.list {
+	for _, rv := range r.list {
 		r.g.tasks.Go(func() {
-			r.done.Wait() // a renewal must not overtake the release
-			if err := r.g.order(context.WithoutCancel(r.g.ctx), one, r.g.deps.Protocol.Release(one.endpoint.ID, one.id)); err != nil {
-				r.g.deps.Log.Request("Memory was not released; it lapses.", "endpoint", one.endpoint.ID, "reservation", one.id, "err", err)
+			r.background.Wait() // a renewal must not arrive after the release
+			if err := r.g.sendOrder(context.WithoutCancel(r.g.ctx), rv, r.g.deps.Protocol.Release(rv.endpoint.ID, rv.id)); err != nil {
+				r.g.deps.Log.Request("Memory was not released; it lapses.", "endpoint", rv.endpoint.ID, "reservation", rv.id, "err", err)
 			}
 		})
 	}
 }
 
-// order gives one order about memory.
-func (g *Gateway) order(ctx context.Context, r *reservation, o *upstream.Request) error {
-	ctx, cancel := context.WithTimeout(ctx, orderTime)
+// sendOrder sends a reserve or release order to the endpoint of a reservation.
+func (g *Gateway) sendOrder(ctx context.Context, r *reservation, o *upstream.Request) error {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	g.meter.orders.Inc()
 	res, err := g.do(ctx, r.endpoint, o, ownQuestion, "")
--- a/relay/reserve_test.go
+++ b/relay/reserve_test.go
@@ -15,17 +15,17 @@
 	"github.com/micarudder/micarudder/upstream"
 )
 
-// TestMemoryIsRenewedAndReleased: memory that was set aside is renewed every second while
-// it is in use and released once afterwards. When the endpoint starts again under its name
-// it is not set aside anew, since nobody there uses it.
+// TestMemoryIsRenewedAndReleased: reserved memory is renewed every second while it is in use, and
+// released once afterwards. After the endpoint has restarted under its name, it is not reserved
+// again, since no request there uses it.
 func TestMemoryIsRenewedAndReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		orders := newTestEngines(nil)
-		orders.used = true
+		orders.alwaysUsed = true
 		events := eventlog.New(io.Discard, eventlog.Options{Level: log.ErrorLevel, LinesPerSecond: 1})
 		defer events.Close(time.Second)
-		g := New(Config{Name: "g", UnusedMemory: mostUnused, DrainTime: time.Minute}, Deps{
+		g := New(Config{Name: "g", UnusedMemory: maxUnused, DrainTime: time.Minute}, Deps{
 			Protocol: testProtocol{}, Log: events, Metrics: metrics.NewSet(),
 			Endpoints: upstream.New(upstream.Options{MaxIdle: time.Minute, IdlePerHost: 1, Dialer: orders.dial}),
 		})
@@ -37,19 +37,19 @@
 		first, _ := g.state.Endpoint("a")
 		memory, err := g.reserve(t.Context(), "r", &place{reserve: []wantedMemory{{first, 100}}})
 		is.NoErr(err)
-		time.Sleep(2*renewEvery + renewEvery/2)
+		time.Sleep(2*renewInterval + renewInterval/2)
 		reserved, released := orders.orders()
 		is.Equal(reserved, 3)
 		is.Equal(released, 0)
 		g.state.Listed(list(2), time.Now(), time.Now(), time.Time{})
-		time.Sleep(3 * renewEvery)
+		time.Sleep(3 * renewInterval)
 		reserved, _ = orders.orders()
 		is.Equal(reserved, 3)
 		memory.release()
 		synctest.Wait()
 		_, released = orders.orders()
 		is.Equal(released, 1)
-		time.Sleep(3 * renewEvery)
+		time.Sleep(3 * renewInterval)
 		reserved, released = orders.orders()
 		is.Equal(reserved+released, 4)
 	})
--- a/relay/settings.go
+++ b/relay/settings.go
@@ -8,7 +8,7 @@
 	"github.com/micarudder/micarudder/settings"
 )
 
-// Settings are the INI settings of rudder-relay.
+// Settings holds the INI settings of rudder-relay.
 type Settings struct {
 	Relay struct {
 		Name        string             `key:"name" required:"true" help:"name of this gateway, unique in the installation"`
@@ -50,10 +50,10 @@
 	return out
 }
 
-// minRevokeAfter leaves time for a read that fails and one that succeeds.
+// minRevokeAfter allows for one read that fails and one that succeeds.
 const minRevokeAfter = 2 * readEvery
 
-// config returns the gateway's own part of the settings.
+// config returns the settings of the gateway itself.
 func (s *Settings) config() Config {
 	return Config{
 		Name: s.Relay.Name, DataCentre: s.Relay.DataCentre, RevokeAfter: s.Bounds.RevokeAfter, DrainTime: s.Process.DrainTime,
--- a/relay/shed_test.go
+++ b/relay/shed_test.go
@@ -13,9 +13,9 @@
 	"github.com/micarudder/micarudder/catalog"
 )
 
-// TestShedsWithRoom: an endpoint that turns requests away although it has room is
-// left alone after a few of them.
-func TestShedsWithRoom(t *testing.T) {
+// TestRejectionWithCapacity: an endpoint that rejects requests although it has capacity is avoided
+// after a few rejections.
+func TestRejectionWithCapacity(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
 		answer(w, "503 Full", "Not-Run: 1\r\n", "")
@@ -29,15 +29,15 @@
 	is.True(p.health.Suspect("b", time.Now()))
 }
 
-// TestFullIsNoFault: an endpoint that is full when it turns a request away, as
-// far as the gateways know, is not blamed for that.
-func TestFullIsNoFault(t *testing.T) {
+// TestRejectionWhenFull: an endpoint that rejects a request while it is full, as far as the
+// gateways know, does not become suspect.
+func TestRejectionWhenFull(t *testing.T) {
 	is := is.New(t)
 	engine := &catalog.Service{Engine: &catalog.Engine{MemoryTokens: 1000}}
 	four := catalog.Endpoint{Slots: 4}
-	is.True(hasRoom(&place{endpoint: four, before: balance.Load{Short: 1}}, &catalog.Service{}, 0))
-	is.True(!hasRoom(&place{endpoint: four, before: balance.Load{Short: 2}}, &catalog.Service{}, 0))
-	is.True(!hasRoom(&place{endpoint: four, before: balance.Load{Tokens: 400}}, engine, 200))
-	is.True(hasRoom(&place{endpoint: four, before: balance.Load{Tokens: 200}}, engine, 200))
-	is.True(!hasRoom(&place{endpoint: four, helpers: []catalog.Endpoint{four}}, engine, 200)) // a helper may be at fault
+	is.True(hasCapacity(&place{endpoint: four, before: balance.Load{Short: 1}}, &catalog.Service{}, 0))
+	is.True(!hasCapacity(&place{endpoint: four, before: balance.Load{Short: 2}}, &catalog.Service{}, 0))
+	is.True(!hasCapacity(&place{endpoint: four, before: balance.Load{Tokens: 400}}, engine, 200))
+	is.True(hasCapacity(&place{endpoint: four, before: balance.Load{Tokens: 200}}, engine, 200))
+	is.True(!hasCapacity(&place{endpoint: four, helpers: []catalog.Endpoint{four}}, engine, 200)) // a helper may have failed
 }
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -6,28 +6,27 @@
 )
 
 const (
-	// noticeTime is how long the balancer takes to notice that this gateway is
-	// not ready: two misses, a second apart, and one more for late timers.
+	// noticeTime is how long the load balancer takes to notice that this gateway is not ready: two
+	// failed checks one second apart, and one more for timers that fire late.
 	noticeTime = 3 * time.Second
-	// endMargin is kept of the drain time for the process to end in: a freeze of a
-	// fraction of a second must not make it outlive its grace.
-	endMargin = time.Second
-	// drainStep is how often the requests in flight are counted.
-	drainStep = 20 * time.Millisecond
+	// shutdownMargin is the part of the drain time that is left for the process to exit: a freeze
+	// of a fraction of a second must not make it exceed its grace period.
+	shutdownMargin = time.Second
+	// drainPollInterval is how often the number of requests in flight is checked.
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// Shutdown ends the gateway without cutting off a request: it is not ready at
-// once, goes on serving, closes connections after their next answer, refuses
-// what comes after the balancer must have noticed, and returns when nothing is
-// in flight or ctx ends.
+// Shutdown ends the gateway without interrupting a request. The gateway reports not ready at once,
+// continues to serve, closes connections after their next answer, refuses requests once the load
+// balancer must have noticed, and returns when nothing is in flight or ctx ends.
 func (g *Gateway) Shutdown(ctx context.Context) error {
 	now := time.Now()
 	g.stopAt.Store(&now)
 	g.leaving.Store(true)
 	g.deps.Log.Logger().Info("Stop begun.", "in_flight", g.inFlight.Load(), "drain_ms", g.config.DrainTime.Milliseconds())
-	g.faces.closeIdle()
-	slept := g.suspendedTime()
-	tick := time.NewTicker(drainStep)
+	g.servers.disableKeepAlives()
+	suspendedBefore := g.suspendedTime()
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -35,19 +34,19 @@
 			return ctx.Err()
 		case <-tick.C:
 			if g.ending() && g.inFlight.Load() == 0 {
-				g.deps.Log.Logger().Info("Nothing is in flight any more.")
+				g.deps.Log.Logger().Info("No requests in flight.")
 				return nil
 			}
-			// The platform counts the time for which the host was suspended.
-			if time.Since(now)+g.suspendedTime()-slept > g.config.DrainTime-endMargin {
-				g.deps.Log.Logger().Warn("Stop ends with requests in flight.", "in_flight", g.inFlight.Load())
+			// The platform counts the time for which the host was suspended towards the drain time.
+			if time.Since(now)+g.suspendedTime()-suspendedBefore > g.config.DrainTime-shutdownMargin {
+				g.deps.Log.Logger().Warn("Drain time ended with requests in flight.", "in_flight", g.inFlight.Load())
 				return nil
 			}
 		}
 	}
 }
 
-// ending reports whether the balancer must have noticed the stop by now.
+// ending reports whether the load balancer must have noticed the shutdown by now.
 func (g *Gateway) ending() bool {
 	at := g.stopAt.Load()
 	return at != nil && time.Since(*at) > noticeTime
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// maxEvent is the largest event that is held back until it is whole.
-	maxEvent = 1 << 20
-	// holdBack is how much of an answer that is no stream is held back; answers
-	// of plain services are a few KB.
-	holdBack = 64 << 10
-	// copyBuffer is the most that is read from an endpoint at once.
-	copyBuffer = 16 << 10
+	// maxEventBytes is the largest event that is buffered until it is complete.
+	maxEventBytes = 1 << 20
+	// maxBufferedBytes is how much of an answer that is not a stream is buffered; answers of plain
+	// services are a few KB.
+	maxBufferedBytes = 64 << 10
+	// copyBufferBytes is the most that is read from an endpoint at once.
+	copyBufferBytes = 16 << 10
 )
 
-// eventStream is what a caller has got of a stream so far.
+// eventStream is the state of a stream as far as it was passed on to the caller.
 type eventStream struct {
 	headSent bool
-	lastID   string // of the last whole event passed on
-	partial  []byte // of the event that is still coming
+	lastID   string // id of the last complete event passed on
+	partial  []byte // bytes of the incomplete event
 }
 
-// cut splits off the whole events of buf and notes the id of the last one. The
-// events end with an empty line; lines may end with CR LF.
-func (s *eventStream) cut(buf []byte) (whole, rest []byte) {
+// splitEvents splits buf after its last complete event and records the id of that event. An event
+// ends with an empty line; lines may end with CR LF.
+func (s *eventStream) splitEvents(buf []byte) (complete, rest []byte) {
 	end := 0
 	for {
-		n := eventEnd(buf[end:])
+		n := eventLength(buf[end:])
 		if n == 0 {
 			return buf[:end], buf[end:]
 		}
@@ -45,8 +45,8 @@
 	}
 }
 
-// eventEnd returns the length of the first whole event in buf, 0 for none.
-func eventEnd(buf []byte) int {
+// eventLength returns the length of the first complete event in buf, or 0 if there is none.
+func eventLength(buf []byte) int {
 	for at := 0; ; {
 		n := bytes.IndexByte(buf[at:], '\n')
 		if n < 0 {
@@ -71,10 +71,10 @@
 	return "", false
 }
 
-// relay passes an answer on. again is set when a stream broke that may go on at
+// relay passes an answer on to the caller. again is set if a stream broke that may resume at
 // another endpoint.
 func (x *exchange) relay(ctx context.Context, at *place, res *http.Response) (o outcome, again bool) {
-	if x.resumes(res) {
+	if x.isResumable(res) {
 		return x.relayEvents(ctx, at, res)
 	}
 	if x.stream != nil && x.stream.headSent {
@@ -82,37 +82,37 @@
 	}
 	if x.route.Kind == catalog.Streaming {
 		x.writeHead(res)
-		return x.answerEnded(at, x.copyBody(at, res.Body, true)), false
+		return x.finishAnswer(at, x.copyBody(at, res.Body, true)), false
 	}
-	return x.relayWhole(ctx, at, res)
+	return x.relayBuffered(ctx, at, res)
 }
 
-// relayWhole holds the beginning of an answer back until it is whole or too
-// long to hold, so that one that breaks early costs the caller nothing where
-// the request may be sent again.
-func (x *exchange) relayWhole(ctx context.Context, at *place, res *http.Response) (o outcome, again bool) {
-	held, err := io.ReadAll(io.LimitReader(res.Body, holdBack))
+// relayBuffered buffers the beginning of an answer until the answer is complete or exceeds the
+// buffer. If it breaks before, the caller has seen nothing of it and the request may be sent again
+// where that is allowed.
+func (x *exchange) relayBuffered(ctx context.Context, at *place, res *http.Response) (o outcome, again bool) {
+	buffered, err := io.ReadAll(io.LimitReader(res.Body, maxBufferedBytes))
 	if err != nil {
-		x.brokenBy(at, err)
+		x.recordFailure(at, err)
 		if ctx.Err() == nil {
-			x.note(at, health.Bad)
-			x.broke(at)
+			x.recordOutcome(at, health.Bad)
+			x.handleBrokenExchange(at)
 		}
 		return "", true
 	}
-	x.part(at)
+	x.recordPart(at)
 	x.writeHead(res)
-	if x.toCaller(at, held, false) != nil {
+	if x.writeToCaller(at, buffered, false) != nil {
 		return callerGone, false
 	}
-	if len(held) < holdBack {
-		return x.answerEnded(at, nil), false
+	if len(buffered) < maxBufferedBytes {
+		return x.finishAnswer(at, nil), false
 	}
-	return x.answerEnded(at, x.copyBody(at, res.Body, false)), false
+	return x.finishAnswer(at, x.copyBody(at, res.Body, false)), false
 }
 
-// resumes reports whether the answer is a stream that may go on elsewhere.
-func (x *exchange) resumes(res *http.Response) bool {
+// isResumable reports whether the answer is a stream that can resume at another endpoint.
+func (x *exchange) isResumable(res *http.Response) bool {
 	if !x.route.Resumable || res.StatusCode != http.StatusOK {
 		return false
 	}
@@ -120,8 +120,7 @@
 	return kind == "" || strings.HasPrefix(kind, "text/event-stream")
 }
 
-// writeHead passes on the head of an answer, less what belongs to the
-// endpoint's connection.
+// writeHead passes on the status and header of an answer without its hop-by-hop fields.
 func (x *exchange) writeHead(res *http.Response) {
 	h := x.w.Header()
 	for name, values := range res.Header {
@@ -130,20 +129,20 @@
 		}
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		h["Content-Type"] = nil // keeps net/http from guessing one
+		h["Content-Type"] = nil // keeps net/http from guessing the type
 	}
 	x.w.WriteHeader(res.StatusCode)
 }
 
-// copyBody passes on a body, each part at once if flushed is set.
-func (x *exchange) copyBody(at *place, body io.Reader, flushed bool) error {
-	buf := make([]byte, copyBuffer)
+// copyBody passes on a body and, if flush is set, flushes after each part.
+func (x *exchange) copyBody(at *place, body io.Reader, flush bool) error {
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			x.part(at)
-			if e := x.toCaller(at, buf[:n], flushed); e != nil {
-				return &callerError{e}
+			x.recordPart(at)
+			if e := x.writeToCaller(at, buf[:n], flush); e != nil {
+				return &callerWriteError{e}
 			}
 		}
 		if err == io.EOF {
@@ -155,20 +154,20 @@
 	}
 }
 
-// relayEvents passes on whole events, so that a break inside an event leaves
-// the caller with a stream that another endpoint can go on with.
+// relayEvents passes on complete events only, so that a stream that breaks inside an event can
+// resume at another endpoint.
 func (x *exchange) relayEvents(ctx context.Context, at *place, res *http.Response) (o outcome, again bool) {
 	if x.stream == nil {
 		x.stream = &eventStream{}
 	}
 	s := x.stream
 	s.partial = s.partial[:0]
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := res.Body.Read(buf)
 		if n > 0 {
 			s.partial = append(s.partial, buf[:n]...)
-			whole, rest := s.cut(s.partial)
+			whole, rest := s.splitEvents(s.partial)
 			if len(whole) > 0 {
 				if e := x.writeEvents(at, res, whole); e != nil {
 					return callerGone, false
@@ -176,106 +175,106 @@
 				s.partial = append(s.partial[:0], rest...)
 			}
 		}
-		if err == nil && len(s.partial) <= maxEvent {
+		if err == nil && len(s.partial) <= maxEventBytes {
 			continue
 		}
 		if err == io.EOF && len(s.partial) == 0 {
 			if !s.headSent {
 				x.writeHead(res)
 			}
-			return x.answerEnded(at, nil), false
+			return x.finishAnswer(at, nil), false
 		}
-		return x.streamBroke(ctx, at, err)
+		return x.handleBrokenStream(ctx, at, err)
 	}
 }
 
-// writeEvents passes on whole events, after the head of the first answer.
+// writeEvents passes on complete events, preceded by the head of the first answer.
 func (x *exchange) writeEvents(at *place, res *http.Response, events []byte) error {
-	x.part(at)
+	x.recordPart(at)
 	if !x.stream.headSent {
 		x.stream.headSent = true
 		x.writeHead(res)
 	}
-	return x.toCaller(at, events, true)
+	return x.writeToCaller(at, events, true)
 }
 
-// toCaller writes a part of the answer to the caller, at once if flushed is set. It may wait
-// for a caller that does not read.
-func (x *exchange) toCaller(at *place, part []byte, flushed bool) error {
+// writeToCaller writes a part of the answer to the caller and, if flush is set, flushes it. It
+// blocks while the caller does not read.
+func (x *exchange) writeToCaller(at *place, part []byte, flush bool) error {
 	if at.memory != nil {
-		at.memory.writing.Store(true)
-		defer at.memory.writing.Store(false)
+		at.memory.writingToCaller.Store(true)
+		defer at.memory.writingToCaller.Store(false)
 	}
 	if _, err := x.w.Write(part); err != nil {
 		return err
 	}
-	if !flushed {
+	if !flush {
 		return nil
 	}
 	return http.NewResponseController(x.w).Flush()
 }
 
-// streamBroke decides what becomes of a stream that ended early.
-func (x *exchange) streamBroke(ctx context.Context, at *place, err error) (outcome, bool) {
+// handleBrokenStream handles a stream that ended early.
+func (x *exchange) handleBrokenStream(ctx context.Context, at *place, err error) (outcome, bool) {
 	if x.r.Context().Err() != nil {
 		return callerGone, false
 	}
-	x.brokenBy(at, err)
+	x.recordFailure(at, err)
 	if ctx.Err() == nil {
-		x.note(at, health.Bad)
+		x.recordOutcome(at, health.Bad)
 		x.g.meter.resumes.Inc()
-		x.broke(at)
+		x.handleBrokenExchange(at)
 	}
 	return "", true
 }
 
-// part notes that a part of the answer has come.
-func (x *exchange) part(at *place) {
+// recordPart records that a part of the answer has arrived.
+func (x *exchange) recordPart(at *place) {
 	now := time.Now()
-	x.begun = true
-	if x.firstAt.IsZero() {
-		x.firstAt = now
+	x.answerBegun = true
+	if x.firstPartAt.IsZero() {
+		x.firstPartAt = now
 		x.g.meter.firstByte.UpdateDuration(x.started)
-		x.judge(at.endpoint.ID, now.Sub(at.chosen), at.expected.LatestFirst())
-		for _, helper := range at.helpers { // it may be for one of them
-			x.judge(helper.ID, now.Sub(at.chosen), at.expected.LatestFirst())
+		x.recordIfLate(at.endpoint.ID, now.Sub(at.chosen), at.expected.LatestFirst())
+		for _, helper := range at.helpers { // the delay may be caused by a helper
+			x.recordIfLate(helper.ID, now.Sub(at.chosen), at.expected.LatestFirst())
 		}
 	} else {
-		gap := now.Sub(x.lastAt)
+		gap := now.Sub(x.lastPartAt)
 		x.maxGap = max(x.maxGap, gap)
-		x.judge(at.endpoint.ID, gap, x.route.GapObjective)
+		x.recordIfLate(at.endpoint.ID, gap, x.route.GapObjective)
 	}
-	x.lastAt = now
+	x.lastPartAt = now
 	if at.memory != nil {
-		at.memory.use.prove(now)
+		at.memory.usage.recordUse(now)
 	}
 	at.read()
 }
 
-// judge notes an endpoint that a part of a stream waited for much longer than it should.
-func (x *exchange) judge(endpoint string, took, most time.Duration) {
-	if most > 0 && took > most && x.route.Kind == catalog.Streaming {
+// recordIfLate records an endpoint as late if a part of a stream took longer than the limit.
+func (x *exchange) recordIfLate(endpoint string, took, limit time.Duration) {
+	if limit > 0 && took > limit && x.route.Kind == catalog.Streaming {
 		x.g.picker.noteLate(endpoint, time.Now())
 	}
 }
 
-// answerEnded judges how the relaying of an answer ended.
-func (x *exchange) answerEnded(at *place, err error) outcome {
+// finishAnswer returns the outcome of an answer whose relaying ended with err.
+func (x *exchange) finishAnswer(at *place, err error) outcome {
 	if err == nil {
-		x.note(at, health.Good)
-		x.served(at)
+		x.recordOutcome(at, health.Good)
+		x.recordSuccess(at)
 		return answered
 	}
-	x.brokenBy(at, err)
-	if _, ok := err.(*callerError); ok || x.r.Context().Err() != nil {
+	x.recordFailure(at, err)
+	if _, ok := err.(*callerWriteError); ok || x.r.Context().Err() != nil {
 		return callerGone
 	}
-	if time.Until(x.deadline) > 0 && !at.memory.unused() {
-		x.note(at, health.Bad)
-		x.broke(at)
+	if time.Until(x.deadline) > 0 && !at.memory.endedUnused() {
+		x.recordOutcome(at, health.Bad)
+		x.handleBrokenExchange(at)
 	}
 	return x.abort()
 }
 
-// callerError is a failure to write to the caller.
-type callerError struct{ error }
+// callerWriteError is a failure to write to the caller.
+type callerWriteError struct{ error }
--- a/relay/stream_test.go
+++ b/relay/stream_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestCutEvents(t *testing.T) {
+func TestSplitEvents(t *testing.T) {
 	cases := []struct{ name, in, whole, id string }{
 		{"nothing", "", "", ""},
 		{"one", "id: 1\ndata: a\n\n", "id: 1\ndata: a\n\n", "1"},
@@ -22,7 +22,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			var s eventStream
-			whole, rest := s.cut([]byte(tc.in))
+			whole, rest := s.splitEvents([]byte(tc.in))
 			is.Equal(string(whole), tc.whole)
 			is.Equal(string(whole)+string(rest), tc.in)
 			is.Equal(s.lastID, tc.id)
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestCutAnywhere: wherever a stream is cut into reads, the same events come out.
-func TestCutAnywhere(t *testing.T) {
+// TestSplitEventsAtAnyPoint: the same events result wherever the stream is split into reads.
+func TestSplitEventsAtAnyPoint(t *testing.T) {
 	stream := strings.Repeat("id: 1\ndata: a\n\nid: 22\r\ndata: b\r\n\r\n", 4)
 	rapid.Check(t, func(t *rapid.T) {
 		var s eventStream
@@ -40,21 +40,21 @@
 			n := rapid.IntRange(1, min(9, len(left))).Draw(t, "read")
 			partial = append(partial, left[:n]...)
 			left = left[n:]
-			whole, rest := s.cut(partial)
+			whole, rest := s.splitEvents(partial)
 			out += string(whole)
 			partial = append([]byte(nil), rest...)
 		}
 		if out != stream || len(partial) != 0 {
-			t.Fatalf("got %q and %q", out, partial)
+			t.Fatalf("got events %q and rest %q", out, partial)
 		}
 	})
 }
 
-func FuzzCut(f *testing.F) {
+func FuzzSplitEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var s eventStream
-		whole, rest := s.cut(in)
+		whole, rest := s.splitEvents(in)
 		if string(whole)+string(rest) != string(in) {
 			t.Fatal("bytes were lost")
 		}
--- a/relay/suspend.go
+++ b/relay/suspend.go
@@ -6,67 +6,68 @@
 )
 
 const (
-	// leastSuspension is the shortest suspension that counts. Clocks of one host that are
-	// read one after the other differ by less; the users' bounds have margins of 100 ms and more.
-	leastSuspension = 50 * time.Millisecond
-	// wakeTick is how often a gateway without requests looks whether its host was suspended.
-	wakeTick = 100 * time.Millisecond
+	// minSuspension is the shortest suspension that counts. Clocks of one host that are read one
+	// after the other differ by less, and the required bounds have margins of 100 ms or more.
+	minSuspension = 50 * time.Millisecond
+	// suspensionPollInterval is how often a gateway without requests checks whether its host was
+	// suspended.
+	suspensionPollInterval = 100 * time.Millisecond
 )
 
-// suspension notices that the host was suspended. Nothing that was known or under way before
-// is as young as the monotonic clock says.
-type suspension struct {
+// suspensionDetector detects suspensions of the host. Everything known or in flight before a
+// suspension is older than the monotonic clock says.
+type suspensionDetector struct {
 	total func() time.Duration // see Deps.Suspended; may be nil
 
-	mu    sync.Mutex
-	seen  time.Duration // of total, as far as it was noticed
-	since time.Time     // when the newest suspension was noticed
-	woken chan struct{} // closed at the next one
+	mu         sync.Mutex
+	counted    time.Duration // part of total that was detected
+	detectedAt time.Time     // when the newest suspension was detected
+	detected   chan struct{} // closed when the next suspension is detected
 }
 
-func newSuspension(total func() time.Duration) *suspension {
-	return &suspension{total: total, woken: make(chan struct{})}
+func newSuspensionDetector(total func() time.Duration) *suspensionDetector {
+	return &suspensionDetector{total: total, detected: make(chan struct{})}
 }
 
-// look returns how long the host was suspended in all, and how much of that is new.
-func (s *suspension) look(now time.Time) (total, fresh time.Duration) {
+// check returns how long the host was suspended in total, and how much of that is new since the
+// last check.
+func (s *suspensionDetector) check(now time.Time) (total, fresh time.Duration) {
 	if s.total == nil {
 		return 0, 0
 	}
 	total = s.total()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fresh = total - s.seen
-	if fresh < leastSuspension {
-		return s.seen, 0
+	fresh = total - s.counted
+	if fresh < minSuspension {
+		return s.counted, 0
 	}
-	s.seen, s.since = total, now
-	close(s.woken)
-	s.woken = make(chan struct{})
+	s.counted, s.detectedAt = total, now
+	close(s.detected)
+	s.detected = make(chan struct{})
 	return total, fresh
 }
 
-// after reports whether a time of the monotonic clock does not lie before the newest
-// suspension.
-func (s *suspension) after(t time.Time) bool {
+// after reports whether a monotonic time is not before the newest suspension.
+func (s *suspensionDetector) after(t time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !t.Before(s.since)
+	return !t.Before(s.detectedAt)
 }
 
-// next returns a channel that is closed when the next suspension is noticed.
-func (s *suspension) next() <-chan struct{} {
+// nextSuspension returns a channel that is closed when the next suspension is detected.
+func (s *suspensionDetector) nextSuspension() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.woken
+	return s.detected
 }
 
-// suspendedTime returns how long the host was suspended in all. Once it is more than at the
-// last look, what was known before no longer counts: proofs of the configuration, the age of the list
-// of endpoints, and idle connections, which the other side may have forgotten.
+// suspendedTime returns how long the host was suspended in total. If that has grown since the last
+// check, it discards what is outdated: proofs of the configuration, the age of the list of
+// endpoints, and idle connections, which the other side may have dropped.
 func (g *Gateway) suspendedTime() time.Duration {
 	now := time.Now()
-	total, fresh := g.suspension.look(now)
+	total, fresh := g.suspension.check(now)
 	if fresh == 0 {
 		return total
 	}
@@ -81,18 +82,18 @@
 	return total
 }
 
-// noticeSuspensions looks now and then, so that a gateway without requests reads what it
-// needs as soon as its host is awake.
-func (g *Gateway) noticeSuspensions() {
+// pollSuspensions checks for suspensions periodically, so that a gateway without requests refreshes
+// its data as soon as its host resumes.
+func (g *Gateway) pollSuspensions() {
 	if g.suspension.total == nil {
 		return
 	}
-	for g.pause(wakeTick) {
+	for g.pause(suspensionPollInterval) {
 		g.suspendedTime()
 	}
 }
 
-// pauseAwake waits for d, or until the host was suspended; it reports false when the
+// pauseAwake waits for d or until a suspension of the host is detected. It reports false if the
 // gateway was closed first.
 func (g *Gateway) pauseAwake(d time.Duration) bool {
 	timer := time.NewTimer(d)
@@ -100,18 +101,19 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-g.suspension.next():
+	case <-g.suspension.nextSuspension():
 		return true
 	case <-g.ctx.Done():
 		return false
 	}
 }
 
-// countSuspension takes time that the host was suspended off what the request has left.
+// countSuspension subtracts time for which the host was suspended from the time that the request
+// has left.
 func (x *exchange) countSuspension() {
 	total := x.g.suspendedTime()
-	if d := total - x.suspended; d > 0 {
+	if d := total - x.countedSuspension; d > 0 {
 		x.started, x.deadline = x.started.Add(-d), x.deadline.Add(-d)
-		x.suspended = total
+		x.countedSuspension = total
 	}
 }
--- a/relay/suspend_test.go
+++ b/relay/suspend_test.go
@@ -24,7 +24,7 @@
 
 func answerOK(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { answer(w, "200 OK", "", "") }
 
-// askWaiting sends a request that has ten seconds and waits for an endpoint, since none is
+// askWaiting sends a request with a deadline of ten seconds, which waits because no endpoint is
 // known.
 func (b *bench) askWaiting() <-chan reply {
 	b.t.Helper()
@@ -40,16 +40,15 @@
 	return answers
 }
 
-// TestSuspendedHost: a host may be suspended for seconds, which its monotonic clock does not
-// count. A gateway that wakes would take all that it knew for young: it would run requests
-// for keys that were withdrawn meanwhile, send requests that nobody waits for any more with
-// the time that they had left before, and trust connections that the other side has
-// forgotten. Read off the code: every age in it is a difference of monotonic times.
+// TestSuspendedHost: the monotonic clock does not count the time for which a host is suspended.
+// Since all ages are differences of monotonic times, a gateway that resumes would take its data for
+// recent: it would run requests for revoked keys, send requests whose deadline has passed with the
+// time that they had left, and use connections that the other side has dropped.
 func TestSuspendedHost(t *testing.T) {
-	const long = 2 * time.Minute // longer than anything here is good for
-	away := errors.New("the store is away")
+	const long = 2 * time.Minute // longer than any of the data here is valid
+	away := errors.New("store unavailable")
 
-	t.Run("no old proof", func(t *testing.T) {
+	t.Run("proof from before", func(t *testing.T) {
 		is := is.New(t)
 		b := newBench(t, answerOK)
 		b.know()
@@ -63,17 +62,17 @@
 		is.Equal(b.ask(t.Context(), "POST", "/safe/", "", nil).status, 200)
 	})
 
-	t.Run("no read that was sent before", func(t *testing.T) {
+	t.Run("configuration read sent before", func(t *testing.T) {
 		is := is.New(t)
 		b := newBench(t, answerOK)
 		b.know()
 		sent := time.Now()
 		b.suspend(long)
-		b.gateway.state.Prove(1, sent) // its answer was in the socket all the while
+		b.gateway.state.Prove(1, sent) // the answer arrived before the suspension and was read after it
 		is.Equal(b.ask(t.Context(), "POST", "/safe/", "", nil).status, 503)
 	})
 
-	t.Run("no peer's word from before", func(t *testing.T) {
+	t.Run("peer message from before", func(t *testing.T) {
 		is := is.New(t)
 		b := newBench(t, answerOK)
 		mesh, err := peers.Listen("g", "127.0.0.1:0")
@@ -83,11 +82,11 @@
 		b.know()
 		b.suspend(long)
 		w := peers.Word{From: "other", Version: 1, ProofAgeMs: 1, Heard: map[string]int64{"g": 1}}
-		b.gateway.heardWord(w, netip.AddrPort{}) // it answers a word that this gateway sent before
+		b.gateway.heardWord(w, netip.AddrPort{}) // it acknowledges a message that this gateway sent before
 		is.Equal(b.ask(t.Context(), "POST", "/safe/", "", nil).status, 503)
 	})
 
-	t.Run("nothing is sent after its deadline", func(t *testing.T) {
+	t.Run("deadline passed", func(t *testing.T) {
 		is := is.New(t)
 		b := newBench(t, answerOK)
 		answers := b.askWaiting()
@@ -97,19 +96,19 @@
 		is.Equal(b.arrivals(), 0)
 	})
 
-	t.Run("only what is left of its time is told", func(t *testing.T) {
+	t.Run("remaining time reduced", func(t *testing.T) {
 		is := is.New(t)
 		b := newBench(t, answerOK)
 		answers := b.askWaiting()
 		b.suspend(2 * time.Second)
 		b.know()
 		is.Equal((<-answers).status, 200)
-		left, err := strconv.Atoi(b.request(0).Header.Get("Left-Ms"))
+		left, err := strconv.Atoi(b.requestAt(0).Header.Get("Left-Ms"))
 		is.NoErr(err)
 		is.True(left <= 8000)
 	})
 
-	t.Run("no list that was read before", func(t *testing.T) {
+	t.Run("endpoint list from before", func(t *testing.T) {
 		is := is.New(t)
 		b := newBench(t, answerOK)
 		b.know()
@@ -119,13 +118,13 @@
 		b.suspend(long)
 		b.gateway.suspendedTime()
 		is.True(b.gateway.sharing.endpointsAge(time.Now()) > time.Hour)
-		b.gateway.sharing.read(b.source.endpoints, sent) // its answer was in the socket all the while
+		b.gateway.sharing.read(b.source.endpoints, sent) // the answer arrived before the suspension and was read after it
 		is.True(b.gateway.sharing.endpointsAge(time.Now()) > time.Hour)
 		is.True(b.gateway.readEndpoints())
 		is.True(b.gateway.sharing.endpointsAge(time.Now()) < time.Minute)
 	})
 
-	t.Run("what is needed is read at once", func(t *testing.T) {
+	t.Run("data refreshed at once", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			var suspended atomic.Int64
@@ -141,15 +140,15 @@
 			time.Sleep(readEvery / 2)
 			is.True(g.proofAge() <= readEvery/2)
 			suspended.Add(int64(long))
-			time.Sleep(wakeTick + time.Millisecond)
-			// Without it the newest read is older than half of readEvery.
-			is.True(g.proofAge() <= wakeTick+time.Millisecond)
-			is.True(g.sharing.endpointsAge(time.Now()) <= wakeTick+time.Millisecond)
+			time.Sleep(suspensionPollInterval + time.Millisecond)
+			// Without the poll, the newest read would be older than half of readEvery.
+			is.True(g.proofAge() <= suspensionPollInterval+time.Millisecond)
+			is.True(g.sharing.endpointsAge(time.Now()) <= suspensionPollInterval+time.Millisecond)
 			is.Equal(g.meter.suspensions.Get(), uint64(1))
 		})
 	})
 
-	t.Run("a stop keeps to its time", func(t *testing.T) {
+	t.Run("drain time includes suspension", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			var suspended atomic.Int64
@@ -164,11 +163,11 @@
 			time.AfterFunc(time.Second, func() { suspended.Add(int64(4 * time.Second)) })
 			began := time.Now()
 			is.NoErr(g.Shutdown(t.Context()))
-			is.True(time.Since(began) <= 3*time.Second+2*drainStep)
+			is.True(time.Since(began) <= 3*time.Second+2*drainPollInterval)
 		})
 	})
 
-	t.Run("no old connection", func(t *testing.T) {
+	t.Run("connection from before", func(t *testing.T) {
 		is := is.New(t)
 		b := newBench(t, answerOK)
 		b.know()
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -14,53 +14,53 @@
 )
 
 const (
-	// watchTick is how often this gateway looks which endpoints it has to ask.
-	watchTick = 100 * time.Millisecond
-	// othersSlowEvery is the time between two questions to an endpoint while another one is
+	// watchInterval is how often this gateway checks which endpoints are due for a query.
+	watchInterval = 100 * time.Millisecond
+	// othersSlowInterval is the time between two queries to an endpoint while another endpoint is
 	// slow.
-	othersSlowEvery = time.Second
-	// slowEvery is the time between two questions to an endpoint that is or may be slow,
-	// failingEvery to one at which somebody failed.
-	slowEvery    = 600 * time.Millisecond
-	failingEvery = 300 * time.Millisecond
-	// reportTime bounds a question; it takes one round trip.
+	othersSlowInterval = time.Second
+	// slowInterval is the time between two queries to an endpoint that is or may be slow, and
+	// failingInterval to one at which a gateway failed.
+	slowInterval    = 600 * time.Millisecond
+	failingInterval = 300 * time.Millisecond
+	// reportTime bounds a query, which takes one round trip.
 	reportTime = 400 * time.Millisecond
-	// regroupEvery is how often this gateway works out which endpoints it watches.
-	regroupEvery = time.Second
+	// reassignInterval is how often this gateway recomputes which endpoints it watches.
+	reassignInterval = time.Second
 )
 
-// watched is an endpoint that this gateway asks about itself.
+// watched is an endpoint that this gateway queries for its health.
 type watched struct {
 	catalog.Endpoint
-	first bool // else it looks only when somebody failed there
-	// service is the endpoint's. Plain services do not tell of themselves: they are asked
-	// whether they are there.
-	service catalog.Service
-	asked   time.Time
+	primary bool // if not set, the endpoint is queried only after a gateway failed there
+	// service is the service of the endpoint. Plain services give no report; only their health
+	// check is queried.
+	service     catalog.Service
+	lastQueried time.Time
 }
 
-// watchEndpoints asks the endpoints of the own cell which this gateway watches how they
-// are, and tells the others through its words: one gateway alone sees an endpoint too seldom to
-// notice that it is slow.
+// watchEndpoints queries those endpoints of the own cell that are assigned to this gateway and
+// shares the results in its peer messages: a single gateway uses an endpoint too seldom to notice
+// that it is slow.
 func (g *Gateway) watchEndpoints() {
 	if g.deps.Mesh == nil {
 		return
 	}
 	var list map[string]*watched
-	var grouped time.Time
+	var assignedAt time.Time
 	avoided := make(map[string]bool)
-	for g.pause(watchTick) {
+	for g.pause(watchInterval) {
 		now := time.Now()
-		if now.Sub(grouped) >= regroupEvery {
-			list, grouped = g.watchedNow(list, g.deps.Mesh.Members(now), now), now
+		if now.Sub(assignedAt) >= reassignInterval {
+			list, assignedAt = g.assignedEndpoints(list, g.deps.Mesh.Members(now), now), now
 			avoided = g.logAvoided(avoided, now)
 		}
-		g.askDue(list, now)
+		g.queryDue(list, now)
 	}
 }
 
-// logAvoided logs which endpoints of the own cell are left alone because several gateways
-// failed there, and which no longer are; before is what it returned last.
+// logAvoided logs which endpoints of the own cell are avoided because several gateways failed
+// there, and which are used again. before is its previous result.
 func (g *Gateway) logAvoided(before map[string]bool, now time.Time) map[string]bool {
 	avoided := g.picker.avoided(now)
 	for id, witnesses := range avoided {
@@ -80,25 +80,25 @@
 	return after
 }
 
-// askDue asks those endpoints whose time has come.
-func (g *Gateway) askDue(list map[string]*watched, now time.Time) {
+// queryDue queries the endpoints that are due.
+func (g *Gateway) queryDue(list map[string]*watched, now time.Time) {
 	for _, e := range list {
-		if g.mustAsk(e, now) {
-			e.asked = now
-			g.tasks.Go(func() { g.askEndpoint(e) })
+		if g.isDue(e, now) {
+			e.lastQueried = now
+			g.tasks.Go(func() { g.queryEndpoint(e) })
 		}
 	}
 }
 
-// watchedNow returns the endpoints that this gateway watches among those of the members
-// that it hears; before is what it returned last.
-func (g *Gateway) watchedNow(before map[string]*watched, members []peers.Member, now time.Time) map[string]*watched {
+// assignedEndpoints returns the endpoints that this gateway watches, given the members that it has
+// heard from lately. before is its previous result.
+func (g *Gateway) assignedEndpoints(before map[string]*watched, members []peers.Member, now time.Time) map[string]*watched {
 	cells := g.state.Cells()
 	home := cells.Of(g.config.DataCentre)
 	names := []string{g.config.Name}
-	lately := g.sharing.peers(now).lately
+	heardLately := g.sharing.peers(now).lately
 	for _, m := range members {
-		if lately[m.Name] && cells.Of(m.DataCentre) == home {
+		if heardLately[m.Name] && cells.Of(m.DataCentre) == home {
 			names = append(names, m.Name)
 		}
 	}
@@ -110,9 +110,9 @@
 			if first != g.config.Name && second != g.config.Name {
 				continue
 			}
-			w := &watched{Endpoint: e, first: first == g.config.Name, service: s}
+			w := &watched{Endpoint: e, primary: first == g.config.Name, service: s}
 			if old := before[e.ID]; old != nil {
-				w.asked = old.asked
+				w.lastQueried = old.lastQueried
 			}
 			out[e.ID] = w
 		}
@@ -120,29 +120,29 @@
 	return out
 }
 
-// mustAsk reports whether it is time to ask an endpoint. One where no stream was late
-// is left alone while none is slow: each question has its price.
-func (g *Gateway) mustAsk(e *watched, now time.Time) bool {
-	since := now.Sub(e.asked)
-	if since < failingEvery {
+// isDue reports whether an endpoint is due for a query. An endpoint without a late stream is not
+// queried while no endpoint is slow, since each query has a cost.
+func (g *Gateway) isDue(e *watched, now time.Time) bool {
+	since := now.Sub(e.lastQueried)
+	if since < failingInterval {
 		return false
 	}
 	switch g.picker.doubt(e.ID, now) {
 	case health.Failing:
 		return true
 	case health.Slow:
-		return e.first && e.service.Engine != nil && since >= slowEvery
+		return e.primary && e.service.Engine != nil && since >= slowInterval
 	case health.OthersSlow:
-		return e.first && e.service.Engine != nil && since >= othersSlowEvery
+		return e.primary && e.service.Engine != nil && since >= othersSlowInterval
 	default:
 		return false
 	}
 }
 
-// askEndpoint asks an endpoint about itself and takes the answer, or that there is none, as
-// a sign of its health. Any answer of its own shows that it is there: health checks may be
-// false either way.
-func (g *Gateway) askEndpoint(e *watched) {
+// queryEndpoint queries an endpoint and records the answer, or that there was none, as evidence of
+// its health. Any answer of its own shows that the endpoint is alive, since health checks may be
+// wrong in either direction.
+func (g *Gateway) queryEndpoint(e *watched) {
 	question := g.question(e)
 	if question == nil || !g.mayQuestion(e.Endpoint) {
 		return
@@ -152,32 +152,32 @@
 	g.meter.reports.Inc()
 	res, err := g.do(ctx, e.Endpoint, question, ownQuestion, "")
 	if err != nil {
-		g.notReached(e.Endpoint, health.Unreachable, err)
+		g.recordQueryFailure(e.Endpoint, health.Unreachable, err)
 		return
 	}
 	defer res.Body.Close()
 	if g.deps.Protocol.Verdict(res) == WrongEndpoint {
-		g.notReached(e.Endpoint, health.Replaced, nil)
+		g.recordQueryFailure(e.Endpoint, health.Replaced, nil)
 		return
 	}
 	report := EndpointReport{Pace: 1}
 	if e.service.Engine != nil {
-		if told, ok, err := g.deps.Protocol.ReadReport(res); err != nil {
-			g.deps.Log.Logger().Warn("An endpoint's report cannot be read.", "endpoint", e.ID, "err", err)
+		if parsed, ok, err := g.deps.Protocol.ReadReport(res); err != nil {
+			g.deps.Log.Logger().Warn("Reading an endpoint's report failed.", "endpoint", e.ID, "err", err)
 		} else if ok {
-			report = told
+			report = parsed
 		}
 	}
 	if g.picker.reported(e.ID, report, time.Now()) {
 		g.deps.Log.Logger().Info("Endpoint's pace changed.", "endpoint", e.ID, "pace", report.Pace)
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxReportRest)); err != nil {
-		return // the connection is closed then, which is all that the rest was read for
+	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDiscardedBytes)); err != nil {
+		return // the error closes the connection; the rest was read only to keep it
 	}
 }
 
-// report asks an endpoint with an engine about itself.
-func (g *Gateway) report(ctx context.Context, e catalog.Endpoint) (r EndpointReport, err error) {
+// fetchReport asks an endpoint with an engine for its report.
+func (g *Gateway) fetchReport(ctx context.Context, e catalog.Endpoint) (r EndpointReport, err error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTime)
 	defer cancel()
 	g.meter.reports.Inc()
@@ -193,15 +193,14 @@
 	if !ok {
 		return r, trace.Errorf("endpoint %s answered %s", e.ID, res.Status)
 	}
-	_, err = io.Copy(io.Discard, io.LimitReader(res.Body, maxReportRest)) // to keep the connection
+	_, err = io.Copy(io.Discard, io.LimitReader(res.Body, maxDiscardedBytes)) // to keep the connection
 	return r, trace.Wrap(err)
 }
 
-// maxReportRest bounds what is read of an answer beyond what it says, to keep the
-// connection.
-const maxReportRest = 64 << 10
+// maxDiscardedBytes bounds how much of an answer is read beyond the report to keep the connection.
+const maxDiscardedBytes = 64 << 10
 
-// question returns what to ask an endpoint; nil: there is nothing that it would answer.
+// question returns the query for an endpoint, or nil if there is none that it would answer.
 func (g *Gateway) question(e *watched) *upstream.Request {
 	switch {
 	case e.service.Engine != nil:
@@ -213,8 +212,8 @@
 	}
 }
 
-// notReached takes in that an endpoint gave no answer about itself.
-func (g *Gateway) notReached(e catalog.Endpoint, o health.Outcome, err error) {
+// recordQueryFailure records that an endpoint did not answer a query.
+func (g *Gateway) recordQueryFailure(e catalog.Endpoint, o health.Outcome, err error) {
 	if g.ctx.Err() != nil {
 		return
 	}
