--- a/relay/crashfleet_test.go
+++ b/relay/crashfleet_test.go
@@ -84,10 +84,10 @@
 	if e.down {
 		return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 	}
-	near, far := net.Pipe()
-	e.conns[far] = false
-	go c.serve(e, far)
-	return near, nil
+	client, server := net.Pipe()
+	e.conns[server] = false
+	go c.serve(e, server)
+	return client, nil
 }
 
 // serve answers the requests of one connection.
--- a/relay/engines_memory_test.go
+++ b/relay/engines_memory_test.go
@@ -26,13 +26,13 @@
 	reports            int  // number of reports
 	sent               []string
 	reservations       map[string]*testReservation
-	longestIdle        time.Duration // longest time that any memory was reserved without use
+	maxUnusedTime      time.Duration // longest time that any memory was reserved without use
 }
 
 // testReservation is memory reserved at one endpoint.
 type testReservation struct {
-	expiresAt time.Time
-	idleSince time.Time // since when it is not used; zero: it is used
+	expiresAt   time.Time
+	unusedSince time.Time // since when it is not used; zero: it is used
 }
 
 // engineScript handles the nth request to any of the endpoints, counted from 1.
@@ -54,9 +54,9 @@
 
 // dial connects to the endpoint at an address.
 func (e *testEngines) dial(_ context.Context, address string) (net.Conn, error) {
-	near, far := net.Pipe()
-	go e.serve(address, far)
-	return near, nil
+	client, server := net.Pipe()
+	go e.serve(address, server)
+	return client, nil
 }
 
 func (e *testEngines) serve(address string, c net.Conn) {
@@ -107,7 +107,7 @@
 		}
 		a := e.reservations[parts[2]]
 		if a == nil {
-			a = &testReservation{idleSince: now}
+			a = &testReservation{unusedSince: now}
 			e.reservations[parts[2]] = a
 		}
 		a.expiresAt = now.Add(time.Duration(hold) * time.Millisecond)
@@ -128,7 +128,7 @@
 // holds mu.
 func (e *testEngines) reservationHeader() (header string) {
 	for id, a := range e.reservations {
-		if e.alwaysUsed || a.idleSince.IsZero() {
+		if e.alwaysUsed || a.unusedSince.IsZero() {
 			header += "Used: " + id + "\r\n"
 		} else {
 			header += "Idle: " + id + "\r\n"
@@ -152,8 +152,8 @@
 	if a == nil {
 		return
 	}
-	if !a.idleSince.IsZero() {
-		e.longestIdle = max(e.longestIdle, at.Sub(a.idleSince))
+	if !a.unusedSince.IsZero() {
+		e.maxUnusedTime = max(e.maxUnusedTime, at.Sub(a.unusedSince))
 	}
 	delete(e.reservations, id)
 }
@@ -173,11 +173,11 @@
 
 // memoryState returns the longest time that any memory was reserved without use, and the number of
 // current reservations.
-func (e *testEngines) memoryState() (longestIdle time.Duration, reserved int) {
+func (e *testEngines) memoryState() (maxUnusedTime time.Duration, reserved int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.removeExpired()
-	return e.longestIdle, len(e.reservations)
+	return e.maxUnusedTime, len(e.reservations)
 }
 
 func (e *testEngines) sends() int {
@@ -197,12 +197,12 @@
 		switch {
 		case a == nil:
 		case used:
-			if !a.idleSince.IsZero() {
-				e.longestIdle = max(e.longestIdle, time.Since(a.idleSince))
+			if !a.unusedSince.IsZero() {
+				e.maxUnusedTime = max(e.maxUnusedTime, time.Since(a.unusedSince))
 			}
-			a.idleSince = time.Time{}
-		case a.idleSince.IsZero():
-			a.idleSince = time.Now()
+			a.unusedSince = time.Time{}
+		case a.unusedSince.IsZero():
+			a.unusedSince = time.Now()
 		}
 	}
 }
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -88,7 +88,7 @@
 	tried             []string // endpoints that an attempt was sent to or that could not be reached
 	unfit             []string // endpoints that lacked memory or were reported as faulty
 	mayRun            bool     // whether an attempt may have run, or may run later
-	retryGranted      bool     // whether the next attempt is already paid for from the retry budget
+	retryGranted      bool     // whether the next attempt needs no charge to the retry budget
 	stream            *eventStream
 	firstPartAt       time.Time     // when the first part of the answer arrived
 	lastPartAt        time.Time     // when the newest part of the answer arrived
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -65,10 +65,10 @@
 		f.dials++
 		return nil, syscall.ECONNREFUSED
 	}
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	go func() {
-		defer func() { _ = far.Close() }()
-		br := bufio.NewReader(far)
+		defer func() { _ = server.Close() }()
+		br := bufio.NewReader(server)
 		for {
 			if _, err := http.ReadRequest(br); err != nil {
 				return
@@ -76,12 +76,12 @@
 			f.mu.Lock()
 			pace := max(1, f.paces[address])
 			f.mu.Unlock()
-			if _, err := fmt.Fprintf(far, "HTTP/1.1 200 OK\r\nPace: %g\r\nContent-Length: 0\r\n\r\n", pace); err != nil {
+			if _, err := fmt.Fprintf(server, "HTTP/1.1 200 OK\r\nPace: %g\r\nContent-Length: 0\r\n\r\n", pace); err != nil {
 				return
 			}
 		}
 	}()
-	return near, nil
+	return client, nil
 }
 
 // runWatch simulates how a gateway watches endpoints until ctx ends.
@@ -225,13 +225,13 @@
 // the prompt waited for endpoints, whether it was placed, and whether endpoints of other cells took
 // part.
 func (f *testFleet) ask(ctx context.Context, gateway, tokens int) (waited time.Duration, placed, remote bool) {
-	began := time.Now()
+	start := time.Now()
 	x := &exchange{
 		g: f.gateways[gateway], w: httptest.NewRecorder(), r: httptest.NewRequestWithContext(ctx, "POST", "/", nil), call: Call{ID: "r", Input: tokens, Output: 300},
-		table: f.table, route: &f.table.Configuration.Routes[0], service: &f.table.Configuration.Services[0], started: began, deadline: began.Add(15 * time.Second),
+		table: f.table, route: &f.table.Configuration.Routes[0], service: &f.table.Configuration.Services[0], started: start, deadline: start.Add(15 * time.Second),
 	}
 	at, _ := x.place(ctx)
-	waited = time.Since(began)
+	waited = time.Since(start)
 	if at == nil {
 		return waited, false, false
 	}
@@ -283,7 +283,7 @@
 	for n := range 2 * perSecond {
 		r.asked++
 		wg.Go(func() {
-			began := time.Now()
+			start := time.Now()
 			waited, placed, remote := f.ask(t.Context(), at(n), tokens)
 			mu.Lock()
 			defer mu.Unlock()
@@ -297,7 +297,7 @@
 			if waited < 200*time.Millisecond {
 				r.quick++
 			}
-			if time.Since(began)-time.Second <= 3*time.Second {
+			if time.Since(start)-time.Second <= 3*time.Second {
 				r.inTime++
 			}
 		})
@@ -342,7 +342,7 @@
 // messages with five cells as with one if it does not speak to other cells. One that does sends a
 // few more for each cell.
 func TestMessageRateIndependentOfFleetSize(t *testing.T) {
-	quiet := func(dataCentres int) (words []int) {
+	quiet := func(dataCentres int) (messages []int) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, dataCentres, 6*dataCentres, 30*dataCentres)
 			time.Sleep(3 * time.Second)
@@ -353,11 +353,11 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for i, n := range f.messagesSent {
-				words = append(words, n-before[i])
+				messages = append(messages, n-before[i])
 			}
 		})
-		slices.Sort(words)
-		return words
+		slices.Sort(messages)
+		return messages
 	}
 	is := is.New(t)
 	one, five := quiet(1), quiet(5)
--- a/relay/memoryuse_test.go
+++ b/relay/memoryuse_test.go
@@ -72,10 +72,10 @@
 
 // ask sends an oversize prompt on a route and returns the answer and how long it took.
 func (b *memoryBench) ask(t *testing.T, route string) (*httptest.ResponseRecorder, time.Duration) {
-	began := time.Now()
+	start := time.Now()
 	w := httptest.NewRecorder()
 	b.askWith(t, route, w)
-	return w, time.Since(began)
+	return w, time.Since(start)
 }
 
 // askWith sends an oversize prompt on a route and writes the answer to w.
@@ -112,20 +112,20 @@
 	// A prompt that needs the memory of several engines gets it reserved at all of them but the
 	// generating one, which it is sent to. In the failure, the engines with the memory reported it as
 	// reserved and unused from the first second to the fourteenth, while the generating engine had
-	// neither this prompt in its queue nor other work.
-	first := func(play func(r *engineRun)) engineScript {
+	// neither this prompt in its queue nor other work. It happened twice within a second.
+	first := func(script func(r *engineRun)) engineScript {
 		return func(n int, r *engineRun) {
 			if n == 1 {
-				play(r)
+				script(r)
 				return
 			}
 			serveComplete(r)
 		}
 	}
 	cases := []struct {
-		name    string
-		script  engineScript
-		maxIdle time.Duration
+		name      string
+		script    engineScript
+		maxUnused time.Duration
 	}{
 		{"the engine never starts the prompt", first((*engineRun).hang), maxUnused},
 		{"the answer is lost", first(func(r *engineRun) {
@@ -151,8 +151,8 @@
 				w, took := b.ask(t, "stream")
 				t.Logf("status %d after %v, %d attempts, unused for %v", w.Code, took, b.engines.sends(), b.engines.longestUnused())
 				time.Sleep(maxUnusedAfterLastUse)
-				idle, left := b.engines.memoryState()
-				is.True(idle <= tc.maxIdle) // memory stayed reserved without use for too long
+				unused, left := b.engines.memoryState()
+				is.True(unused <= tc.maxUnused) // memory stayed reserved without use for too long
 				is.Equal(left, 0)
 				is.Equal(b.engines.sends(), 2)
 				is.Equal(w.Code, http.StatusOK) // from another engine, within the caller's deadline
@@ -202,8 +202,8 @@
 		b.engines.noReports = true
 		w, _ := b.ask(t, "stream")
 		time.Sleep(maxUnusedAfterLastUse)
-		idle, left := b.engines.memoryState()
-		is.True(idle <= maxUnused)
+		unused, left := b.engines.memoryState()
+		is.True(unused <= maxUnused)
 		is.Equal(left, 0)
 		is.Equal(w.Code, http.StatusOK)
 		is.Equal(w.Body.String(), completeAnswer)
@@ -243,8 +243,8 @@
 		is.True(took <= maxUnused)
 		is.Equal(b.engines.sends(), 1)
 		time.Sleep(time.Second)
-		idle, left := b.engines.memoryState()
-		is.True(idle <= maxUnused)
+		unused, left := b.engines.memoryState()
+		is.True(unused <= maxUnused)
 		is.Equal(left, 0)
 	})
 }
@@ -281,8 +281,8 @@
 			b.askWith(t, route, w)
 			is.Equal(w.Body.String(), completeAnswer)
 			is.Equal(b.engines.sends(), 1)
-			idle, left := b.engines.memoryState()
-			is.True(idle <= maxUnusedAfterLastUse)
+			unused, left := b.engines.memoryState()
+			is.True(unused <= maxUnusedAfterLastUse)
 			is.Equal(left, 0)
 		})
 	}
@@ -320,7 +320,7 @@
 	}
 	const (
 		used   = 'u' // reported by a part of the answer or by an endpoint
-		idle   = 'i' // an endpoint reports that it is not used, and nothing is queued
+		unused = 'i' // an endpoint reports that it is not used, and nothing is queued
 		queued = 'q' // an endpoint reports that it is not used, and requests are queued at the generating endpoint
 		silent = 's' // no answer
 	)
@@ -340,15 +340,15 @@
 		releasedAfter float64 // when the memory is released; 0: not within 20 s
 	}{
 		{"no answers", every(1, 20, silent), 6},
-		{"never started", every(1, 20, idle), 3},
+		{"never started", every(1, 20, unused), 3},
 		{"queued throughout", every(1, 20, queued), 6},
 		{"queued, then started", append(every(1, 4, queued), every(5, 20, used)...), 0},
-		{"queued, then lost", append(every(1, 2, queued), every(3, 20, idle)...), 5},
-		{"started while the report lags", append(append(every(1, 3, queued), answer{4, idle}), every(5, 20, used)...), 0},
+		{"queued, then lost", append(every(1, 2, queued), every(3, 20, unused)...), 5},
+		{"started while the report lags", append(append(every(1, 3, queued), answer{4, unused}), every(5, 20, used)...), 0},
 		{"long prefill", every(1, 20, used), 0},
-		{"ended, answer lost", append(every(1, 4, used), every(5, 20, idle)...), 6},
+		{"ended, answer lost", append(every(1, 4, used), every(5, 20, unused)...), 6},
 		{"ended, other requests queued", append(every(1, 4, used), every(5, 20, queued)...), 6},
-		{"preempted and prefilled again", append(append(every(1, 4, used), answer{5, idle}), every(6, 20, used)...), 0},
+		{"preempted and prefilled again", append(append(every(1, 4, used), answer{5, unused}), every(6, 20, used)...), 0},
 		{"ended, no answers", append(every(1, 4, used), every(5, 20, silent)...), 10},
 	}
 	for _, tc := range cases {
@@ -364,7 +364,7 @@
 				if a.kind == used {
 					u.recordUse(asked)
 				}
-				if (a.kind == idle || a.kind == queued) && u.recordUnused(asked, a.kind == queued) {
+				if (a.kind == unused || a.kind == queued) && u.recordUnused(asked, a.kind == queued) {
 					back = a.at
 					break
 				}
@@ -380,14 +380,14 @@
 // than the newest event is ignored.
 func TestQueryUsage(t *testing.T) {
 	is := is.New(t)
-	began := time.Now()
-	u := newMemoryUsage(newUnusedLimits(maxUnused), began)
-	is.Equal(u.nextAction(began.Add(queryAfter/2)), renewMemory)
-	is.Equal(u.nextAction(began.Add(queryAfter)), queryUsage)
-	u.recordUse(began.Add(5 * time.Second))
-	is.Equal(u.nextAction(began.Add(5*time.Second+queryAfter/2)), renewMemory)
-	is.True(!u.recordUnused(began.Add(4*time.Second), false))
-	is.Equal(u.sinceLastUse(began.Add(6*time.Second)), time.Second)
+	start := time.Now()
+	u := newMemoryUsage(newUnusedLimits(maxUnused), start)
+	is.Equal(u.nextAction(start.Add(queryAfter/2)), renewMemory)
+	is.Equal(u.nextAction(start.Add(queryAfter)), queryUsage)
+	u.recordUse(start.Add(5 * time.Second))
+	is.Equal(u.nextAction(start.Add(5*time.Second+queryAfter/2)), renewMemory)
+	is.True(!u.recordUnused(start.Add(4*time.Second), false))
+	is.Equal(u.sinceLastUse(start.Add(6*time.Second)), time.Second)
 }
 
 // TestUnusedLimits: including the time until a reservation expires after a lost release, memory is
--- a/relay/reserve.go
+++ b/relay/reserve.go
@@ -233,10 +233,10 @@
 
 // releaseUnused ends an attempt whose reserved memory is not used, and releases the memory: the
 // request may then use other endpoints, and other requests the memory.
-func (r *reservations) releaseUnused(why string, now time.Time) {
+func (r *reservations) releaseUnused(reason string, now time.Time) {
 	waitsForCaller := r.writingToCaller.Load()
 	r.g.meter.memoryUnused.Inc()
-	r.g.deps.Log.Request("Memory given back.", "request", r.request, "why", why, "generating", r.generating.ID, "endpoints", r.endpointIDs(), "reservations", r.reservationIDs(),
+	r.g.deps.Log.Request("Memory given back.", "request", r.request, "why", reason, "generating", r.generating.ID, "endpoints", r.endpointIDs(), "reservations", r.reservationIDs(),
 		"unproved_ms", r.usage.sinceLastUse(now).Milliseconds(), "answer_waits_for_caller", waitsForCaller)
 	if !waitsForCaller {
 		r.cancelSend(errMemoryUnused)
--- a/relay/suspend_test.go
+++ b/relay/suspend_test.go
@@ -161,9 +161,9 @@
 			defer g.Close()
 			g.inFlight.Add(1)
 			time.AfterFunc(time.Second, func() { suspended.Add(int64(4 * time.Second)) })
-			began := time.Now()
+			start := time.Now()
 			is.NoErr(g.Shutdown(t.Context()))
-			is.True(time.Since(began) <= 3*time.Second+2*drainPollInterval)
+			is.True(time.Since(start) <= 3*time.Second+2*drainPollInterval)
 		})
 	})
 
