--- a/relay/audience.go
+++ b/relay/audience.go
@@ -9,73 +9,72 @@
 	"github.com/micarudder/micarudder/peers"
 )
 
-// acrossReceivers is how many gateways of another cell a word across cells is sent to
-// beside those that were heard across: the ones that should speak there, and one more in
-// case that one of them is gone.
+// acrossReceivers is how many gateways of another cell receive cross-cell messages besides those
+// from which such messages were received: the ones that should represent that cell, and one more in
+// case one of them is gone.
 const acrossReceivers = 3
 
-// audience is whom this gateway tells what. The gateways of its own cell are told each
-// choice. Of each other cell only those that speak across cells are told anything
-// regularly, and only by those that speak here, so that what a gateway sends and reads
-// does not grow with the fleet; all gateways of a cell are told by one that has load at its
-// endpoints.
-type audience struct {
-	home string
-	// near are the gateways of the own cell, and those whose cell is not known.
-	near []netip.AddrPort
-	// far are all gateways of the other cells, and across those of them that
-	// words across cells are sent to.
-	far    map[string][]netip.AddrPort
-	across map[string][]netip.AddrPort
-	// speaks is set when this gateway speaks to other cells for its own.
+// recipients are the gateways that this gateway sends messages to. The gateways of its own cell are
+// notified of each choice. Between cells, only the representatives of each cell exchange regular
+// messages, so that the traffic of a gateway does not grow with the fleet. A gateway that has load
+// at the endpoints of another cell reports it to all gateways of that cell.
+type recipients struct {
+	localCell string
+	// local are the gateways of the local cell, and those whose cell is not known.
+	local []netip.AddrPort
+	// remote are all gateways of the other cells, by cell; remoteReps are those of them that
+	// receive cross-cell messages.
+	remote     map[string][]netip.AddrPort
+	remoteReps map[string][]netip.AddrPort
+	// speaks is set when this gateway represents its cell in messages to other cells.
 	speaks bool
-	// gateways counts the own cell, this one included.
+	// gateways is the number of gateways in the local cell, including this one.
 	gateways int
 }
 
-// heardPeers is what a gateway knows of the others' lives.
-type heardPeers struct {
-	lately    map[string]bool // by name: heard lately
-	withStore map[string]bool // of these: reaches the store
-	across    map[string]bool // heard lately from another cell, telling its digest
+// recentPeers holds the peers from which messages were received recently.
+type recentPeers struct {
+	lately    map[string]bool // by name: heard recently
+	withStore map[string]bool // those that can reach the store
+	crossCell map[string]bool // those of other cells that sent digests
 }
 
-// newAudience works out the audience of a gateway in a data centre. The first two of a cell
-// speak, in an order of all gateways that does not follow their names, and the first two
-// that reach the store, so that one may die unnoticed.
-func newAudience(self, dataCentre string, cells cell.Map, members []peers.Member, heard heardPeers) audience {
-	a := audience{home: cells.Of(dataCentre), far: make(map[string][]netip.AddrPort), across: make(map[string][]netip.AddrPort), gateways: 1}
-	before, beforeWithStore := 0, 0
+// newAudience returns the recipients for a gateway in a data centre. The representatives of a cell
+// are its first two gateways, in an order of all gateways that is independent of their names, and
+// the first two that can reach the store, so that one of them may fail unnoticed.
+func newAudience(self, dataCentre string, cells cell.Map, members []peers.Member, recent recentPeers) recipients {
+	r := recipients{localCell: cells.Of(dataCentre), remote: make(map[string][]netip.AddrPort), remoteReps: make(map[string][]netip.AddrPort), gateways: 1}
+	preceding, precedingWithStore := 0, 0
 	byCell := make(map[string][]peers.Member)
 	for _, m := range members {
-		if m.DataCentre != "" && cells.Of(m.DataCentre) != a.home {
+		if m.DataCentre != "" && cells.Of(m.DataCentre) != r.localCell {
 			c := cells.Of(m.DataCentre)
 			byCell[c] = append(byCell[c], m)
-			a.far[c] = append(a.far[c], m.Address)
+			r.remote[c] = append(r.remote[c], m.Address)
 			continue
 		}
-		a.near = append(a.near, m.Address)
-		if !heard.lately[m.Name] {
+		r.local = append(r.local, m.Address)
+		if !recent.lately[m.Name] {
 			continue
 		}
-		a.gateways++
+		r.gateways++
 		if precedes(m.Name, self) {
-			before++
-			if heard.withStore[m.Name] {
-				beforeWithStore++
+			preceding++
+			if recent.withStore[m.Name] {
+				precedingWithStore++
 			}
 		}
 	}
-	a.speaks = before < readers || beforeWithStore < readers
+	r.speaks = preceding < readers || precedingWithStore < readers
 	for c, list := range byCell {
-		a.across[c] = acrossOf(list, heard.across)
+		r.remoteReps[c] = remoteRecipients(list, recent.crossCell)
 	}
-	return a
+	return r
 }
 
-// acrossOf returns which gateways of another cell are told by those who speak here: the
-// first ones, and all that were heard across.
-func acrossOf(list []peers.Member, heard map[string]bool) []netip.AddrPort {
+// remoteRecipients returns the gateways of another cell that the representatives of this cell send
+// to: the first ones, and all from which cross-cell messages were received.
+func remoteRecipients(list []peers.Member, heard map[string]bool) []netip.AddrPort {
 	slices.SortFunc(list, func(a, b peers.Member) int { return compareRank(a.Name, b.Name) })
 	var out []netip.AddrPort
 	for n, m := range list {
--- a/relay/endpointlimits.go
+++ b/relay/endpointlimits.go
@@ -10,56 +10,59 @@
 	"github.com/micarudder/micarudder/ratelimit"
 )
 
-// endpointLimits is what this gateway knows of how many requests a second endpoints take, and who
-// grants sends to these. Its methods may be called concurrently.
+// endpointLimits holds the rate limits of endpoints known to this gateway, and the gateway that
+// grants sends to these endpoints. Its methods may be called concurrently.
 type endpointLimits struct {
-	// inForce holds the limits that are believed, by endpoint. It is replaced, never changed: every choice reads it.
-	inForce atomic.Pointer[map[string]float64]
+	// current holds the limits in force, in requests per second by endpoint. The map is replaced,
+	// never changed, since every choice reads it.
+	current atomic.Pointer[map[string]float64]
 	self    string // name of this gateway
 
 	mu          sync.Mutex
 	known       *ratelimit.Known
 	votes       *ratelimit.Votes
 	coordinator *ratelimit.Coordinator
-	// chosen is who coordinates by the newest look.
-	chosen string
-	// repeated is when everything was told last, and newcomer set when a gateway was heard since that votes for nobody:
-	// it may know of no limit.
-	repeated time.Time
-	newcomer bool
-	// gateways is how many the own cell has, this one included, as far as any list or word tells.
+	// chosenName is the coordinator according to the last evaluation.
+	chosenName string
+	// lastFullSend is when all known limits were last sent. newcomer is set when a gateway that
+	// votes for no coordinator was heard since then: it may not know of any limit.
+	lastFullSend time.Time
+	newcomer     bool
+	// gateways is the number of gateways in the local cell, including this one, as far as any list
+	// or message shows.
 	gateways int
-	// probed is when the newest probe was offered that was not taken, by service.
-	probed map[string]time.Time
+	// lastProbe is when the latest probe was offered that was not granted, by service.
+	lastProbe map[string]time.Time
 }
 
 func newEndpointLimits(self string) *endpointLimits {
 	l := &endpointLimits{
 		self:  self,
 		known: ratelimit.NewKnown(), votes: ratelimit.NewVotes(self), coordinator: ratelimit.NewCoordinator(),
-		gateways: 1, probed: make(map[string]time.Time),
+		gateways: 1, lastProbe: make(map[string]time.Time),
 	}
 	l.publish()
 	return l
 }
 
-// publish puts what is known in force. The caller holds the lock, or nobody else knows l yet.
+// publish makes the known limits current. The caller holds the lock, or has the only reference to
+// l.
 func (l *endpointLimits) publish() {
 	limits := l.known.Limits()
-	l.inForce.Store(&limits)
+	l.current.Store(&limits)
 }
 
-// limit returns the limit that an endpoint has named; ok is false where it has none.
+// limit returns the rate limit of an endpoint; ok is false if it has none.
 func (l *endpointLimits) limit(endpoint string) (perSecond float64, ok bool) {
-	perSecond, ok = (*l.inForce.Load())[endpoint]
+	perSecond, ok = (*l.current.Load())[endpoint]
 	return perSecond, ok
 }
 
-// any reports whether an endpoint has a limit.
-func (l *endpointLimits) any() bool { return len(*l.inForce.Load()) > 0 }
+// any reports whether any endpoint has a rate limit.
+func (l *endpointLimits) any() bool { return len(*l.current.Load()) > 0 }
 
-// logged returns an endpoint's limit as it stands in logs: -1 where it has none.
-func (l *endpointLimits) logged(endpoint string) float64 {
+// logValue returns an endpoint's rate limit for logs: -1 if it has none.
+func (l *endpointLimits) logValue(endpoint string) float64 {
 	if perSecond, ok := l.limit(endpoint); ok {
 		return perSecond
 	}
@@ -72,7 +75,7 @@
 	return l.known.Version(endpoint)
 }
 
-func (l *endpointLimits) answered(e catalog.Endpoint, sent uint64, n ratelimit.Named, now time.Time) bool {
+func (l *endpointLimits) recordAnswer(e catalog.Endpoint, sent uint64, n ratelimit.Named, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	changed := l.known.Answered(e.ID, e.Born, sent, n, now)
@@ -90,38 +93,39 @@
 	l.publish()
 }
 
-// outdate forgets whom others follow: the host was suspended.
+// outdate clears the votes of other gateways, since the host was suspended.
 func (l *endpointLimits) outdate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.votes.Clear()
 }
 
-// choose returns who coordinates, and whether that has changed since the last look; empty: nobody has to.
-func (l *endpointLimits) choose(leaving bool, now time.Time) (coordinator string, changed bool) {
+// chooseCoordinator returns the coordinator, and whether it has changed since the last evaluation;
+// empty if none is needed.
+func (l *endpointLimits) chooseCoordinator(leaving bool, now time.Time) (coordinator string, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.any() {
 		coordinator = l.votes.Choose(leaving, now)
-	} else if l.chosen != "" {
+	} else if l.chosenName != "" {
 		l.votes.Reset()
 	}
-	changed = coordinator != l.chosen
+	changed = coordinator != l.chosenName
 	if changed {
 		l.coordinator.Reset()
 	}
-	l.chosen = coordinator
+	l.chosenName = coordinator
 	return coordinator, changed
 }
 
-// coordinatorName returns who coordinates by the newest look.
+// coordinatorName returns the coordinator according to the last evaluation.
 func (l *endpointLimits) coordinatorName() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.chosen
+	return l.chosenName
 }
 
-// gatewayCount returns how many gateways the own cell has, this one included.
+// gatewayCount returns the number of gateways in the local cell, including this one.
 func (l *endpointLimits) gatewayCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,38 +133,40 @@
 }
 
 const (
-	// repeatEvery is how often the coordinator tells everything again, in case that somebody missed it,
-	// newcomerEvery the same while there is a gateway that may know nothing of it.
-	repeatEvery   = 8 * time.Second
-	newcomerEvery = time.Second
+	// fullSendInterval is how often the coordinator sends all known limits again, in case a gateway
+	// missed them. newcomerSendInterval is the interval while a gateway may not know of any limit.
+	fullSendInterval     = 8 * time.Second
+	newcomerSendInterval = time.Second
 )
 
-// fill adds to a word for the own cell what this gateway knows of limits; regular is set for one that is sent in
-// any case.
-func (l *endpointLimits) fill(w *peers.Word, regular bool, now time.Time) {
+// fillMessage adds the limits known to this gateway and its vote to a message for the local cell;
+// regular is set for a message that is sent in any case.
+func (l *endpointLimits) fillMessage(w *peers.Word, regular bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w.Limits = l.known.Tell(regular && l.mustRepeat(now), now)
-	if l.chosen != "" && !w.Leaving {
+	w.Limits = l.known.Tell(regular && l.fullSendDue(now), now)
+	if l.chosenName != "" && !w.Leaving {
 		w.Coordinator = l.votes.Own(now)
 	}
 }
 
-// mustRepeat reports whether it is time to tell everything again, and notes that it is told. The caller holds the lock.
-func (l *endpointLimits) mustRepeat(now time.Time) bool {
-	every := repeatEvery
+// fullSendDue reports whether it is time to send all limits again, and records that they are sent.
+// The caller holds the lock.
+func (l *endpointLimits) fullSendDue(now time.Time) bool {
+	interval := fullSendInterval
 	if l.newcomer {
-		every = newcomerEvery
+		interval = newcomerSendInterval
 	}
-	if l.chosen != l.self || now.Sub(l.repeated) < every {
+	if l.chosenName != l.self || now.Sub(l.lastFullSend) < interval {
 		return false
 	}
-	l.repeated, l.newcomer = now, false
+	l.lastFullSend, l.newcomer = now, false
 	return true
 }
 
-// heard takes in what a gateway of the own cell tells; it returns what that changes.
-func (l *endpointLimits) heard(w peers.Word, now time.Time) (news map[string]ratelimit.Named) {
+// recordPeer records the vote and the limits that a gateway of the local cell sent; it returns the
+// limits that changed.
+func (l *endpointLimits) recordPeer(w peers.Word, now time.Time) (changes map[string]ratelimit.Named) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	vote := w.Coordinator
@@ -173,19 +179,20 @@
 		if !l.known.Heard(id, n, now) {
 			continue
 		}
-		if news == nil {
-			news = make(map[string]ratelimit.Named)
+		if changes == nil {
+			changes = make(map[string]ratelimit.Named)
 		}
-		news[id] = n.Named
+		changes[id] = n.Named
 	}
-	if len(news) > 0 {
+	if len(changes) > 0 {
 		l.publish()
 	}
-	return news
+	return changes
 }
 
-// keep drops limits of other cells' endpoints that were not named lately, and notes how many gateways the own cell has.
-func (l *endpointLimits) keep(gateways int, own func(endpoint string) bool, now time.Time) {
+// expire drops limits of other cells' endpoints that were not announced recently, and records the
+// number of gateways in the local cell.
+func (l *endpointLimits) expire(gateways int, own func(endpoint string) bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gateways = gateways
@@ -194,76 +201,81 @@
 	}
 }
 
-// try decides about a request that waits at this gateway; ok is false when this one does not coordinate.
-func (l *endpointLimits) try(a *ratelimit.Ask, now time.Time) (answer ratelimit.Answer, ok bool) {
+// tryGrant decides about a request that waits at this gateway; ok is false if this gateway is not
+// the coordinator.
+func (l *endpointLimits) tryGrant(ask *ratelimit.Ask, now time.Time) (answer ratelimit.Answer, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	share := l.votes.Share(l.gateways, now)
 	if share == 0 {
 		return answer, false
 	}
-	return l.coordinator.Try(a, func(id string) (float64, bool) {
+	return l.coordinator.Try(ask, func(id string) (float64, bool) {
 		perSecond, limited := l.limit(id)
 		return share * perSecond, limited
 	}, now), true
 }
 
-func (l *endpointLimits) leave(a *ratelimit.Ask) {
+func (l *endpointLimits) removeAsk(ask *ratelimit.Ask) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.coordinator.Leave(a)
+	l.coordinator.Leave(ask)
 }
 
-// mayProbe reports whether a request may be offered to a service's endpoints with limits although others have
-// room. Others may not meanwhile.
+// mayProbe reports whether a request may be offered to a service's endpoints with rate limits
+// although other endpoints have room. If so, no other request may for the probe interval.
 func (l *endpointLimits) mayProbe(service string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.probed[service]) < ratelimit.ProbeEvery {
+	if now.Sub(l.lastProbe[service]) < ratelimit.ProbeEvery {
 		return false
 	}
-	l.probed[service] = now
+	l.lastProbe[service] = now
 	return true
 }
 
-// probeTaken lets the next probe follow at once: there may be more endpoints from which nothing was heard.
-func (l *endpointLimits) probeTaken(service string) {
+// resetProbe permits the next probe at once, since there may be more endpoints that have not been
+// heard from.
+func (l *endpointLimits) resetProbe(service string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.probed, service)
+	delete(l.lastProbe, service)
 }
 
-// noteLimit takes in what an answer says of its endpoint's limit, and tells the other gateways at once.
-func (g *Gateway) noteLimit(e catalog.Endpoint, sent uint64, named ratelimit.Named, request string) {
+// recordLimit records what an answer says of its endpoint's rate limit, and notifies the other
+// gateways at once if that is new.
+func (g *Gateway) recordLimit(e catalog.Endpoint, sent uint64, named ratelimit.Named, request string) {
 	now := time.Now()
-	if !g.limits.answered(e, sent, named, now) {
+	if !g.limits.recordAnswer(e, sent, named, now) {
 		return
 	}
 	g.logLimit(e.ID, named, "answer", request)
-	g.chooseCoordinator(now)
+	g.updateCoordinator(now)
 	g.picker.callPeers()
 }
 
-// heardLimits takes in what a peer tells of limits. Of other cells' endpoints those learn by themselves that send there.
+// heardLimits records the limits that a peer of the local cell sent. Endpoints of other cells
+// report their limits to the gateways that send there.
 func (g *Gateway) heardLimits(w peers.Word) {
 	nothing := len(w.Limits) == 0 && w.Coordinator == 0 && !g.limits.any()
-	if nothing || g.fromAfar(w) { // most words: hundreds of gateways hear thousands of them a second
+	if nothing || g.fromAfar(w) { // true of most messages: hundreds of gateways receive thousands of them per second
 		return
 	}
 	now := time.Now()
-	w.Limits = g.ofThisLife(w.Limits)
-	news := g.limits.heard(w, now)
-	for id, named := range news {
+	w.Limits = g.currentIncarnations(w.Limits)
+	changes := g.limits.recordPeer(w, now)
+	for id, named := range changes {
 		g.logLimit(id, named, w.From, "")
 	}
-	if changed := g.chooseCoordinator(now); changed || len(news) > 0 {
+	if changed := g.updateCoordinator(now); changed || len(changes) > 0 {
 		g.picker.callPeers()
 	}
 }
 
-// ofThisLife returns the notices of endpoints' lives that this gateway knows. Others may not have seen yet that one has started again, or
-// this one may not; what concerns the new life is told for longer than that takes.
-func (g *Gateway) ofThisLife(notices map[string]ratelimit.Notice) map[string]ratelimit.Notice {
+// currentIncarnations returns the notices for the endpoint incarnations that this gateway knows.
+// Other gateways may not have seen yet that an endpoint was restarted, or this one may not; notices
+// for the new incarnation are sent for longer than that takes.
+func (g *Gateway) currentIncarnations(notices map[string]ratelimit.Notice) map[string]ratelimit.Notice {
 	var out map[string]ratelimit.Notice
 	for id, n := range notices {
 		if e, ok := g.state.Endpoint(id); !ok || e.Born != n.Born {
@@ -277,27 +289,29 @@
 	return out
 }
 
-// chooseCoordinator looks who grants sends to endpoints with limits; it reports whether that has changed.
-func (g *Gateway) chooseCoordinator(now time.Time) bool {
-	name, changed := g.limits.choose(g.leaving.Load(), now)
+// updateCoordinator re-evaluates which gateway grants sends to endpoints with rate limits; it
+// reports whether that has changed.
+func (g *Gateway) updateCoordinator(now time.Time) bool {
+	name, changed := g.limits.chooseCoordinator(g.leaving.Load(), now)
 	if changed {
 		g.deps.Log.Logger().Info("Coordinator of endpoints' limits changed.", "coordinator", name)
 	}
 	return changed
 }
 
-// keepLimits is called before each word: it lets old beliefs lapse.
-func (g *Gateway) keepLimits(a audience, now time.Time) {
-	g.limits.keep(len(a.near)+1, func(id string) bool {
+// refreshLimits is called before each message is sent, and drops expired limits.
+func (g *Gateway) refreshLimits(r recipients, now time.Time) {
+	g.limits.expire(len(r.local)+1, func(id string) bool {
 		c, ok := g.state.CellOf(id)
-		return ok && c == a.home
+		return ok && c == r.localCell
 	}, now)
-	if g.chooseCoordinator(now) {
+	if g.updateCoordinator(now) {
 		g.picker.callPeers()
 	}
 }
 
-// logLimit logs what is believed of an endpoint's limit from now on. source is an answer or the name of a gateway.
+// logLimit logs a change of the known limit of an endpoint. source is "answer" or the name of a
+// gateway.
 func (g *Gateway) logLimit(endpoint string, n ratelimit.Named, source, request string) {
 	if !n.Is {
 		g.meter.limitsEnded.Inc()
--- a/relay/follow.go
+++ b/relay/follow.go
@@ -10,54 +10,53 @@
 )
 
 const (
-	// readEvery is how often configuration and endpoints are read while all is
-	// well: half of the two seconds within which a change must be in force.
+	// readEvery is the interval between reads of configuration and endpoints in normal operation:
+	// less than half of the two seconds within which a change must be in force.
 	readEvery = 800 * time.Millisecond
-	// readAgain is the pause after a failed read.
-	readAgain = 300 * time.Millisecond
-	// readCut is how long a gateway leaves a store to peers that ask for it and do not
-	// reach it: a little less than a key may be used without a proof on the strictest
-	// installations, in case that only they do not reach it.
-	readCut = 4 * time.Second
-	// silentAfter is how long the store may take for one answer until peers are told that
-	// it is away: twice what a slow one takes.
+	// readRetryInterval is the pause after a failed read.
+	readRetryInterval = 300 * time.Millisecond
+	// readDeferral is how long a gateway leaves the store to peers that query it without reaching
+	// it, in case only they cannot reach it. It is a little less than the time that a key may be
+	// used without a proof on the strictest installations.
+	readDeferral = 4 * time.Second
+	// silentAfter is how long the store may take for one answer before peers are told that it is
+	// unavailable: twice the time of a slow answer.
 	silentAfter = 600 * time.Millisecond
 	// readTime bounds one read; a slow store answers within a quarter of it.
 	readTime = 1500 * time.Millisecond
-	// listTime bounds the read of a whole list, which comes in pages: 3,000 endpoints are
-	// 61 pages, by reckoning too many for readTime on a host with 0.144 of a core.
-	listTime = 8 * time.Second
-	// askPeersAfter is the age of the own proof at which peers are asked for
-	// theirs.
+	// listTimeout bounds the read of a whole list, which is paged: 3,000 endpoints are 61 pages,
+	// too many for readTime on a host with 0.144 of a core.
+	listTimeout = 8 * time.Second
+	// askPeersAfter is the age of this gateway's proof at which it asks peers for theirs.
 	askPeersAfter = 1600 * time.Millisecond
-	// gatewaysEvery is how often the list of gateways is read and the own entry
-	// renewed, a third of its lease; gatewaysSoon is the first time, when gateways that
-	// started together have entries. Between reads gateways know each other by
-	// what they hear.
-	gatewaysEvery = 10 * time.Second
-	gatewaysSoon  = 3 * time.Second
+	// gatewaysInterval is how often the list of gateways is read and this gateway's entry renewed:
+	// a third of the entry's lease. gatewaysFirstDelay is the delay before the first renewal, when
+	// gateways that started together have entries. Between reads gateways know each other from
+	// their messages.
+	gatewaysInterval   = 10 * time.Second
+	gatewaysFirstDelay = 3 * time.Second
 )
 
-// followConfiguration keeps the configuration and its proof young.
+// followConfiguration keeps the configuration and its proof up to date.
 func (g *Gateway) followConfiguration() {
 	lost := false
 	for {
 		wait := readEvery
-		if g.mustRead(g.proofAge()) {
+		if g.shouldReadStore(g.proofAge()) {
 			sent := time.Now()
 			err := g.readConfiguration(sent)
-			g.sharing.note(err, time.Now())
+			g.sharing.recordRead(err, time.Now())
 			if (err != nil) != lost {
 				lost = err != nil
 				g.logDependency("configuration store", lost, err)
 			}
 			if err != nil {
 				g.askPeers()
-				wait = readAgain
+				wait = readRetryInterval
 			}
 			g.tellNews()
 		} else {
-			wait = readAgain
+			wait = readRetryInterval
 		}
 		if !g.pauseAwake(wait) {
 			return
@@ -65,10 +64,9 @@
 	}
 }
 
-// mustRead reports whether this gateway reads the store now, given the age of
-// what it knows.
-func (g *Gateway) mustRead(age time.Duration) bool {
-	return g.deps.Mesh == nil || g.sharing.reads(g.config.Name, age, time.Now())
+// shouldReadStore reports whether this gateway reads the store now, given the age of its data.
+func (g *Gateway) shouldReadStore(age time.Duration) bool {
+	return g.deps.Mesh == nil || g.sharing.shouldRead(g.config.Name, age, time.Now())
 }
 
 func (g *Gateway) proofAge() time.Duration {
@@ -83,20 +81,20 @@
 	if !g.suspension.after(sent) {
 		sent = time.Now() // the host was suspended just before
 	}
-	g.sharing.asks(sent)
+	g.sharing.recordQuery(sent)
 	silent := time.AfterFunc(silentAfter, func() {
-		g.sharing.note(errSilent, time.Now())
+		g.sharing.recordRead(errSilent, time.Now())
 		g.tellNews()
 	})
 	defer silent.Stop()
 	c, err := g.deps.Source.Configuration(ctx)
-	g.sawStore()
+	g.checkStoreEra()
 	if err != nil {
 		g.meter.storeFailures.Inc()
 		return err
 	}
 	if c == nil {
-		// Peers may know a newer one, which an older copy of the store does not hold.
+		// Peers may know a newer one that an older copy of the store does not contain.
 		g.state.Prove(g.lastRead.Load(), sent)
 		return nil
 	}
@@ -108,7 +106,7 @@
 	return nil
 }
 
-// logDependency logs that something the gateway needs was lost or regained.
+// logDependency logs that a dependency of the gateway was lost or regained.
 func (g *Gateway) logDependency(name string, lost bool, err error) {
 	age, _ := g.state.ProofAge(time.Now())
 	if lost {
@@ -118,11 +116,11 @@
 	g.deps.Log.Logger().Info("Dependency regained.", "dependency", name, "proof_age_ms", age.Milliseconds())
 }
 
-// followEndpoints keeps the list of endpoints young.
+// followEndpoints keeps the list of endpoints up to date.
 func (g *Gateway) followEndpoints() {
 	for {
-		wait := readAgain
-		if g.mustRead(g.sharing.endpointsAge(time.Now())) {
+		wait := readRetryInterval
+		if g.shouldReadStore(g.sharing.endpointsAge(time.Now())) {
 			if g.readEndpoints() {
 				wait = readEvery
 			}
@@ -133,23 +131,23 @@
 	}
 }
 
-// errSilent is how a read counts that has had no answer for silentAfter.
-var errSilent = errors.New("no answer so far")
+// errSilent is the result of a read that has been unanswered for silentAfter.
+var errSilent = errors.New("the store has not answered yet")
 
 // readEndpoints reads the list from the store; it reports false on failure.
 func (g *Gateway) readEndpoints() bool {
-	ctx, cancel := context.WithTimeout(g.ctx, listTime)
+	ctx, cancel := context.WithTimeout(g.ctx, listTimeout)
 	defer cancel()
 	g.suspendedTime()
 	sent := time.Now()
-	g.sharing.asks(sent)
-	g.sharing.stopAtList(cancel) // a peer may have it sooner
+	g.sharing.recordQuery(sent)
+	g.sharing.cancelAtList(cancel) // a peer may have it sooner
 	list, err := g.deps.Source.Endpoints(ctx)
-	g.sawStore()
+	g.checkStoreEra()
 	if err != nil && g.sharing.endpointsAge(time.Now()) < takeOver {
 		return true
 	}
-	g.sharing.note(err, time.Now())
+	g.sharing.recordRead(err, time.Now())
 	if err != nil {
 		g.meter.storeFailures.Inc()
 		g.deps.Log.Logger().Debug("The list of endpoints could not be read.", "err", err)
@@ -161,14 +159,14 @@
 	return true
 }
 
-func (g *Gateway) memberChanged(c MemberChange) {
+func (g *Gateway) memberChanged(c EndpointChange) {
 	e := c.Endpoint
 	g.deps.Log.Logger().Info("Endpoint changed.", "endpoint", e.ID, "change", string(c.Kind), "from", c.Source, "born", e.Born, "service", e.Service, "address", e.Address)
-	if c.Kind == changeRestarted && g.state.LeaveDoubted(e) {
-		g.tasks.Go(func() { g.settleLeave(e) })
+	if c.Kind == changeRestarted && g.state.DrainDoubted(e) {
+		g.tasks.Go(func() { g.settleDoubtedDrain(e) })
 	}
 	if c.Kind == changeDraining {
-		g.deps.Endpoints.Forget(e.ID) // connections without use
+		g.deps.Endpoints.Forget(e.ID) // close idle connections
 	}
 	if c.Kind == changeGone || c.Kind == changeRestarted {
 		g.deps.Endpoints.Forget(e.ID)
@@ -177,17 +175,17 @@
 	}
 }
 
-// followGateways keeps the own entry and the list of peers young.
+// followGateways keeps this gateway's entry and the list of peers up to date.
 func (g *Gateway) followGateways() {
 	if g.deps.Mesh == nil {
 		return
 	}
 	lost := false
-	for wait := gatewaysSoon; ; wait = gatewaysEvery {
+	for wait := gatewaysFirstDelay; ; wait = gatewaysInterval {
 		ctx, cancel := context.WithTimeout(g.ctx, readTime)
 		list, err := g.deps.Source.Gateways(ctx)
 		cancel()
-		g.sawStore()
+		g.checkStoreEra()
 		if (err != nil) != lost {
 			lost = err != nil
 			g.logDependency("gateway list", lost, err)
@@ -196,11 +194,11 @@
 			g.deps.Mesh.SetMembers(list)
 			g.listedGateways.Store(int64(len(list)))
 			if !g.config.FirstStart {
-				g.picker.fleetListed(len(list), time.Now()) // entries outlive their processes
+				g.picker.setListedGateways(len(list), time.Now()) // entries outlive their processes
 			}
 		}
 		if err != nil {
-			wait = gatewaysSoon
+			wait = gatewaysFirstDelay
 		}
 		if !g.pause(wait) {
 			return
@@ -208,7 +206,7 @@
 	}
 }
 
-// peerURL returns where another gateway answers.
+// peerURL returns the URL of a path at another gateway.
 func (g *Gateway) peerURL(a netip.AddrPort, path string) string {
 	return "http://" + net.JoinHostPort(a.Addr().String(), strconv.Itoa(g.deps.PeerPort)) + path
 }
--- a/relay/grant.go
+++ b/relay/grant.go
@@ -15,102 +15,105 @@
 
 const (
 	pathGrant = "/peer/grant"
-	// grantHold is how long a coordinator keeps a question that it can neither grant nor refuse yet. Its asker
-	// looks at the other endpoints then, and asks again without losing its place.
-	grantHold = 200 * time.Millisecond
-	// grantTime bounds the way to the coordinator and back, beside grantHold.
-	grantTime = 150 * time.Millisecond
-	// limitProbeTime is the same for a request that others would take at once: while the coordinator is silent, it must not
-	// be late for that.
-	limitProbeTime = 50 * time.Millisecond
-	// grantTick is the longest pause between two looks at a question that is kept.
-	grantTick = 100 * time.Millisecond
-	// maxGrantQuestion bounds the bytes of a question.
-	maxGrantQuestion = 64 << 10
-	// maxGrantEndpoints bounds the endpoints that a question names.
+	// grantHoldTime is how long a coordinator holds a grant request that it can neither grant nor
+	// refuse yet. The requester then looks at the other endpoints, and asks again without losing
+	// its place.
+	grantHoldTime = 200 * time.Millisecond
+	// grantRoundTrip bounds the round trip to the coordinator, in addition to grantHoldTime.
+	grantRoundTrip = 150 * time.Millisecond
+	// probeGrantTimeout is the timeout of a grant request for a request that other endpoints would
+	// take at once: it must not be late for them because the coordinator does not answer.
+	probeGrantTimeout = 50 * time.Millisecond
+	// grantPollInterval is the longest pause between two evaluations of a held grant request.
+	grantPollInterval = 100 * time.Millisecond
+	// maxGrantRequestBytes bounds the size of a grant request.
+	maxGrantRequestBytes = 64 << 10
+	// maxGrantEndpoints bounds the number of endpoints that a grant request names.
 	maxGrantEndpoints = 64
 )
 
-// grantQuestion asks the coordinator for a send to one of several endpoints with limits.
+// grantQuestion asks the coordinator for a send to one of several endpoints with rate limits.
 type grantQuestion struct {
 	Service   string
 	Endpoints []string // the best first
 	Urgency   int
-	SinceMs   int64 // how long ago the request's caller came
-	WaitMs    int64 // how long it is worth waiting from now on
+	SinceMs   int64 // time since the caller's request arrived
+	WaitMs    int64 // how long the request may wait from now on
 	Probe     bool
 }
 
-// patience returns how long the asker waits for the answer.
-func (q grantQuestion) patience() time.Duration {
+// timeout returns how long the requester waits for the answer.
+func (q grantQuestion) timeout() time.Duration {
 	if q.Probe {
-		return limitProbeTime
+		return probeGrantTimeout
 	}
-	return grantTime + min(grantHold, time.Duration(q.WaitMs)*time.Millisecond)
+	return grantRoundTrip + min(grantHoldTime, time.Duration(q.WaitMs)*time.Millisecond)
 }
 
-// grantAnswer is what becomes of it.
+// grantAnswer is the coordinator's answer to a grantQuestion.
 type grantAnswer struct {
-	Endpoint     string // granted; empty: none
+	Endpoint     string // the granted endpoint; empty if none
 	Refused      bool
 	RetryAfterMs int64
 	Unlimited    bool  // the coordinator knows of no limit of the endpoints
-	KeptMs       int64 // how long the coordinator kept the question before it granted
+	KeptMs       int64 // how long the coordinator held the request before it granted
 }
 
-// grant is the right to send one request to an endpoint with a limit.
+// grant is the permission to send one request to an endpoint with a rate limit.
 type grant struct {
 	endpoint string
-	// until is when it lapses: the sends of a gateway that stood still would come together.
-	until time.Time
-	// suspended is how long the host had been suspended in all when it was asked for.
+	// expires is when the grant lapses. Otherwise a gateway that was stalled would send all its
+	// granted requests at once.
+	expires time.Time
+	// suspended is the total time that the host had been suspended when the grant was requested.
 	suspended time.Duration
 }
 
-// holds reports whether the grant allows a send now; g may be nil.
-func (g *grant) holds(now time.Time, suspended time.Duration) bool {
-	return g != nil && now.Before(g.until) && suspended == g.suspended
+// valid reports whether the grant allows a send now; g may be nil.
+func (g *grant) valid(now time.Time, suspended time.Duration) bool {
+	return g != nil && now.Before(g.expires) && suspended == g.suspended
 }
 
-// errNotCoordinator is the answer of a gateway that does not grant.
-var errNotCoordinator = trace.Errorf("the gateway does not coordinate limits")
+// errNotCoordinator is returned by a gateway that is not the coordinator.
+var errNotCoordinator = trace.Errorf("this gateway is not the coordinator of endpoint limits")
 
-// askGrant asks the coordinator, which may be this gateway. A nil grant with no error means that the request was
-// refused, or is to ask again.
-func (g *Gateway) askGrant(ctx context.Context, q grantQuestion) (*grant, grantAnswer, error) {
+// requestGrant asks the coordinator, which may be this gateway, for a grant. A nil grant without an
+// error means that the request was refused or has to ask again.
+func (g *Gateway) requestGrant(ctx context.Context, q grantQuestion) (*grant, grantAnswer, error) {
 	asked, suspended := time.Now(), g.suspendedTime()
-	if g.chooseCoordinator(asked) {
+	if g.updateCoordinator(asked) {
 		g.picker.callPeers()
 	}
 	name := g.limits.coordinatorName()
-	ctx, cancel := context.WithTimeout(ctx, q.patience())
+	ctx, cancel := context.WithTimeout(ctx, q.timeout())
 	defer cancel()
 	var a grantAnswer
 	var err error
 	if name == g.config.Name {
-		a, err = g.keepQuestion(ctx, q)
+		a, err = g.decideGrant(ctx, q)
 	} else {
 		a, err = g.askCoordinator(ctx, name, q)
 	}
 	if err != nil || a.Endpoint == "" {
 		return nil, a, err
 	}
-	until := asked.Add(time.Duration(a.KeptMs)*time.Millisecond + grantTime)
-	return &grant{a.Endpoint, until, suspended}, a, nil
+	expires := asked.Add(time.Duration(a.KeptMs)*time.Millisecond + grantRoundTrip)
+	return &grant{a.Endpoint, expires, suspended}, a, nil
 }
 
-// keepQuestion decides about a question as soon as that is possible, or returns after grantHold.
-func (g *Gateway) keepQuestion(ctx context.Context, q grantQuestion) (grantAnswer, error) {
-	came := time.Now()
+// decideGrant decides about a grant request as soon as possible, or returns without a decision
+// after grantHoldTime.
+func (g *Gateway) decideGrant(ctx context.Context, q grantQuestion) (grantAnswer, error) {
+	received := time.Now()
 	ask := &ratelimit.Ask{
 		Service: q.Service, Endpoints: q.Endpoints, Urgency: q.Urgency, Probe: q.Probe,
-		Since: came.Add(-time.Duration(q.SinceMs) * time.Millisecond), Until: came.Add(time.Duration(q.WaitMs) * time.Millisecond),
+		Since: received.Add(-time.Duration(q.SinceMs) * time.Millisecond), Until: received.Add(time.Duration(q.WaitMs) * time.Millisecond),
 	}
-	defer g.limits.leave(ask)
+	defer g.limits.removeAsk(ask)
 	for {
 		now := time.Now()
-		g.suspendedTime() // votes of before a suspension do not count
-		answer, ok := g.limits.try(ask, now)
+		g.suspendedTime() // votes from before a suspension do not count
+		answer, ok := g.limits.tryGrant(ask, now)
 		switch {
 		case !ok:
 			return grantAnswer{}, errNotCoordinator
@@ -120,11 +123,11 @@
 			return grantAnswer{Refused: true, RetryAfterMs: answer.RetryAfter.Milliseconds()}, nil
 		case answer.Endpoint != "":
 			g.meter.grants.Inc()
-			return grantAnswer{Endpoint: answer.Endpoint, KeptMs: now.Sub(came).Milliseconds()}, nil
-		case now.Sub(came) >= grantHold:
+			return grantAnswer{Endpoint: answer.Endpoint, KeptMs: now.Sub(received).Milliseconds()}, nil
+		case now.Sub(received) >= grantHoldTime:
 			return grantAnswer{}, nil
 		}
-		timer := time.NewTimer(min(grantTick, max(time.Millisecond, answer.Expected.Sub(now))))
+		timer := time.NewTimer(min(grantPollInterval, max(time.Millisecond, answer.Expected.Sub(now))))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -134,7 +137,7 @@
 	}
 }
 
-// askPeerGrant asks another gateway.
+// askPeerGrant requests a grant from another gateway.
 func (g *Gateway) askPeerGrant(ctx context.Context, name string, q grantQuestion) (a grantAnswer, err error) {
 	for _, m := range g.deps.Mesh.Members(time.Now()) {
 		if m.Name == name {
@@ -145,14 +148,14 @@
 	return a, trace.NotFound("the address of gateway %q is not known", name)
 }
 
-// serveGrant answers another gateway.
+// serveGrant answers the grant request of another gateway.
 func (g *Gateway) serveGrant(w http.ResponseWriter, r *http.Request) {
 	var q grantQuestion
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxGrantQuestion)).Decode(&q); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxGrantRequestBytes)).Decode(&q); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	a, err := g.keepQuestion(r.Context(), q)
+	a, err := g.decideGrant(r.Context(), q)
 	if err != nil {
 		w.WriteHeader(http.StatusConflict)
 		return
@@ -160,17 +163,18 @@
 	g.answerPeer(w, a)
 }
 
-// grantConnections is how many connections to the coordinator are kept: as many requests may wait there at once.
-const grantConnections = 16
+// maxIdleGrantConns is the number of idle connections to the coordinator that are kept: as many
+// requests may wait there at once.
+const maxIdleGrantConns = 16
 
-// newGrantClient returns the client that asks coordinators; a question's context bounds it.
+// newGrantClient returns the client for grant requests; the context of a request bounds its time.
 func newGrantClient(port int) *peerClient {
 	return &peerClient{port: port, http: &http.Client{
-		Transport: &http.Transport{MaxIdleConnsPerHost: grantConnections, IdleConnTimeout: 5 * time.Second},
+		Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleGrantConns, IdleConnTimeout: 5 * time.Second},
 	}}
 }
 
-// post asks with a body.
+// post sends body as JSON and decodes the answer into into.
 func (c *peerClient) post(ctx context.Context, url string, body, into any) error {
 	p, err := json.Marshal(body)
 	if err != nil {
--- a/relay/learn.go
+++ b/relay/learn.go
@@ -8,44 +8,43 @@
 )
 
 const (
-	// seedTime bounds one question to the gateways that the settings name: some round
-	// trips between data centres, and a moment of a busy process. A starting gateway
-	// serves nobody meanwhile.
-	seedTime = 60 * time.Millisecond
-	// firstStartTime is how long a gateway of an installation that starts for the first
-	// time leaves reading the store to the named ones. 103 gateways that each read it made
-	// 1,218 calls in the first three seconds, 987 since: most hear no named one within
-	// seedTime, as all start together.
-	firstStartTime = 10 * time.Second
-	// learnAgain is the pause between two questions.
-	learnAgain = 200 * time.Millisecond
+	// seedTimeout bounds one query to the seed gateways that the settings name: some round trips
+	// between data centres, plus a margin for a busy process. A starting gateway serves no requests
+	// meanwhile.
+	seedTimeout = 60 * time.Millisecond
+	// firstStartWait is how long, on the first start of an installation, a gateway leaves reading
+	// the store to the seeds. When each of 103 gateways read the store, they made 1,218 calls in
+	// the first three seconds; with this wait they make 987, since all start together and most get
+	// no answer from a seed within seedTimeout.
+	firstStartWait = 10 * time.Second
+	// seedRetryInterval is the pause between two queries.
+	seedRetryInterval = 200 * time.Millisecond
 )
 
-// learn takes configuration and endpoints from one of the gateways that the settings
-// name, so that the store is not read by each gateway that is restarted. If none of them
-// knows, this gateway reads the store itself; on the first start of all, where there is
-// nothing to serve before there is a configuration, it asks again first, as long as one
-// answers.
+// learn takes the configuration and the endpoints from one of the seed gateways, so that a
+// restarted gateway need not read the store. If no seed has them, this gateway reads the store
+// itself. On the first start of an installation there is nothing to serve before a configuration
+// exists, so it first repeats the query as long as any seed answers.
 func (g *Gateway) learn() {
 	began := time.Now()
 	seeds := g.seeds()
 	for len(seeds) > 0 {
-		from, heard := g.askSeeds(seeds)
-		if from.IsValid() && g.learnFrom(from) {
+		from, answered := g.querySeeds(seeds)
+		if from.IsValid() && g.bootstrapFrom(from) {
 			g.deps.Log.Logger().Info("Learned from a peer.", "peer", from, "version", g.state.Version(), "ms", time.Since(began).Milliseconds())
 			return
 		}
-		if !heard || !g.config.FirstStart || time.Since(began) > firstStartTime {
+		if !answered || !g.config.FirstStart || time.Since(began) > firstStartWait {
 			return
 		}
-		if !g.pause(learnAgain) {
+		if !g.pause(seedRetryInterval) {
 			return
 		}
 	}
 }
 
-// seeds returns the addresses of the other named gateways; none if this one is among
-// them, since those are the ones that read.
+// seeds returns the addresses of the other seed gateways. It returns none if this gateway is a seed
+// itself, since seeds read the store.
 func (g *Gateway) seeds() []netip.AddrPort {
 	if g.deps.Mesh == nil || slices.Contains(g.config.Seeds, g.deps.Mesh.Address()) {
 		return nil
@@ -53,10 +52,10 @@
 	return g.config.Seeds
 }
 
-// askSeeds asks all for their proofs at once. It returns the first that has a young one,
-// and whether any answered.
-func (g *Gateway) askSeeds(seeds []netip.AddrPort) (from netip.AddrPort, heard bool) {
-	ctx, cancel := context.WithTimeout(g.ctx, seedTime)
+// querySeeds queries the proofs of all seeds at once. It returns the first seed with a fresh one,
+// and whether any seed answered.
+func (g *Gateway) querySeeds(seeds []netip.AddrPort) (from netip.AddrPort, answered bool) {
+	ctx, cancel := context.WithTimeout(g.ctx, seedTimeout)
 	defer cancel()
 	type answer struct {
 		from  netip.AddrPort
@@ -77,30 +76,29 @@
 			g.deps.Log.Logger().Info("A named gateway does not answer.", "peer", a.from, "err", a.err)
 			continue
 		}
-		heard = true
-		if a.proof.young() {
+		answered = true
+		if a.proof.isFresh() {
 			return a.from, true
 		}
 	}
-	return netip.AddrPort{}, heard
+	return netip.AddrPort{}, answered
 }
 
-// young reports whether a gateway that takes over what this one knows need not read the
-// store at once.
-func (p proofAnswer) young() bool {
-	most := takeOver.Milliseconds()
-	return p.Version > 0 && p.AgeMs < most && p.EndpointsAgeMs >= 0 && p.EndpointsAgeMs < most
+// fresh reports whether a gateway that takes over this proof need not read the store at once.
+func (p proofAnswer) isFresh() bool {
+	limit := takeOver.Milliseconds()
+	return p.Version > 0 && p.AgeMs < limit && p.EndpointsAgeMs >= 0 && p.EndpointsAgeMs < limit
 }
 
-// learnFrom takes what a peer knows; it reports whether that is all.
-func (g *Gateway) learnFrom(peer netip.AddrPort) bool {
+// bootstrapFrom takes over the state of a peer; it reports whether that is complete and fresh.
+func (g *Gateway) bootstrapFrom(peer netip.AddrPort) bool {
 	asked := time.Now()
 	proof, err := g.askPeer(peer)
 	if err == nil {
-		err = g.takeEndpoints(peer, asked.Add(-time.Duration(proof.EndpointsAgeMs)*time.Millisecond))
+		err = g.fetchEndpoints(peer, asked.Add(-time.Duration(proof.EndpointsAgeMs)*time.Millisecond))
 	}
 	if err != nil {
-		g.deps.Log.Logger().Warn("A named gateway's knowledge could not be taken.", "peer", peer, "err", err)
+		g.deps.Log.Logger().Warn("Configuration or endpoints could not be taken over from a seed gateway.", "peer", peer, "err", err)
 	}
-	return err == nil && proof.young()
+	return err == nil && proof.isFresh()
 }
--- a/relay/limitcost_test.go
+++ b/relay/limitcost_test.go
@@ -17,10 +17,11 @@
 	"github.com/micarudder/micarudder/upstream"
 )
 
-// BenchmarkLimitedChoice measures what 290 limits, or rests, among 2,900 endpoints of 16 cells add to a choice. docs/CAPACITY.md has the figures.
+// BenchmarkLimitedChoice measures what 290 rate limits or back-offs among 2,900 endpoints of 16
+// cells add to a choice. docs/CAPACITY.md has the figures.
 func BenchmarkLimitedChoice(b *testing.B) {
-	for name, every := range map[string]struct{ limited, resting int }{"none": {}, "a tenth": {limited: 10}, "none, a tenth rest": {resting: 10}} {
-		limited := every.limited
+	for name, interval := range map[string]struct{ limited, resting int }{"none": {}, "a tenth": {limited: 10}, "none, a tenth rest": {resting: 10}} {
+		limited := interval.limited
 		b.Run(name, func(b *testing.B) {
 			p, s := enginePicker(0)
 			var list []catalog.Endpoint
@@ -29,34 +30,35 @@
 				e := catalog.Endpoint{ID: fmt.Sprintf("i-%010d", n), Service: s.Name, Address: addressOf(n), DataCentre: fmt.Sprintf("dc%02d", n%16), Slots: 16}
 				list = append(list, e)
 				if limited > 0 && n%limited == 0 {
-					p.limits.answered(e, 0, ratelimit.Named{Is: true, PerSecond: 1.9}, now)
+					p.limits.recordAnswer(e, 0, ratelimit.Named{Is: true, PerSecond: 1.9}, now)
 				}
 			}
 			p.dataCentre = "dc03"
 			p.state.Listed(list, now, now, time.Time{})
 			for n, e := range list {
-				if every.resting > 0 && n%every.resting == 0 {
-					p.state.Rest(e.ID, time.Hour, now)
+				if interval.resting > 0 && n%interval.resting == 0 {
+					p.state.RecordBackoff(e.ID, time.Hour, now)
 				}
 			}
 			w := balance.Work{InputTokens: 500, OutputTokens: 10, LeftMs: 300, DeadlineMs: 2000}
 			b.ResetTimer()
 			for range b.N {
-				if at, _, _ := p.pick(s, w, allCold, time.Now()); at != nil {
-					at.release()
+				if pl, _, _ := p.pick(s, w, noWarmConns, time.Now()); pl != nil {
+					pl.release()
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkGrant measures a question over HTTP and its answer at the coordinator, both sides together.
+// BenchmarkGrant measures a grant request over HTTP and its answer by the coordinator, both sides
+// together.
 func BenchmarkGrant(b *testing.B) {
 	g := New(Config{Name: "g", Policy: balance.Default()}, Deps{Protocol: testProtocol{}, Log: eventlog.New(io.Discard, eventlog.Options{Level: log.ErrorLevel, LinesPerSecond: 1}),
 		Metrics: metrics.NewSet(), Endpoints: upstream.New(upstream.Options{})})
 	e := catalog.Endpoint{ID: "e"}
-	g.limits.answered(e, 0, ratelimit.Named{Is: true, PerSecond: 1e9}, time.Now())
-	g.limits.choose(false, time.Now().Add(-time.Minute))
+	g.limits.recordAnswer(e, 0, ratelimit.Named{Is: true, PerSecond: 1e9}, time.Now())
+	g.limits.chooseCoordinator(false, time.Now().Add(-time.Minute))
 	server := httptest.NewServer(g.PeerHandler())
 	defer server.Close()
 	client := newGrantClient(0)
--- a/relay/limited.go
+++ b/relay/limited.go
@@ -11,25 +11,25 @@
 	"github.com/micarudder/micarudder/catalog"
 )
 
-// unlimited leaves out endpoints with limits. A choice never takes these by itself, nor as helpers: whoever
-// sends there needs a grant.
-func (p *picker) unlimited(cells map[string][]catalog.Endpoint) map[string][]catalog.Endpoint {
+// withoutLimited leaves out endpoints with rate limits. A choice never takes these by itself,
+// neither for the request nor as helpers: a send to one of them needs a grant.
+func (p *picker) withoutLimited(cells map[string][]catalog.Endpoint) map[string][]catalog.Endpoint {
 	if !p.limits.any() {
 		return cells
 	}
-	return without(cells, func(e catalog.Endpoint) bool {
+	return excluding(cells, func(e catalog.Endpoint) bool {
 		_, limited := p.limits.limit(e.ID)
 		return limited
 	})
 }
 
-// limitedSearch returns a search among the own cell's endpoints with limits.
-func (p *picker) limitedSearch(service *catalog.Service, w balance.Work, warm warmth, now time.Time) (s search, endpoints []catalog.Endpoint) {
-	s = search{picker: p, service: service, work: w, warm: warm, home: p.state.Cells().Of(p.dataCentre), now: now}
+// limitedSearch returns a search among the local cell's endpoints with rate limits.
+func (p *picker) limitedSearch(service *catalog.Service, w balance.Work, isWarm warmConnFunc, now time.Time) (s endpointSearch, endpoints []catalog.Endpoint) {
+	s = endpointSearch{picker: p, service: service, work: w, isWarm: isWarm, localCell: p.state.Cells().Of(p.dataCentre), now: now}
 	if !p.limits.any() {
 		return s, nil
 	}
-	for _, e := range p.state.Takers(service.Name, now)[s.home] {
+	for _, e := range p.state.AvailableEndpoints(service.Name, now)[s.localCell] {
 		if _, limited := p.limits.limit(e.ID); limited {
 			endpoints = append(endpoints, e)
 		}
@@ -37,180 +37,187 @@
 	return s, endpoints
 }
 
-// hasLimited reports whether the own cell has endpoints of the service with limits.
+// hasLimited reports whether the local cell has endpoints of the service with rate limits.
 func (p *picker) hasLimited(service *catalog.Service, now time.Time) bool {
 	_, endpoints := p.limitedSearch(service, balance.Work{}, nil, now)
 	return len(endpoints) > 0
 }
 
-// limitedFor returns which endpoints with limits would take the request alone, the least loaded first.
-func (p *picker) limitedFor(service *catalog.Service, w balance.Work, warm warmth, now time.Time) (fit []string) {
-	s, endpoints := p.limitedSearch(service, w, warm, now)
+// limitedCandidates returns the endpoints with rate limits that could serve the request without
+// helpers, the least loaded first.
+func (p *picker) limitedCandidates(service *catalog.Service, w balance.Work, isWarm warmConnFunc, now time.Time) (candidates []string) {
+	s, endpoints := p.limitedSearch(service, w, isWarm, now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	load := make(map[string]int)
 	for _, e := range endpoints {
-		at := s.among([]catalog.Endpoint{e}, nil)
-		if at.choice.Endpoint < 0 || at.candidates[0].Suspect || len(at.choice.Reserve) > 0 {
+		res := s.choose([]catalog.Endpoint{e}, nil)
+		if res.choice.Endpoint < 0 || res.candidates[0].Suspect || len(res.choice.Reserve) > 0 {
 			continue
 		}
-		fit = append(fit, e.ID)
-		load[e.ID] = at.candidates[0].Load.Short + at.candidates[0].Load.Long
+		candidates = append(candidates, e.ID)
+		load[e.ID] = res.candidates[0].Load.Short + res.candidates[0].Load.Long
 	}
-	slices.SortFunc(fit, func(a, b string) int { return cmp.Or(cmp.Compare(load[a], load[b]), cmp.Compare(a, b)) })
-	return fit[:min(len(fit), maxGrantEndpoints)]
+	slices.SortFunc(candidates, func(a, b string) int { return cmp.Or(cmp.Compare(load[a], load[b]), cmp.Compare(a, b)) })
+	return candidates[:min(len(candidates), maxGrantEndpoints)]
 }
 
-// pickGranted counts the load of a request at the endpoint that it was granted; nil: that takes it no more.
-func (p *picker) pickGranted(service *catalog.Service, w balance.Work, warm warmth, g *grant, now time.Time) *place {
-	s, endpoints := p.limitedSearch(service, w, warm, now)
+// pickGranted counts the load of a request at the endpoint that was granted to it. It returns nil
+// if the endpoint no longer takes the request.
+func (p *picker) pickGranted(service *catalog.Service, w balance.Work, isWarm warmConnFunc, g *grant, now time.Time) *place {
+	s, endpoints := p.limitedSearch(service, w, isWarm, now)
 	i := slices.IndexFunc(endpoints, func(e catalog.Endpoint) bool { return e.ID == g.endpoint })
 	if i < 0 {
 		return nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := s.among(endpoints[i:i+1], nil)
-	if at.choice.Endpoint < 0 {
+	res := s.choose(endpoints[i:i+1], nil)
+	if res.choice.Endpoint < 0 {
 		return nil
 	}
-	chosen := p.put(at, now)
+	chosen := p.assign(res, now)
 	if chosen != nil {
 		chosen.grant = g
 	}
 	return chosen
 }
 
-// limitedStep is what asking for a grant has come to.
-type limitedStep uint8
+// grantResult is the result of a grant request.
+type grantResult uint8
 
 const (
-	limitedNone    limitedStep = iota // no endpoint with a limit would take the request
-	limitedPlaced                     // it may be sent
-	limitedAgain                      // it is to ask again
-	limitedRefused                    // none can take it in its time
-	limitedUnknown                    // nobody grants at the moment, or the limits have just ended
+	grantNoCandidate grantResult = iota // no endpoint with a rate limit could serve the request
+	grantPlaced                         // the request may be sent
+	grantAgain                          // the request has to ask again
+	grantRefused                        // no endpoint can serve the request in its time
+	grantUnavailable                    // no gateway grants at the moment, or the limits have just ended
 )
 
-// limitedWish is why a request asks for a grant.
-type limitedWish uint8
+// grantMode is the reason why a request asks for a grant.
+type grantMode uint8
 
 const (
-	// wishWait: no other endpoint may be used. It waits for its turn.
-	wishWait limitedWish = iota
-	// wishNow: the others are busy; it does not wait.
-	wishNow
-	// wishProbe: others have room; the answer tells whether the limit still holds.
-	wishProbe
+	// grantModeWait: no other endpoint may be used; the request waits for its turn.
+	grantModeWait grantMode = iota
+	// grantModeNow: the other endpoints are busy; the request does not wait.
+	grantModeNow
+	// grantModeProbe: other endpoints have room; the answer shows whether the limit still holds.
+	grantModeProbe
 )
 
-// placeLimited asks for a grant to send to one of the endpoints with limits.
-func (x *exchange) placeLimited(ctx context.Context, work balance.Work, wish limitedWish) (at *place, step limitedStep, retryAfter time.Duration) {
+// placeWithGrant asks for a grant to send to one of the endpoints with rate limits.
+func (x *exchange) placeWithGrant(ctx context.Context, work balance.Work, mode grantMode) (pl *place, result grantResult, retryAfter time.Duration) {
 	now := time.Now()
-	fit := x.g.picker.limitedFor(x.service, work, x.warm, now)
-	if len(fit) == 0 {
-		return nil, limitedNone, 0
+	candidates := x.g.picker.limitedCandidates(x.service, work, x.hasWarmConn, now)
+	if len(candidates) == 0 {
+		return nil, grantNoCandidate, 0
 	}
 	q := grantQuestion{
-		Service: x.service.Name, Endpoints: fit, Urgency: x.urgency(), SinceMs: now.Sub(x.started).Milliseconds(), Probe: wish == wishProbe,
+		Service: x.service.Name, Endpoints: candidates, Urgency: x.urgency(), SinceMs: now.Sub(x.started).Milliseconds(), Probe: mode == grantModeProbe,
 	}
-	if wish == wishWait {
-		q.WaitMs = max(0, x.patience().waitUntil().Sub(now).Milliseconds())
+	if mode == grantModeWait {
+		q.WaitMs = max(0, x.patience().waitDeadline().Sub(now).Milliseconds())
 	}
-	granted, a, err := x.g.askGrant(ctx, q)
+	granted, a, err := x.g.requestGrant(ctx, q)
 	switch {
 	case err != nil || a.Unlimited:
-		step = limitedUnknown
+		result = grantUnavailable
 	case granted != nil:
-		at, step = x.g.picker.pickGranted(x.service, work, x.warm, granted, time.Now()), limitedPlaced
-		if at == nil {
-			step = limitedAgain
+		pl, result = x.g.picker.pickGranted(x.service, work, x.hasWarmConn, granted, time.Now()), grantPlaced
+		if pl == nil {
+			result = grantAgain
 		}
 	case a.Refused:
-		step, retryAfter = limitedRefused, time.Duration(a.RetryAfterMs)*time.Millisecond
+		result, retryAfter = grantRefused, time.Duration(a.RetryAfterMs)*time.Millisecond
 	default:
-		step = limitedAgain
+		result = grantAgain
 	}
-	if step != limitedAgain && wish != wishProbe || err != nil {
-		x.g.deps.Log.Request("Endpoints' limits asked.", "request", x.call.ID, "coordinator", x.g.limits.coordinatorName(), "endpoints", len(fit), "urgency", q.Urgency,
+	if result != grantAgain && mode != grantModeProbe || err != nil {
+		x.g.deps.Log.Request("Endpoints' limits asked.", "request", x.call.ID, "coordinator", x.g.limits.coordinatorName(), "endpoints", len(candidates), "urgency", q.Urgency,
 			"waited_ms", q.SinceMs, "wait_ms", q.WaitMs, "granted", a.Endpoint, "refused", a.Refused, "retry_after_ms", a.RetryAfterMs, "probe", q.Probe, "err", err)
 	}
-	return at, step, retryAfter
+	return pl, result, retryAfter
 }
 
-// limitedEnd is what became of a request for which no endpoint without a limit was chosen.
-type limitedEnd struct {
-	at    *place  // where it goes; nil: nowhere yet
-	end   outcome // it was refused; empty: it was not
-	again bool    // it is to be placed again at once
-	// later is when its caller had better come back if it may not wait; zero: there are no endpoints with limits.
-	later time.Duration
+// limitedResult is the result for a request for which no endpoint without a rate limit was chosen.
+type limitedResult struct {
+	placement *place  // where it goes; nil if not placed yet
+	refusal   outcome // outcome of a refused request; empty if it was not refused
+	again     bool    // try again at once
+	// retryAfter is the Retry-After time in case the request may not wait; zero if there are no
+	// endpoints with rate limits.
+	retryAfter time.Duration
 }
 
-// whyLimited says for the log why a request ended so that was to be placed among endpoints with limits.
-func (o outcome) whyLimited() string {
+// limitedRefusalReason returns the reason for the log when a request that was to be placed among
+// endpoints with rate limits ended with this outcome.
+func (o outcome) limitedRefusalReason() string {
 	if o == refusedLimit {
 		return "the endpoints' limits are used up"
 	}
-	return "its time is over, or its caller has left"
+	return "its deadline has passed, or its caller has disconnected"
 }
 
-// placeAmongLimited looks for an endpoint with a limit after the choice among the others came to o.
-func (x *exchange) placeAmongLimited(ctx context.Context, work *balance.Work, o pickOutcome, now time.Time) limitedEnd {
-	wish := wishNow
+// placeAmongLimited looks for an endpoint with a rate limit after the choice among the others
+// resulted in o.
+func (x *exchange) placeAmongLimited(ctx context.Context, work *balance.Work, o pickOutcome, now time.Time) limitedResult {
+	mode := grantModeNow
 	switch {
 	case o == pickNone:
-		wish = wishWait
+		mode = grantModeWait
 	case o == pickWait && x.patience().mayWait(true, now):
-		return limitedEnd{}
+		return limitedResult{}
 	}
-	at, step, retryAfter := x.placeLimited(ctx, *work, wish)
+	pl, result, retryAfter := x.placeWithGrant(ctx, *work, mode)
 	switch {
-	case step == limitedPlaced:
-		return limitedEnd{at: at}
+	case result == grantPlaced:
+		return limitedResult{placement: pl}
 	case ctx.Err() != nil:
-		return limitedEnd{end: x.giveUp(outOfTime)}
-	case wish == wishNow:
-		return limitedEnd{}
-	case step == limitedAgain:
-		return limitedEnd{again: true}
-	case step == limitedRefused:
-		return limitedEnd{end: x.refuseLimited(retryAfter)}
-	case step == limitedNone && len(work.Avoid) > 0:
+		return limitedResult{refusal: x.giveUp(outOfTime)}
+	case mode == grantModeNow:
+		return limitedResult{}
+	case result == grantAgain:
+		return limitedResult{again: true}
+	case result == grantRefused:
+		return limitedResult{refusal: x.refuseLimited(retryAfter)}
+	case result == grantNoCandidate && len(work.Avoid) > 0:
 		work.Avoid = nil // better the same endpoint again than none
-		return limitedEnd{again: true}
+		return limitedResult{again: true}
 	case !x.g.picker.hasLimited(x.service, now):
-		return limitedEnd{}
-	case step == limitedNone && x.g.config.Policy.Oversize(x.service, *work):
-		// It needs several endpoints at once, and these take single requests only.
-		return limitedEnd{end: x.refuseLimited(x.patience().comeBackAfter(now))}
-	case step == limitedUnknown:
-		return limitedEnd{later: retryAfterCoordinator}
+		return limitedResult{}
+	case result == grantNoCandidate && x.g.config.Policy.Oversize(x.service, *work):
+		// The request needs several endpoints at once, and endpoints with rate limits take only
+		// requests that need one.
+		return limitedResult{refusal: x.refuseLimited(x.patience().queueRetryAfter(now))}
+	case result == grantUnavailable:
+		return limitedResult{retryAfter: retryAfterCoordinator}
 	default:
-		return limitedEnd{later: x.patience().comeBackAfter(now)}
+		return limitedResult{retryAfter: x.patience().queueRetryAfter(now)}
 	}
 }
 
-// retryAfterCoordinator is told while nobody grants: another gateway does so soon after the one that did has fallen silent.
+// retryAfterCoordinator is the Retry-After time while no gateway grants: another gateway takes over
+// soon after the coordinator has fallen silent.
 const retryAfterCoordinator = 1500 * time.Millisecond
 
-// probe sends the request to an endpoint with a limit from which nothing was heard for a while. Nobody else would find out that
-// its need is over.
-func (x *exchange) probe(ctx context.Context, work balance.Work) *place {
+// probeLimited sends the request to an endpoint with a rate limit that has not been heard from for
+// a while. Otherwise no gateway would find out that the limit has ended.
+func (x *exchange) probeLimited(ctx context.Context, work balance.Work) *place {
 	now := time.Now()
 	if x.mayRun || x.g.config.Policy.TakesTurns(x.service, work) || !x.g.picker.hasLimited(x.service, now) || !x.g.limits.mayProbe(x.service.Name, now) {
 		return nil
 	}
-	at, step, _ := x.placeLimited(ctx, work, wishProbe)
-	if step == limitedPlaced {
-		x.g.limits.probeTaken(x.service.Name)
+	pl, result, _ := x.placeWithGrant(ctx, work, grantModeProbe)
+	if result == grantPlaced {
+		x.g.limits.resetProbe(x.service.Name)
 	}
-	return at
+	return pl
 }
 
-// mayQuestion reports whether an endpoint may be asked about itself now. What it takes counts questions too: while it has a limit
-// each needs a grant, which is given when no request needs it.
-// One that wants rest gets none.
+// mayQuestion reports whether an endpoint may be queried about itself now. Such queries count
+// against its rate limit too: while it has one, each query needs a grant, which is given when no
+// request needs it. An endpoint in back-off is not queried.
 func (g *Gateway) mayQuestion(e catalog.Endpoint) bool {
 	if !g.state.StillTakes(e.ID, time.Now()) {
 		return false
@@ -218,20 +225,20 @@
 	if _, limited := g.limits.limit(e.ID); !limited {
 		return true
 	}
-	granted, _, err := g.askGrant(g.ctx, grantQuestion{Service: e.Service, Endpoints: []string{e.ID}, Probe: true})
-	return err == nil && granted.holds(time.Now(), g.suspendedTime())
+	granted, _, err := g.requestGrant(g.ctx, grantQuestion{Service: e.Service, Endpoints: []string{e.ID}, Probe: true})
+	return err == nil && granted.valid(time.Now(), g.suspendedTime())
 }
 
-// refuseLimited refuses a request that no endpoint can take within its limit.
-func (x *exchange) refuseLimited(after time.Duration) outcome {
+// refuseLimited refuses a request that no endpoint can serve within its rate limit.
+func (x *exchange) refuseLimited(retryAfter time.Duration) outcome {
 	x.g.meter.limited.Inc()
 	if x.mayRun || x.r.Context().Err() != nil {
 		return x.giveUp(refusedLimit)
 	}
-	return x.refuse(http.StatusServiceUnavailable, max(after, retryAfterFull), refusedLimit)
+	return x.refuse(http.StatusServiceUnavailable, max(retryAfter, retryAfterFull), refusedLimit)
 }
 
-// urgency returns the rank of the request among those that wait, 0 for the most urgent.
+// urgency returns the priority of the request among those that wait; 0 is the most urgent.
 func (x *exchange) urgency() int {
 	if x.workspace != nil && x.workspace.Priority >= 0 {
 		return x.workspace.Priority
@@ -239,14 +246,15 @@
 	return x.route.Priority
 }
 
-// withinLimits reports whether a send to the place may go out now: none of its endpoints has named a limit since it was
-// chosen, and a grant that it needs still holds.
-func (x *exchange) withinLimits(at *place, now time.Time) bool {
-	for _, helper := range at.helpers {
+// withinLimits reports whether a send to the placement may go out now: none of its helpers has a
+// rate limit, and if the endpoint has one, the grant is still valid. Limits may have been announced
+// since the endpoints were chosen.
+func (x *exchange) withinLimits(pl *place, now time.Time) bool {
+	for _, helper := range pl.helpers {
 		if _, limited := x.g.limits.limit(helper.ID); limited {
 			return false
 		}
 	}
-	_, limited := x.g.limits.limit(at.endpoint.ID)
-	return !limited || at.grant.holds(now, x.g.suspendedTime())
+	_, limited := x.g.limits.limit(pl.endpoint.ID)
+	return !limited || pl.grant.valid(now, x.g.suspendedTime())
 }
--- a/relay/limitfleet_test.go
+++ b/relay/limitfleet_test.go
@@ -20,18 +20,19 @@
 	"github.com/micarudder/micarudder/ratelimit"
 )
 
-// TestLimitsOfAllAreKeptAndUsed: all engines name a limit; none gets more than it tolerates, nearly all that they take
-// is served, also where one gateway alone is asked, and whoever is refused hears of it within the time that it may wait.
-func TestLimitsOfAllAreKeptAndUsed(t *testing.T) {
+// TestAllEnginesLimited: all engines announce a limit. None gets more than it tolerates, and nearly
+// all that the limits permit is used, also if only one gateway receives requests. Refused callers
+// are told so within the time that a request may wait.
+func TestAllEnginesLimited(t *testing.T) {
 	cases := map[string]struct {
 		gateways, engines, perSecond int
 		limit                        float64
-		at                           func(n int) int
+		gateway                      func(n int) int
 	}{
-		"6 gateways":             {6, 4, 40, 1.9, func(n int) int { return n % 6 }},
-		"24 gateways":            {24, 10, 100, 1.9, func(n int) int { return n % 24 }},
-		"24 gateways, one asked": {24, 10, 100, 1.9, func(int) int { return 7 }},
-		"24 gateways, less than one in four seconds for each": {24, 10, 10, 0.5, func(n int) int { return n % 24 }},
+		"6 gateways":                   {6, 4, 40, 1.9, func(n int) int { return n % 6 }},
+		"24 gateways":                  {24, 10, 100, 1.9, func(n int) int { return n % 24 }},
+		"24 gateways, requests to one": {24, 10, 100, 1.9, func(int) int { return 7 }},
+		"24 gateways, less than one request in four seconds for each": {24, 10, 10, 0.5, func(n int) int { return n % 24 }},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -39,87 +40,89 @@
 				is := is.New(t)
 				f := newLimitFleet(t, tc.gateways, tc.engines)
 				time.Sleep(2 * time.Second)
-				f.name(fmt.Sprint(tc.limit), engines(tc.engines)...)
-				f.load(t, tc.perSecond, 5*time.Second, tc.at)
+				f.setLimit(fmt.Sprint(tc.limit), engineIndexes(tc.engines)...)
+				f.sendLoad(t, tc.perSecond, 5*time.Second, tc.gateway)
 				from := time.Now()
 				f.mu.Lock()
-				f.refused = nil
+				f.refusalTimes = nil
 				f.mu.Unlock()
 				const length = 20 * time.Second
-				f.load(t, tc.perSecond, length, tc.at)
+				f.sendLoad(t, tc.perSecond, length, tc.gateway)
 				got := 0
 				for e := range tc.engines {
-					got += f.since(e, from)
-					is.True(float64(f.worst(e, from)) <= 1.5*4*tc.limit+5)
+					got += f.requestsSince(e, from)
+					is.True(float64(f.maxInFourSeconds(e, from)) <= 1.5*4*tc.limit+5)
 				}
 				used := float64(got) / (tc.limit * float64(tc.engines) * length.Seconds())
-				t.Logf("%.2f of the limits used, %d refused", used, len(f.refused))
+				t.Logf("%.2f of the limits used, %d refused", used, len(f.refusalTimes))
 				is.True(used >= 0.9)
-				is.True(slices.Max(f.refused) <= 3*time.Second*waitShare/100)
+				is.True(slices.Max(f.refusalTimes) <= 3*time.Second*maxWaitPercent/100)
 			})
 		})
 	}
 }
 
-// TestLimitEnds: while other engines have room, an engine whose need is over gets its part again a few seconds later,
-// though all gateways had kept away from it.
+// TestLimitEnds: while other engines have room, an engine whose limit has ended gets its part again
+// a few seconds later, although all gateways had avoided it.
 func TestLimitEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLimitFleet(t, 24, 4)
 		time.Sleep(2 * time.Second)
-		f.name("0.5", engines(3)...)
-		turn := func(n int) int { return n % 24 }
-		f.load(t, 40, 6*time.Second, turn)
+		f.setLimit("0.5", engineIndexes(3)...)
+		roundRobin := func(n int) int { return n % 24 }
+		f.sendLoad(t, 40, 6*time.Second, roundRobin)
 		is.True(f.gateways[5].limits.any())
-		f.name("", engines(3)...)
-		f.load(t, 40, 5*time.Second, turn)
+		f.setLimit("", engineIndexes(3)...)
+		f.sendLoad(t, 40, 5*time.Second, roundRobin)
 		for _, g := range f.gateways {
 			is.True(!g.limits.any())
 		}
-		is.Equal(len(f.refused), 0)
+		is.Equal(len(f.refusalTimes), 0)
 	})
 }
 
-// TestLimitIsToldBeforeItIsMet: gateways that only heard of a limit keep it too, and one that starts learns of it.
-func TestLimitIsToldBeforeItIsMet(t *testing.T) {
+// TestLimitIsBroadcast: gateways that learn of a limit only from peers keep it too, and a newly
+// connected gateway learns of it.
+func TestLimitIsBroadcast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLimitFleet(t, 6, 1)
-		late := 5
-		f.setLose(func(from, to int) bool { return from == late || to == late })
+		isolated := 5
+		f.setLose(func(from, to int) bool { return from == isolated || to == isolated })
 		time.Sleep(2 * time.Second)
-		f.name("1", 0)
+		f.setLimit("1", 0)
 		f.send(t.Context(), 0, 500)
 		time.Sleep(50 * time.Millisecond)
 		for i, g := range f.gateways {
 			_, limited := g.limits.limit("e0")
-			is.Equal(limited, i != late)
+			is.Equal(limited, i != isolated)
 		}
-		time.Sleep(5 * time.Second) // it is not news any more
+		time.Sleep(5 * time.Second) // the limit is no longer sent as a recent change
 		f.setLose(nil)
-		time.Sleep(newcomerEvery + 2*tellEvery)
-		_, limited := f.gateways[late].limits.limit("e0")
+		time.Sleep(newcomerSendInterval + 2*tellEvery)
+		_, limited := f.gateways[isolated].limits.limit("e0")
 		is.True(limited)
 	})
 }
 
-// TestLimitEndsWhileRequestsWait: requests that wait for their turn when the limits end are served at once, not refused.
+// TestLimitEndsWhileRequestsWait: requests that wait for their turn when the limits end are served
+// at once, not refused.
 func TestLimitEndsWhileRequestsWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLimitFleet(t, 6, 4)
 		time.Sleep(2 * time.Second)
-		f.name("2", engines(4)...)
-		turn := func(n int) int { return n % 6 }
-		f.load(t, 40, 2*time.Second, turn)
-		time.Sleep(2 * time.Second) // each has saved two sends, and will take another one in half a second
+		f.setLimit("2", engineIndexes(4)...)
+		roundRobin := func(n int) int { return n % 6 }
+		f.sendLoad(t, 40, 2*time.Second, roundRobin)
+		time.Sleep(2 * time.Second) // each has saved up two sends, and will take another one in half a second
 		f.mu.Lock()
-		f.refused, f.answered = nil, 0
+		f.refusalTimes, f.answered = nil, 0
 		f.mu.Unlock()
 		var all sync.WaitGroup
 		for n := range 12 {
-			all.Go(func() { f.send(t.Context(), turn(n), 500) })
+			all.Go(func() { f.send(t.Context(), roundRobin(n), 500) })
 		}
 		time.Sleep(100 * time.Millisecond)
 		f.mu.Lock()
@@ -129,25 +132,25 @@
 		for _, g := range f.gateways {
 			for e := range 4 {
 				endpoint, _ := g.state.Endpoint(fmt.Sprint("e", e))
-				g.limits.answered(endpoint, g.limits.version(endpoint.ID), ratelimit.Named{}, time.Now())
+				g.limits.recordAnswer(endpoint, g.limits.version(endpoint.ID), ratelimit.Named{}, time.Now())
 			}
 		}
 		all.Wait()
-		is.Equal(len(f.refused), 0)
+		is.Equal(len(f.refusalTimes), 0)
 		is.Equal(f.answered, 12)
 	})
 }
 
-// TestCoordinatorFallsSilent: nothing is granted for as long as it takes to notice, then another one grants; what the
-// engines get stays within what they tolerate.
+// TestCoordinatorFallsSilent: no grants are given until the silence is noticed, then another
+// gateway grants. The engines get no more than they tolerate.
 func TestCoordinatorFallsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLimitFleet(t, 6, 4)
 		time.Sleep(2 * time.Second)
-		f.name("2", engines(4)...)
-		turn := func(n int) int { return n % 6 }
-		f.load(t, 40, 4*time.Second, turn)
+		f.setLimit("2", engineIndexes(4)...)
+		roundRobin := func(n int) int { return n % 6 }
+		f.sendLoad(t, 40, 4*time.Second, roundRobin)
 		first := f.gateways[0].limits.coordinatorName()
 		gone := slices.IndexFunc(f.gateways, func(g *Gateway) bool { return g.config.Name == first })
 		f.mu.Lock()
@@ -155,52 +158,52 @@
 		f.mu.Unlock()
 		f.setLose(func(from, to int) bool { return from == gone || to == gone })
 		others := func(n int) int { return (gone + 1 + n%5) % 6 }
-		f.load(t, 40, 2*time.Second, others)
+		f.sendLoad(t, 40, 2*time.Second, others)
 		from := time.Now()
-		f.load(t, 40, 8*time.Second, others)
+		f.sendLoad(t, 40, 8*time.Second, others)
 		is.True(f.gateways[(gone+1)%6].limits.coordinatorName() != first)
 		got := 0
 		for e := range 4 {
-			got += f.since(e, from)
-			is.True(f.worst(e, from.Add(-6*time.Second)) <= 1.5*4*2+5)
+			got += f.requestsSince(e, from)
+			is.True(f.maxInFourSeconds(e, from.Add(-6*time.Second)) <= 1.5*4*2+5)
 		}
 		is.True(float64(got) >= 0.9*2*4*8)
 	})
 }
 
-// TestHalvesKeepTheLimit: gateways that hear only every other one follow two coordinators; what both grant together stays within
-// what the engines tolerate, and is used.
-func TestHalvesKeepTheLimit(t *testing.T) {
+// TestPartitionedGatewaysKeepTheLimit: gateways that hear only every other gateway follow two
+// coordinators. The grants of both together stay within what the engines tolerate, and are used.
+func TestPartitionedGatewaysKeepTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLimitFleet(t, 6, 4)
 		time.Sleep(2 * time.Second)
-		f.name("4", engines(4)...)
-		turn := func(n int) int { return n % 6 }
-		f.load(t, 60, 4*time.Second, turn)
+		f.setLimit("4", engineIndexes(4)...)
+		roundRobin := func(n int) int { return n % 6 }
+		f.sendLoad(t, 60, 4*time.Second, roundRobin)
 		from := time.Now()
 		f.setLose(func(from, to int) bool { return from%2 != to%2 })
-		f.load(t, 60, 10*time.Second, turn)
+		f.sendLoad(t, 60, 10*time.Second, roundRobin)
 		is.True(f.gateways[0].limits.coordinatorName() != f.gateways[1].limits.coordinatorName())
 		got := 0
 		for e := range 4 {
-			got += f.since(e, from)
-			is.True(f.worst(e, from) <= 1.5*4*4+5)
+			got += f.requestsSince(e, from)
+			is.True(f.maxInFourSeconds(e, from) <= 1.5*4*4+5)
 		}
 		is.True(float64(got) >= 0.9*4*4*10)
 	})
 }
 
-// TestSoundEndpointsRefuseNothing: while one of several engines has a limit no caller is refused, no second send is paid
-// for it, and prompts that are read in parts keep away from it.
-func TestSoundEndpointsRefuseNothing(t *testing.T) {
+// TestNoRefusalsWhileOtherEndpointsHaveRoom: while one of several engines has a limit, no caller is
+// refused, no second send is spent on it, and prompts that are read in parts avoid it.
+func TestNoRefusalsWhileOtherEndpointsHaveRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLimitFleet(t, 6, 6)
 		time.Sleep(2 * time.Second)
-		f.name("1", 0)
-		turn := func(n int) int { return n % 6 }
-		f.load(t, 40, 4*time.Second, turn)
+		f.setLimit("1", 0)
+		roundRobin := func(n int) int { return n % 6 }
+		f.sendLoad(t, 40, 4*time.Second, roundRobin)
 		from := time.Now()
 		var all sync.WaitGroup
 		for n := range 20 {
@@ -208,17 +211,18 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		all.Wait()
-		f.load(t, 40, 4*time.Second, turn)
-		is.Equal(len(f.refused), 0)
-		is.True(f.worst(0, from) <= 1.5*4*1+5)
+		f.sendLoad(t, 40, 4*time.Second, roundRobin)
+		is.Equal(len(f.refusalTimes), 0)
+		is.True(f.maxInFourSeconds(0, from) <= 1.5*4*1+5)
 		for _, g := range f.gateways {
 			is.Equal(g.meter.retries.Get(), uint64(0))
 		}
 	})
 }
 
-// TestNewLifeInheritsNoLimit: an endpoint that has started again, under the same name, is used as before.
-func TestNewLifeInheritsNoLimit(t *testing.T) {
+// TestRestartedEndpointInheritsNoLimit: an endpoint that has restarted under the same name is used
+// as if it had never had a limit.
+func TestRestartedEndpointInheritsNoLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLimitFleet(t, 2, 1)
@@ -229,15 +233,15 @@
 			g.state.Listed([]catalog.Endpoint{first}, time.Now(), time.Now(), time.Time{})
 		}
 		time.Sleep(2 * time.Second)
-		f.name("1", 0)
+		f.setLimit("1", 0)
 		f.send(t.Context(), 0, 500)
 		time.Sleep(100 * time.Millisecond)
 		is.True(f.gateways[1].limits.any())
-		f.name("", 0)
-		again := first
-		again.Born = 2
+		f.setLimit("", 0)
+		restarted := first
+		restarted.Born = 2
 		for _, g := range f.gateways {
-			for _, c := range g.state.Listed([]catalog.Endpoint{again}, time.Now(), time.Now(), time.Time{}) {
+			for _, c := range g.state.Listed([]catalog.Endpoint{restarted}, time.Now(), time.Now(), time.Time{}) {
 				g.memberChanged(c)
 			}
 		}
@@ -249,20 +253,21 @@
 	})
 }
 
-// TestGrantLapses: a gateway that stood still between grant and send does not send.
+// TestGrantLapses: a gateway that was stalled between grant and send does not send.
 func TestGrantLapses(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	g := &grant{endpoint: "e", until: now.Add(grantTime), suspended: time.Second}
-	is.True(g.holds(now, time.Second))
-	is.True(!g.holds(now.Add(grantTime), time.Second))
-	is.True(!g.holds(now, 2*time.Second)) // its host was suspended
-	is.True(!(*grant)(nil).holds(now, 0))
+	g := &grant{endpoint: "e", expires: now.Add(grantRoundTrip), suspended: time.Second}
+	is.True(g.valid(now, time.Second))
+	is.True(!g.valid(now.Add(grantRoundTrip), time.Second))
+	is.True(!g.valid(now, 2*time.Second)) // the host was suspended
+	is.True(!(*grant)(nil).valid(now, 0))
 }
 
-// TestOldNewsOfAnEarlierLife: a gateway that has not seen yet that an endpoint started again tells what its earlier life named; one
-// that has seen it does not believe that, whatever the endpoint's clock said at either start.
-func TestOldNewsOfAnEarlierLife(t *testing.T) {
+// TestLimitOfEarlierIncarnationIsIgnored: a gateway that has not yet seen the restart of an
+// endpoint sends the limit of its earlier incarnation. A gateway that has seen it ignores that
+// limit, whatever the endpoint's clock showed at either start.
+func TestLimitOfEarlierIncarnationIsIgnored(t *testing.T) {
 	for name, born := range map[string]int64{"later": 20, "clock set back": 5} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -274,46 +279,48 @@
 					g.state.Listed([]catalog.Endpoint{first}, time.Now(), time.Now(), time.Time{})
 				}
 				time.Sleep(2 * time.Second)
-				f.name("1", 0)
+				f.setLimit("1", 0)
 				f.send(t.Context(), 0, 500)
 				time.Sleep(20 * time.Millisecond)
 				is.True(f.gateways[1].limits.any())
-				again := first
-				again.Born = born
-				for _, c := range f.gateways[0].state.Listed([]catalog.Endpoint{again}, time.Now(), time.Now(), time.Time{}) {
+				restarted := first
+				restarted.Born = born
+				for _, c := range f.gateways[0].state.Listed([]catalog.Endpoint{restarted}, time.Now(), time.Now(), time.Time{}) {
 					f.gateways[0].memberChanged(c)
 				}
-				time.Sleep(500 * time.Millisecond) // the other one goes on telling
+				time.Sleep(500 * time.Millisecond) // the other gateway goes on sending the old limit
 				is.True(!f.gateways[0].limits.any())
 			})
 		})
 	}
 }
 
-// TestNamedWhileChosen: a request whose endpoint names a limit after it was chosen does not go there.
-func TestNamedWhileChosen(t *testing.T) {
+// TestLimitNamedAfterChoice: a request is not sent to an endpoint that announces a limit after it
+// was chosen.
+func TestLimitNamedAfterChoice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLimitFleet(t, 1, 2)
 		g := f.gateways[0]
 		x := &exchange{g: g, w: httptest.NewRecorder(), r: hostRequest(t.Context()), table: f.table, route: &f.table.Configuration.Routes[0],
 			service: &f.table.Configuration.Services[0], started: time.Now(), deadline: time.Now().Add(time.Second)}
-		at, _ := x.place(t.Context())
-		is.True(x.withinLimits(at, time.Now()))
+		pl, _ := x.place(t.Context())
+		is.True(x.withinLimits(pl, time.Now()))
 		res := &http.Response{StatusCode: http.StatusOK, Header: http.Header{"Limit": {"1"}}}
-		g.noteAnswer(at.endpoint, 0, res, ownQuestion, "")
-		is.True(!x.withinLimits(at, time.Now()))
-		_, again := x.attempt(t.Context(), at)
+		g.recordAnswer(pl.endpoint, 0, res, ownQuestion, "")
+		is.True(!x.withinLimits(pl, time.Now()))
+		_, again := x.attempt(t.Context(), pl)
 		is.True(again)
 		is.True(x.mayRepeat())
 		is.Equal(x.attempts, 0)
 		res.Header.Del("Limit")
-		g.noteAnswer(at.endpoint, g.limits.version(at.endpoint.ID), res, ownQuestion, "") // a question ends none
+		g.recordAnswer(pl.endpoint, g.limits.version(pl.endpoint.ID), res, ownQuestion, "") // the answer to a gateway's own query ends no limit
 		is.True(g.limits.any())
 	})
 }
 
-// TestGrantOverHTTP: a gateway that does not coordinate says so, and one that does grants.
+// TestGrantOverHTTP: a gateway that is not the coordinator answers with an error, the coordinator
+// grants.
 func TestGrantOverHTTP(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
@@ -340,14 +347,14 @@
 	}
 	a, err := ask(grantQuestion{Service: "s", Endpoints: []string{named}, WaitMs: 1000})
 	is.NoErr(err)
-	is.True(a.Endpoint == named || !a.Refused) // it may be kept for longer than a question is
+	is.True(a.Endpoint == named || !a.Refused) // the grant may take longer than grantHoldTime
 	res, err := http.Post(server.URL+pathGrant, "application/json", http.NoBody)
 	is.NoErr(err)
 	_ = res.Body.Close()
 	is.Equal(res.StatusCode, http.StatusBadRequest)
 }
 
-// grantable reports whether the gateway grants by now.
+// grantable reports whether the gateway may grant by now.
 func (b *bench) grantable() bool {
 	l := b.gateway.limits
 	l.mu.Lock()
@@ -355,29 +362,30 @@
 	return l.votes.Share(1, time.Now()) > 0
 }
 
-// TestIdleConnectionsOfAllGateways: an endpoint takes 264 connections from all gateways together and resets more. Each kept up to 24
-// to it without use, whatever the others did: 576 with 24 gateways. All together they now keep half of what it takes, as
-// long as that is one for each.
+// TestIdleConnectionsOfAllGateways: an endpoint takes 264 connections from all gateways together
+// and resets any more. When each gateway kept up to 24 idle ones regardless of the others, 24
+// gateways kept 576. All together now keep half of what the endpoint takes, but at least one each.
 func TestIdleConnectionsOfAllGateways(t *testing.T) {
 	const most = 264
 	for _, gateways := range []int{1, 4, 6, 24, 100} {
 		if all := gateways * idleShare(most, gateways); all > most/idlePart {
-			t.Errorf("%d gateways keep %d connections", gateways, all)
+			t.Errorf("%d gateways keep %d idle connections", gateways, all)
 		}
 	}
 	if idleShare(most, 400) != 1 || idleShare(0, 400) != 0 {
-		t.Error("a gateway keeps one connection, or as many as it likes where endpoints do not say")
+		t.Error("idleShare must be at least 1, and 0 (no bound) if the endpoint sets no maximum")
 	}
 }
 
-// TestQuestionsKeepTheLimit: gateways ask an endpoint that fails requests about itself several times a second, two of them each for
-// its own. One in need got 28 questions in four seconds where it tolerates 8. While it has a limit, a question needs a grant as a request does.
-func TestQuestionsKeepTheLimit(t *testing.T) {
+// TestHealthQueriesKeepTheLimit: two gateways query a failing endpoint several times a second, each
+// on its own. A limited endpoint got 28 queries in four seconds where it tolerates 8. While an
+// endpoint has a limit, a query needs a grant as a request does.
+func TestHealthQueriesKeepTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLimitFleet(t, 6, 1)
 		time.Sleep(2 * time.Second)
-		f.name("0.5", 0)
+		f.setLimit("0.5", 0)
 		f.send(t.Context(), 0, 500)
 		time.Sleep(time.Second)
 		from := time.Now()
@@ -387,47 +395,48 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		t.Logf("%d questions in the worst four seconds, %d in ten", f.worst(0, from), f.since(0, from))
-		is.True(float64(f.worst(0, from)) <= 1.5*4*0.5+5)
-		is.True(f.since(0, from) >= 3) // it is still asked
+		t.Logf("%d queries in the worst four seconds, %d in ten seconds", f.maxInFourSeconds(0, from), f.requestsSince(0, from))
+		is.True(float64(f.maxInFourSeconds(0, from)) <= 1.5*4*0.5+5)
+		is.True(f.requestsSince(0, from) >= 3) // it is still queried
 	})
 }
 
-// TestLimitsInSeveralCells: each cell grants for its own engines. All of them limited, nearly all that they take is served; a third
-// of one cell's limited, nobody is refused and no other cell sends there.
+// TestLimitsInSeveralCells: each cell grants for its own engines. If all engines are limited,
+// nearly all that the limits permit is used. If a third of one cell's engines are limited, no
+// caller is refused and no other cell sends to them.
 func TestLimitsInSeveralCells(t *testing.T) {
 	cases := map[string]struct {
 		limited   []int
 		perSecond int
-		least     float64 // of the limits that is used
+		minUsed   float64 // least used part of the limits
 	}{
-		"all":               {engines(150), 300, 0.9},
+		"all":               {engineIndexes(150), 300, 0.9},
 		"a third of a cell": {[]int{0, 5, 10, 15, 20, 25, 30, 35, 40, 45}, 100, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newLimitCells(t, 5, 20, 150)
+				f := newLimitFleetInCells(t, 5, 20, 150)
 				time.Sleep(3 * time.Second)
-				f.name("1", tc.limited...)
-				turn := func(n int) int { return n % 20 }
-				f.load(t, tc.perSecond, 5*time.Second, turn)
+				f.setLimit("1", tc.limited...)
+				roundRobin := func(n int) int { return n % 20 }
+				f.sendLoad(t, tc.perSecond, 5*time.Second, roundRobin)
 				from := time.Now()
 				f.mu.Lock()
-				f.refused = nil
+				f.refusalTimes = nil
 				f.mu.Unlock()
-				f.load(t, tc.perSecond, 8*time.Second, turn)
+				f.sendLoad(t, tc.perSecond, 8*time.Second, roundRobin)
 				got := 0
 				for _, e := range tc.limited {
-					got += f.since(e, from)
-					is.True(f.worst(e, from) <= 1.5*4+5)
+					got += f.requestsSince(e, from)
+					is.True(f.maxInFourSeconds(e, from) <= 1.5*4+5)
 				}
 				used := float64(got) / float64(len(tc.limited)*8)
-				t.Logf("%.2f of the limits used, %d refused", used, len(f.refused))
-				is.True(used >= tc.least)
-				if tc.least == 0 {
-					is.Equal(len(f.refused), 0)
+				t.Logf("%.2f of the limits used, %d refused", used, len(f.refusalTimes))
+				is.True(used >= tc.minUsed)
+				if tc.minUsed == 0 {
+					is.Equal(len(f.refusalTimes), 0)
 				}
 			})
 		})
--- a/relay/limitharness_test.go
+++ b/relay/limitharness_test.go
@@ -14,37 +14,37 @@
 	"time"
 )
 
-// limitFleet is a fleet under virtual time whose engines may name limits.
+// limitFleet is a fleet in virtual time whose engines may announce rate limits.
 type limitFleet struct {
 	*testFleet
-	mu       sync.Mutex
-	limits   map[string]string // by address
-	lines    map[string]string // more of the heads of answers, by address
-	statuses map[string]string // of answers, by address; empty: 200
-	arrivals map[string][]time.Time
-	took     time.Duration   // that engines take for an answer
-	dialed   func()          // called for each connection; nil: nothing
-	silent   map[string]bool // gateways that answer no questions of others
-	answered int
-	refused  []time.Duration // how long each refusal took
-	told     []string        // times to come back, of the refusals
+	mu           sync.Mutex
+	limits       map[string]string // by address
+	extraHeaders map[string]string // additional header lines of answers, by address
+	statuses     map[string]string // of answers, by address; 200 if empty
+	arrivals     map[string][]time.Time
+	answerTime   time.Duration   // time that engines take to answer
+	onDial       func()          // called for each connection; nil if not needed
+	silent       map[string]bool // gateways that do not answer grant requests
+	answered     int
+	refusalTimes []time.Duration // time that each refusal took
+	retryAfters  []string        // Retry-After times of the refusals
 }
 
 func newLimitFleet(t *testing.T, gateways, engines int) *limitFleet {
-	return newLimitCells(t, 1, gateways, engines)
+	return newLimitFleetInCells(t, 1, gateways, engines)
 }
 
-func newLimitCells(t *testing.T, dataCentres, gateways, engines int) *limitFleet {
-	f := &limitFleet{testFleet: newFleet(t, dataCentres, gateways, engines), limits: make(map[string]string), lines: make(map[string]string), statuses: make(map[string]string), arrivals: make(map[string][]time.Time), silent: make(map[string]bool)}
+func newLimitFleetInCells(t *testing.T, dataCentres, gateways, engines int) *limitFleet {
+	f := &limitFleet{testFleet: newFleet(t, dataCentres, gateways, engines), limits: make(map[string]string), extraHeaders: make(map[string]string), statuses: make(map[string]string), arrivals: make(map[string][]time.Time), silent: make(map[string]bool)}
 	f.connect = f.dialEngine
 	for _, g := range f.gateways {
-		g.askCoordinator = f.question
+		g.askCoordinator = f.askCoordinator
 	}
 	return f
 }
 
-// question carries a question to another gateway.
-func (f *limitFleet) question(ctx context.Context, name string, q grantQuestion) (grantAnswer, error) {
+// askCoordinator sends a grant request to another gateway.
+func (f *limitFleet) askCoordinator(ctx context.Context, name string, q grantQuestion) (grantAnswer, error) {
 	time.Sleep(nearDelay)
 	defer time.Sleep(nearDelay)
 	f.mu.Lock()
@@ -55,13 +55,13 @@
 		return grantAnswer{}, ctx.Err()
 	}
 	i := slices.IndexFunc(f.gateways, func(g *Gateway) bool { return g.config.Name == name })
-	return f.gateways[i].keepQuestion(ctx, q)
+	return f.gateways[i].decideGrant(ctx, q)
 }
 
-// dialEngine connects to an engine that answers at once and names its limit.
+// dialEngine connects to an engine that answers with the configured headers and limit.
 func (f *limitFleet) dialEngine(_ int, address string) (net.Conn, error) {
-	if f.dialed != nil {
-		f.dialed()
+	if f.onDial != nil {
+		f.onDial()
 	}
 	near, far := net.Pipe()
 	go func() {
@@ -75,14 +75,14 @@
 			f.arrivals[address] = append(f.arrivals[address], time.Now())
 			limit := f.limits[address]
 			f.mu.Unlock()
-			time.Sleep(f.took)
+			time.Sleep(f.answerTime)
 			f.mu.Lock()
-			line, status := f.lines[address], cmp.Or(f.statuses[address], "200 OK")
+			headers, status := f.extraHeaders[address], cmp.Or(f.statuses[address], "200 OK")
 			f.mu.Unlock()
 			if limit != "" {
-				line += "Limit: " + limit + "\r\n"
+				headers += "Limit: " + limit + "\r\n"
 			}
-			if _, err := fmt.Fprintf(far, "HTTP/1.1 %s\r\nPace: 1\r\n%sContent-Length: 0\r\n\r\n", status, line); err != nil {
+			if _, err := fmt.Fprintf(far, "HTTP/1.1 %s\r\nPace: 1\r\n%sContent-Length: 0\r\n\r\n", status, headers); err != nil {
 				return
 			}
 		}
@@ -90,8 +90,8 @@
 	return near, nil
 }
 
-// name makes engines name a limit from now on; empty: none.
-func (f *limitFleet) name(limit string, engines ...int) {
+// setLimit makes engines announce a limit from now on; empty means none.
+func (f *limitFleet) setLimit(limit string, engines ...int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range engines {
@@ -99,30 +99,31 @@
 	}
 }
 
-// answer sets the status of engines' answers, empty for 200, and more lines of their heads.
-func (f *limitFleet) answer(status, lines string, engines ...int) {
+// setAnswer sets the status of engines' answers, empty for 200, and additional header lines.
+func (f *limitFleet) setAnswer(status, headers string, engines ...int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range engines {
-		f.statuses[addressOf(e)], f.lines[addressOf(e)] = status, lines
+		f.statuses[addressOf(e)], f.extraHeaders[addressOf(e)] = status, headers
 	}
 }
 
-// since returns how many requests an engine got since a time.
-func (f *limitFleet) since(engine int, at time.Time) int {
+// requestsSince returns how many requests an engine got since a time.
+func (f *limitFleet) requestsSince(engine int, since time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
 	for _, a := range f.arrivals[addressOf(engine)] {
-		if !a.Before(at) {
+		if !a.Before(since) {
 			n++
 		}
 	}
 	return n
 }
 
-// worst returns the most requests that an engine got in four seconds since a time.
-func (f *limitFleet) worst(engine int, since time.Time) int {
+// maxInFourSeconds returns the largest number of requests that an engine got in any four seconds
+// since a time.
+func (f *limitFleet) maxInFourSeconds(engine int, since time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := f.arrivals[addressOf(engine)]
@@ -149,7 +150,7 @@
 	return r
 }
 
-// exchange returns a caller's request at a gateway that has not been placed yet, and where its answer goes.
+// exchange returns a caller's request at a gateway, not yet placed, and the recorder of its answer.
 func (f *limitFleet) exchange(ctx context.Context, gateway, tokens int) (*exchange, *httptest.ResponseRecorder) {
 	began := time.Now()
 	w := httptest.NewRecorder()
@@ -159,7 +160,7 @@
 	}, w
 }
 
-// send plays a caller's request at a gateway as ServeHTTP does.
+// send runs a caller's request at a gateway as ServeHTTP does.
 func (f *limitFleet) send(ctx context.Context, gateway, tokens int) outcome {
 	x, w := f.exchange(ctx, gateway, tokens)
 	began := time.Now()
@@ -167,25 +168,25 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w.Code == http.StatusServiceUnavailable {
-		f.refused = append(f.refused, time.Since(began))
-		f.told = append(f.told, w.Header().Get("Retry-After"))
+		f.refusalTimes = append(f.refusalTimes, time.Since(began))
+		f.retryAfters = append(f.retryAfters, w.Header().Get("Retry-After"))
 	} else {
 		f.answered++
 	}
 	return o
 }
 
-// load sends short requests at gateways in turn, so many times a second, for so long.
-func (f *limitFleet) load(t *testing.T, perSecond int, length time.Duration, at func(n int) int) {
+// sendLoad sends short requests at a constant rate to the gateways that gateway selects.
+func (f *limitFleet) sendLoad(t *testing.T, perSecond int, length time.Duration, gateway func(n int) int) {
 	var all sync.WaitGroup
 	for n := range int(length.Seconds() * float64(perSecond)) {
-		all.Go(func() { f.send(t.Context(), at(n), 500) })
+		all.Go(func() { f.send(t.Context(), gateway(n), 500) })
 		time.Sleep(time.Second / time.Duration(perSecond))
 	}
 	all.Wait()
 }
 
-func engines(n int) []int {
+func engineIndexes(n int) []int {
 	out := make([]int, n)
 	for i := range out {
 		out[i] = i
--- a/relay/members.go
+++ b/relay/members.go
@@ -12,158 +12,165 @@
 )
 
 const (
-	// returnTime is how long after the store's return an endpoint whose entry
-	// lapsed may still come back; the platform says about two seconds.
-	returnTime = 2 * time.Second
-	// massLapseTime is how long that suspicion keeps endpoints: half of the time
-	// within which one that left must get no more requests.
-	massLapseTime = time.Second
-	// massLapse is the part of a service's endpoints that has to be missing
-	// from one list for the store to be suspected instead of the endpoints.
-	massLapse = 0.5
-	// staleEntryTime is how long after the store came back from an older copy an entry in it may
-	// be of an endpoint that had gone: until three heartbeats of 1.2 s were missed, and some.
-	staleEntryTime = 6 * time.Second
-	// departedFor is how long an endpoint that left is remembered. Copies are seconds old.
-	departedFor = 10 * time.Minute
-	// lastResortTime is how long after an endpoint has said that it leaves it still gets requests that no other one could take:
-	// half of the time within which one that leaves must get no more requests.
-	lastResortTime = time.Second
+	// returnWindow is how long after the store's return an endpoint whose entry lapsed may still
+	// come back; the platform documents about two seconds.
+	returnWindow = 2 * time.Second
+	// massLapseWindow is how long endpoints are kept while the store is suspected, see
+	// massLapseRatio: half of the time within which an endpoint that left must get no more
+	// requests.
+	massLapseWindow = time.Second
+	// massLapseRatio is the part of a service's endpoints that has to be missing from one list for
+	// the store to be suspected rather than the endpoints.
+	massLapseRatio = 0.5
+	// staleEntryWindow is how long after a restore of the store from an older copy an entry may
+	// belong to an endpoint that is gone: three missed heartbeats of 1.2 s plus a margin.
+	staleEntryWindow = 6 * time.Second
+	// departedRetention is how long a departed endpoint is remembered. Copies of the store are
+	// seconds old.
+	departedRetention = 10 * time.Minute
+	// lastResortWindow is how long after an endpoint has announced its drain it still gets requests
+	// that no other endpoint could take: half of the time within which a draining endpoint must get
+	// no more requests.
+	lastResortWindow = time.Second
 )
 
-// MemberChange is a change of what is believed of an endpoint.
-type MemberChange struct {
+// EndpointChange is a change of the known state of an endpoint.
+type EndpointChange struct {
 	Endpoint catalog.Endpoint
 	Kind     ChangeKind
-	// Source is who said so: the store's list, an answer of the endpoint, or the name of a gateway.
+	// Source is where the change was reported: the store's list, an answer of the endpoint, or a
+	// gateway, given by name.
 	Source string
 }
 
-// ChangeKind says what changed, as it stands in logs.
+// ChangeKind is the kind of a change, as written to logs.
 type ChangeKind string
 
-// The changes.
+// The kinds of changes.
 const (
 	changeNew       ChangeKind = "new"
-	changeDraining  ChangeKind = "draining"  // it takes no new requests any more
-	changeMissing   ChangeKind = "missing"   // its entry lapsed, perhaps with the store
+	changeDraining  ChangeKind = "draining"  // it takes no new requests
+	changeMissing   ChangeKind = "missing"   // its entry lapsed, perhaps because of the store
 	changeGone      ChangeKind = "gone"      // it gets no more requests
-	changeRestarted ChangeKind = "restarted" // under the same ID; it holds nothing of before
+	changeRestarted ChangeKind = "restarted" // under the same ID; state from before the restart is lost
 )
 
-// members decides from the store's list, and from what endpoints say of themselves, which
-// of them take new requests. It is pure: times are arguments.
-type members struct {
-	known   map[string]catalog.Endpoint // Draining is set whoever said so
-	leaves  *availability.Leaves
-	missing map[string]time.Time // entries that lapsed, and when that was seen
-	// departed are endpoints that were known and are gone. An older copy of the store may name
+// endpointSet decides, from the store's list and from the statements of endpoints, which endpoints
+// take new requests. It is pure: times are arguments.
+type endpointSet struct {
+	known        map[string]catalog.Endpoint // Draining is set whatever the source
+	drains       *availability.Leaves
+	missingSince map[string]time.Time // entries that lapsed, and when that was noticed
+	// departed holds endpoints that were known and are gone. An older copy of the store may list
 	// them again.
-	departed map[string]departure
-	listSent time.Time // when the read of the list before was sent; zero: long ago
-	// restored is when the store was seen to have come back from an older copy; zero: never.
-	restored time.Time
-	order    map[string][]catalog.Endpoint
+	departed   map[string]departure
+	listSentAt time.Time // when the read of the previous list was sent; zero means long ago
+	// restoredAt is when it was noticed that the store had been restored from an older copy; zero
+	// means never.
+	restoredAt      time.Time
+	usableByService map[string][]catalog.Endpoint
 	// services are those of the configuration in force; empty before one is known.
-	services []string
-	cells    cell.Map
-	inCell   map[string]map[string][]catalog.Endpoint // by service and cell
+	services     []string
+	cells        cell.Map
+	usableByCell map[string]map[string][]catalog.Endpoint // by service and cell
 }
 
-// departure is how an endpoint left.
+// departure is an endpoint that left, with the time.
 type departure struct {
 	endpoint catalog.Endpoint
 	at       time.Time
 }
 
-func newMembers() *members {
-	return &members{
-		leaves:   availability.NewLeaves(),
-		known:    make(map[string]catalog.Endpoint),
-		missing:  make(map[string]time.Time),
-		departed: make(map[string]departure),
-		order:    make(map[string][]catalog.Endpoint),
+func newEndpointSet() *endpointSet {
+	return &endpointSet{
+		drains:          availability.NewLeaves(),
+		known:           make(map[string]catalog.Endpoint),
+		missingSince:    make(map[string]time.Time),
+		departed:        make(map[string]departure),
+		usableByService: make(map[string][]catalog.Endpoint),
 	}
 }
 
-// listed takes in a list that was read at now. An entry that disappeared while
-// the store could be read means that the endpoint has left; one that lapsed
-// with the store may come back within returnTime. An entry that turned unreadable
-// is not in the list and counts as one that disappeared: it names nothing to send to.
-// The endpoint keeps what it works on and comes back with the entry that it writes next.
-func (m *members) listed(list []catalog.Endpoint, now, storeFailed time.Time) []MemberChange {
-	var changes []MemberChange
+// applyList applies a list that was read at now. An entry that disappeared while the store could be
+// read means that the endpoint has left; an entry that lapsed with the store may come back within
+// returnWindow. An entry that became unreadable is not in the list and counts as one that
+// disappeared, since it gives no address to send to. Its endpoint keeps the requests that it works
+// on and comes back with the next entry that it writes.
+func (m *endpointSet) applyList(list []catalog.Endpoint, now, storeFailed time.Time) []EndpointChange {
+	var changes []EndpointChange
 	present := make(map[string]bool, len(list))
 	for _, e := range list {
 		if m.isStale(e, now) {
 			continue
 		}
 		present[e.ID] = true
-		delete(m.missing, e.ID)
+		delete(m.missingSince, e.ID)
 		old, ok := m.known[e.ID]
 		if old.RestartedAs(e) {
-			m.leaves.Restarted(e, m.earlierLifeListed(now), now)
+			m.drains.Restarted(e, m.previousIncarnationListedAt(now), now)
 		}
 		if e.Draining {
-			m.leaves.Take(e, availability.FromStore, now)
+			m.drains.Take(e, availability.FromStore, now)
 		}
-		_, e.Draining = m.leaves.Of(e)
+		_, e.Draining = m.drains.Of(e)
 		switch {
 		case !ok:
-			changes = append(changes, MemberChange{e, changeNew, availability.FromStore})
+			changes = append(changes, EndpointChange{e, changeNew, availability.FromStore})
 		case old.RestartedAs(e):
-			changes = append(changes, MemberChange{e, changeRestarted, availability.FromStore})
+			changes = append(changes, EndpointChange{e, changeRestarted, availability.FromStore})
 		case e.Draining && !old.Draining:
-			changes = append(changes, MemberChange{e, changeDraining, availability.FromStore})
+			changes = append(changes, EndpointChange{e, changeDraining, availability.FromStore})
 		}
 		m.known[e.ID] = e
 	}
 	m.forgetDeparted(now)
-	m.leaves.Expire(func(id string) (catalog.Endpoint, bool) { return m.known[id], present[id] }, now)
+	m.drains.Expire(func(id string) (catalog.Endpoint, bool) { return m.known[id], present[id] }, now)
 	lapsed := m.massLapsed(present)
 	for id, e := range m.known {
 		if present[id] {
 			continue
 		}
-		since, seen := m.missing[id]
+		since, seen := m.missingSince[id]
 		if !seen {
 			since = now
 		}
 		if !e.Draining && m.mayReturn(since, now, storeFailed, lapsed[e.Service]) {
 			if !seen {
-				m.missing[id] = now
-				changes = append(changes, MemberChange{e, changeMissing, availability.FromStore})
+				m.missingSince[id] = now
+				changes = append(changes, EndpointChange{e, changeMissing, availability.FromStore})
 			}
 			continue
 		}
 		delete(m.known, id)
-		delete(m.missing, id)
+		delete(m.missingSince, id)
 		m.departed[id] = departure{e, now}
-		changes = append(changes, MemberChange{e, changeGone, availability.FromStore})
+		changes = append(changes, EndpointChange{e, changeGone, availability.FromStore})
 	}
 	m.sort()
 	return changes
 }
 
-// readsOldCopy reports whether lists may still come from an older copy of the store, and name lives of before.
-func (m *members) readsOldCopy(now time.Time) bool {
-	return !m.restored.IsZero() && now.Sub(m.restored) <= staleEntryTime
+// mayReadOldCopy reports whether lists may still come from an older copy of the store and contain
+// earlier incarnations.
+func (m *endpointSet) mayReadOldCopy(now time.Time) bool {
+	return !m.restoredAt.IsZero() && now.Sub(m.restoredAt) <= staleEntryWindow
 }
 
-// earlierLifeListed returns when the life before was certainly the one that runs; zero: that is not known, since it may run again in
-// a list of an older copy.
-func (m *members) earlierLifeListed(now time.Time) time.Time {
-	if m.readsOldCopy(now) {
+// previousLifeListedAt returns when the previous incarnation was certainly the running one; zero if
+// that is not known, since a list from an older copy may contain it again.
+func (m *endpointSet) previousIncarnationListedAt(now time.Time) time.Time {
+	if m.mayReadOldCopy(now) {
 		return time.Time{}
 	}
-	return m.listSent
+	return m.listSentAt
 }
 
-// takeBack takes in an answer of an endpoint whose leave is doubted, and that does not say that it leaves. It reports whether it takes requests now.
-func (m *members) takeBack(e catalog.Endpoint) bool {
-	m.leaves.TakeBack(e)
+// clearDoubtedDrain records an answer without a drain statement of an endpoint whose drain is in
+// doubt. It reports whether the endpoint takes requests again.
+func (m *endpointSet) clearDoubtedDrain(e catalog.Endpoint) bool {
+	m.drains.TakeBack(e)
 	known, ok := m.known[e.ID]
-	if _, leaves := m.leaves.Of(known); !ok || leaves || !known.Draining {
+	if _, leaves := m.drains.Of(known); !ok || leaves || !known.Draining {
 		return false
 	}
 	known.Draining = false
@@ -172,12 +179,12 @@
 	return true
 }
 
-// left takes in that somebody other than the store says of an endpoint that it leaves. It reports whether that is news, and returns the
-// change where the endpoint is known.
-func (m *members) left(e catalog.Endpoint, source string, now time.Time) (news bool, changes []MemberChange) {
+// markDraining records that a source other than the store reports an endpoint as draining. It
+// reports whether that is new, and returns the change if the endpoint is known.
+func (m *endpointSet) markDraining(e catalog.Endpoint, source string, now time.Time) (isNew bool, changes []EndpointChange) {
 	known, ok := m.known[e.ID]
-	if ok && known.RestartedAs(e) || !m.leaves.Take(e, source, now) {
-		return false, nil // an earlier life, or a later one that says so again
+	if ok && known.RestartedAs(e) || !m.drains.Take(e, source, now) {
+		return false, nil // an earlier incarnation, or a repeated report
 	}
 	if !ok || known.Draining {
 		return true, nil
@@ -185,14 +192,15 @@
 	known.Draining = true
 	m.known[e.ID] = known
 	m.sort()
-	return true, []MemberChange{{known, changeDraining, source}}
+	return true, []EndpointChange{{known, changeDraining, source}}
 }
 
-// lastResort returns the endpoints of a service by cell that have said not long ago that they leave. They still take requests while no other one does.
-func (m *members) lastResort(service string, now time.Time) map[string][]catalog.Endpoint {
+// lastResort returns the endpoints of a service, by cell, that announced their drain recently. They
+// still take requests while no other endpoint does.
+func (m *endpointSet) lastResort(service string, now time.Time) map[string][]catalog.Endpoint {
 	var out map[string][]catalog.Endpoint
 	for _, e := range m.known {
-		if e.Service != service || !m.leftLately(e, now) {
+		if e.Service != service || !m.recentlyDraining(e, now) {
 			continue
 		}
 		if out == nil {
@@ -204,55 +212,56 @@
 	return out
 }
 
-func (m *members) leftLately(e catalog.Endpoint, now time.Time) bool {
-	leave, ok := m.leaves.Of(e)
-	return ok && now.Sub(leave.Since) < lastResortTime
+func (m *endpointSet) recentlyDraining(e catalog.Endpoint, now time.Time) bool {
+	leave, ok := m.drains.Of(e)
+	return ok && now.Sub(leave.Since) < lastResortWindow
 }
 
-// isStale reports whether an entry is that of an endpoint which has left, in a store that came
-// back from an older copy. One that had said so never comes back in the same life. One whose entry had
-// only disappeared may: it counts again when its entry outlives the heartbeats that it misses.
-func (m *members) isStale(e catalog.Endpoint, now time.Time) bool {
+// isStale reports whether an entry in a store that was restored from an older copy belongs to an
+// endpoint that has left. An endpoint that had announced its drain never comes back in the same
+// incarnation. One whose entry had only disappeared may: it counts again once its entry outlives
+// the heartbeats that a departed endpoint would miss.
+func (m *endpointSet) isStale(e catalog.Endpoint, now time.Time) bool {
 	left, ok := m.departed[e.ID]
 	if !ok {
 		return false
 	}
-	if left.endpoint.RestartedAs(e) || now.Sub(left.at) > departedFor {
+	if left.endpoint.RestartedAs(e) || now.Sub(left.at) > departedRetention {
 		delete(m.departed, e.ID)
 		return false
 	}
 	if left.endpoint.Draining {
 		return true
 	}
-	if left.at.Before(m.restored) && now.Sub(m.restored) < staleEntryTime {
+	if left.at.Before(m.restoredAt) && now.Sub(m.restoredAt) < staleEntryWindow {
 		return true
 	}
 	delete(m.departed, e.ID)
 	return false
 }
 
-// mayReturn reports whether an endpoint that is missing since then may have
-// lapsed with the store, or be missing in an older copy of it, and come back.
-func (m *members) mayReturn(since, now, storeFailed time.Time, massLapsed bool) bool {
-	for _, away := range []time.Time{storeFailed, m.restored} {
-		if !away.IsZero() && now.Sub(away) < returnTime {
+// mayReturn reports whether an endpoint that has been missing since that time may come back,
+// because its entry lapsed with the store or is missing in an older copy of it.
+func (m *endpointSet) mayReturn(since, now, storeFailed time.Time, massLapsed bool) bool {
+	for _, unavailableAt := range []time.Time{storeFailed, m.restoredAt} {
+		if !unavailableAt.IsZero() && now.Sub(unavailableAt) < returnWindow {
 			return true
 		}
 	}
-	return massLapsed && now.Sub(since) < massLapseTime
+	return massLapsed && now.Sub(since) < massLapseWindow
 }
 
-// forgetDeparted drops endpoints that left so long ago that no copy names them.
-func (m *members) forgetDeparted(now time.Time) {
+// forgetDeparted drops endpoints that left so long ago that no copy contains them.
+func (m *endpointSet) forgetDeparted(now time.Time) {
 	for id, left := range m.departed {
-		if now.Sub(left.at) > departedFor {
+		if now.Sub(left.at) > departedRetention {
 			delete(m.departed, id)
 		}
 	}
 }
 
 // massLapsed returns the services of which most endpoints are missing at once.
-func (m *members) massLapsed(present map[string]bool) map[string]bool {
+func (m *endpointSet) massLapsed(present map[string]bool) map[string]bool {
 	all, missing := make(map[string]int), make(map[string]int)
 	for id, e := range m.known {
 		all[e.Service]++
@@ -262,37 +271,37 @@
 	}
 	out := make(map[string]bool)
 	for service, n := range missing {
-		out[service] = n > 1 && float64(n) >= massLapse*float64(all[service])
+		out[service] = n > 1 && float64(n) >= massLapseRatio*float64(all[service])
 	}
 	return out
 }
 
-// sort puts the endpoints in an order that every gateway shares.
-func (m *members) sort() {
-	m.order = make(map[string][]catalog.Endpoint)
+// sort orders the endpoints in the same way at every gateway.
+func (m *endpointSet) sort() {
+	m.usableByService = make(map[string][]catalog.Endpoint)
 	for _, e := range m.known {
 		if !e.Draining {
-			m.order[e.Service] = append(m.order[e.Service], e)
+			m.usableByService[e.Service] = append(m.usableByService[e.Service], e)
 		}
 	}
-	for _, list := range m.order {
+	for _, list := range m.usableByService {
 		slices.SortFunc(list, func(a, b catalog.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	}
-	m.group()
+	m.groupCells()
 }
 
-// group sets the cells by the data centres of the service that has the most endpoints, of
-// those that are configured where any is: whoever writes entries of other services must not
-// move the cells.
-func (m *members) group() {
+// groupCells derives the cells from the data centres of the service with the most endpoints. If any
+// configured service has endpoints, only configured ones count, so that entries of other services
+// cannot change the cells.
+func (m *endpointSet) groupCells() {
 	var most []catalog.Endpoint
-	known := slices.ContainsFunc(m.services, func(name string) bool { return len(m.order[name]) > 0 })
-	for _, service := range slices.Sorted(maps.Keys(m.order)) {
+	known := slices.ContainsFunc(m.services, func(name string) bool { return len(m.usableByService[name]) > 0 })
+	for _, service := range slices.Sorted(maps.Keys(m.usableByService)) {
 		if known && !slices.Contains(m.services, service) {
 			continue
 		}
-		if len(m.order[service]) > len(most) {
-			most = m.order[service]
+		if len(m.usableByService[service]) > len(most) {
+			most = m.usableByService[service]
 		}
 	}
 	count := make(map[string]int)
@@ -300,26 +309,26 @@
 		count[e.DataCentre]++
 	}
 	m.cells = cell.Group(count)
-	m.inCell = make(map[string]map[string][]catalog.Endpoint, len(m.order))
-	for service, list := range m.order {
+	m.usableByCell = make(map[string]map[string][]catalog.Endpoint, len(m.usableByService))
+	for service, list := range m.usableByService {
 		cells := make(map[string][]catalog.Endpoint)
 		for _, e := range list {
 			name := m.cells.Of(e.DataCentre)
 			cells[name] = append(cells[name], e)
 		}
-		m.inCell[service] = cells
+		m.usableByCell[service] = cells
 	}
 }
 
-func (m *members) usable(service string) []catalog.Endpoint { return m.order[service] }
+func (m *endpointSet) usable(service string) []catalog.Endpoint { return m.usableByService[service] }
 
-func (m *members) endpoint(id string) (catalog.Endpoint, bool) {
+func (m *endpointSet) endpoint(id string) (catalog.Endpoint, bool) {
 	e, ok := m.known[id]
 	return e, ok && !e.Draining
 }
 
-// takes reports whether a request may be sent to an endpoint now.
-func (m *members) takes(id string, now time.Time) bool {
+// acceptsRequests reports whether a request may be sent to an endpoint now.
+func (m *endpointSet) acceptsRequests(id string, now time.Time) bool {
 	e, ok := m.known[id]
-	return ok && (!e.Draining || len(m.order[e.Service]) == 0 && m.leftLately(e, now))
+	return ok && (!e.Draining || len(m.usableByService[e.Service]) == 0 && m.recentlyDraining(e, now))
 }
--- a/relay/picker.go
+++ b/relay/picker.go
@@ -14,119 +14,120 @@
 	"github.com/micarudder/micarudder/peers"
 )
 
-// picker holds what the choice of an endpoint is made on. Its methods may be
-// called concurrently.
+// picker holds the state that endpoint selection is based on. Its methods may be called
+// concurrently.
 type picker struct {
 	self       string // name of this gateway
-	dataCentre string // that it stands in
+	dataCentre string // data centre of this gateway
 	state      *State
 	policy     balance.Policy
 	window     limits.WindowConfig
-	urgent     chan struct{} // asks for a word to the peers soon
+	urgent     chan struct{} // requests an early message to the peers
 
-	mu      sync.Mutex
-	book    *balance.Book
-	turns   *balance.Turns
-	health  *health.Table
-	budgets map[string]*limits.Window // by service
-	changed chan struct{}             // closed when load was taken off
-	// fleet is how many gateways there are, as far as this one knows.
-	fleet int
-	// knowsFleet is when this gateway can be expected to know that.
-	knowsFleet time.Time
-	others     map[string]otherCell // by name
-	limits     *endpointLimits      // has its own lock
+	mu           sync.Mutex
+	book         *balance.Book
+	turns        *balance.Turns
+	health       *health.Table
+	retryBudgets map[string]*limits.Window // by service
+	loadChanged  chan struct{}             // closed when load is released
+	// fleetSize is the number of gateways known to this one.
+	fleetSize int
+	// knowsFleet is the time from which fleetSize can be relied on.
+	knowsFleet  time.Time
+	remoteCells map[string]remoteCell // by cell name
+	limits      *endpointLimits       // has its own lock
 }
 
-// otherCell is what the newest digest of another cell says beside its load.
-type otherCell struct {
-	dataCentre string // where it was made
-	gateways   int    // that the cell has
-	short      bool   // whether the cell has no endpoints to spare
+// remoteCell is what the newest digest of another cell reports besides its load.
+type remoteCell struct {
+	dataCentre string // where the digest was made
+	gateways   int    // number of gateways in the cell
+	noSpare    bool   // whether the cell has no endpoints to spare
 }
 
 func newPicker(self, dataCentre string, state *State, policy balance.Policy, window limits.WindowConfig) *picker {
 	return &picker{
 		self: self, dataCentre: dataCentre, state: state, policy: policy, window: window, urgent: make(chan struct{}, 1),
 		book: balance.NewBook(), turns: balance.NewTurns(), health: health.NewTable(),
-		budgets: make(map[string]*limits.Window), changed: make(chan struct{}),
-		others: make(map[string]otherCell), limits: newEndpointLimits(self),
+		retryBudgets: make(map[string]*limits.Window), loadChanged: make(chan struct{}),
+		remoteCells: make(map[string]remoteCell), limits: newEndpointLimits(self),
 	}
 }
 
-// place is where a request was put; its load counts until it is released.
+// place is the placement of a request on endpoints. Its load counts until it is released.
 type place struct {
 	picker   *picker
 	endpoint catalog.Endpoint
 	helpers  []catalog.Endpoint
 	reserve  []wantedMemory
-	memory   *reservations // set aside for the send; nil: none
-	grant    *grant        // to send to an endpoint with a limit; nil: none
+	memory   *reservations // reserved for the send; nil if none
+	grant    *grant        // permits a send to an endpoint with a limit; nil if none
 	send     availability.Send
-	before   balance.Load // at the endpoint, before this request
+	before   balance.Load // load of the endpoint before this request
 	chosen   time.Time
-	pace     float64 // of the slowest of the endpoints, as it was known then
-	// candidates is how many endpoints there were to choose among.
+	pace     float64 // of the slowest of the endpoints, as known when the choice was made
+	// candidates is the number of endpoints that were considered.
 	candidates int
-	remote     int // endpoints of other cells that work on the request
+	remote     int // number of endpoints of other cells that work on the request
 	expected   balance.Expected
 	loads      []*placedLoad
 }
 
-// wantedMemory is memory that has to be set aside before a send.
+// wantedMemory is memory that has to be reserved before a send.
 type wantedMemory struct {
 	endpoint catalog.Endpoint
 	tokens   int
 }
 
 type placedLoad struct {
-	endpoint string
-	load     balance.Load
-	read     bool
-	timer    *time.Timer // ends the reading of a part; may be nil
+	endpoint    string
+	load        balance.Load
+	prefillDone bool
+	timer       *time.Timer // ends the prefill of a part; may be nil
 }
 
-// pickOutcome is what came of a choice.
+// pickOutcome is the result of a choice.
 type pickOutcome uint8
 
 const (
 	picked   pickOutcome = iota
 	pickNone             // there is no endpoint
-	pickWait             // it is better to ask again soon
-	pickFull             // the caller had better come back later
+	pickWait             // it is better to try again soon
+	pickFull             // the caller should retry later
 )
 
-// put counts the load of a choice; nil: its endpoint takes no more requests at the moment. The caller holds the lock.
-func (p *picker) put(at found, now time.Time) *place {
-	c := at.choice
-	send, ok := p.state.BeginSend(at.endpoints[c.Endpoint].ID, now)
+// assign counts the load of a choice. It returns nil if the endpoint takes no more requests at the
+// moment. The caller holds the lock.
+func (p *picker) assign(res searchResult, now time.Time) *place {
+	c := res.choice
+	send, ok := p.state.BeginSend(res.endpoints[c.Endpoint].ID, now)
 	if !ok {
 		return nil
 	}
 	chosen := &place{
-		picker: p, endpoint: at.endpoints[c.Endpoint], before: at.candidates[c.Endpoint].Load, send: send,
-		candidates: len(at.candidates), expected: c.Expected, chosen: time.Now(),
+		picker: p, endpoint: res.endpoints[c.Endpoint], before: res.candidates[c.Endpoint].Load, send: send,
+		candidates: len(res.candidates), expected: c.Expected, chosen: time.Now(),
 	}
 	for _, i := range c.Helpers {
-		chosen.helpers = append(chosen.helpers, at.endpoints[i])
+		chosen.helpers = append(chosen.helpers, res.endpoints[i])
 	}
 	for _, r := range c.Reserve {
-		chosen.reserve = append(chosen.reserve, wantedMemory{at.endpoints[r.Candidate], r.Tokens})
+		chosen.reserve = append(chosen.reserve, wantedMemory{res.endpoints[r.Candidate], r.Tokens})
 	}
 	for _, l := range c.Loads {
-		if at.candidates[l.Candidate].Remote {
+		if res.candidates[l.Candidate].Remote {
 			chosen.remote++
 		}
-		chosen.pace = max(chosen.pace, at.candidates[l.Candidate].Pace)
-		id := at.endpoints[l.Candidate].ID
+		chosen.pace = max(chosen.pace, res.candidates[l.Candidate].Pace)
+		id := res.endpoints[l.Candidate].ID
 		p.book.Add(id, l.Load)
-		chosen.add(id, l)
+		chosen.addLoad(id, l)
 	}
 	p.callPeers()
 	return chosen
 }
 
-// callPeers makes the next word to the peers go out soon.
+// callPeers causes the next message to the peers to be sent soon.
 func (p *picker) callPeers() {
 	select {
 	case p.urgent <- struct{}{}:
@@ -134,9 +135,8 @@
 	}
 }
 
-// join puts a prompt among those that wait for their turn to choose; leave takes
-// it out.
-func (p *picker) join(service string, rank balance.Rank, due, now time.Time) *balance.Turn {
+// joinQueue adds a prompt to those that wait for their turn to choose; leaveQueue removes it.
+func (p *picker) joinQueue(service string, rank balance.Rank, due, now time.Time) *balance.Turn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.turns.Forget(now)
@@ -144,27 +144,27 @@
 	return p.turns.Join(service, rank, due, now)
 }
 
-func (p *picker) leave(t *balance.Turn) {
+func (p *picker) leaveQueue(t *balance.Turn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.turns.Leave(t)
 	p.callPeers()
-	p.wake()
+	p.notifyWaitersLocked()
 }
 
-// first reports whether it is a prompt's turn to choose.
-func (p *picker) first(t *balance.Turn, rank balance.Rank, now time.Time) bool {
+// isNext reports whether it is a prompt's turn to choose.
+func (p *picker) isNext(t *balance.Turn, rank balance.Rank, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.turns.First(t, rank, now)
 }
 
-// await waits until load was taken off, or for a moment.
-func (p *picker) await(ctx context.Context, most time.Duration) {
+// waitForLoadChange waits until load is released, or until the limit has passed.
+func (p *picker) waitForLoadChange(ctx context.Context, limit time.Duration) {
 	p.mu.Lock()
-	changed := p.changed
+	changed := p.loadChanged
 	p.mu.Unlock()
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -173,108 +173,106 @@
 	}
 }
 
-// read takes off the reading of the prompt, which is over once the first event
-// has come.
+// read removes the prefill load of the prompt, which has ended once the first event has arrived.
 func (pl *place) read() {
 	p := pl.picker
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if pl.takeOffReading() {
-		p.wake()
+	if pl.removePrefill() {
+		p.notifyWaitersLocked()
 	}
 }
 
-// add notes load that was counted at an endpoint. The caller holds the lock.
-func (pl *place) add(endpoint string, l balance.Placed) {
-	one := &placedLoad{endpoint: endpoint, load: l.Load}
-	pl.loads = append(pl.loads, one)
+// addLoad records load that was counted at an endpoint. The caller holds the lock.
+func (pl *place) addLoad(endpoint string, l balance.Placed) {
+	part := &placedLoad{endpoint: endpoint, load: l.Load}
+	pl.loads = append(pl.loads, part)
 	if l.ReadFor > 0 {
-		one.timer = time.AfterFunc(l.ReadFor, func() { pl.partRead(one) })
+		part.timer = time.AfterFunc(l.ReadFor, func() { pl.endPartPrefill(part) })
 	}
 }
 
-// partRead takes off the reading of a part whose time is over.
-func (pl *place) partRead(one *placedLoad) {
+// endPartPrefill removes the prefill load of a part whose estimated time has passed.
+func (pl *place) endPartPrefill(part *placedLoad) {
 	p := pl.picker
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if one.end(p.book) {
-		p.wake()
+	if part.endPrefill(p.book) {
+		p.notifyWaitersLocked()
 		p.callPeers()
 	}
 }
 
-// end takes off the reading; it reports whether that was still counted.
-func (l *placedLoad) end(book *balance.Book) bool {
+// endPrefill removes the prefill load; it reports whether it was still counted.
+func (l *placedLoad) endPrefill(book *balance.Book) bool {
 	if l.timer != nil {
 		l.timer.Stop()
 	}
-	if l.read {
+	if l.prefillDone {
 		return false
 	}
-	l.read = true
+	l.prefillDone = true
 	book.Read(l.endpoint, l.load)
 	return true
 }
 
-// takeOffReading takes off all reading; it reports whether any was still counted.
-func (pl *place) takeOffReading() bool {
-	counted := false
+// removePrefill removes all prefill load; it reports whether any was still counted.
+func (pl *place) removePrefill() bool {
+	removed := false
 	for _, l := range pl.loads {
-		counted = l.end(pl.picker.book) || counted
+		removed = l.endPrefill(pl.picker.book) || removed
 	}
-	return counted
+	return removed
 }
 
-// release takes off all load of the request.
+// release removes all load of the request.
 func (pl *place) release() {
 	p := pl.picker
 	pl.endSend(false)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	pl.takeOffReading()
+	pl.removePrefill()
 	for _, l := range pl.loads {
 		p.book.Remove(l.endpoint, l.load)
 	}
 	pl.loads = nil
-	p.wake()
+	p.notifyWaitersLocked()
 }
 
-// endSend takes in that the request was answered, or will not be; only the first call counts. It reports whether the endpoint
-// is used like any other again after a rest.
+// endSend records that the request was answered, or will not be; only the first call counts. It
+// reports whether this ends the gradual ramp-up of an endpoint after its back-off.
 func (pl *place) endSend(answered bool) bool {
 	send := pl.send
 	pl.send = availability.Send{}
 	return pl.picker.state.EndSend(send, answered)
 }
 
-// wakeAll lets those that wait for endpoints look again.
-func (p *picker) wakeAll() {
+// notifyWaiters wakes the requests that wait for endpoints.
+func (p *picker) notifyWaiters() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wake()
+	p.notifyWaitersLocked()
 }
 
-// wake is wakeAll for callers that hold the lock.
-func (p *picker) wake() {
-	close(p.changed)
-	p.changed = make(chan struct{})
+// notifyWaitersLocked is notifyWaiters for callers that hold the lock.
+func (p *picker) notifyWaitersLocked() {
+	close(p.loadChanged)
+	p.loadChanged = make(chan struct{})
 }
 
-// note takes in how an exchange ended; it reports whether the endpoint has just
-// become suspect.
+// note records how an exchange ended; it reports whether the endpoint has just become suspect.
 func (p *picker) note(endpoint string, o health.Outcome, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	suspect := p.health.Note(endpoint, o, now)
 	if suspect {
-		p.callPeers() // others need not fail there as well
+		p.callPeers() // so that other gateways need not fail there as well
 	}
 	return suspect
 }
 
-// reported takes in what an endpoint said of itself; it reports whether its pace has
-// changed much.
+// reported records an endpoint's report on itself; it reports whether its pace has changed
+// significantly.
 func (p *picker) reported(endpoint string, r EndpointReport, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -282,33 +280,33 @@
 	p.health.Reached(endpoint, now)
 	p.health.SetPace(endpoint, r.Pace, now)
 	after := p.health.Pace(endpoint, now)
-	changed := after > tellPaceChange*before || before > tellPaceChange*after
+	changed := after > significantPaceRatio*before || before > significantPaceRatio*after
 	if changed {
 		p.callPeers()
 	}
 	return changed
 }
 
-// tellPaceChange is the ratio of an endpoint's new pace to its old one, or of the old one
-// to the new one, above which the others hear of it at once.
-const tellPaceChange = 1.2
+// significantPaceRatio is the ratio of an endpoint's new pace to its old one, or of the old one to
+// the new one, above which the peers are notified at once.
+const significantPaceRatio = 1.2
 
-// noteLate takes in that a stream began or paused much later than expected. The next regular
-// word tells whoever watches the endpoint: telling it at once adds words where there is too
-// much to do already.
+// noteLate records that a stream began or paused much later than expected. The next regular message
+// tells the gateway that watches the endpoint: a message sent at once would add traffic when there
+// is already too much load.
 func (p *picker) noteLate(endpoint string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.health.SetLate(endpoint, now)
 }
 
-// avoided returns the endpoints of the own cell that are left alone because several gateways
-// failed there, and how many did.
+// avoided returns the endpoints of the local cell that are avoided because several gateways failed
+// there, each with the number of those gateways.
 func (p *picker) avoided(now time.Time) map[string]int {
-	home := p.state.Cells().Of(p.dataCentre)
+	localCell := p.state.Cells().Of(p.dataCentre)
 	out := make(map[string]int)
 	for _, s := range p.state.Services() {
-		endpoints := p.state.EndpointsByCell(s.Name)[home]
+		endpoints := p.state.EndpointsByCell(s.Name)[localCell]
 		p.mu.Lock()
 		for _, e := range endpoints {
 			if n := p.health.Witnesses(e.ID, now); n > 0 {
@@ -320,7 +318,7 @@
 	return out
 }
 
-// doubt returns why an endpoint should be asked about itself.
+// doubt returns why an endpoint should be queried.
 func (p *picker) doubt(endpoint string, now time.Time) health.Doubt {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -333,52 +331,55 @@
 	p.health.Forget(endpoint)
 }
 
-// request counts a first send to a service, retry asks for a second one.
+// request counts a first send to a service; retry takes a second send from the budget and reports
+// whether it was available.
 func (p *picker) request(service string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget(service).Request(now)
+	p.retryBudget(service).Request(now)
 }
 
 func (p *picker) retry(service string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.budget(service).Retry(now, p.gateways(now))
+	return p.retryBudget(service).Retry(now, p.gatewayCount(now))
 }
 
-// gateways returns how many gateways share the slack of a retry budget. The caller holds the lock.
-func (p *picker) gateways(now time.Time) int {
+// gatewayCount returns how many gateways share the slack of a retry budget. The caller holds the
+// lock.
+func (p *picker) gatewayCount(now time.Time) int {
 	if now.Before(p.knowsFleet) {
-		// Many may have started at this moment; each would take all of it.
+		// Many gateways may have started at this moment, and each would use the whole slack.
 		return limits.UnknownGateways
 	}
-	return max(p.fleet, p.book.Peers(now)+1)
+	return max(p.fleetSize, p.book.Peers(now)+1)
 }
 
-// fleetListed takes in how many gateways a list of the store names.
-func (p *picker) fleetListed(n int, now time.Time) {
+// setListedGateways records how many gateways a list in the store names.
+func (p *picker) setListedGateways(n int, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fleet = max(p.fleet, n)
+	p.fleetSize = max(p.fleetSize, n)
 	if now.Before(p.knowsFleet) {
 		p.knowsFleet = now
 	}
 }
 
-// fleetTime is how long a process that can read no list of those before it may not know how many gateways there are: until it
-// has read what those who started with it have written, and some.
-const fleetTime = gatewaysSoon + time.Second
+// fleetTime is how long a process may not know the number of gateways if it cannot read a list
+// written by earlier ones: until it has read the entries of those that started at the same time,
+// plus a margin.
+const fleetTime = gatewaysFirstDelay + time.Second
 
-func (p *picker) budget(service string) *limits.Window {
-	b := p.budgets[service]
+func (p *picker) retryBudget(service string) *limits.Window {
+	b := p.retryBudgets[service]
 	if b == nil {
 		b = limits.NewWindow(p.window)
-		p.budgets[service] = b
+		p.retryBudgets[service] = b
 	}
 	return b
 }
 
-// peer takes in what a peer says of its load and its waiting prompts.
+// peer records the load, waiting prompts and health signs that a peer sent.
 func (p *picker) peer(w peers.Word, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -390,23 +391,24 @@
 	p.turns.Peer(w.From, w.Waiting, now)
 	p.health.Peer(w.From, w.Signs, p.state.EndpointCount(), now)
 	if p.turns.Waiting() > 0 {
-		p.wake()
+		p.notifyWaitersLocked()
 	}
 }
 
-// ownLoad is the load and the waiting prompts to tell the peers.
+// ownLoad is the load, the waiting prompts and the health signs of this gateway that are sent to
+// the peers.
 type ownLoad struct {
 	all     map[string]balance.Load
-	by      map[string]map[string]balance.Load // of all, that at the endpoints of each cell
+	byCell  map[string]map[string]balance.Load // the entries of all at the endpoints of each cell
 	waiting map[string]balance.Claim
 	signs   map[string]health.Sign // of endpoints' health
 }
 
-// ownLoad returns the whole load, or what changed since that was told last.
+// ownLoad returns the whole load, or what has changed since the whole load was last sent.
 func (p *picker) ownLoad(whole bool, now time.Time) ownLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t := ownLoad{waiting: p.turns.Own(now), signs: p.health.Own(now), by: make(map[string]map[string]balance.Load)}
+	t := ownLoad{waiting: p.turns.Own(now), signs: p.health.Own(now), byCell: make(map[string]map[string]balance.Load)}
 	if whole {
 		t.all = p.book.Own()
 	} else {
@@ -415,26 +417,25 @@
 	for id, l := range t.all {
 		c, ok := p.state.CellOf(id)
 		if !ok {
-			continue // it is gone: only the own cell counts what is left there
+			continue // the endpoint is gone: only the local cell counts the load that is left there
 		}
-		if t.by[c] == nil {
-			t.by[c] = make(map[string]balance.Load)
+		if t.byCell[c] == nil {
+			t.byCell[c] = make(map[string]balance.Load)
 		}
-		t.by[c][id] = l
+		t.byCell[c][id] = l
 	}
 	return t
 }
 
-// setFleet takes in how many gateways the own cell has, and how many the store's list
-// names.
-func (p *picker) setFleet(own, listed int) {
+// setFleetSize records how many gateways the local cell has, and how many the store's list names.
+func (p *picker) setFleetSize(own, listed int) {
 	cells := p.state.Cells().Cells()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range cells {
-		own += p.others[c].gateways
+		own += p.remoteCells[c].gateways
 	}
-	p.fleet = max(own, listed)
+	p.fleetSize = max(own, listed)
 }
 
 // target picks one of the route's services by weight.
--- a/relay/picker_test.go
+++ b/relay/picker_test.go
@@ -18,7 +18,7 @@
 	"github.com/micarudder/micarudder/peers"
 )
 
-// enginePicker returns a picker before n engines.
+// enginePicker returns a picker with n engine endpoints.
 func enginePicker(n int) (*picker, *catalog.Service) {
 	s := &catalog.Service{Name: "m", Engine: &catalog.Engine{
 		Slots: 16, MemoryTokens: 232000, StepMs: 1, ReadPerMs: 206, PairsPerM: 0.138, ChunkTokens: 2048, Stride: 43,
@@ -32,53 +32,54 @@
 	return newPicker("g", "dc", state, balance.Default(), limits.WindowConfig{}), s
 }
 
-// loadAt returns the load of an endpoint; timers take some off at any moment.
+// loadAt returns the load of an endpoint. It takes the lock, since timers release load
+// concurrently.
 func loadAt(p *picker, endpoint string) balance.Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.book.Load(endpoint, time.Now())
 }
 
-// allCold is for gateways without open connections.
-func allCold(string) bool { return false }
+// noWarmConns is the warmConnFunc of a gateway without open connections.
+func noWarmConns(string) bool { return false }
 
-// TestPartsAreFreeAgainBeforeTheFirstEvent: the parts of a long prompt count as
-// read after their time, so that others may use the endpoints, and taking the
-// reading off once more at the first event changes nothing.
-func TestPartsAreFreeAgainBeforeTheFirstEvent(t *testing.T) {
+// TestPartPrefillEndsBeforeTheFirstEvent: the prefill load of the parts of a long prompt ends after
+// their estimated time, so that other requests may use the endpoints. Removing it again at the
+// first event changes nothing.
+func TestPartPrefillEndsBeforeTheFirstEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p, s := enginePicker(4)
 		work := balance.Work{InputTokens: 100000, OutputTokens: 500, LeftMs: 2500, DeadlineMs: 10000, Slack: time.Second}
-		at, _, o := p.pick(s, work, allCold, time.Now())
+		pl, _, o := p.pick(s, work, noWarmConns, time.Now())
 		is.Equal(o, picked)
-		is.True(len(at.loads) > 1)
-		is.True(loadAt(p, at.endpoint.ID).ReadMs > 0)
+		is.True(len(pl.loads) > 1)
+		is.True(loadAt(p, pl.endpoint.ID).ReadMs > 0)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		for _, l := range at.loads {
+		for _, l := range pl.loads {
 			load := loadAt(p, l.endpoint)
 			is.Equal(load.ReadMs, 0.0)
 			is.Equal(load.Parts, 0)
 		}
-		is.Equal(loadAt(p, at.endpoint.ID).Long, 1)
-		at.read()
-		at.release()
+		is.Equal(loadAt(p, pl.endpoint.ID).Long, 1)
+		pl.read()
+		pl.release()
 		is.Equal(len(p.book.Own()), 0)
 	})
 }
 
-// TestReleaseStopsTheTimersOfParts: a request that ends early leaves nothing
-// that takes load off later.
+// TestReleaseStopsTheTimersOfParts: a request that ends early leaves no timer that releases load
+// later.
 func TestReleaseStopsTheTimersOfParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p, s := enginePicker(4)
 		work := balance.Work{InputTokens: 100000, OutputTokens: 500, LeftMs: 2500, DeadlineMs: 10000, Slack: time.Second}
-		first, _, _ := p.pick(s, work, allCold, time.Now())
+		first, _, _ := p.pick(s, work, noWarmConns, time.Now())
 		first.release()
 		is.Equal(len(p.book.Own()), 0)
-		second, _, _ := p.pick(s, work, allCold, time.Now())
+		second, _, _ := p.pick(s, work, noWarmConns, time.Now())
 		before := p.book.Own()
 		is.Equal(len(before), len(second.loads))
 		second.release()
@@ -93,8 +94,8 @@
 	longObjective  = 10 * time.Second
 )
 
-// engineBench is a bench whose service is an engine with one slot an endpoint,
-// all of which are taken, and whose routes have that objective.
+// engineBench returns a bench whose service is an engine with one slot per endpoint, all of which
+// are taken. Its routes have the given objective.
 func engineBench(t *testing.T, objective time.Duration) *bench {
 	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { answer(w, "200 OK", "", "x") })
 	c := testConfig(2)
@@ -109,8 +110,8 @@
 	return b
 }
 
-// TestBusyIsRefusedAtOnce: while all slots are taken, a short request that would
-// be late is refused with a time to come back, and reaches no endpoint.
+// TestBusyIsRefusedAtOnce: while all slots are taken, a short request that would be late is refused
+// with a Retry-After time and reaches no endpoint.
 func TestBusyIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	b := engineBench(t, shortObjective)
@@ -121,12 +122,12 @@
 	is.Equal(b.arrivals(), 0)
 }
 
-// TestBusyIsServedLate: a caller that cannot come back in its time, or that goes
-// on with a stream, is served late rather than refused.
+// TestBusyIsServedLate: a caller without enough time to retry, or one that resumes a stream, is
+// served late rather than refused.
 func TestBusyIsServedLate(t *testing.T) {
 	for name, header := range map[string]http.Header{
 		"short deadline": {"Tokens": {"1000"}, "Wait-Ms": {"8000"}},
-		"goes on":        {"Tokens": {"1000"}, "Wait-Ms": {"10000"}, "After": {"3"}},
+		"resumed":        {"Tokens": {"1000"}, "Wait-Ms": {"10000"}, "After": {"3"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -139,20 +140,20 @@
 	}
 }
 
-// TestLongPromptsWaitForTheirTurn: a long prompt chooses no endpoint while a
-// peer's waits that is due before it, and does once that is placed.
+// TestLongPromptsWaitForTheirTurn: a long prompt chooses no endpoint while a peer's prompt that is
+// due earlier waits, and does so once that one is placed.
 func TestLongPromptsWaitForTheirTurn(t *testing.T) {
 	is := is.New(t)
 	b := engineBench(t, longObjective)
 	p := b.gateway.picker
 	p.book = balance.NewBook()
-	say := func(waiting map[string]balance.Claim) { p.peer(peers.Word{From: "p", Waiting: waiting}, time.Now()) }
+	sendClaims := func(waiting map[string]balance.Claim) { p.peer(peers.Word{From: "p", Waiting: waiting}, time.Now()) }
 	stop := make(chan struct{})
-	silent := make(chan struct{})
-	go func() { // the peer says again and again that its prompt waits
-		defer close(silent)
+	stopped := make(chan struct{})
+	go func() { // the peer keeps reporting that its prompt waits
+		defer close(stopped)
 		for {
-			say(map[string]balance.Claim{"s": {Rank: balance.InTime, LeftMs: -60000}})
+			sendClaims(map[string]balance.Claim{"s": {Rank: balance.InTime, LeftMs: -60000}})
 			select {
 			case <-stop:
 				return
@@ -164,28 +165,28 @@
 	go func() {
 		done <- b.ask(t.Context(), "POST", "/safe/x", "", http.Header{"Tokens": {"50000"}, "Wait-Ms": {"60000"}})
 	}()
-	for !waits(p) {
+	for !hasWaitedLong(p) {
 		time.Sleep(time.Millisecond)
 	}
 	is.Equal(b.arrivals(), 0)
 	close(stop)
-	<-silent
-	say(nil)
+	<-stopped
+	sendClaims(nil)
 	is.Equal((<-done).status, http.StatusOK)
 	is.Equal(b.arrivals(), 1)
 }
 
-// waits reports whether a prompt has waited for longer than words need.
-func waits(p *picker) bool {
+// hasWaitedLong reports whether a prompt has waited for longer than peer messages take.
+func hasWaitedLong(p *picker) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	claim, ok := p.turns.Own(time.Now())["s"]
 	return ok && claim.LeftMs < (longObjective-100*time.Millisecond).Milliseconds()
 }
 
-// TestStopAnswersThoseThatWait: a stop that is about to end refuses a prompt that
-// still waits for endpoints, rather than close its connection without an answer.
-func TestStopAnswersThoseThatWait(t *testing.T) {
+// TestStopRefusesWaitingPrompts: a gateway that is about to stop refuses a prompt that still waits
+// for endpoints, rather than closing its connection without an answer.
+func TestStopRefusesWaitingPrompts(t *testing.T) {
 	is := is.New(t)
 	b := engineBench(t, longObjective)
 	p := b.gateway.picker
@@ -198,7 +199,7 @@
 	go func() {
 		done <- b.ask(ctx, "POST", "/stream/x", "", http.Header{"Tokens": {"50000"}, "Wait-Ms": {"60000"}})
 	}()
-	for !waits(p) {
+	for !hasWaitedLong(p) {
 		time.Sleep(time.Millisecond)
 	}
 	longAgo := time.Now().Add(-noticeTime - time.Second)
@@ -210,9 +211,8 @@
 	is.Equal(b.arrivals(), 0)
 }
 
-// TestLongIsRefusedWhenItsTimeToWaitIsOver: a long prompt that no endpoint takes is
-// refused before it is late, with a time to come back that its caller can keep, and
-// reaches no endpoint.
+// TestLongIsRefusedWhenItsTimeToWaitIsOver: a long prompt that no endpoint takes is refused before
+// it is late and reaches no endpoint. Its Retry-After time is within the caller's remaining time.
 func TestLongIsRefusedWhenItsTimeToWaitIsOver(t *testing.T) {
 	for name, c := range map[string]struct{ waitMs, retryAfter string }{
 		"much time":   {"60000", "4"},
@@ -235,13 +235,14 @@
 			if c.retryAfter != "" {
 				is.Equal(got.header.Get("Retry-After"), c.retryAfter)
 			} else {
-				is.True(after > 1 && after <= 2) // a third of what is left
+				is.True(after > 1 && after <= 2) // a third of the remaining time
 			}
 		})
 	}
 }
 
-// TestRetriesBeforeTheFleetIsKnown: a gateway that has just started pays second sends only from its own requests.
+// TestRetriesBeforeTheFleetIsKnown: a gateway that has just started takes second sends only from
+// the budget of its own requests.
 func TestRetriesBeforeTheFleetIsKnown(t *testing.T) {
 	is := is.New(t)
 	p, s := enginePicker(1)
@@ -257,14 +258,15 @@
 	is.True(p.retry(s.Name, now.Add(fleetTime)))
 }
 
-// TestRetriesOnceTheFleetIsListed: a gateway that starts again finds the entries of all that were there before.
+// TestRetriesOnceTheFleetIsListed: a restarted gateway finds the entries of all earlier gateways,
+// and uses its part of the slack.
 func TestRetriesOnceTheFleetIsListed(t *testing.T) {
 	is := is.New(t)
 	p, s := enginePicker(1)
 	p.window = limits.WindowConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}
 	now := time.Now()
 	p.knowsFleet = now.Add(fleetTime)
-	p.fleetListed(24, now)
+	p.setListedGateways(24, now)
 	granted := 0
 	for p.retry(s.Name, now) {
 		granted++
--- a/relay/place.go
+++ b/relay/place.go
@@ -9,24 +9,24 @@
 	"github.com/micarudder/micarudder/catalog"
 )
 
-// queueStep is the longest pause between two looks at the load.
+// queueStep is the longest pause between two evaluations of the load.
 const queueStep = 20 * time.Millisecond
 
-// patience returns what decides how long the request waits, as it stands now.
-func (x *exchange) patience() patience {
-	return patience{
-		started: x.started, deadline: x.deadline, objective: x.route.Objective, first: x.route.Patience,
+// patience returns the current wait and retry policy of the request.
+func (x *exchange) patience() waitPolicy {
+	return waitPolicy{
+		started: x.started, deadline: x.deadline, objective: x.route.Objective, firstPartTimeout: x.route.Patience,
 		sends: x.attempts, unsent: x.unsent, helperFailures: x.helperFailures, resumed: x.stream != nil || x.call.LastEventID != "",
 	}
 }
 
-// warm tells whether a kept connection to an endpoint may carry the request.
-func (x *exchange) warm(endpoint string) bool {
+// hasWarmConn reports whether an idle connection to an endpoint may carry the request.
+func (x *exchange) hasWarmConn(endpoint string) bool {
 	return x.g.deps.Endpoints.Kept(endpoint, x.maxIdle())
 }
 
-// maxIdle returns how long a kept connection may have been idle to carry the request;
-// zero: as long as it is kept.
+// maxIdle returns how long a connection may have been idle to carry the request; zero means no
+// limit below that of the connection pool.
 func (x *exchange) maxIdle() time.Duration {
 	if x.route.Idempotent() {
 		return 0
@@ -34,24 +34,24 @@
 	return unsafeIdle
 }
 
-// placedWork returns the request as the choice of an endpoint sees it, without the time that it has.
-func (x *exchange) placedWork() balance.Work {
+// balanceWork returns the request as input of an endpoint choice, without its time limits.
+func (x *exchange) balanceWork() balance.Work {
 	return balance.Work{
 		InputTokens: x.call.Input, OutputTokens: x.call.Output, Avoid: slices.Concat(x.tried, x.unfit),
 		Pauses: x.table.Pauses(x.service.Name), Pause: x.route.GapObjective,
 	}
 }
 
-// logChoice logs where the request goes and what was believed of that endpoint.
-func (x *exchange) logChoice(at *place, waited time.Duration) {
-	x.g.deps.Log.Request("Endpoint chosen.", "request", x.call.ID, "endpoint", at.endpoint.ID, "helpers", ids(at.helpers), "reserved", len(at.reserve),
+// logPlacement logs where the request goes and the state of that endpoint as known to this gateway.
+func (x *exchange) logPlacement(pl *place, waited time.Duration) {
+	x.g.deps.Log.Request("Endpoint chosen.", "request", x.call.ID, "endpoint", pl.endpoint.ID, "helpers", endpointIDs(pl.helpers), "reserved", len(pl.reserve),
 		"tokens", x.call.Input, "waited_ms", waited.Milliseconds(),
-		"expected_ms", int(at.expected.FirstMs), "harm", int(at.expected.Harm), "idle", at.expected.Idle,
-		"read_ms", int(at.before.ReadMs), "short", at.before.Short, "long", at.before.Long, "memory", at.before.Tokens, "pace", at.pace, "candidates", at.candidates, "remote", at.remote, "limit", x.g.limits.logged(at.endpoint.ID))
+		"expected_ms", int(pl.expected.FirstMs), "harm", int(pl.expected.Harm), "idle", pl.expected.Idle,
+		"read_ms", int(pl.before.ReadMs), "short", pl.before.Short, "long", pl.before.Long, "memory", pl.before.Tokens, "pace", pl.pace, "candidates", pl.candidates, "remote", pl.remote, "limit", x.g.limits.logValue(pl.endpoint.ID))
 }
 
-// reasonToRefuse says for the log why a choice that ended so means a refusal.
-func reasonToRefuse(o pickOutcome) string {
+// refusalReason returns the reason for the log when a choice with this outcome leads to a refusal.
+func refusalReason(o pickOutcome) string {
 	switch o {
 	case pickFull:
 		return "all slots are taken"
@@ -62,24 +62,24 @@
 	}
 }
 
-// logNoPlace logs why a request that was not sent is refused. expected is what the
-// best endpoints would have brought, without parts where it never was its turn.
-func (x *exchange) logNoPlace(why string, expected balance.Expected, waited time.Duration) {
-	x.g.deps.Log.Request("No endpoint chosen.", "request", x.call.ID, "why", why, "tokens", x.call.Input, "waited_ms", waited.Milliseconds(),
+// logNotPlaced logs why a request that was not sent is refused. expected is the estimate for the
+// best endpoints; it has no parts if it never was the request's turn.
+func (x *exchange) logNotPlaced(reason string, expected balance.Expected, waited time.Duration) {
+	x.g.deps.Log.Request("No endpoint chosen.", "request", x.call.ID, "why", reason, "tokens", x.call.Input, "waited_ms", waited.Milliseconds(),
 		"expected_ms", int(expected.FirstMs), "harm", int(expected.Harm), "parts", expected.Parts, "idle", expected.Idle)
 }
 
-// giveUpWaiting ends a request that no endpoint takes. queued is set when there are
-// endpoints, and others are in the way.
-func (x *exchange) giveUpWaiting(queued bool) outcome {
+// refuseUnplaced ends a request that no endpoint takes. queued is set when there are endpoints but
+// they are busy.
+func (x *exchange) refuseUnplaced(queued bool) outcome {
 	if queued && !x.mayRun && x.r.Context().Err() == nil {
-		return x.refuse(http.StatusServiceUnavailable, x.patience().comeBackAfter(time.Now()), refusedFull)
+		return x.refuse(http.StatusServiceUnavailable, x.patience().queueRetryAfter(time.Now()), refusedFull)
 	}
 	return x.giveUp(refusedFull)
 }
 
-// ids returns the names of endpoints, for the log.
-func ids(list []catalog.Endpoint) []string {
+// endpointIDs returns the IDs of endpoints, for the log.
+func endpointIDs(list []catalog.Endpoint) []string {
 	out := make([]string, len(list))
 	for i, e := range list {
 		out[i] = e.ID
--- a/relay/placing.go
+++ b/relay/placing.go
@@ -8,22 +8,22 @@
 	"github.com/micarudder/micarudder/balance"
 )
 
-// place finds an endpoint, waiting for one where that is better.
+// place finds an endpoint, and waits for one where that is better.
 func (x *exchange) place(ctx context.Context) (*place, outcome) {
-	p := x.startPlacing()
+	p := x.startPlacement()
 	defer p.end()
-	now := p.look()
-	if at := x.probe(ctx, p.work); at != nil {
-		at, _, _ = p.placed(at, now)
-		return at, ""
+	now := p.updateWork()
+	if pl := x.probeLimited(ctx, p.work); pl != nil {
+		pl, _, _ = p.succeed(pl, now)
+		return pl, ""
 	}
 	for {
-		at, o, next := p.try(ctx)
+		pl, o, next := p.tryPlace(ctx)
 		if next == tryEnded {
-			return at, o
+			return pl, o
 		}
 		if next == tryLater {
-			x.g.picker.await(ctx, queueStep)
+			x.g.picker.waitForLoadChange(ctx, queueStep)
 		}
 		if ctx.Err() != nil {
 			return nil, x.giveUp(outOfTime)
@@ -31,80 +31,80 @@
 	}
 }
 
-// nextTry is what comes after a try to place a request.
+// nextTry is what follows an attempt to place a request.
 type nextTry uint8
 
 const (
-	tryEnded nextTry = iota // the request is placed, or was refused
-	tryAgain                // another one at once
-	tryLater                // another one soon
+	tryEnded nextTry = iota // the request is placed or was refused
+	tryAgain                // try again at once
+	tryLater                // try again soon
 )
 
-// placing is the search for an endpoint for one send of a request.
-type placing struct {
-	x        *exchange
-	began    time.Time
-	work     balance.Work
-	oversize bool
-	fewest   int           // endpoints that the request needs at once
-	turn     *balance.Turn // among long prompts; nil: it takes none
-	rests    restWait
-	expected balance.Expected // at the newest look at the load
+// placementSearch is the search for an endpoint for one send of a request.
+type placementSearch struct {
+	x            *exchange
+	began        time.Time
+	work         balance.Work
+	oversize     bool
+	minEndpoints int           // number of endpoints that the request needs at once
+	turn         *balance.Turn // position among long prompts; nil if it needs none
+	backoff      backoffWait
+	expected     balance.Expected // from the latest evaluation of the load
 }
 
-func (x *exchange) startPlacing() *placing {
-	p := &placing{x: x, began: time.Now(), work: x.placedWork(), rests: restWait{x: x}}
+func (x *exchange) startPlacement() *placementSearch {
+	p := &placementSearch{x: x, began: time.Now(), work: x.balanceWork(), backoff: backoffWait{x: x}}
 	p.oversize = x.g.config.Policy.Oversize(x.service, p.work)
-	p.fewest = x.fewestEndpoints(p.work)
+	p.minEndpoints = x.minEndpoints(p.work)
 	if x.g.config.Policy.TakesTurns(x.service, p.work) {
-		p.turn = x.g.picker.join(x.service.Name, x.patience().rank(p.oversize, p.began), x.started.Add(x.route.Objective), p.began)
+		p.turn = x.g.picker.joinQueue(x.service.Name, x.patience().rank(p.oversize, p.began), x.started.Add(x.route.Objective), p.began)
 	}
 	return p
 }
 
-func (p *placing) end() {
-	p.rests.leave()
+func (p *placementSearch) end() {
+	p.backoff.leave()
 	if p.turn != nil {
-		p.x.g.picker.leave(p.turn)
+		p.x.g.picker.leaveQueue(p.turn)
 	}
 	p.x.g.meter.wait.UpdateDuration(p.began)
 }
 
-// look works out how much time the request has left now.
-func (p *placing) look() (now time.Time) {
+// updateWork recomputes how much time the request has left.
+func (p *placementSearch) updateWork() (now time.Time) {
 	p.x.countSuspension()
 	now = time.Now()
-	p.x.patience().tell(&p.work, p.x.g.ending(), now)
+	p.x.patience().fillWork(&p.work, p.x.g.ending(), now)
 	if p.oversize {
-		p.work.Late = false // it takes much of many endpoints: it keeps its turn
+		p.work.Late = false // it takes much of many endpoints, so it keeps its turn
 	}
 	return now
 }
 
-// try looks for an endpoint once.
-func (p *placing) try(ctx context.Context) (at *place, o outcome, next nextTry) {
+// tryPlace looks for an endpoint once.
+func (p *placementSearch) tryPlace(ctx context.Context) (pl *place, o outcome, next nextTry) {
 	x := p.x
-	now := p.look()
-	at, found, turn := p.choose(now)
+	now := p.updateWork()
+	pl, found, turn := p.choose(now)
 	if found == picked {
-		return p.placed(at, now)
+		return p.succeed(pl, now)
 	}
-	var limited limitedEnd
+	var limited limitedResult
 	if x.g.limits.any() {
 		limited = x.placeAmongLimited(ctx, &p.work, found, now)
-		now = time.Now() // the coordinator took its time
+		now = time.Now() // the call to the coordinator took time
 		switch {
-		case limited.at != nil:
-			return p.placed(limited.at, now)
-		case limited.end != "":
-			return p.refused(limited.end.whyLimited(), now, func() outcome { return limited.end })
+		case limited.placement != nil:
+			return p.succeed(limited.placement, now)
+		case limited.refusal != "":
+			return p.refuse(limited.refusal.limitedRefusalReason(), now, func() outcome { return limited.refusal })
 		case limited.again:
 			return nil, "", tryAgain
 		}
 	}
 	switch {
 	case found == pickFull:
-		return p.refused(reasonToRefuse(found), now, func() outcome { return x.refuse(http.StatusServiceUnavailable, retryAfterBusy, refusedBusy) })
+		return p.refuse(refusalReason(found), now, func() outcome { return x.refuse(http.StatusServiceUnavailable, retryAfterBusy, refusedBusy) })
 	case x.attempts == 0 && x.g.ending():
 		// The process may end before an endpoint is free.
 		return nil, x.refuse(http.StatusServiceUnavailable, retryAfterStop, stopping), tryEnded
@@ -112,56 +112,57 @@
 		p.work.Avoid = nil // better the same endpoint again than none
 		return nil, "", tryAgain
 	}
-	switch step, comeBack := p.rests.next(p.fewest, turn, now); step {
-	case restWaits:
+	switch step, retryAfter := p.backoff.next(p.minEndpoints, turn, now); step {
+	case backoffWaits:
 		return nil, "", tryLater
-	case restRefuse:
-		return p.refused("the endpoints rest", now, func() outcome { return p.rests.refuse(comeBack) })
+	case backoffRefuse:
+		return p.refuse("the endpoints rest", now, func() outcome { return p.backoff.refuse(retryAfter) })
 	}
-	if found == pickNone && x.attempts == 0 && x.g.state.AllLeave(x.service.Name) {
-		return p.refused("all endpoints leave", now, func() outcome {
-			return x.refuse(http.StatusServiceUnavailable, x.patience().comeBackWithin(retryAfterLeaving, now), refusedFull)
+	if found == pickNone && x.attempts == 0 && x.g.state.AllDraining(x.service.Name) {
+		return p.refuse("all endpoints leave", now, func() outcome {
+			return x.refuse(http.StatusServiceUnavailable, x.patience().capRetryAfter(retryAfterLeaving, now), refusedFull)
 		})
 	}
-	return p.waitOrGiveUp(found, limited.later, now)
+	return p.waitOrRefuse(found, limited.retryAfter, now)
 }
 
 // choose chooses an endpoint if it is the request's turn.
-func (p *placing) choose(now time.Time) (at *place, o pickOutcome, turn choosing) {
+func (p *placementSearch) choose(now time.Time) (pl *place, o pickOutcome, turn choiceState) {
 	picker := p.x.g.picker
-	if p.turn != nil && !p.work.Late && !picker.first(p.turn, p.x.patience().rank(p.oversize, now), now) {
-		p.rests.leave() // others need not wait for its turn
-		return nil, pickWait, notItsTurn
+	if p.turn != nil && !p.work.Late && !picker.isNext(p.turn, p.x.patience().rank(p.oversize, now), now) {
+		p.backoff.leave() // others need not wait while it is not its turn
+		return nil, pickWait, choiceNotItsTurn
 	}
-	if !p.rests.mayChoose() {
-		return nil, pickWait, notInLine
+	if !p.backoff.mayChoose() {
+		return nil, pickWait, choiceNotFirstInQueue
 	}
-	at, p.expected, o = picker.pick(p.x.service, p.work, p.x.warm, now)
-	return at, o, hasChosen
+	pl, p.expected, o = picker.pick(p.x.service, p.work, p.x.hasWarmConn, now)
+	return pl, o, choiceMade
 }
 
-// waitOrGiveUp decides about a request for which no endpoint was found. later is when its caller had better come back if endpoints with
-// limits are what it waits for; zero: they are not.
-func (p *placing) waitOrGiveUp(found pickOutcome, later time.Duration, now time.Time) (at *place, o outcome, next nextTry) {
-	busy := found == pickWait || later > 0
+// waitOrRefuse decides about a request for which no endpoint was found. retryAfter is the
+// Retry-After time if the request waits for endpoints with limits, otherwise zero.
+func (p *placementSearch) waitOrRefuse(found pickOutcome, retryAfter time.Duration, now time.Time) (pl *place, o outcome, next nextTry) {
+	busy := found == pickWait || retryAfter > 0
 	switch {
 	case p.x.patience().mayWait(busy, now):
 		return nil, "", tryLater
-	case later > 0:
-		return p.refused("no endpoint with a limit took it in its time", now, func() outcome { return p.x.refuseLimited(later) })
+	case retryAfter > 0:
+		return p.refuse("no endpoint with a rate limit took it in its time", now, func() outcome { return p.x.refuseLimited(retryAfter) })
 	default:
-		return p.refused(reasonToRefuse(found), now, func() outcome { return p.x.giveUpWaiting(busy) })
+		return p.refuse(refusalReason(found), now, func() outcome { return p.x.refuseUnplaced(busy) })
 	}
 }
 
-// placed ends the search with an endpoint.
-func (p *placing) placed(at *place, now time.Time) (*place, outcome, nextTry) {
-	p.x.logChoice(at, now.Sub(p.began))
-	return at, "", tryEnded
+// succeed ends the search with a placement.
+func (p *placementSearch) succeed(pl *place, now time.Time) (*place, outcome, nextTry) {
+	p.x.logPlacement(pl, now.Sub(p.began))
+	return pl, "", tryEnded
 }
 
-// refused ends it without one, for a reason. refuse answers the caller, or breaks off an answer whose head is out.
-func (p *placing) refused(why string, now time.Time, refuse func() outcome) (*place, outcome, nextTry) {
-	p.x.logNoPlace(why, p.expected, now.Sub(p.began))
-	return nil, refuse(), tryEnded
+// refuse ends the search without a placement. answer responds to the caller, or aborts a response
+// whose header was already sent.
+func (p *placementSearch) refuse(reason string, now time.Time, answer func() outcome) (*place, outcome, nextTry) {
+	p.x.logNotPlaced(reason, p.expected, now.Sub(p.began))
+	return nil, answer(), tryEnded
 }
--- a/relay/rest.go
+++ b/relay/rest.go
@@ -8,91 +8,93 @@
 	"github.com/micarudder/micarudder/balance"
 )
 
-// restWait is the wait of a request for endpoints that want rest from this gateway.
-type restWait struct {
+// backoffWait is the wait of a request for endpoints that asked this gateway to back off.
+type backoffWait struct {
 	x      *exchange
-	waiter *availability.Waiter // in line; nil: it is not
+	waiter *availability.Waiter // position in the queue; nil if the request is not in it
 }
 
-// mayChoose reports whether nobody else that waits for endpoints of the service to have rested is before the request.
-func (r *restWait) mayChoose() bool {
-	return r.x.g.state.FirstInLine(r.x.service.Name, r.waiter)
+// mayChoose reports whether the request is first among those that wait for the end of a back-off of
+// the service's endpoints.
+func (r *backoffWait) mayChoose() bool {
+	return r.x.g.state.FirstInBackoffQueue(r.x.service.Name, r.waiter)
 }
 
-// join puts the request in line.
-func (r *restWait) join() {
+// join adds the request to the queue.
+func (r *backoffWait) join() {
 	if r.waiter == nil {
 		r.waiter = &availability.Waiter{Urgency: r.x.urgency(), Since: r.x.started}
-		r.x.g.state.JoinLine(r.x.service.Name, r.waiter)
+		r.x.g.state.JoinBackoffQueue(r.x.service.Name, r.waiter)
 	}
 }
 
-// leave takes it out of the line.
-func (r *restWait) leave() {
+// leave removes the request from the queue.
+func (r *backoffWait) leave() {
 	if r.waiter != nil {
-		r.x.g.state.LeaveLine(r.x.service.Name, r.waiter)
+		r.x.g.state.LeaveBackoffQueue(r.x.service.Name, r.waiter)
 		r.waiter = nil
-		r.x.g.picker.wakeAll()
+		r.x.g.picker.notifyWaiters()
 	}
 }
 
-// choosing tells whether it was a request's turn to choose.
-type choosing uint8
+// choiceState says whether it was a request's turn to choose.
+type choiceState uint8
 
 const (
-	hasChosen  choosing = iota
-	notItsTurn          // other long prompts choose before it
-	notInLine           // others that wait for endpoints to have rested choose before it
+	choiceMade            choiceState = iota
+	choiceNotItsTurn                  // other long prompts choose first
+	choiceNotFirstInQueue             // others that wait for the end of a back-off choose first
 )
 
-// restStep is what a request does about endpoints that rest.
-type restStep uint8
+// backoffStep is what a request does about endpoints in back-off.
+type backoffStep uint8
 
 const (
-	restNone   restStep = iota // rests are not why it has no place
-	restWaits                  // it waits for its turn
-	restRefuse                 // it cannot be served in its time
+	backoffNone   backoffStep = iota // back-off is not the reason why it was not placed
+	backoffWaits                     // it waits for its turn
+	backoffRefuse                    // it cannot be served in its time
 )
 
-// next decides what to do after no endpoint was chosen. fewest is how many endpoints the request needs at once; turn tells whether it was its
-// turn, among long prompts and in line, to choose.
-func (r *restWait) next(fewest int, turn choosing, now time.Time) (step restStep, comeBack time.Duration) {
-	rests := r.x.g.state.RestOf(r.x.service.Name, now)
+// next decides what to do after no endpoint was chosen. minEndpoints is how many endpoints the
+// request needs at once; turn says whether it was the request's turn to choose, among long prompts
+// and in the back-off queue.
+func (r *backoffWait) next(minEndpoints int, turn choiceState, now time.Time) (step backoffStep, retryAfter time.Duration) {
+	backoff := r.x.g.state.RestOf(r.x.service.Name, now)
 	opens := now
 	switch {
-	case rests.closed == 0:
-		return restNone, 0
-	case rests.open < fewest:
-		opens = rests.opens
-	case turn != notInLine:
-		r.leave() // others are in its way, or it needs none
-		return restNone, 0
+	case backoff.closed == 0:
+		return backoffNone, 0
+	case backoff.open < minEndpoints:
+		opens = backoff.opens
+	case turn != choiceNotFirstInQueue:
+		r.leave() // the endpoints are busy with other requests, or it needs none of those in back-off
+		return backoffNone, 0
 	}
 	switch {
-	case r.x.patience().mayWaitFor(opens, now):
-		if turn != notItsTurn {
+	case r.x.patience().mayWaitForBackoff(opens, now):
+		if turn != choiceNotItsTurn {
 			r.join()
 		}
-		return restWaits, 0
+		return backoffWaits, 0
 	case opens.After(now):
-		return restRefuse, r.x.g.state.SendAway(r.x.service.Name, opens, now)
+		return backoffRefuse, r.x.g.state.SendAway(r.x.service.Name, opens, now)
 	default:
-		return restRefuse, retryAfterFull
+		return backoffRefuse, retryAfterFull
 	}
 }
 
-// refuse ends a request that cannot wait until endpoints have rested.
-func (r *restWait) refuse(comeBack time.Duration) outcome {
+// refuse ends a request that cannot wait until the back-off ends.
+func (r *backoffWait) refuse(retryAfter time.Duration) outcome {
 	x := r.x
 	x.g.meter.restRefusals.Inc()
 	if x.mayRun || x.r.Context().Err() != nil {
 		return x.giveUp(refusedRest)
 	}
-	return x.refuse(http.StatusServiceUnavailable, comeBack, refusedRest)
+	return x.refuse(http.StatusServiceUnavailable, retryAfter, refusedRest)
 }
 
-// fewestEndpoints returns how many endpoints of the service a request needs at once.
-func (x *exchange) fewestEndpoints(work balance.Work) int {
+// minEndpoints returns how many endpoints of the service a request needs at once.
+func (x *exchange) minEndpoints(work balance.Work) int {
 	if !x.g.config.Policy.Oversize(x.service, work) {
 		return 1
 	}
--- a/relay/restored_test.go
+++ b/relay/restored_test.go
@@ -12,11 +12,10 @@
 	"github.com/micarudder/micarudder/quarantine"
 )
 
-// TestProofFromAnOlderCopy: the store comes back from a copy some seconds old. It names an
-// older configuration than the one in force, then the newest one again. Neither the older one nor that it
-// stays the same proves that the newest one is in force; and what is written again within two seconds may
-// be still newer, so that nothing is proved until then. A key that was withdrawn in between
-// would be good for as long as the proofs went on.
+// TestProofFromAnOlderCopy: after a restore from an older copy the store returns an older version,
+// then the newest one again. A read of the older version proves nothing, nor does any read within
+// returnWindow, since even newer writes may be missing until then. Otherwise a key that was
+// withdrawn in between would stay valid.
 func TestProofFromAnOlderCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -45,7 +44,7 @@
 		time.Sleep(3 * time.Second)
 		source.unchanged = true
 		read()
-		is.True(!proved()) // the same as the last read, which was the older one
+		is.True(!proved()) // the same as the last read, which returned the older one
 		source.unchanged = false
 		source.set(newest, nil)
 		read()
@@ -53,8 +52,8 @@
 		time.Sleep(time.Second)
 		source.restore(newest)
 		read()
-		is.True(!proved()) // a still newer one may be missing
-		time.Sleep(returnTime - time.Millisecond)
+		is.True(!proved()) // an even newer one may be missing
+		time.Sleep(returnWindow - time.Millisecond)
 		read()
 		is.True(!proved())
 		time.Sleep(time.Millisecond)
@@ -63,17 +62,16 @@
 	})
 }
 
-// TestMembersOfAnOlderCopy: the store comes back from a copy some seconds old, in which an
-// endpoint that leaves has not said so, one that has left is still there, and one that is
-// there is missing.
-func TestMembersOfAnOlderCopy(t *testing.T) {
+// TestEndpointsFromAnOlderCopy: in the older copy a draining endpoint is not yet marked as such, a
+// departed one is still listed, and a running one is missing.
+func TestEndpointsFromAnOlderCopy(t *testing.T) {
 	draining := endpoints("a", "b", "c")
 	draining[1].Draining = true
 	restarted := endpoints("a", "b", "c")
 	restarted[1].Born = 2
 	first := endpoints("a", "b", "c")
 	first[1].Born = 1
-	type look struct {
+	type step struct {
 		list []catalog.Endpoint
 		ms   int
 		want string
@@ -81,84 +79,84 @@
 	const restored = 5000
 	cases := []struct {
 		name  string
-		looks []look
+		steps []step
 	}{
-		{"one that leaves has said so", []look{{draining, 0, "ac"}, {endpoints("a", "b", "c"), 5100, "ac"}, {endpoints("a", "b", "c"), 60_000, "ac"}}},
-		{"one that said so and left has left", []look{
+		{"a draining endpoint stays out", []step{{draining, 0, "ac"}, {endpoints("a", "b", "c"), 5100, "ac"}, {endpoints("a", "b", "c"), 60_000, "ac"}}},
+		{"a drained endpoint that left stays out", []step{
 			{endpoints("a", "b", "c"), 0, "abc"}, {draining, 1000, "ac"}, {endpoints("a", "c"), 2000, "ac"}, {endpoints("a", "b", "c"), 5100, "ac"}, {endpoints("a", "b", "c"), 60_000, "ac"},
 		}},
-		{"one whose entry disappeared is not there until its heartbeats show", []look{
+		{"an endpoint whose entry disappeared is out until it outlives missed heartbeats", []step{
 			{endpoints("a", "b", "c"), 0, "abc"}, {endpoints("a", "c"), 2000, "ac"}, {endpoints("a", "b", "c"), 5100, "ac"}, {endpoints("a", "b", "c"), 10_900, "ac"},
 			{endpoints("a", "b", "c"), 11_000, "abc"},
 		}},
-		{"one that is missing is written again", []look{
+		{"a missing entry is written again", []step{
 			{endpoints("a", "b", "c"), 0, "abc"}, {endpoints("a", "c"), 5100, "abc"}, {endpoints("a", "b", "c"), 6800, "abc"},
 		}},
-		{"one that is not written again is gone", []look{
+		{"an endpoint whose entry is not written again is gone", []step{
 			{endpoints("a", "b", "c"), 0, "abc"}, {endpoints("a", "c"), 5100, "abc"}, {endpoints("a", "c"), 7000, "ac"},
 		}},
-		{"one that starts again under its name is there", []look{
+		{"a restarted endpoint is used", []step{
 			{first, 0, "abc"}, {endpoints("a", "c"), 2000, "ac"}, {restarted, 5100, "abc"},
 		}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			m := newMembers()
-			for i, l := range tc.looks {
+			m := newEndpointSet()
+			for i, l := range tc.steps {
 				if l.ms >= restored {
-					m.restored = at(restored)
+					m.restoredAt = msAfterStart(restored)
 				}
-				m.listed(l.list, at(l.ms), time.Time{})
-				if got := names(m); got != l.want {
-					t.Errorf("look %d: %s, want %s", i, got, l.want)
+				m.applyList(l.list, msAfterStart(l.ms), time.Time{})
+				if got := usableIDs(m); got != l.want {
+					t.Errorf("step %d: %s, want %s", i, got, l.want)
 				}
 			}
 		})
 	}
 }
 
-// TestReturnWithoutARestore: one whose entry disappeared and comes back while the store went on is
-// there at once.
+// TestReturnWithoutARestore: an endpoint whose entry disappeared and returns is used at once if the
+// store was not restored.
 func TestReturnWithoutARestore(t *testing.T) {
 	is := is.New(t)
-	m := newMembers()
-	m.listed(endpoints("a", "b"), at(0), time.Time{})
-	m.listed(endpoints("a"), at(1000), time.Time{})
-	is.Equal(names(m), "a")
-	m.listed(endpoints("a", "b"), at(2000), time.Time{})
-	is.Equal(names(m), "ab")
+	m := newEndpointSet()
+	m.applyList(endpoints("a", "b"), msAfterStart(0), time.Time{})
+	m.applyList(endpoints("a"), msAfterStart(1000), time.Time{})
+	is.Equal(usableIDs(m), "a")
+	m.applyList(endpoints("a", "b"), msAfterStart(2000), time.Time{})
+	is.Equal(usableIDs(m), "ab")
 }
 
-// TestEraIsTold: gateways that do not read the store hear from one that does that it came back from an
-// older copy; the first era that a gateway hears of is no news.
-func TestEraIsTold(t *testing.T) {
+// TestStoreEraIsBroadcast: gateways that do not read the store learn of a restore from one that
+// does. The first era that a gateway learns is no restore.
+func TestStoreEraIsBroadcast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		reader, other := newMemoryBench(t, nil).gateway, newMemoryBench(t, nil).gateway
-		tell := func() {
-			a := newAudience("g", "", reader.state.Cells(), []peers.Member{{Name: "o"}}, reader.sharing.peers(time.Now()))
-			for _, m := range reader.outgoing(a, changed, time.Now()) {
-				other.sawEra(m.word.StoreEra, "g")
+		broadcast := func() {
+			r := newAudience("g", "", reader.state.Cells(), []peers.Member{{Name: "o"}}, reader.sharing.peers(time.Now()))
+			for _, m := range reader.outgoing(r, changed, time.Now()) {
+				other.recordStoreEra(m.word.StoreEra, "g")
 			}
 		}
-		is.True(!reader.sawEra(3, "store"))
-		tell()
+		is.True(!reader.recordStoreEra(3, "store"))
+		broadcast()
 		is.Equal(other.state.StoreEra(), uint64(3))
 		is.True(other.state.Prove(1, time.Now()))
 		time.Sleep(time.Second)
-		is.True(reader.sawEra(4, "store"))
-		tell()
+		is.True(reader.recordStoreEra(4, "store"))
+		broadcast()
 		is.True(!other.state.Prove(1, time.Now()))
-		is.True(!other.sawEra(3, "late")) // a word that was overtaken
-		time.Sleep(returnTime)
+		is.True(!other.recordStoreEra(3, "late")) // a message that was overtaken
+		time.Sleep(returnWindow)
 		is.True(other.state.Prove(1, time.Now()))
 	})
 }
 
-// TestQuarantineIsKeptAgain: what the gateways keep in the store is written again when it comes back from
-// an older copy; otherwise a request that crashes endpoints would be forgotten with the next
-// restart of all.
-func TestQuarantineIsKeptAgain(t *testing.T) {
+// TestQuarantineIsRestored: quarantine entries are written again after the store was restored from
+// an older copy. Otherwise a request that crashes endpoints would be forgotten when all gateways
+// restart.
+func TestQuarantineIsRestored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newMemoryBench(t, nil).gateway
@@ -172,13 +170,13 @@
 				table.Crashed(f, quarantine.Crash{Endpoint: quarantine.Incarnation(i + 1), At: time.Now()}, time.Now())
 			})
 		}
-		g.sawStore()
+		g.checkStoreEra()
 		g.keep(f)
 		synctest.Wait()
 		is.Equal(source.keptCount(), 1)
 		source.restore(nil)
 		is.Equal(source.keptCount(), 0)
-		g.sawStore()
+		g.checkStoreEra()
 		synctest.Wait()
 		is.Equal(source.keptCount(), 1)
 	})
--- a/relay/search.go
+++ b/relay/search.go
@@ -9,52 +9,52 @@
 )
 
 const (
-	// mostRemote is how many endpoints of other cells are looked at for a long prompt:
-	// as many as it can use.
-	mostRemote = 16
-	// cellsAsked is how many other cells are looked at for a short request.
-	cellsAsked = 2
+	// maxRemoteCandidates is how many endpoints of other cells are considered for a long prompt: as
+	// many as it can use.
+	maxRemoteCandidates = 16
+	// maxRemoteCells is how many other cells are considered for a short request.
+	maxRemoteCells = 2
 )
 
-// warmth tells whether a connection to an endpoint is open that a request may use.
-type warmth func(endpoint string) bool
+// warmConnFunc reports whether an idle connection to an endpoint is open that a request may use.
+type warmConnFunc func(endpoint string) bool
 
-// search is one choice of endpoints, in the own cell first. Its methods need the picker's
-// lock.
-type search struct {
+// endpointSearch is one choice of endpoints, which considers the local cell first. Its methods need
+// the picker's lock.
+type endpointSearch struct {
 	*picker
-	service *catalog.Service
-	work    balance.Work
-	warm    warmth
-	cells   map[string][]catalog.Endpoint // the service's endpoints by cell
-	home    string                        // the own cell
-	now     time.Time
+	service   *catalog.Service
+	work      balance.Work
+	isWarm    warmConnFunc
+	cells     map[string][]catalog.Endpoint // the service's endpoints by cell
+	localCell string                        // cell of this gateway
+	now       time.Time
 }
 
-// found is a choice and what it was made among.
-type found struct {
+// searchResult is a choice and the candidates that it was made among.
+type searchResult struct {
 	endpoints  []catalog.Endpoint
 	candidates []balance.Candidate
 	choice     balance.Choice
 }
 
-// pick chooses an endpoint of the service and counts the load: in the own cell if that
-// will do, else with the help of others.
-func (p *picker) pick(service *catalog.Service, w balance.Work, warm warmth, now time.Time) (chosen *place, expected balance.Expected, o pickOutcome) {
-	s := search{
-		picker: p, service: service, work: w, warm: warm, now: now,
-		cells: p.unlimited(p.state.Takers(service.Name, now)), home: p.state.Cells().Of(p.dataCentre),
+// pick chooses an endpoint of the service and counts the load: in the local cell if that suffices,
+// otherwise with the help of other cells.
+func (p *picker) pick(service *catalog.Service, w balance.Work, isWarm warmConnFunc, now time.Time) (chosen *place, expected balance.Expected, o pickOutcome) {
+	s := endpointSearch{
+		picker: p, service: service, work: w, isWarm: isWarm, now: now,
+		cells: p.withoutLimited(p.state.AvailableEndpoints(service.Name, now)), localCell: p.state.Cells().Of(p.dataCentre),
 	}
 	if len(s.cells) == 0 {
 		return nil, expected, pickNone
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := s.among(s.cells[s.home], nil)
-	if at.choice.Elsewhere() && len(s.cells) > 1 {
-		at = s.elsewhere(at)
+	res := s.choose(s.cells[s.localCell], nil)
+	if res.choice.Elsewhere() && len(s.cells) > 1 {
+		res = s.chooseWithRemote(res)
 	}
-	c := at.choice
+	c := res.choice
 	switch {
 	case c.Wait:
 		return nil, c.Expected, pickWait
@@ -63,91 +63,91 @@
 	case c.Endpoint < 0:
 		return nil, c.Expected, pickNone
 	}
-	if chosen = p.put(at, now); chosen == nil {
+	if chosen = p.assign(res, now); chosen == nil {
 		return nil, c.Expected, pickNone
 	}
 	return chosen, c.Expected, picked
 }
 
-// among chooses among endpoints and remote, which are endpoints of other cells.
-func (s *search) among(endpoints, remote []catalog.Endpoint) found {
-	at := found{endpoints: slices.Concat(endpoints, remote)}
-	at.candidates = make([]balance.Candidate, len(at.endpoints))
+// choose chooses among endpoints and remote, which are endpoints of other cells.
+func (s *endpointSearch) choose(endpoints, remote []catalog.Endpoint) searchResult {
+	res := searchResult{endpoints: slices.Concat(endpoints, remote)}
+	res.candidates = make([]balance.Candidate, len(res.endpoints))
 	cells := s.state.Cells()
-	for i, e := range at.endpoints {
-		at.candidates[i] = balance.Candidate{
+	for i, e := range res.endpoints {
+		res.candidates[i] = balance.Candidate{
 			ID: e.ID, Load: s.book.Load(e.ID, s.now), Rank: rank(e.ID), OwnRank: rank(s.self + e.ID),
-			Suspect: s.health.Suspect(e.ID, s.now), Pace: s.health.Pace(e.ID, s.now), Remote: i >= len(endpoints), Shared: cells.Shared(e.ID), Warm: s.warm(e.ID),
+			Suspect: s.health.Suspect(e.ID, s.now), Pace: s.health.Pace(e.ID, s.now), Remote: i >= len(endpoints), Shared: cells.Shared(e.ID), Warm: s.isWarm(e.ID),
 		}
 	}
-	at.choice = s.policy.Choose(s.service, s.work, at.candidates)
-	return at
+	res.choice = s.policy.Choose(s.service, s.work, res.candidates)
+	return res
 }
 
-// elsewhere chooses again with the help of other cells, taken in an order of chance, so
-// that cells that are short of room at the same moment do not all turn to the same one.
-func (s *search) elsewhere(at found) found {
+// chooseWithRemote chooses again with the help of other cells. They are tried in random order, so
+// that cells that run short at the same moment do not all turn to the same one.
+func (s *endpointSearch) chooseWithRemote(local searchResult) searchResult {
 	switch {
-	case len(s.cells[s.home]) == 0:
-		return s.anyCell(at)
+	case len(s.cells[s.localCell]) == 0:
+		return s.chooseInAnyCell(local)
 	case s.policy.TakesTurns(s.service, s.work):
-		return s.withRemote()
+		return s.chooseWithRemoteHelpers()
 	default:
-		return s.otherCells(at)
+		return s.chooseInRemoteCell(local)
 	}
 }
 
-// anyCell chooses for a cell that has no endpoints of its own: in any other one.
-func (s *search) anyCell(at found) found {
-	for _, endpoints := range s.cells { // in no order
-		if at = s.among(endpoints, nil); at.choice.Endpoint >= 0 {
+// chooseInAnyCell chooses an endpoint of any other cell, for a cell that has none of its own.
+func (s *endpointSearch) chooseInAnyCell(res searchResult) searchResult {
+	for _, endpoints := range s.cells { // random order
+		if res = s.choose(endpoints, nil); res.choice.Endpoint >= 0 {
 			break
 		}
 	}
-	return at
+	return res
 }
 
-// withRemote chooses for a long prompt among the own cell's endpoints and some that other
-// cells offer.
-func (s *search) withRemote() found {
+// chooseWithRemoteHelpers chooses for a long prompt among the local cell's endpoints and some that
+// other cells offer.
+func (s *endpointSearch) chooseWithRemoteHelpers() searchResult {
 	digests := s.book.Digests(s.now)
 	var remote []catalog.Endpoint
-	for c, endpoints := range s.cells { // in no order
-		if c == s.home {
+	for c, endpoints := range s.cells { // random order
+		if c == s.localCell {
 			continue
 		}
-		remote = append(remote, offeredOf(endpoints, digests[c].Loads)...)
-		if len(remote) >= mostRemote {
+		remote = append(remote, offeredEndpoints(endpoints, digests[c].Loads)...)
+		if len(remote) >= maxRemoteCandidates {
 			break
 		}
 	}
-	return s.among(s.cells[s.home], remote[:min(mostRemote, len(remote))])
+	return s.choose(s.cells[s.localCell], remote[:min(maxRemoteCandidates, len(remote))])
 }
 
-// otherCells chooses for a short request in other cells, where they offer something that
-// is in time; at is what the own cell has.
-func (s *search) otherCells(at found) found {
+// chooseInRemoteCell chooses for a short request in other cells, provided that an endpoint offered
+// there can serve it in time. Otherwise it returns local, the choice in the local cell.
+func (s *endpointSearch) chooseInRemoteCell(local searchResult) searchResult {
 	s.work.Remote = true
 	digests := s.book.Digests(s.now)
-	asked := 0
-	for c, endpoints := range s.cells { // in no order
-		offered := offeredOf(endpoints, digests[c].Loads)
-		if c == s.home || len(offered) == 0 {
+	tried := 0
+	for c, endpoints := range s.cells { // random order
+		offered := offeredEndpoints(endpoints, digests[c].Loads)
+		if c == s.localCell || len(offered) == 0 {
 			continue
 		}
-		if other := s.among(offered, nil); other.choice.Endpoint >= 0 {
-			other.candidates[other.choice.Endpoint].Remote = true
-			return other
+		if remote := s.choose(offered, nil); remote.choice.Endpoint >= 0 {
+			remote.candidates[remote.choice.Endpoint].Remote = true
+			return remote
 		}
-		if asked++; asked == cellsAsked {
+		if tried++; tried == maxRemoteCells {
 			break
 		}
 	}
-	return at
+	return local
 }
 
-// offeredOf returns the endpoints that a digest offers.
-func offeredOf(endpoints []catalog.Endpoint, offered map[string]balance.Load) []catalog.Endpoint {
+// offeredEndpoints returns the endpoints that a digest offers.
+func offeredEndpoints(endpoints []catalog.Endpoint, offered map[string]balance.Load) []catalog.Endpoint {
 	var out []catalog.Endpoint
 	for _, e := range endpoints {
 		if _, ok := offered[e.ID]; ok {
