--- a/relay/share.go
+++ b/relay/share.go
@@ -16,178 +16,180 @@
 	"github.com/micarudder/micarudder/peers"
 )
 
-// The store is priced by the call, so not every gateway reads it. One gateway, chosen by
-// its name among those heard lately, reads configuration and endpoints, and another stands
-// by; the others take both from their words, in other cells over those that speak there,
-// each dated by the receiver's own clock. Whoever gets nothing young enough reads the
-// store itself, so that readers that freeze or are cut off cost calls only.
+// Calls to the store are charged individually, so not every gateway reads it. One gateway, chosen
+// by its name among those heard recently, reads the configuration and the endpoints, and another
+// one stands by. The other gateways take both from their messages, in other cells through the
+// representatives of the cells, each dated by the receiver's own clock. A gateway that receives
+// nothing fresh enough reads the store itself, so that readers which hang or are cut off cost only
+// additional calls.
 
 const (
-	// readers is how many gateways see to it that the store is read: one reads, and one
-	// stands by in case that it dies.
+	// readers is how many gateways ensure that the store is read: one reads, and one stands by in
+	// case the first one dies.
 	readers = 2
-	// standBy is the age of what the first reader tells at which the second reads: one
-	// read was missed, and the word about it.
-	standBy = readEvery + readEvery/2
-	// takeOver is the same for all others: the standby missed one, too.
+	// standbyAge is the age of the first reader's data at which the standby reads: one read was
+	// missed, and the message about it.
+	standbyAge = readEvery + readEvery/2
+	// takeOver is the age at which all other gateways read: the standby missed a read, too.
 	takeOver = 2*readEvery + readEvery/2
-	// hearFor is how long a peer that was heard counts among those that read.
-	hearFor = time.Second
-	// acrossFor is how long a peer of another cell that told a digest is told ours:
-	// four digests may be lost.
-	acrossFor = 4 * digestEvery * tellEvery
+	// peerTimeout is how long a peer counts among the readers after its last message.
+	peerTimeout = time.Second
+	// remotePeerTimeout is how long a peer of another cell that sent a digest is sent this cell's
+	// digests: four digests may be lost.
+	remotePeerTimeout = 4 * digestEvery * tellEvery
 
 	pathEndpoints = "/peer/endpoints"
 )
 
-// endpointList is a list as it was read from the store. That a peer could not
-// read the store is not told: it says nothing of the store itself.
+// endpointList is a list as it was read from the store. Failed reads of a peer are not passed on,
+// since they say nothing about the store itself.
 type endpointList struct {
 	Endpoints []catalog.Endpoint
 }
 
-// sharing is what this gateway knows of the other gateways' reads.
+// sharing holds what this gateway knows of its own and the other gateways' reads of the store.
 type sharing struct {
-	mu      sync.Mutex
-	heard   map[string]time.Time // peers that can reach the store
-	cut     map[string]time.Time // peers that cannot
-	across  map[string]time.Time // peers of other cells that tell digests
-	list    endpointList
-	hash    uint64    // of list; 0: none
-	listed  time.Time // when the read of list was sent, or proved still right; zero: long ago
-	since   time.Time // when the host's newest suspension was noticed
-	reading []func()  // end own reads of the list that are under way
-	failed  time.Time // when an own read failed last
-	asked   time.Time // when this gateway asked the store last
-	// lostSince is since when peers before this one do not reach the store; zero: they
-	// do.
-	lostSince time.Time
-	noStore   bool // whether the newest read failed, or has had no answer for long
-	taking    bool // whether something is being taken from a peer
+	mu           sync.Mutex
+	withStore    map[string]time.Time // last message of peers that can reach the store
+	withoutStore map[string]time.Time // last message of peers that cannot
+	crossCell    map[string]time.Time // last digest of peers of other cells
+	list         endpointList
+	hash         uint64    // of list; 0 if there is none
+	listedAt     time.Time // when the read of list was sent, or list was last confirmed; zero means long ago
+	suspendedAt  time.Time // when the host's latest suspension was noticed
+	cancelReads  []func()  // cancel reads of the list that are in progress
+	failedAt     time.Time // when this gateway's last failed read of the store failed
+	queriedAt    time.Time // when this gateway last queried the store
+	// peersLostSince is since when peers that precede this one have been unable to reach the store;
+	// zero if they can.
+	peersLostSince time.Time
+	storeLost      bool // whether the latest read failed, or has been unanswered for silentAfter
+	fetching       bool // whether something is being fetched from a peer
 }
 
 func newSharing() *sharing {
-	return &sharing{heard: make(map[string]time.Time), cut: make(map[string]time.Time), across: make(map[string]time.Time)}
+	return &sharing{withStore: make(map[string]time.Time), withoutStore: make(map[string]time.Time), crossCell: make(map[string]time.Time)}
 }
 
-// peers returns who was heard lately.
-func (s *sharing) peers(now time.Time) heardPeers {
+// peers returns the peers that were heard recently.
+func (s *sharing) peers(now time.Time) recentPeers {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := heardPeers{lately: make(map[string]bool), withStore: make(map[string]bool), across: make(map[string]bool)}
-	for name, at := range s.heard {
-		if now.Sub(at) <= hearFor {
-			h.lately[name], h.withStore[name] = true, true
+	recent := recentPeers{lately: make(map[string]bool), withStore: make(map[string]bool), crossCell: make(map[string]bool)}
+	for name, heardAt := range s.withStore {
+		if now.Sub(heardAt) <= peerTimeout {
+			recent.lately[name], recent.withStore[name] = true, true
 		}
 	}
-	for name, at := range s.cut {
-		if now.Sub(at) <= hearFor {
-			h.lately[name] = true
+	for name, heardAt := range s.withoutStore {
+		if now.Sub(heardAt) <= peerTimeout {
+			recent.lately[name] = true
 		}
 	}
-	for name, at := range s.across {
-		if now.Sub(at) > acrossFor {
-			delete(s.across, name)
+	for name, heardAt := range s.crossCell {
+		if now.Sub(heardAt) > remotePeerTimeout {
+			delete(s.crossCell, name)
 			continue
 		}
-		h.across[name] = true
+		recent.crossCell[name] = true
 	}
-	return h
+	return recent
 }
 
-// audience returns whom this gateway tells what.
-func (g *Gateway) audience(now time.Time) audience {
+// audience returns the recipients of this gateway's messages.
+func (g *Gateway) audience(now time.Time) recipients {
 	return newAudience(g.config.Name, g.config.DataCentre, g.state.Cells(), g.deps.Mesh.Members(now), g.sharing.peers(now))
 }
 
-// reads reports whether this gateway reads the store again whose newest read is so old.
-// Of those that reach it the first does in any case, the next stands by, and the others
-// read when both must have failed. A store that others do not reach either is left to them
-// for a while: 103 gateways made 560 calls in the 7 s for which it was away.
-func (s *sharing) reads(self string, age time.Duration, now time.Time) bool {
+// shouldRead reports whether this gateway reads the store again, given the age of its newest read.
+// Of the gateways that reach the store the first always reads, the next stands by, and the others
+// read when both must have failed. If other gateways cannot reach the store either, this one leaves
+// it to them for a while: 103 gateways made 560 calls in the 7 s for which the store was
+// unavailable.
+func (s *sharing) shouldRead(self string, age time.Duration, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := countBefore(self, s.heard, now)
-	asking := countBefore(self, s.cut, now)
-	if asking == 0 {
-		s.lostSince = time.Time{}
-	} else if s.lostSince.IsZero() {
-		s.lostSince = now
+	reaching := countPreceding(self, s.withStore, now)
+	notReaching := countPreceding(self, s.withoutStore, now)
+	if notReaching == 0 {
+		s.peersLostSince = time.Time{}
+	} else if s.peersLostSince.IsZero() {
+		s.peersLostSince = now
 	}
 	switch {
-	case s.noStore && asking < readers:
+	case s.storeLost && notReaching < readers:
 		return true
-	case !s.noStore && before == 0:
+	case !s.storeLost && reaching == 0:
 		return true
-	case !s.noStore && before < readers && age > standBy:
+	case !s.storeLost && reaching < readers && age > standbyAge:
 		return true
 	case age <= takeOver:
 		return false
-	case asking > 0:
-		return now.Sub(s.lostSince) > readCut && now.Sub(s.asked) > readCut
+	case notReaching > 0:
+		return now.Sub(s.peersLostSince) > readDeferral && now.Sub(s.queriedAt) > readDeferral
 	default:
 		return true
 	}
 }
 
-// countBefore returns how many of the peers that were heard lately precede a gateway; it
-// forgets the others.
-func countBefore(self string, peers map[string]time.Time, now time.Time) int {
-	before := 0
-	for name, at := range peers {
-		if now.Sub(at) > hearFor {
+// countPreceding returns how many of the recently heard peers precede a gateway; it drops the
+// others.
+func countPreceding(self string, peers map[string]time.Time, now time.Time) int {
+	preceding := 0
+	for name, heardAt := range peers {
+		if now.Sub(heardAt) > peerTimeout {
 			delete(peers, name)
 			continue
 		}
 		if precedes(name, self) {
-			before++
+			preceding++
 		}
 	}
-	return before
+	return preceding
 }
 
-// rank orders gateways in a way that does not follow their names, so that the
-// readers stand in different data centres.
+// rank orders gateways independently of their names, so that the readers are in different data
+// centres.
 func rank(name string) uint64 { return xxhash.Sum64String(name) }
 
-// asks notes that this gateway asks the store.
-func (s *sharing) asks(now time.Time) {
+// recordQuery records that this gateway queries the store.
+func (s *sharing) recordQuery(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked = now
+	s.queriedAt = now
 }
 
-// note takes in how a read of the store went.
-func (s *sharing) note(err error, now time.Time) {
+// recordRead records the result of a read of the store.
+func (s *sharing) recordRead(err error, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noStore = err != nil
+	s.storeLost = err != nil
 	if err != nil {
-		s.failed = now
+		s.failedAt = now
 	}
 }
 
-// read takes in a list that was read from the store, by a read sent at that
-// time, or that a peer has read.
+// read records a list that this gateway or a peer has read from the store, by a read sent at that
+// time.
 func (s *sharing) read(list []catalog.Endpoint, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list.Endpoints, s.hash = list, hashEndpoints(list)
-	s.date(sent)
-	for _, stop := range s.reading {
+	s.setListedAt(sent)
+	for _, stop := range s.cancelReads {
 		stop()
 	}
-	s.reading = nil
+	s.cancelReads = nil
 }
 
-// stopAtList calls stop when a list is taken in.
-func (s *sharing) stopAtList(stop func()) {
+// cancelAtList calls cancel when a list is recorded.
+func (s *sharing) cancelAtList(cancel func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reading = append(s.reading, stop)
+	s.cancelReads = append(s.cancelReads, cancel)
 }
 
-// hashEndpoints identifies a list by what decides about its endpoints.
+// hashEndpoints returns a hash of the parts of a list that matter for its endpoints.
 func hashEndpoints(list []catalog.Endpoint) uint64 {
 	sorted := slices.Clone(list)
 	slices.SortFunc(sorted, func(a, b catalog.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
@@ -198,13 +200,13 @@
 			state = "|draining|"
 		}
 		_, _ = h.WriteString(e.ID + "|" + e.Service + "|" + e.Address + state)
-		_ = binary.Write(h, binary.BigEndian, [2]int64{int64(e.Slots), e.Born}) // a hash takes all that it is given
+		_ = binary.Write(h, binary.BigEndian, [2]int64{int64(e.Slots), e.Born}) // writes to a hash never fail
 	}
 	return max(1, h.Sum64())
 }
 
-// fill adds to a word what this gateway has read.
-func (g *Gateway) fill(w *peers.Word, now time.Time) {
+// fillReads adds to a message what this gateway has read.
+func (g *Gateway) fillReads(w *peers.Word, now time.Time) {
 	age, _ := g.state.ProofAge(now)
 	w.Version, w.ProofAgeMs = g.state.Version(), age.Milliseconds()
 	if age < 0 || age > time.Hour {
@@ -213,151 +215,152 @@
 	s := g.sharing
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.hash != 0 && !s.listed.IsZero() {
-		w.Endpoints, w.EndpointsAgeMs = s.hash, now.Sub(s.listed).Milliseconds()
+	if s.hash != 0 && !s.listedAt.IsZero() {
+		w.Endpoints, w.EndpointsAgeMs = s.hash, now.Sub(s.listedAt).Milliseconds()
 	}
 }
 
-// heardStore takes in whether a peer reaches the store. That a peer fails as well
-// counts like an own failed read, which keeps endpoints that lapsed meanwhile, unless
-// others reach it: a gateway that takes lists from these may not have read for long.
-// The caller holds the lock.
+// heardStore records whether a peer can reach the store. A peer's failure counts like a failed read
+// of this gateway, which keeps endpoints whose entries lapsed meanwhile, unless other peers can
+// reach the store: a gateway that takes its lists from these may not have read for long. The caller
+// holds the lock.
 func (s *sharing) heardStore(w peers.Word, now time.Time) {
-	delete(s.heard, w.From)
-	delete(s.cut, w.From)
+	delete(s.withStore, w.From)
+	delete(s.withoutStore, w.From)
 	if len(w.Digests) > 0 {
-		s.across[w.From] = now
+		s.crossCell[w.From] = now
 	}
 	switch {
 	case w.Leaving:
 	case w.NoStore:
-		s.cut[w.From] = now
-		if s.noStore && !s.othersRead(now) {
-			s.failed = now
+		s.withoutStore[w.From] = now
+		if s.storeLost && !s.peerReachesStore(now) {
+			s.failedAt = now
 		}
 	default:
-		s.heard[w.From] = now
+		s.withStore[w.From] = now
 	}
 }
 
-// othersRead reports whether a peer was heard lately that reaches the store. The
-// caller holds the lock.
-func (s *sharing) othersRead(now time.Time) bool {
-	for _, at := range s.heard {
-		if now.Sub(at) <= hearFor {
+// peerReachesStore reports whether a peer that can reach the store was heard recently. The caller
+// holds the lock.
+func (s *sharing) peerReachesStore(now time.Time) bool {
+	for _, heardAt := range s.withStore {
+		if now.Sub(heardAt) <= peerTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// proved takes in a proof of others, which a read brought that was sent at that time: a
-// store that this gateway did not reach long before is thought to be back.
-func (s *sharing) proved(sent time.Time) {
+// recordPeerProof records a peer's proof from a read sent at that time. If this gateway's last
+// failed read was well before that, the store is assumed to be reachable again.
+func (s *sharing) recordPeerProof(sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.noStore && sent.Sub(s.failed) > readCut {
-		s.noStore = false
+	if s.storeLost && sent.Sub(s.failedAt) > readDeferral {
+		s.storeLost = false
 	}
 }
 
-// storeLost reports whether the newest own read of the store failed.
-func (s *sharing) storeLost() bool {
+// storeUnreachable reports whether this gateway's latest read of the store failed.
+func (s *sharing) storeUnreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.noStore
+	return s.storeLost
 }
 
-// heardWord takes in what a peer says of its reads.
+// heardWord processes what a peer reports about its reads.
 func (g *Gateway) heardWord(w peers.Word, from netip.AddrPort) {
 	now := time.Now()
 	s := g.sharing
 	s.mu.Lock()
 	s.heardStore(w, now)
 	s.mu.Unlock()
-	said, ok := g.deps.Mesh.SaidAfter(w)
+	sentAfter, ok := g.deps.Mesh.SaidAfter(w)
 	if !ok {
 		return
 	}
-	if !g.suspension.after(said) {
-		return // it answers what was said before the host was suspended
+	if !g.suspension.after(sentAfter) {
+		return // it answers a message from before the host was suspended
 	}
-	g.sawEra(w.StoreEra, w.From)
-	g.picker.digests(w, said)
-	g.heardProof(w, said, from)
-	g.heardEndpoints(w, said, from)
+	g.recordStoreEra(w.StoreEra, w.From)
+	g.picker.digests(w, sentAfter)
+	g.handlePeerProof(w, sentAfter, from)
+	g.handlePeerEndpoints(w, sentAfter, from)
 }
 
-// heardProof takes in the proof in a word that was said after that time.
-func (g *Gateway) heardProof(w peers.Word, said time.Time, from netip.AddrPort) {
+// handlePeerProof records the proof in a message that was sent after that time.
+func (g *Gateway) handlePeerProof(w peers.Word, sentAfter time.Time, from netip.AddrPort) {
 	if w.ProofAgeMs < 0 {
 		return
 	}
 	if w.Version > g.state.Version() {
-		g.take(func() { g.askPeerLogged(from) })
+		g.fetch(func() { g.askPeerLogged(from) })
 		return
 	}
-	sent := said.Add(-time.Duration(w.ProofAgeMs) * time.Millisecond)
+	sent := sentAfter.Add(-time.Duration(w.ProofAgeMs) * time.Millisecond)
 	if !g.state.Prove(w.Version, sent) {
 		return
 	}
-	g.sharing.proved(sent)
+	g.sharing.recordPeerProof(sent)
 	if g.fromAfar(w) {
-		g.tellNews() // the own cell hears of it from this gateway
+		g.tellNews() // the local cell learns of it from this gateway
 	}
 }
 
-// fromAfar reports whether a word came from another cell.
+// fromAfar reports whether a message came from another cell.
 func (g *Gateway) fromAfar(w peers.Word) bool {
 	cells := g.state.Cells()
 	return w.DataCentre != "" && cells.Of(w.DataCentre) != cells.Of(g.config.DataCentre)
 }
 
-// heardEndpoints takes in which list of endpoints the sender of a word has.
-func (g *Gateway) heardEndpoints(w peers.Word, said time.Time, from netip.AddrPort) {
+// handlePeerEndpoints compares the list of endpoints that the sender of a message has with the own
+// one.
+func (g *Gateway) handlePeerEndpoints(w peers.Word, sentAfter time.Time, from netip.AddrPort) {
 	if w.Endpoints == 0 {
 		return
 	}
-	sent := said.Add(-time.Duration(w.EndpointsAgeMs) * time.Millisecond)
+	sent := sentAfter.Add(-time.Duration(w.EndpointsAgeMs) * time.Millisecond)
 	s := g.sharing
 	s.mu.Lock()
-	newer := sent.After(s.listed)
+	newer := sent.After(s.listedAt)
 	same := s.hash == w.Endpoints
 	if newer && same {
-		s.date(sent)
+		s.setListedAt(sent)
 	}
 	s.mu.Unlock()
 	if !newer {
 		return
 	}
 	if !same {
-		g.take(func() { g.takeEndpointsLogged(from, sent) })
+		g.fetch(func() { g.fetchEndpointsLogged(from, sent) })
 		return
 	}
 	g.applyEndpoints()
 }
 
-// take runs one thing at a time that asks a peer.
-func (g *Gateway) take(ask func()) {
+// fetch runs one request to a peer at a time; further ones are dropped.
+func (g *Gateway) fetch(request func()) {
 	s := g.sharing
 	s.mu.Lock()
-	busy := s.taking
-	s.taking = true
+	busy := s.fetching
+	s.fetching = true
 	s.mu.Unlock()
 	if busy {
 		return
 	}
 	go func() {
-		ask()
+		request()
 		s.mu.Lock()
-		s.taking = false
+		s.fetching = false
 		s.mu.Unlock()
 	}()
 }
 
-// takeEndpoints reads a peer's list. The peer may have read the store again
-// since; then the list is younger than sent says.
-func (g *Gateway) takeEndpoints(from netip.AddrPort, sent time.Time) error {
+// fetchEndpoints fetches a peer's list. The peer may have read the store again meanwhile; then the
+// list is newer than sent.
+func (g *Gateway) fetchEndpoints(from netip.AddrPort, sent time.Time) error {
 	ctx, cancel := context.WithTimeout(g.ctx, 2*peerTime)
 	defer cancel()
 	var list endpointList
@@ -369,18 +372,18 @@
 	return nil
 }
 
-// takeEndpointsLogged is takeEndpoints for callers that go on with what they have.
-func (g *Gateway) takeEndpointsLogged(from netip.AddrPort, sent time.Time) {
-	if err := g.takeEndpoints(from, sent); err != nil {
+// fetchEndpointsLogged is fetchEndpoints for callers that go on with what they have.
+func (g *Gateway) fetchEndpointsLogged(from netip.AddrPort, sent time.Time) {
+	if err := g.fetchEndpoints(from, sent); err != nil {
 		g.deps.Log.Logger().Warn("A peer's list of endpoints could not be read.", "peer", from, "err", err)
 	}
 }
 
-// applyEndpoints decides about endpoints from the newest list.
+// applyEndpoints applies the newest list.
 func (g *Gateway) applyEndpoints() {
 	s := g.sharing
 	s.mu.Lock()
-	list, sent, failed := s.list.Endpoints, s.listed, s.failed
+	list, sent, failed := s.list.Endpoints, s.listedAt, s.failedAt
 	s.mu.Unlock()
 	for _, c := range g.state.Listed(list, sent, time.Now(), failed) {
 		g.memberChanged(c)
@@ -391,26 +394,27 @@
 func (s *sharing) outdate(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.listed, s.since = time.Time{}, now
+	s.listedAt, s.suspendedAt = time.Time{}, now
 }
 
-// date notes when the read of the newest list was sent. One from before the host's newest
-// suspension is as old as that, which this clock does not tell. The caller holds the lock.
-func (s *sharing) date(sent time.Time) {
-	s.listed = sent
-	if sent.Before(s.since) {
-		s.listed = time.Time{}
+// setListedAt records when the read of the newest list was sent. The age of a read from before the
+// host's latest suspension is unknown, since the clock does not count the suspension. The caller
+// holds the lock.
+func (s *sharing) setListedAt(sent time.Time) {
+	s.listedAt = sent
+	if sent.Before(s.suspendedAt) {
+		s.listedAt = time.Time{}
 	}
 }
 
-// endpointsAge returns how old the newest list is.
+// endpointsAge returns the age of the newest list.
 func (s *sharing) endpointsAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.hash == 0 || s.listed.IsZero() {
+	if s.hash == 0 || s.listedAt.IsZero() {
 		return 1<<63 - 1
 	}
-	return now.Sub(s.listed)
+	return now.Sub(s.listedAt)
 }
 
 // serveEndpoints answers a peer that asks for the list.
--- a/relay/share_test.go
+++ b/relay/share_test.go
@@ -13,62 +13,61 @@
 	"github.com/micarudder/micarudder/peers"
 )
 
-// lost is older than any age at which the store is left to others.
-const lost = time.Minute
+// veryOld is older than any age at which a gateway leaves the store to others.
+const veryOld = time.Minute
 
-// TestFewAskALostStore: of many gateways that hear of each other that none reaches
-// the store, two go on asking, whoever of them asks; one that hears nobody
-// does as well, and so does one whose peers fell silent. The others ask now and then, in
-// case that only their peers do not reach it.
-func TestFewAskALostStore(t *testing.T) {
+// TestFewGatewaysQueryAnUnreachableStore: of many gateways that report to each other that they
+// cannot reach the store, only two go on querying it. So does one that hears no others, or whose
+// peers fell silent. The others query now and then, in case only their peers cannot reach it.
+func TestFewGatewaysQueryAnUnreachableStore(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	const gateways = 27
-	asking := 0
-	var last *sharing
+	querying := 0
+	var deferring *sharing
 	for i := range gateways {
 		s := newSharing()
-		s.asks(now)
-		s.note(fmt.Errorf("no answer"), now)
+		s.recordQuery(now)
+		s.recordRead(fmt.Errorf("no answer"), now)
 		for j := range gateways {
 			if j != i {
 				s.heardStore(peers.Word{From: fmt.Sprint(j), NoStore: true}, now)
 			}
 		}
-		if s.reads(fmt.Sprint(i), lost, now) {
-			asking++
+		if s.shouldRead(fmt.Sprint(i), veryOld, now) {
+			querying++
 		} else {
-			last = s
+			deferring = s
 		}
 	}
-	is.Equal(asking, readers)
-	is.True(newSharing().reads("0", lost, now))
-	is.True(last.reads("0", lost, now.Add(hearFor+time.Millisecond)))
-	later := now.Add(readCut + time.Millisecond)
+	is.Equal(querying, readers)
+	is.True(newSharing().shouldRead("0", veryOld, now))
+	is.True(deferring.shouldRead("0", veryOld, now.Add(peerTimeout+time.Millisecond)))
+	later := now.Add(readDeferral + time.Millisecond)
 	for j := range gateways {
-		last.heardStore(peers.Word{From: fmt.Sprint(j), NoStore: true}, later)
+		deferring.heardStore(peers.Word{From: fmt.Sprint(j), NoStore: true}, later)
 	}
-	is.True(last.reads("g", lost, later))
+	is.True(deferring.shouldRead("g", veryOld, later))
 }
 
-// TestWhoReads: of gateways that all reach the store one reads, and one more when that
-// one's reads stay out; a gateway that does not reach it is passed over.
-func TestWhoReads(t *testing.T) {
+// TestStoreReaderSelection: of gateways that can all reach the store one reads, and a second one
+// when the reads of the first are overdue. A gateway that cannot reach the store is skipped.
+func TestStoreReaderSelection(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	const gateways = 9
-	reading := func(age time.Duration, cut string) (out []string) {
+	reading := func(age time.Duration, unreachableFrom string) (out []string) {
 		for i := range gateways {
 			s, self := newSharing(), fmt.Sprint(i)
-			if self == cut {
-				s.note(fmt.Errorf("no answer"), now)
+			if self == unreachableFrom {
+				s.recordRead(fmt.Errorf("no answer"), now)
 			}
 			for j := range gateways {
 				if j != i {
-					s.heardStore(peers.Word{From: fmt.Sprint(j), NoStore: fmt.Sprint(j) == cut}, now)
+					s.heardStore(peers.Word{From: fmt.Sprint(j), NoStore: fmt.Sprint(j) == unreachableFrom}, now)
 				}
 			}
-			if s.reads(self, age, now) {
+			if s.shouldRead(self, age, now) {
 				out = append(out, self)
 			}
 		}
@@ -76,50 +75,51 @@
 	}
 	first := reading(readEvery, "")
 	is.Equal(len(first), 1)
-	both := reading(standBy+time.Millisecond, "")
+	both := reading(standbyAge+time.Millisecond, "")
 	is.Equal(len(both), 2)
 	is.True(slices.Contains(both, first[0]))
 	is.Equal(len(reading(takeOver+time.Millisecond, "")), gateways)
 	without := reading(readEvery, first[0])
-	is.Equal(len(without), 2) // the one that is cut off goes on asking, and the next one reads
+	is.Equal(len(without), 2) // the one that cannot reach the store goes on querying it, and the next one reads
 	is.True(slices.Contains(without, first[0]))
 }
 
-// TestStoreIsThoughtToBeBack: a gateway that did not reach the store some time ago takes
-// a younger proof of others for its return, but not one of the next moment.
-func TestStoreIsThoughtToBeBack(t *testing.T) {
+// TestStoreRecoveryInferredFromPeerProof: a gateway whose last read failed some time ago takes a
+// peer's later proof as evidence that the store is back, but not a proof from shortly after the
+// failure.
+func TestStoreRecoveryInferredFromPeerProof(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	s := newSharing()
-	s.note(fmt.Errorf("no answer"), now)
-	s.proved(now.Add(time.Second))
-	is.True(s.storeLost())
-	s.proved(now.Add(readCut + time.Millisecond))
-	is.True(!s.storeLost())
+	s.recordRead(fmt.Errorf("no answer"), now)
+	s.recordPeerProof(now.Add(time.Second))
+	is.True(s.storeUnreachable())
+	s.recordPeerProof(now.Add(readDeferral + time.Millisecond))
+	is.True(!s.storeUnreachable())
 }
 
-// TestPeersFailedReadsKeepEndpoints: a gateway that leaves asking to its peers still
-// knows that the store was away a moment ago; one that reads it well, or that hears
-// of a peer that does, does not take a cut-off peer's word for that.
+// TestPeersFailedReadsKeepEndpoints: a gateway that leaves querying to its peers still learns from
+// them that the store was unreachable a moment ago. One that reads the store itself, or hears of a
+// peer that does, ignores such reports.
 func TestPeersFailedReadsKeepEndpoints(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	s := newSharing()
-	s.note(fmt.Errorf("no answer"), now)
+	s.recordRead(fmt.Errorf("no answer"), now)
 	later := now.Add(time.Second)
 	s.heardStore(peers.Word{From: "p", NoStore: true}, later)
-	is.Equal(s.failed, later)
+	is.Equal(s.failedAt, later)
 	again := later.Add(time.Second)
 	s.heardStore(peers.Word{From: "q"}, again)
 	s.heardStore(peers.Word{From: "p", NoStore: true}, again)
-	is.Equal(s.failed, later)
+	is.Equal(s.failedAt, later)
 	s.heardStore(peers.Word{From: "q", Leaving: true}, again)
-	s.note(nil, again)
+	s.recordRead(nil, again)
 	s.heardStore(peers.Word{From: "p", NoStore: true}, again)
-	is.Equal(s.failed, later)
+	is.Equal(s.failedAt, later)
 }
 
-// blockedSource is a store whose list of endpoints does not come to its end.
+// blockedSource is a store whose list of endpoints never completes.
 type blockedSource struct {
 	testSource
 	asked chan struct{}
@@ -131,9 +131,9 @@
 	return nil, ctx.Err()
 }
 
-// TestListOfAPeerEndsTheOwnRead: a gateway that still reads the list when a peer's comes
-// goes on with that, and the store does not count as lost.
-func TestListOfAPeerEndsTheOwnRead(t *testing.T) {
+// TestPeerListCancelsOwnRead: a gateway that is still reading the list when a peer's list arrives
+// uses that one, and does not consider the store lost.
+func TestPeerListCancelsOwnRead(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t, nil)
 	source := &blockedSource{asked: make(chan struct{})}
@@ -143,5 +143,5 @@
 	<-source.asked
 	b.gateway.sharing.read(endpoints("a"), time.Now())
 	is.True(<-done)
-	is.True(!b.gateway.sharing.storeLost())
+	is.True(!b.gateway.sharing.storeUnreachable())
 }
--- a/relay/state.go
+++ b/relay/state.go
@@ -11,32 +11,33 @@
 	"github.com/micarudder/micarudder/cell"
 )
 
-// State is what the gateway believes of configuration and endpoints, with the
-// time of the reads that prove it. The configuration never goes back to an
-// older version within one life of the process.
+// State holds the configuration and the endpoints known to the gateway, with the time of the reads
+// that prove them to be current. The configuration never goes back to an older version during the
+// life of the process.
 type State struct {
 	table atomic.Pointer[catalog.Table]
 
-	mu      sync.Mutex
-	proof   time.Time     // when the last read was sent that proved the configuration
-	changed chan struct{} // closed at the next proof
-	// since is when the host's newest suspension was noticed: a read that was sent before
-	// proves nothing, however short the time that the clock counts since.
-	since time.Time
-	// storeEra is the newest era of the store that is known; 0: none is.
-	storeEra uint64
-	members  *members
-	rests    *availability.Rests
-	// lines are the requests that wait until endpoints of a service have rested, and sentAway those that were refused instead.
-	lines    map[string]*availability.Line
-	sentAway map[string]sentAway
-}
-
-// NewState returns a state that knows nothing.
+	mu           sync.Mutex
+	proof        time.Time     // send time of the latest read that proved the configuration to be current
+	proofChanged chan struct{} // closed at the next proof
+	// suspendedAt is when the host's latest suspension was noticed. A read that was sent before it
+	// proves nothing, however short the time that the clock has counted since.
+	suspendedAt time.Time
+	// storeEra is the newest known era of the store; 0 if none is known.
+	storeEra  uint64
+	endpoints *endpointSet
+	backoffs  *availability.Rests
+	// backoffQueues hold the requests that wait until endpoints of a service end their back-off.
+	// refusedCallers counts those that were refused instead.
+	backoffQueues  map[string]*availability.Line
+	refusedCallers map[string]refusedCallers
+}
+
+// NewState returns an empty state.
 func NewState() *State {
 	return &State{
-		changed: make(chan struct{}), members: newMembers(), rests: availability.NewRests(),
-		lines: make(map[string]*availability.Line), sentAway: make(map[string]sentAway),
+		proofChanged: make(chan struct{}), endpoints: newEndpointSet(), backoffs: availability.NewRests(),
+		backoffQueues: make(map[string]*availability.Line), refusedCallers: make(map[string]refusedCallers),
 	}
 }
 
@@ -62,32 +63,31 @@
 	return true
 }
 
-// Prove notes that a read sent at that time found no newer configuration than
-// version, and reports whether that is younger than what was known. A proof for
-// another version than the one in force proves nothing, nor does a read soon after the store came
-// back from an older copy: what the operators wrote last may be missing there, and keys that
-// they withdrew be good.
+// Prove records that a read sent at that time found no configuration newer than version; it reports
+// whether that is more recent than the previous proof. A proof for a version other than the one in
+// force is ignored. So is a read soon after the store was restored from an older copy: the
+// operators' latest writes may be missing there, so that keys which they withdrew would be valid.
 func (s *State) Prove(version uint64, sent time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t := s.table.Load(); t == nil || t.Version != version || !sent.After(s.proof) || sent.Before(s.since) || s.missesWrites(sent) {
+	if t := s.table.Load(); t == nil || t.Version != version || !sent.After(s.proof) || sent.Before(s.suspendedAt) || s.mayMissWrites(sent) {
 		return false
 	}
 	s.proof = sent
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(s.proofChanged)
+	s.proofChanged = make(chan struct{})
 	return true
 }
 
-// missesWrites reports whether what was written last may have been missing in the store at that
-// time. The caller holds the lock.
-func (s *State) missesWrites(at time.Time) bool {
-	return !s.members.restored.IsZero() && at.Before(s.members.restored.Add(returnTime))
+// mayMissWrites reports whether the latest writes may have been missing in the store at that time.
+// The caller holds the lock.
+func (s *State) mayMissWrites(t time.Time) bool {
+	return !s.endpoints.restoredAt.IsZero() && t.Before(s.endpoints.restoredAt.Add(returnWindow))
 }
 
-// SawEra takes in an era of the store that was named now; it reports whether the store has come back
-// from an older copy since the last one.
-func (s *State) SawEra(era uint64, now time.Time) bool {
+// RecordStoreEra records an era that the store announced now; it reports whether the store was
+// restored from an older copy since the previous one. The era increases with each restore.
+func (s *State) RecordStoreEra(era uint64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.storeEra
@@ -96,40 +96,40 @@
 	}
 	s.storeEra = era
 	if before == 0 {
-		return false // the first that is known
+		return false // the first known era
 	}
-	s.members.restored = now
+	s.endpoints.restoredAt = now
 	return true
 }
 
-// StoreEra returns the newest era of the store that is known, 0 for none.
+// StoreEra returns the newest known era of the store, 0 for none.
 func (s *State) StoreEra() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.storeEra
 }
 
-// Outdate drops the proof: the host was suspended for so long, which was noticed now.
+// Outdate drops the proof, since it was noticed now that the host had been suspended for that long.
 func (s *State) Outdate(now time.Time, suspended time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.proof, s.since = time.Time{}, now
-	s.rests.Suspended(suspended)
+	s.proof, s.suspendedAt = time.Time{}, now
+	s.backoffs.Suspended(suspended)
 }
 
-// ProofAge returns how old the newest proof is, and a channel that is closed at
-// the next one. Before the first proof the age is the largest there is.
+// ProofAge returns the age of the newest proof, and a channel that is closed at the next one.
+// Before the first proof the age is the largest possible duration.
 func (s *State) ProofAge(now time.Time) (time.Duration, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.proof.IsZero() {
-		return 1<<63 - 1, s.changed
+		return 1<<63 - 1, s.proofChanged
 	}
-	return now.Sub(s.proof), s.changed
+	return now.Sub(s.proof), s.proofChanged
 }
 
-// Fresh waits until there is a proof younger than limit; it reports false when
-// patience or ctx ended first.
+// Fresh waits until there is a proof younger than limit; it reports false if patience or ctx ends
+// first.
 func (s *State) Fresh(ctx context.Context, limit, patience time.Duration) bool {
 	var timer *time.Timer
 	for {
@@ -151,12 +151,12 @@
 	}
 }
 
-// Endpoints returns the endpoints of a service that take new requests, in an
-// order that is the same at every gateway.
+// Endpoints returns the endpoints of a service that take new requests, in the same order at every
+// gateway.
 func (s *State) Endpoints(service string) []catalog.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.members.usable(service)
+	return s.endpoints.usable(service)
 }
 
 // Services returns the services of the configuration in force.
@@ -168,21 +168,22 @@
 	return t.Configuration.Services
 }
 
-// EndpointsByCell returns the same by cell. The caller must not change it.
+// EndpointsByCell returns the endpoints of a service that take new requests, by cell. The caller
+// must not change the result.
 func (s *State) EndpointsByCell(service string) map[string][]catalog.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.members.inCell[service]
+	return s.endpoints.usableByCell[service]
 }
 
-// AllLeave reports whether a service has endpoints, and all of them leave.
-func (s *State) AllLeave(service string) bool {
+// AllDraining reports whether a service has endpoints, all of which are draining.
+func (s *State) AllDraining(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.members.order[service]) > 0 {
+	if len(s.endpoints.usableByService[service]) > 0 {
 		return false
 	}
-	for _, e := range s.members.known {
+	for _, e := range s.endpoints.known {
 		if e.Service == service {
 			return true
 		}
@@ -190,40 +191,40 @@
 	return false
 }
 
-// Cells returns which cell each data centre belongs to.
+// Cells returns the mapping of data centres to cells.
 func (s *State) Cells() cell.Map {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.members.cells
+	return s.endpoints.cells
 }
 
-// CellOf returns the cell of an endpoint; ok is false for one that is not known.
+// CellOf returns the cell of an endpoint; ok is false for an unknown endpoint.
 func (s *State) CellOf(id string) (name string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, ok := s.members.known[id]
-	return s.members.cells.Of(e.DataCentre), ok
+	e, ok := s.endpoints.known[id]
+	return s.endpoints.cells.Of(e.DataCentre), ok
 }
 
 // Endpoint returns an endpoint and whether it takes new requests.
 func (s *State) Endpoint(id string) (catalog.Endpoint, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.members.endpoint(id)
+	return s.endpoints.endpoint(id)
 }
 
-// EndpointCount returns how many endpoints are known.
+// EndpointCount returns the number of known endpoints.
 func (s *State) EndpointCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.members.known)
+	return len(s.endpoints.known)
 }
 
-// AtAddress returns the endpoint whose entry names an address.
+// AtAddress returns the endpoint whose entry has an address.
 func (s *State) AtAddress(address string) (id string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, e := range s.members.known {
+	for id, e := range s.endpoints.known {
 		if e.Address == address {
 			return id, true
 		}
@@ -231,25 +232,25 @@
 	return "", false
 }
 
-// Listed takes in a list of endpoints that was read by a call sent then, zero: long ago, and returns what it
-// changed. storeFailed is when a read of the list failed last; zero: never.
-func (s *State) Listed(list []catalog.Endpoint, sent, now, storeFailed time.Time) []MemberChange {
+// Listed applies a list of endpoints and returns the resulting changes. sent is when the read that
+// returned the list was sent; zero means long ago. storeFailed is when a read of the list last
+// failed; zero means never.
+func (s *State) Listed(list []catalog.Endpoint, sent, now, storeFailed time.Time) []EndpointChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.members.services = s.members.services[:0]
+	s.endpoints.services = s.endpoints.services[:0]
 	for _, service := range s.Services() {
-		s.members.services = append(s.members.services, service.Name)
+		s.endpoints.services = append(s.endpoints.services, service.Name)
 	}
-	changes := s.members.listed(list, now, storeFailed)
-	s.restsOver(changes, s.members.earlierLifeListed(now))
-	s.members.listSent = sent
+	changes := s.endpoints.applyList(list, now, storeFailed)
+	s.clearBackoffs(changes, s.endpoints.previousIncarnationListedAt(now))
+	s.endpoints.listSentAt = sent
 	return changes
 }
 
-// SameLife reports whether an endpoint still lives the life that e tells of, as far as is
-// known.
+// SameLife reports whether e is still the running incarnation of the endpoint, as far as is known.
 func (s *State) SameLife(e catalog.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !e.RestartedAs(s.members.known[e.ID])
+	return !e.RestartedAs(s.endpoints.known[e.ID])
 }
--- a/relay/statements.go
+++ b/relay/statements.go
@@ -11,59 +11,62 @@
 	"github.com/micarudder/micarudder/upstream"
 )
 
-// sending is what is sent to an endpoint, as far as its limit is concerned.
-type sending uint8
+// requestKind tells how the answer to a request counts with respect to the endpoint's rate limit.
+type requestKind uint8
 
 const (
-	callersRequest sending = iota
-	// ownQuestion is a health check, a question or an order. Its answer may name a limit, but one
-	// without ends none: the endpoints need not name it there.
+	callersRequest requestKind = iota
+	// ownQuestion is a health check, a query or a memory order of this gateway. Its answer may
+	// announce a rate limit, but an answer without one does not end a limit: endpoints need not
+	// repeat it there.
 	ownQuestion
 )
 
-// do sends a request to an endpoint and takes in what the answer says of that endpoint.
-func (g *Gateway) do(ctx context.Context, e catalog.Endpoint, r *upstream.Request, kind sending, request string) (*http.Response, error) {
+// do sends a request to an endpoint and records what the answer says of that endpoint.
+func (g *Gateway) do(ctx context.Context, e catalog.Endpoint, r *upstream.Request, kind requestKind, request string) (*http.Response, error) {
 	sent := g.limits.version(e.ID)
 	res, err := g.deps.Endpoints.Do(ctx, e.ID, e.Address, r)
 	if err != nil {
 		return nil, err
 	}
-	if g.deps.Protocol.Verdict(res) != WrongEndpoint { // that one says it of another endpoint
-		g.noteAnswer(e, sent, res, kind, request)
+	if g.deps.Protocol.Verdict(res) != WrongEndpoint { // that answer speaks of another endpoint
+		g.recordAnswer(e, sent, res, kind, request)
 	}
 	return res, nil
 }
 
-// noteAnswer takes in what an answer says of the endpoint that gave it. sent is the version of its limit when the request was sent.
-func (g *Gateway) noteAnswer(e catalog.Endpoint, sent uint64, res *http.Response, kind sending, request string) {
-	said, err := g.deps.Protocol.Statement(res)
+// recordAnswer records what an answer says of the endpoint that sent it. sent is the version of the
+// endpoint's rate limit at the time of the request.
+func (g *Gateway) recordAnswer(e catalog.Endpoint, sent uint64, res *http.Response, kind requestKind, request string) {
+	statement, err := g.deps.Protocol.Statement(res)
 	if err != nil {
 		g.deps.Log.Request("What an endpoint says of itself cannot be read.", "request", request, "endpoint", e.ID, "err", err)
 	}
-	if !said.LimitUnreadable && (said.Limit.Is || kind == callersRequest) {
-		g.noteLimit(e, sent, said.Limit, request)
+	if !statement.LimitUnreadable && (statement.Limit.Is || kind == callersRequest) {
+		g.recordLimit(e, sent, statement.Limit, request)
 	}
-	g.noteStatement(e, said, request)
+	g.recordStatement(e, statement, request)
 }
 
-// noteStatement takes in whether an endpoint takes requests.
-func (g *Gateway) noteStatement(e catalog.Endpoint, said availability.Statement, request string) {
-	if said.Leaving {
+// recordStatement records whether the endpoint is draining or asks this gateway to back off.
+func (g *Gateway) recordStatement(e catalog.Endpoint, statement availability.Statement, request string) {
+	if statement.Leaving {
 		g.meter.leavesTold.Inc()
-		g.left(e, availability.FromAnswer, request)
+		g.markDraining(e, availability.FromAnswer, request)
 	}
-	if said.Rest > 0 {
+	if statement.Rest > 0 {
 		g.meter.restsAsked.Inc()
-		if g.state.Rest(e.ID, said.Rest, time.Now()) {
-			g.deps.Log.Request("Endpoint asks for rest.", "endpoint", e.ID, "born", e.Born, "rest_ms", said.Rest.Milliseconds(), "request", request)
+		if g.state.RecordBackoff(e.ID, statement.Rest, time.Now()) {
+			g.deps.Log.Request("Endpoint asks for rest.", "endpoint", e.ID, "born", e.Born, "rest_ms", statement.Rest.Milliseconds(), "request", request)
 		}
 	}
 }
 
-// left takes in that an endpoint leaves, and tells the other gateways at once where that is news.
-func (g *Gateway) left(e catalog.Endpoint, source, request string) {
-	news, changes := g.state.Left(e, source, time.Now())
-	if !news {
+// markDraining records that an endpoint is draining, and notifies the other gateways at once if
+// that is new.
+func (g *Gateway) markDraining(e catalog.Endpoint, source, request string) {
+	isNew, changes := g.state.MarkDraining(e, source, time.Now())
+	if !isNew {
 		return
 	}
 	g.deps.Log.Logger().Info("Endpoint says that it leaves.", "endpoint", e.ID, "born", e.Born, "from", source, "request", request)
@@ -73,32 +76,34 @@
 	g.picker.callPeers()
 }
 
-// heardLeaves takes in which endpoints a peer knows to leave.
+// heardLeaves records the endpoints that a peer reports as draining.
 func (g *Gateway) heardLeaves(w peers.Word) {
 	for id, born := range w.Leaves {
-		g.left(catalog.Endpoint{ID: id, Born: born}, w.From, "")
+		g.markDraining(catalog.Endpoint{ID: id, Born: born}, w.From, "")
 	}
 }
 
-// settleLeaveEvery is the time between two questions to an endpoint whose leave is doubted.
-const settleLeaveEvery = time.Second
+// drainCheckInterval is the time between two queries to an endpoint whose drain is in doubt.
+const drainCheckInterval = time.Second
 
-// settleLeave asks an endpoint that has started again whether it leaves: what said so may have been its earlier life. One that cannot be asked
-// counts as leaving until it says something of itself.
-func (g *Gateway) settleLeave(e catalog.Endpoint) {
+// settleDoubtedDrain asks a restarted endpoint whether it is draining, since the statement may be
+// of its previous incarnation. An endpoint that cannot be asked counts as draining until it
+// answers.
+func (g *Gateway) settleDoubtedDrain(e catalog.Endpoint) {
 	question := g.question(&watched{Endpoint: e, service: g.serviceOf(e)})
-	for question != nil && g.state.LeaveDoubted(e) {
-		if !g.state.Resting(e.ID, time.Now()) && g.answersWithoutLeave(e, question) && g.state.TakeLeaveBack(e) {
+	for question != nil && g.state.DrainDoubted(e) {
+		if !g.state.Resting(e.ID, time.Now()) && g.answersNotDraining(e, question) && g.state.ClearDoubtedDrain(e) {
 			g.deps.Log.Logger().Info("Endpoint does not leave.", "endpoint", e.ID, "born", e.Born)
 		}
-		if !g.pause(settleLeaveEvery) {
+		if !g.pause(drainCheckInterval) {
 			return
 		}
 	}
 }
 
-// answersWithoutLeave asks an endpoint about itself; it reports whether it has answered and did not say that it leaves.
-func (g *Gateway) answersWithoutLeave(e catalog.Endpoint, question *upstream.Request) bool {
+// answersNotDraining queries an endpoint; it reports whether the endpoint has answered without
+// saying that it is draining.
+func (g *Gateway) answersNotDraining(e catalog.Endpoint, question *upstream.Request) bool {
 	ctx, cancel := context.WithTimeout(g.ctx, reportTime)
 	defer cancel()
 	g.meter.reports.Inc()
@@ -108,10 +113,11 @@
 		return false
 	}
 	defer res.Body.Close()
-	return g.deps.Protocol.Verdict(res) != WrongEndpoint && g.state.LeaveDoubted(e)
+	return g.deps.Protocol.Verdict(res) != WrongEndpoint && g.state.DrainDoubted(e)
 }
 
-// serviceOf returns an endpoint's service as it is configured, one without a name where it is not.
+// serviceOf returns an endpoint's service as configured, or one without a name if it is not
+// configured.
 func (g *Gateway) serviceOf(e catalog.Endpoint) catalog.Service {
 	for _, s := range g.state.Services() {
 		if s.Name == e.Service {
--- a/relay/storeera.go
+++ b/relay/storeera.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// sawStore takes in the era that the store named in the newest answer to this gateway. What it
-// keeps for the gateways is written again by whoever sees a new one first.
-func (g *Gateway) sawStore() {
-	if !g.sawEra(g.deps.Source.StoreEra(), "store") {
+// checkStoreEra records the era in the store's latest answer to this gateway. After a restore, the
+// data that gateways keep in the store is written again by whichever gateway sees the new era
+// first.
+func (g *Gateway) checkStoreEra() {
+	if !g.recordStoreEra(g.deps.Source.StoreEra(), "store") {
 		return
 	}
 	for _, f := range g.quarantined.fingerprints(time.Now()) {
@@ -14,11 +15,11 @@
 	g.tellNews()
 }
 
-// sawEra takes in an era of the store; it reports whether the store came back from an older copy.
-// Such a store is missing what was written last, which is written again within returnTime: until
-// then a read proves nothing and missing endpoints may return; what had left has left.
-func (g *Gateway) sawEra(era uint64, from string) bool {
-	if !g.state.SawEra(era, time.Now()) {
+// recordStoreEra records an era of the store; it reports whether the store was restored from an
+// older copy. Such a store lacks the latest writes, which are repeated within returnWindow. Until
+// then a read proves nothing, and missing endpoints may return; endpoints that have left stay away.
+func (g *Gateway) recordStoreEra(era uint64, from string) bool {
+	if !g.state.RecordStoreEra(era, time.Now()) {
 		return false
 	}
 	g.meter.restores.Inc()
--- a/relay/takers.go
+++ b/relay/takers.go
@@ -8,27 +8,29 @@
 	"github.com/micarudder/micarudder/catalog"
 )
 
-// Takers returns the endpoints of a service by cell that take requests of this gateway now. The caller must not change it.
-func (s *State) Takers(service string, now time.Time) map[string][]catalog.Endpoint {
+// AvailableEndpoints returns the endpoints of a service, by cell, that take requests of this
+// gateway now. The caller must not change the result.
+func (s *State) AvailableEndpoints(service string, now time.Time) map[string][]catalog.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.takers(service, now)
+	return s.availableLocked(service, now)
 }
 
-// takers is Takers for callers that hold the lock.
-func (s *State) takers(service string, now time.Time) map[string][]catalog.Endpoint {
-	cells := s.members.inCell[service]
+// availableLocked is AvailableEndpoints for callers that hold the lock.
+func (s *State) availableLocked(service string, now time.Time) map[string][]catalog.Endpoint {
+	cells := s.endpoints.usableByCell[service]
 	if len(cells) == 0 {
-		cells = s.members.lastResort(service, now)
+		cells = s.endpoints.lastResort(service, now)
 	}
-	if !s.rests.Any() {
+	if !s.backoffs.Any() {
 		return cells
 	}
-	return without(cells, func(e catalog.Endpoint) bool { return !s.rests.Open(e.ID, now) })
+	return excluding(cells, func(e catalog.Endpoint) bool { return !s.backoffs.Open(e.ID, now) })
 }
 
-// without returns endpoints by cell but for those that drop names, and no cell that has none left.
-func without(cells map[string][]catalog.Endpoint, drop func(e catalog.Endpoint) bool) map[string][]catalog.Endpoint {
+// excluding returns the endpoints by cell without those that drop selects, and without cells that
+// have none left.
+func excluding(cells map[string][]catalog.Endpoint, drop func(e catalog.Endpoint) bool) map[string][]catalog.Endpoint {
 	out := make(map[string][]catalog.Endpoint, len(cells))
 	for c, endpoints := range cells {
 		if slices.ContainsFunc(endpoints, drop) {
@@ -41,108 +43,117 @@
 	return out
 }
 
-// StillTakes reports whether a request that was chosen for an endpoint may go there now.
+// StillTakes reports whether a request for which an endpoint was chosen may be sent there now.
 func (s *State) StillTakes(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.members.takes(id, now) && !s.rests.Resting(id, now)
+	return s.endpoints.acceptsRequests(id, now) && !s.backoffs.Resting(id, now)
 }
 
-// BeginSend counts a request that was chosen for an endpoint; ok is false where it must not go there. The caller has to end it.
+// BeginSend counts a request for which an endpoint was chosen; ok is false if it must not be sent
+// there. The caller has to call EndSend.
 func (s *State) BeginSend(id string, now time.Time) (send availability.Send, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.members.takes(id, now) {
+	if !s.endpoints.acceptsRequests(id, now) {
 		return send, false
 	}
-	return s.rests.Begin(id, now)
+	return s.backoffs.Begin(id, now)
 }
 
-// EndSend takes in that a request was answered, or will not be. It reports whether its endpoint is used like any other again after a rest.
+// EndSend records that a request was answered, or will not be. It reports whether this ends the
+// gradual ramp-up of the endpoint after its back-off.
 func (s *State) EndSend(send availability.Send, answered bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rests.End(send, answered)
+	return s.backoffs.End(send, answered)
 }
 
-// Left takes in that an endpoint leaves: an answer of it says so, or a gateway. It reports whether that is news, and returns what it changes.
-func (s *State) Left(e catalog.Endpoint, source string, now time.Time) (news bool, changes []MemberChange) {
+// MarkDraining records that an endpoint is draining, as an answer of the endpoint or a gateway
+// says. It reports whether that is new, and returns the resulting changes.
+func (s *State) MarkDraining(e catalog.Endpoint, source string, now time.Time) (isNew bool, changes []EndpointChange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.members.left(e, source, now)
+	return s.endpoints.markDraining(e, source, now)
 }
 
-// LeaveDoubted reports whether an endpoint counts as leaving for what its earlier life may have said.
-func (s *State) LeaveDoubted(e catalog.Endpoint) bool {
+// DrainDoubted reports whether an endpoint counts as draining because of a statement that its
+// previous incarnation may have made.
+func (s *State) DrainDoubted(e catalog.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.members.leaves.Doubted(e)
+	return s.endpoints.drains.Doubted(e)
 }
 
-// TakeLeaveBack takes in an answer of such an endpoint that does not say that it leaves. It reports whether it takes requests now.
-func (s *State) TakeLeaveBack(e catalog.Endpoint) bool {
+// ClearDoubtedDrain records an answer of such an endpoint that does not say that it is draining. It
+// reports whether the endpoint takes requests again.
+func (s *State) ClearDoubtedDrain(e catalog.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.members.takeBack(e)
+	return s.endpoints.clearDoubtedDrain(e)
 }
 
-// TellLeaves returns the lives of endpoints that leave, as others are to be told of them.
-func (s *State) TellLeaves(everything bool, now time.Time) map[string]int64 {
+// DrainNotices returns the incarnations of draining endpoints that are to be sent to other
+// gateways.
+func (s *State) DrainNotices(everything bool, now time.Time) map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.members.leaves.Tell(everything, now)
+	return s.endpoints.drains.Tell(everything, now)
 }
 
-// Rest takes in that an endpoint wants rest from this gateway. It reports whether that changes when it gets requests again.
-func (s *State) Rest(id string, d time.Duration, now time.Time) bool {
+// RecordBackoff records that an endpoint asked this gateway to back off for d. It reports whether
+// that changes when the endpoint gets requests again.
+func (s *State) RecordBackoff(id string, d time.Duration, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.members.known[id]; !ok {
-		return false // it is gone
+	if _, ok := s.endpoints.known[id]; !ok {
+		return false // the endpoint is gone
 	}
-	return s.rests.Ask(id, d, now)
+	return s.backoffs.Ask(id, d, now)
 }
 
-// Resting reports whether an endpoint rests.
+// Resting reports whether an endpoint is in back-off.
 func (s *State) Resting(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rests.Resting(id, now)
+	return s.backoffs.Resting(id, now)
 }
 
-// restsOver takes in which endpoints are gone or have started again. listed is when the life before was certainly the one that runs. The caller holds the lock.
-func (s *State) restsOver(changes []MemberChange, listed time.Time) {
+// clearBackoffs drops back-offs of endpoints that are gone or have restarted. listed is when the
+// previous incarnation was certainly still running. The caller holds the lock.
+func (s *State) clearBackoffs(changes []EndpointChange, listed time.Time) {
 	for _, c := range changes {
 		switch {
 		case c.Kind == changeGone:
-			s.rests.Forget(c.Endpoint.ID)
+			s.backoffs.Forget(c.Endpoint.ID)
 		case c.Kind == changeRestarted:
-			s.rests.Restarted(c.Endpoint.ID, listed)
+			s.backoffs.Restarted(c.Endpoint.ID, listed)
 		}
 	}
 }
 
-// serviceRest is what the rests of its endpoints mean for a service.
-type serviceRest struct {
-	// opens is when one more endpoint takes requests: now where one does already, or where that depends on answers only.
+// serviceBackoff is the state of a service with respect to back-offs of its endpoints.
+type serviceBackoff struct {
+	// opens is when one more endpoint takes requests: now if one already does, or if that depends
+	// only on outstanding answers.
 	opens time.Time
-	// open counts the endpoints that take requests, closed those that will after their rest.
+	// open counts the endpoints that take requests, closed those that will after their back-off.
 	open, closed int
 }
 
-// RestOf returns what rests mean for a service now.
-func (s *State) RestOf(service string, now time.Time) (r serviceRest) {
+// RestOf returns the back-off state of a service.
+func (s *State) RestOf(service string, now time.Time) (r serviceBackoff) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.rests.Any() {
+	if !s.backoffs.Any() {
 		return r
 	}
-	for _, e := range s.members.order[service] {
-		if s.rests.Open(e.ID, now) {
+	for _, e := range s.endpoints.usableByService[service] {
+		if s.backoffs.Open(e.ID, now) {
 			r.open++
 			continue
 		}
-		opens := s.rests.OpensAt(e.ID, now)
+		opens := s.backoffs.OpensAt(e.ID, now)
 		if r.closed == 0 || opens.Before(r.opens) {
 			r.opens = opens
 		}
@@ -151,57 +162,60 @@
 	return r
 }
 
-// JoinLine puts a request in line for the endpoints of a service that rest; LeaveLine takes it out.
-func (s *State) JoinLine(service string, w *availability.Waiter) {
+// JoinBackoffQueue adds a request to the queue for the endpoints of a service that are in back-off.
+func (s *State) JoinBackoffQueue(service string, w *availability.Waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lines[service] == nil {
-		s.lines[service] = &availability.Line{}
+	if s.backoffQueues[service] == nil {
+		s.backoffQueues[service] = &availability.Line{}
 	}
-	s.lines[service].Join(w)
+	s.backoffQueues[service].Join(w)
 }
 
-// LeaveLine takes a request out of the line.
-func (s *State) LeaveLine(service string, w *availability.Waiter) {
+// LeaveBackoffQueue removes a request from the queue.
+func (s *State) LeaveBackoffQueue(service string, w *availability.Waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lines[service].Leave(w)
-	if s.lines[service].Len() == 0 {
-		delete(s.lines, service)
+	s.backoffQueues[service].Leave(w)
+	if s.backoffQueues[service].Len() == 0 {
+		delete(s.backoffQueues, service)
 	}
 }
 
-// FirstInLine reports whether nobody is before a request in line; nil: before one that has just come.
-func (s *State) FirstInLine(service string, w *availability.Waiter) bool {
+// FirstInBackoffQueue reports whether a request is first in the queue; nil stands for a request
+// that is not in it, which is first only if the queue is empty.
+func (s *State) FirstInBackoffQueue(service string, w *availability.Waiter) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	line := s.lines[service]
-	return line == nil || line.First(w)
+	queue := s.backoffQueues[service]
+	return queue == nil || queue.First(w)
 }
 
-// sentAway counts the requests to a service that were refused until a rest ends.
-type sentAway struct {
-	until time.Time
+// refusedCallers counts the requests to a service that were refused until a back-off ends.
+type refusedCallers struct {
+	ends  time.Time
 	count int
 }
 
-// restSpacing is the time between the returns of two callers that were refused until the same rest ends, restSpread the longest
-// that any of them is told beyond it.
+// retrySpacing is the time between the retries of two callers that were refused until the same
+// back-off ends. maxRetrySpread is the longest time that is added to the end of the back-off for
+// any of them.
 const (
-	restSpacing = 10 * time.Millisecond
-	restSpread  = time.Second
+	retrySpacing   = 10 * time.Millisecond
+	maxRetrySpread = time.Second
 )
 
-// SendAway returns when a caller had better come back that is refused until a rest of the service ends: one after the other, in the
-// order in which they are refused.
-func (s *State) SendAway(service string, until, now time.Time) time.Duration {
+// SendAway returns the Retry-After time for a caller that is refused until a back-off of the
+// service ends. Callers are told to return one after the other, in the order in which they were
+// refused.
+func (s *State) SendAway(service string, ends, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	away := s.sentAway[service]
-	if !away.until.Equal(until) {
-		away = sentAway{until: until}
+	refused := s.refusedCallers[service]
+	if !refused.ends.Equal(ends) {
+		refused = refusedCallers{ends: ends}
 	}
-	away.count++
-	s.sentAway[service] = away
-	return until.Sub(now) + min(restSpread, time.Duration(away.count)*restSpacing)
+	refused.count++
+	s.refusedCallers[service] = refused
+	return ends.Sub(now) + min(maxRetrySpread, time.Duration(refused.count)*retrySpacing)
 }
--- a/relay/tell.go
+++ b/relay/tell.go
@@ -12,34 +12,33 @@
 )
 
 const (
-	// tellEvery is the time between two words to the peers that tell of reads
-	// and clocks beside the load.
+	// tellEvery is the time between two regular messages to the peers, which carry proofs and
+	// clocks besides the load.
 	tellEvery = 250 * time.Millisecond
-	// tellGap is the least time between two words: choices made within it go
-	// out together.
+	// tellGap is the least time between two messages; choices made within it are sent together.
 	tellGap = 10 * time.Millisecond
-	// digestEvery is how many words that are due pass between two with digests.
+	// digestEvery is how many regular messages are sent for each one with digests.
 	digestEvery = 2
 )
 
-// occasion is why a word is sent.
-type occasion uint8
+// trigger is the reason why a message is sent.
+type trigger uint8
 
 const (
-	changed    occasion = iota // load has changed
-	proved                     // something was read that others wait for
-	due                        // it is time
-	dueDigests                 // it is time, also for digests
+	changed    trigger = iota // the load has changed
+	proved                    // something was read that others wait for
+	due                       // a regular message is due
+	dueDigests                // a regular message with digests is due
 )
 
-// message is a word and who gets it.
+// message is a message with its recipients.
 type message struct {
 	word peers.Word
 	to   []netip.AddrPort
 }
 
-// tell sends this gateway's load to its peers: soon after it changed, and now
-// and then while it does not.
+// tell sends this gateway's load to its peers: soon after it changed, and regularly while it does
+// not.
 func (g *Gateway) tell() {
 	if g.deps.Mesh == nil {
 		return
@@ -48,28 +47,28 @@
 	defer heartbeat.Stop()
 	beats := 0
 	for {
-		why := changed
+		cause := changed
 		select {
 		case <-g.ctx.Done():
 			return
 		case <-heartbeat.C:
-			why = due
+			cause = due
 			if beats++; beats%digestEvery == 0 {
-				why = dueDigests
+				cause = dueDigests
 			}
 		case <-g.news:
-			why = proved
+			cause = proved
 		case <-g.picker.urgent:
 		}
 		now := time.Now()
-		g.send(g.outgoing(g.audience(now), why, now))
+		g.send(g.outgoing(g.audience(now), cause, now))
 		if !g.pause(tellGap) {
 			return
 		}
 	}
 }
 
-// tellNews makes a whole word go out soon, since others wait for what was read.
+// tellNews causes a complete message to be sent soon, since others wait for what was read.
 func (g *Gateway) tellNews() {
 	select {
 	case g.news <- struct{}{}:
@@ -79,79 +78,80 @@
 
 func (g *Gateway) send(outgoing []message) {
 	now := time.Now()
-	for _, l := range outgoing {
-		if err := g.deps.Mesh.Send(l.word, l.to, now); err != nil {
+	for _, m := range outgoing {
+		if err := g.deps.Mesh.Send(m.word, m.to, now); err != nil {
 			g.meter.tellFailures.Inc()
 		}
 	}
 }
 
-// outgoing returns what is to be told to the audience on an occasion.
-func (g *Gateway) outgoing(a audience, why occasion, now time.Time) []message {
-	g.quarantined.speaks.Store(a.speaks)
-	g.picker.setFleet(a.gateways, int(g.listedGateways.Load()))
-	g.keepLimits(a, now)
-	told := g.picker.ownLoad(why != changed, now)
+// outgoing returns the messages to be sent for a trigger.
+func (g *Gateway) outgoing(r recipients, cause trigger, now time.Time) []message {
+	g.quarantined.speaks.Store(r.speaks)
+	g.picker.setFleetSize(r.gateways, int(g.listedGateways.Load()))
+	g.refreshLimits(r, now)
+	load := g.picker.ownLoad(cause != changed, now)
 	base := peers.Word{
-		Leaving: g.leaving.Load(), DataCentre: g.config.DataCentre, Partial: why == changed,
-		ProofAgeMs: -1, Version: g.state.Version(), NoStore: g.sharing.storeLost(), StoreEra: g.state.StoreEra(),
+		Leaving: g.leaving.Load(), DataCentre: g.config.DataCentre, Partial: cause == changed,
+		ProofAgeMs: -1, Version: g.state.Version(), NoStore: g.sharing.storeUnreachable(), StoreEra: g.state.StoreEra(),
 	}
-	if why != changed {
-		g.fill(&base, now)
-		base.Echo = a.speaks
+	if cause != changed {
+		g.fillReads(&base, now)
+		base.Echo = r.speaks
 	}
-	out := []message{g.near(base, a, why, told, now)}
-	cells := slices.Sorted(maps.Keys(a.far))
-	// One cell in turn is told again of quarantined requests, each by another one: so each
-	// hears as much whatever their number.
-	home, _ := slices.BinarySearch(cells, a.home)
+	out := []message{g.localMessage(base, r, cause, load, now)}
+	cells := slices.Sorted(maps.Keys(r.remote))
+	// The reports on quarantined requests are repeated to one cell in turn, a different one from
+	// each cell, so that each cell receives the same number of repeats however many cells there
+	// are.
+	localIndex, _ := slices.BinarySearch(cells, r.localCell)
 	for n, c := range cells {
-		repeat := why == dueDigests && n == (home+g.quarantined.turn)%len(cells)
-		if l, ok := g.far(base, a, c, why, told.by[c], repeat, now); ok {
-			out = append(out, l)
+		repeat := cause == dueDigests && n == (localIndex+g.quarantined.turn)%len(cells)
+		if m, ok := g.remoteMessage(base, r, c, cause, load.byCell[c], repeat, now); ok {
+			out = append(out, m)
 		}
 	}
-	if why == dueDigests {
+	if cause == dueDigests {
 		g.quarantined.turn++
 	}
 	return out
 }
 
-// near returns the word for the own cell: it tells of all load, wherever it is.
-func (g *Gateway) near(w peers.Word, a audience, why occasion, told ownLoad, now time.Time) message {
-	w.Loads, w.Waiting, w.Signs = told.all, told.waiting, told.signs
-	g.limits.fill(&w, why != changed, now)
-	w.Leaves = g.state.TellLeaves(why == dueDigests, now)
-	if a.speaks && why == dueDigests {
-		w.Digests = g.picker.passOn(now)
+// localMessage returns the message for the local cell, with the load at all endpoints.
+func (g *Gateway) localMessage(w peers.Word, r recipients, cause trigger, load ownLoad, now time.Time) message {
+	w.Loads, w.Waiting, w.Signs = load.all, load.waiting, load.signs
+	g.limits.fillMessage(&w, cause != changed, now)
+	w.Leaves = g.state.DrainNotices(cause == dueDigests, now)
+	if r.speaks && cause == dueDigests {
+		w.Digests = g.picker.remoteDigests(now)
 	}
-	w.Crashes = g.crashReports(quarantine.OwnCell, a.speaks, why == changed, a.speaks && why == dueDigests, now)
-	return message{w, a.near}
+	w.Crashes = g.crashReports(quarantine.OwnCell, r.speaks, cause == changed, r.speaks && cause == dueDigests, now)
+	return message{w, r.local}
 }
 
-// far returns the word for another cell, if there is anything to tell it: load at its
-// endpoints, and what those who speak across cells tell each other.
-func (g *Gateway) far(w peers.Word, a audience, c string, why occasion, loads map[string]balance.Load, repeat bool, now time.Time) (message, bool) {
+// remoteMessage returns the message for another cell, if there is one to send: the load at that
+// cell's endpoints, and what representatives of cells tell each other.
+func (g *Gateway) remoteMessage(w peers.Word, r recipients, c string, cause trigger, loads map[string]balance.Load, repeat bool, now time.Time) (message, bool) {
 	w.Loads = loads
-	speaks := a.speaks && (why == dueDigests || why == proved)
-	if speaks && why == dueDigests {
-		w.Digests = []peers.Digest{g.picker.offer(c, g.config.DataCentre, a.gateways, now)}
+	representative := r.speaks && (cause == dueDigests || cause == proved)
+	if representative && cause == dueDigests {
+		w.Digests = []peers.Digest{g.picker.localDigest(c, g.config.DataCentre, r.gateways, now)}
 	}
-	if speaks {
+	if representative {
 		w.Crashes = g.crashReports(quarantine.OtherCells, true, false, repeat, now)
 	}
 	switch {
 	case len(loads) > 0:
-		return message{w, a.far[c]}, true
-	case speaks:
-		return message{w, a.across[c]}, true
+		return message{w, r.remote[c]}, true
+	case representative:
+		return message{w, r.remoteReps[c]}, true
 	default:
 		return message{}, false
 	}
 }
 
-// crashReports returns what is to be told of requests that were on endpoints that crashed;
-// repeat adds what stands against the quarantined ones.
+// crashReports returns the reports on requests that were running on endpoints when these crashed;
+// repeat adds all reports on quarantined requests.
 func (g *Gateway) crashReports(to quarantine.Audience, speaks, urgent, repeat bool, now time.Time) []quarantine.Report {
 	if g.quarantined.known.Load() == 0 {
 		return nil
@@ -166,7 +166,7 @@
 	return out
 }
 
-// hear takes in what peers say.
+// hear processes the messages of peers until the mesh is closed.
 func (g *Gateway) hear() {
 	if g.deps.Mesh == nil {
 		return
