--- a/relay/audience.go
+++ b/relay/audience.go
@@ -22,10 +22,10 @@
 	localCell string
 	// local are the gateways of the local cell, and those whose cell is not known.
 	local []netip.AddrPort
-	// remote are all gateways of the other cells, by cell; remoteReps are those of them that
+	// remote are all gateways of the other cells, by cell; remoteRecipients are those of them that
 	// receive cross-cell messages.
-	remote     map[string][]netip.AddrPort
-	remoteReps map[string][]netip.AddrPort
+	remote           map[string][]netip.AddrPort
+	remoteRecipients map[string][]netip.AddrPort
 	// speaks is set when this gateway represents its cell in messages to other cells.
 	speaks bool
 	// gateways is the number of gateways in the local cell, including this one.
@@ -43,7 +43,7 @@
 // are its first two gateways, in an order of all gateways that is independent of their names, and
 // the first two that can reach the store, so that one of them may fail unnoticed.
 func newAudience(self, dataCentre string, cells cell.Map, members []peers.Member, recent recentPeers) recipients {
-	r := recipients{localCell: cells.Of(dataCentre), remote: make(map[string][]netip.AddrPort), remoteReps: make(map[string][]netip.AddrPort), gateways: 1}
+	r := recipients{localCell: cells.Of(dataCentre), remote: make(map[string][]netip.AddrPort), remoteRecipients: make(map[string][]netip.AddrPort), gateways: 1}
 	preceding, precedingWithStore := 0, 0
 	byCell := make(map[string][]peers.Member)
 	for _, m := range members {
@@ -67,18 +67,18 @@
 	}
 	r.speaks = preceding < readers || precedingWithStore < readers
 	for c, list := range byCell {
-		r.remoteReps[c] = remoteRecipients(list, recent.crossCell)
+		r.remoteRecipients[c] = selectRemoteRecipients(list, recent.crossCell)
 	}
 	return r
 }
 
-// remoteRecipients returns the gateways of another cell that the representatives of this cell send
-// to: the first ones, and all from which cross-cell messages were received.
-func remoteRecipients(list []peers.Member, heard map[string]bool) []netip.AddrPort {
+// selectRemoteRecipients returns the gateways of another cell that the representatives of this cell
+// send to: the first ones, and all from which cross-cell messages were received.
+func selectRemoteRecipients(list []peers.Member, crossCell map[string]bool) []netip.AddrPort {
 	slices.SortFunc(list, func(a, b peers.Member) int { return compareRank(a.Name, b.Name) })
 	var out []netip.AddrPort
 	for n, m := range list {
-		if n < acrossReceivers || heard[m.Name] {
+		if n < acrossReceivers || crossCell[m.Name] {
 			out = append(out, m.Address)
 		}
 	}
--- a/relay/limited.go
+++ b/relay/limited.go
@@ -117,7 +117,7 @@
 		Service: x.service.Name, Endpoints: candidates, Urgency: x.urgency(), SinceMs: now.Sub(x.started).Milliseconds(), Probe: mode == grantModeProbe,
 	}
 	if mode == grantModeWait {
-		q.WaitMs = max(0, x.patience().waitDeadline().Sub(now).Milliseconds())
+		q.WaitMs = max(0, x.patience().waitUntil().Sub(now).Milliseconds())
 	}
 	granted, a, err := x.g.requestGrant(ctx, q)
 	switch {
--- a/relay/limitfleet_test.go
+++ b/relay/limitfleet_test.go
@@ -48,15 +48,15 @@
 				f.mu.Unlock()
 				const length = 20 * time.Second
 				f.sendLoad(t, tc.perSecond, length, tc.gateway)
-				got := 0
+				sent := 0
 				for e := range tc.engines {
-					got += f.requestsSince(e, from)
+					sent += f.requestsSince(e, from)
 					is.True(float64(f.maxInFourSeconds(e, from)) <= 1.5*4*tc.limit+5)
 				}
-				used := float64(got) / (tc.limit * float64(tc.engines) * length.Seconds())
+				used := float64(sent) / (tc.limit * float64(tc.engines) * length.Seconds())
 				t.Logf("%.2f of the limits used, %d refused", used, len(f.refusalTimes))
 				is.True(used >= 0.9)
-				is.True(slices.Max(f.refusalTimes) <= 3*time.Second*maxWaitPercent/100)
+				is.True(slices.Max(f.refusalTimes) <= 3*time.Second*waitPercent/100)
 			})
 		})
 	}
@@ -162,12 +162,12 @@
 		from := time.Now()
 		f.sendLoad(t, 40, 8*time.Second, others)
 		is.True(f.gateways[(gone+1)%6].limits.coordinatorName() != first)
-		got := 0
+		sent := 0
 		for e := range 4 {
-			got += f.requestsSince(e, from)
+			sent += f.requestsSince(e, from)
 			is.True(f.maxInFourSeconds(e, from.Add(-6*time.Second)) <= 1.5*4*2+5)
 		}
-		is.True(float64(got) >= 0.9*2*4*8)
+		is.True(float64(sent) >= 0.9*2*4*8)
 	})
 }
 
@@ -185,12 +185,12 @@
 		f.setLose(func(from, to int) bool { return from%2 != to%2 })
 		f.sendLoad(t, 60, 10*time.Second, roundRobin)
 		is.True(f.gateways[0].limits.coordinatorName() != f.gateways[1].limits.coordinatorName())
-		got := 0
+		sent := 0
 		for e := range 4 {
-			got += f.requestsSince(e, from)
+			sent += f.requestsSince(e, from)
 			is.True(f.maxInFourSeconds(e, from) <= 1.5*4*4+5)
 		}
-		is.True(float64(got) >= 0.9*4*4*10)
+		is.True(float64(sent) >= 0.9*4*4*10)
 	})
 }
 
@@ -427,12 +427,12 @@
 				f.refusalTimes = nil
 				f.mu.Unlock()
 				f.sendLoad(t, tc.perSecond, 8*time.Second, roundRobin)
-				got := 0
+				sent := 0
 				for _, e := range tc.limited {
-					got += f.requestsSince(e, from)
+					sent += f.requestsSince(e, from)
 					is.True(f.maxInFourSeconds(e, from) <= 1.5*4+5)
 				}
-				used := float64(got) / float64(len(tc.limited)*8)
+				used := float64(sent) / float64(len(tc.limited)*8)
 				t.Logf("%.2f of the limits used, %d refused", used, len(f.refusalTimes))
 				is.True(used >= tc.minUsed)
 				if tc.minUsed == 0 {
--- a/relay/members.go
+++ b/relay/members.go
@@ -156,8 +156,8 @@
 	return !m.restoredAt.IsZero() && now.Sub(m.restoredAt) <= staleEntryWindow
 }
 
-// previousLifeListedAt returns when the previous incarnation was certainly the running one; zero if
-// that is not known, since a list from an older copy may contain it again.
+// previousIncarnationListedAt returns when the previous incarnation was certainly the running one; zero
+// if that is not known, since a list from an older copy may contain it again.
 func (m *endpointSet) previousIncarnationListedAt(now time.Time) time.Time {
 	if m.mayReadOldCopy(now) {
 		return time.Time{}
@@ -170,7 +170,7 @@
 func (m *endpointSet) clearDoubtedDrain(e catalog.Endpoint) bool {
 	m.drains.TakeBack(e)
 	known, ok := m.known[e.ID]
-	if _, leaves := m.drains.Of(known); !ok || leaves || !known.Draining {
+	if _, draining := m.drains.Of(known); !ok || draining || !known.Draining {
 		return false
 	}
 	known.Draining = false
@@ -213,8 +213,8 @@
 }
 
 func (m *endpointSet) recentlyDraining(e catalog.Endpoint, now time.Time) bool {
-	leave, ok := m.drains.Of(e)
-	return ok && now.Sub(leave.Since) < lastResortWindow
+	drain, ok := m.drains.Of(e)
+	return ok && now.Sub(drain.Since) < lastResortWindow
 }
 
 // isStale reports whether an entry in a store that was restored from an older copy belongs to an
@@ -222,18 +222,18 @@
 // incarnation. One whose entry had only disappeared may: it counts again once its entry outlives
 // the heartbeats that a departed endpoint would miss.
 func (m *endpointSet) isStale(e catalog.Endpoint, now time.Time) bool {
-	left, ok := m.departed[e.ID]
+	dep, ok := m.departed[e.ID]
 	if !ok {
 		return false
 	}
-	if left.endpoint.RestartedAs(e) || now.Sub(left.at) > departedRetention {
+	if dep.endpoint.RestartedAs(e) || now.Sub(dep.at) > departedRetention {
 		delete(m.departed, e.ID)
 		return false
 	}
-	if left.endpoint.Draining {
+	if dep.endpoint.Draining {
 		return true
 	}
-	if left.at.Before(m.restoredAt) && now.Sub(m.restoredAt) < staleEntryWindow {
+	if dep.at.Before(m.restoredAt) && now.Sub(m.restoredAt) < staleEntryWindow {
 		return true
 	}
 	delete(m.departed, e.ID)
@@ -253,8 +253,8 @@
 
 // forgetDeparted drops endpoints that left so long ago that no copy contains them.
 func (m *endpointSet) forgetDeparted(now time.Time) {
-	for id, left := range m.departed {
-		if now.Sub(left.at) > departedRetention {
+	for id, dep := range m.departed {
+		if now.Sub(dep.at) > departedRetention {
 			delete(m.departed, id)
 		}
 	}
--- a/relay/patience.go
+++ b/relay/patience.go
@@ -20,10 +20,10 @@
 	// retryAfterQueue is the Retry-After time when no endpoint may take a long prompt: by then the
 	// current prefills have ended, and most of the prompts that arrived with them are done.
 	retryAfterQueue = 4 * time.Second
-	// maxWaitPercent is the part of its objective, in percent, that a long prompt may wait for idle
+	// waitPercent is the part of its objective, in percent, that a long prompt may wait for idle
 	// endpoints. After that it is refused, since it would be late, and most prompts that wait
 	// longer are never served.
-	maxWaitPercent = 35
+	waitPercent = 35
 	// latePercent is the part of the time that its caller waits for a first part of the answer, in
 	// percent, after which a long prompt counts as late.
 	latePercent = 40
@@ -31,7 +31,7 @@
 	// answer, in percent, that a prompt may wait after it has been sent once.
 	resumeWaitPercent = 70
 	// earlyRefusalDivisor is the part of its objective, as a divisor, within which a request may be
-	// refused because all slots are taken.
+	// refused because all slots are taken: its caller then learns of it at once.
 	earlyRefusalDivisor = 8
 	// noEndpointWaitDivisor is the part of its objective, as a divisor, that a request waits for
 	// any endpoint to become known.
@@ -79,7 +79,7 @@
 func (p waitPolicy) fillWork(w *balance.Work, ending bool, now time.Time) {
 	waited := now.Sub(p.started)
 	firstPartLimit := p.firstPartLimit()
-	mayWait := p.objective * maxWaitPercent / 100
+	mayWait := p.objective * waitPercent / 100
 	w.Slack = mayWait - waited
 	w.Waited = min(1, float64(waited)/float64(max(1, mayWait)))
 	w.Late = waited > firstPartLimit*latePercent/100 || ending
@@ -104,30 +104,28 @@
 	case !busy:
 		return waited < p.objective/noEndpointWaitDivisor
 	default:
-		return now.Before(p.waitDeadline())
+		return now.Before(p.waitUntil())
 	}
 }
 
-// waitDeadline returns until when a request goes on waiting for busy endpoints, see mayWait.
-func (p waitPolicy) waitDeadline() time.Time {
+// waitUntil returns until when a request goes on waiting for busy endpoints, see mayWait.
+func (p waitPolicy) waitUntil() time.Time {
 	if p.sends > 0 {
 		return p.started.Add(p.firstPartLimit() * resumeWaitPercent / 100)
 	}
-	return p.inTimeDeadline()
+	return p.inTimeBy()
 }
 
-// inTimeDeadline returns until when a request may be placed and still be in time.
-func (p waitPolicy) inTimeDeadline() time.Time {
-	return p.started.Add(p.objective * maxWaitPercent / 100)
-}
+// inTimeBy returns until when a request may be placed and still be in time.
+func (p waitPolicy) inTimeBy() time.Time { return p.started.Add(p.objective * waitPercent / 100) }
 
 // mayWaitForBackoff reports whether a request waits for the end of a back-off, at the known time
 // opens: it does if it is still in time then. A resumed stream waits longer, since without the rest
 // its caller loses what it has received.
 func (p waitPolicy) mayWaitForBackoff(opens, now time.Time) bool {
-	limit := p.inTimeDeadline()
+	limit := p.inTimeBy()
 	if p.resumed {
-		limit = p.waitDeadline()
+		limit = p.waitUntil()
 	}
 	return now.Before(limit) && opens.Before(limit)
 }
--- a/relay/picker.go
+++ b/relay/picker.go
@@ -29,7 +29,7 @@
 	turns        *balance.Turns
 	health       *health.Table
 	retryBudgets map[string]*limits.Window // by service
-	loadChanged  chan struct{}             // closed when load is released
+	loadChanged  chan struct{}             // closed to wake the requests that wait for endpoints
 	// fleetSize is the number of gateways known to this one.
 	fleetSize int
 	// knowsFleet is the time from which fleetSize can be relied on.
@@ -159,7 +159,8 @@
 	return p.turns.First(t, rank, now)
 }
 
-// waitForLoadChange waits until load is released, or until the limit has passed.
+// waitForLoadChange waits until the waiting requests are woken, since load was released or a peer
+// sent its load, or until the limit has passed.
 func (p *picker) waitForLoadChange(ctx context.Context, limit time.Duration) {
 	p.mu.Lock()
 	changed := p.loadChanged
--- a/relay/share.go
+++ b/relay/share.go
@@ -58,7 +58,7 @@
 	listedAt     time.Time // when the read of list was sent, or list was last confirmed; zero means long ago
 	suspendedAt  time.Time // when the host's latest suspension was noticed
 	cancelReads  []func()  // cancel reads of the list that are in progress
-	failedAt     time.Time // when this gateway's last failed read of the store failed
+	failedAt     time.Time // when a read of the store last failed, see heardStore
 	queriedAt    time.Time // when this gateway last queried the store
 	// peersLostSince is since when peers that precede this one have been unable to reach the store;
 	// zero if they can.
@@ -176,8 +176,8 @@
 	defer s.mu.Unlock()
 	s.list.Endpoints, s.hash = list, hashEndpoints(list)
 	s.setListedAt(sent)
-	for _, stop := range s.cancelReads {
-		stop()
+	for _, cancel := range s.cancelReads {
+		cancel()
 	}
 	s.cancelReads = nil
 }
--- a/relay/statements.go
+++ b/relay/statements.go
@@ -90,9 +90,9 @@
 // of its previous incarnation. An endpoint that cannot be asked counts as draining until it
 // answers.
 func (g *Gateway) settleDoubtedDrain(e catalog.Endpoint) {
-	question := g.question(&watched{Endpoint: e, service: g.serviceOf(e)})
-	for question != nil && g.state.DrainDoubted(e) {
-		if !g.state.Resting(e.ID, time.Now()) && g.answersNotDraining(e, question) && g.state.ClearDoubtedDrain(e) {
+	query := g.question(&watched{Endpoint: e, service: g.serviceOf(e)})
+	for query != nil && g.state.DrainDoubted(e) {
+		if !g.state.Resting(e.ID, time.Now()) && g.answersNotDraining(e, query) && g.state.ClearDoubtedDrain(e) {
 			g.deps.Log.Logger().Info("Endpoint does not leave.", "endpoint", e.ID, "born", e.Born)
 		}
 		if !g.pause(drainCheckInterval) {
@@ -103,11 +103,11 @@
 
 // answersNotDraining queries an endpoint; it reports whether the endpoint has answered without
 // saying that it is draining.
-func (g *Gateway) answersNotDraining(e catalog.Endpoint, question *upstream.Request) bool {
+func (g *Gateway) answersNotDraining(e catalog.Endpoint, query *upstream.Request) bool {
 	ctx, cancel := context.WithTimeout(g.ctx, reportTime)
 	defer cancel()
 	g.meter.reports.Inc()
-	res, err := g.do(ctx, e, question, ownQuestion, "")
+	res, err := g.do(ctx, e, query, ownQuestion, "")
 	if err != nil {
 		g.deps.Log.Logger().Info("It is not known whether an endpoint leaves.", "endpoint", e.ID, "born", e.Born, "err", err)
 		return false
--- a/relay/tell.go
+++ b/relay/tell.go
@@ -144,7 +144,7 @@
 	case len(loads) > 0:
 		return message{w, r.remote[c]}, true
 	case representative:
-		return message{w, r.remoteReps[c]}, true
+		return message{w, r.remoteRecipients[c]}, true
 	default:
 		return message{}, false
 	}
