--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -18,16 +18,16 @@
 	is.Equal(b.Peers(start), 1)
 }
 
-func TestBookForgetsSilentPeers(t *testing.T) {
+func TestBookDropsSilentPeers(t *testing.T) {
 	is := is.New(t)
 	b := NewBook()
 	b.Peer("p", "", map[string]Load{"e": {Short: 3}}, start)
-	later := start.Add(peerLife + time.Millisecond)
+	later := start.Add(peerTTL + time.Millisecond)
 	is.Equal(b.Load("e", later), Load{})
 	is.Equal(b.Peers(later), 0)
 }
 
-func TestBookReading(t *testing.T) {
+func TestBookPrefill(t *testing.T) {
 	is := is.New(t)
 	b := NewBook()
 	one, two := Load{ReadMs: 0.1, Long: 1, Parts: 1, Tokens: 7}, Load{ReadMs: 0.2, Short: 1}
@@ -43,8 +43,8 @@
 	is.Equal(len(b.Own()), 0)
 }
 
-// TestBookTellsChanges: what a gateway tells of its changes, taken in by a peer
-// that has its whole load of before, gives that peer the load of now.
+// TestBookTellsChanges: a peer that has a gateway's earlier full load and applies its
+// changes obtains its current load.
 func TestBookTellsChanges(t *testing.T) {
 	is := is.New(t)
 	a, b := NewBook(), NewBook()
@@ -62,19 +62,19 @@
 	for _, id := range []string{"e", "f", "g"} {
 		is.Equal(b.Load(id, start.Add(time.Millisecond)), a.Load(id, start))
 	}
-	// Changes are told again until the whole load was told, as words get lost.
+	// Changes are repeated until the next full report, because messages may be lost.
 	is.Equal(len(a.Changed()), 2)
 	a.Own()
 	is.Equal(len(a.Changed()), 0)
 }
 
-// TestBookForgetsOldLoadOfReturningPeer: changes of a peer that was silent for
-// long do not bring back what it had before.
-func TestBookForgetsOldLoadOfReturningPeer(t *testing.T) {
+// TestBookDropsStaleLoadOfReturningPeer: changes of a peer that was silent for longer
+// than peerTTL do not restore its earlier load.
+func TestBookDropsStaleLoadOfReturningPeer(t *testing.T) {
 	is := is.New(t)
 	b := NewBook()
 	b.Peer("a", "", map[string]Load{"e": {Short: 3}}, start)
-	later := start.Add(peerLife + time.Millisecond)
+	later := start.Add(peerTTL + time.Millisecond)
 	b.PeerChanged("a", "", map[string]Load{"f": {Short: 1}}, later)
 	is.Equal(b.Load("e", later), Load{})
 	is.Equal(b.Load("f", later), Load{Short: 1})
--- a/balance/book.go
+++ b/balance/book.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Load is what is under way at one endpoint. Words carry its fields in this
-// order, so new ones come last.
+// Load is the load of one endpoint. Messages between gateways encode its fields by
+// position, so new fields are appended.
 type Load struct {
-	ReadMs float64 // time of prompts that are still to be read
+	ReadMs float64 // estimated time to prefill the pending prompts
 	Short  int     // requests with short prompts
 	Long   int     // requests with long prompts
-	Tokens int     // memory that the requests need
-	// Parts counts the parts of long prompts that are still read here. An
-	// engine reads the newest part first, so a second one holds up the first.
+	Tokens int     // context memory that the requests need
+	// Parts is the number of parts of long prompts that are still being prefilled.
+	// Engines prefill the newest part first, so a second part delays the first.
 	Parts int
-	// Unread counts the short requests whose first event has not come.
+	// Unread is the number of short requests that wait for their first event.
 	Unread int
-	// Patient counts those of Long whose route allows the longest pauses of the
-	// service.
+	// Patient is the number of requests in Long whose route allows the longest gaps
+	// between events of the service.
 	Patient int
 }
 
@@ -31,7 +31,7 @@
 	}
 }
 
-// minus returns l without o.
+// minus returns l less o.
 func (l Load) minus(o Load) Load {
 	return Load{
 		ReadMs: l.ReadMs - o.ReadMs, Short: l.Short - o.Short, Long: l.Long - o.Long,
@@ -40,186 +40,188 @@
 	}
 }
 
-// reading returns the part of the load that is over with the first event.
-func (l Load) reading() Load {
+// prefillOnly returns the part of the load that ends with the first event.
+func (l Load) prefillOnly() Load {
 	return Load{ReadMs: l.ReadMs, Parts: l.Parts, Unread: l.Unread}
 }
 
-// peerLife is how long a peer's last word counts. A live peer speaks several
-// times a second.
-const peerLife = 1500 * time.Millisecond
+// peerTTL is how long the load reported by a peer remains valid. A live peer reports
+// several times a second.
+const peerTTL = 1500 * time.Millisecond
 
-// account is this gateway's load at one endpoint.
-type account struct {
-	load     Load
-	requests int // whose load is counted here
-	unread   int // those of them whose first event has not come
+// localLoad is this gateway's load at one endpoint.
+type localLoad struct {
+	load          Load
+	requests      int // included in load
+	awaitingFirst int // requests still waiting for their first event
 }
 
-type peer struct {
-	at         time.Time
+type peerLoad struct {
+	receivedAt time.Time
 	dataCentre string
 	loads      map[string]Load
 }
 
-// digestLife is how long a digest counts after it was made. The gateways that pass
-// digests on do so twice a second, each over one gateway of either cell; one that is lost
-// is made good.
-const digestLife = 2 * time.Second
+// digestTTL is how long after its creation a digest remains valid. Several gateways
+// forward digests, each twice a second through one gateway of either cell, so a lost
+// digest is replaced.
+const digestTTL = 2 * time.Second
 
-// Digest is the load in another cell: that of the endpoints which it offers to
-// others.
+// Digest is the load of the endpoints that another cell offers to other cells.
 type Digest struct {
 	Made  time.Time
-	Loads map[string]Load // without what this gateway's own cell has there
+	Loads map[string]Load // without the load of this gateway's own cell
 }
 
-// Book keeps the load by endpoint. A prompt's reading counts whole until its
-// first event: counting it down by the model's time lets more prompts in than
-// engines read while they are busy. Book is not safe for concurrent use.
+// Book tracks load by endpoint. The prefill time of a prompt counts in full until Read
+// is called: reducing it at the estimated rate would admit more prompts than busy
+// engines can prefill. Book is not safe for concurrent use.
 type Book struct {
-	own     map[string]*account
-	peers   map[string]peer
+	local   map[string]*localLoad
+	peers   map[string]peerLoad
 	digests map[string]Digest // by cell
-	// changed holds the endpoints whose own load changed since Own was called.
+	// changed holds the endpoints whose local load has changed since the last call of
+	// Own.
 	changed map[string]struct{}
 }
 
 // NewBook returns an empty book.
 func NewBook() *Book {
-	return &Book{own: make(map[string]*account), peers: make(map[string]peer), digests: make(map[string]Digest), changed: make(map[string]struct{})}
+	return &Book{local: make(map[string]*localLoad), peers: make(map[string]peerLoad), digests: make(map[string]Digest), changed: make(map[string]struct{})}
 }
 
-// Add counts load that an endpoint is given for one request.
+// Add adds the load of one request to an endpoint.
 func (b *Book) Add(endpoint string, l Load) {
-	a := b.own[endpoint]
+	a := b.local[endpoint]
 	if a == nil {
-		a = new(account)
-		b.own[endpoint] = a
+		a = new(localLoad)
+		b.local[endpoint] = a
 	}
 	b.changed[endpoint] = struct{}{}
 	a.load = a.load.plus(l)
 	a.requests++
-	a.unread++
+	a.awaitingFirst++
 }
 
-// Read notes that the prompt of a load that was added has been read.
+// Read removes the prefill part of a load that was added, once the prompt has been
+// prefilled.
 func (b *Book) Read(endpoint string, l Load) {
-	a := b.own[endpoint]
+	a := b.local[endpoint]
 	if a == nil {
 		return
 	}
 	b.changed[endpoint] = struct{}{}
-	a.load = a.load.minus(l.reading())
-	a.unread--
-	if a.unread == 0 {
-		a.load.ReadMs = 0 // what rounding has left
+	a.load = a.load.minus(l.prefillOnly())
+	a.awaitingFirst--
+	if a.awaitingFirst == 0 {
+		a.load.ReadMs = 0 // clear the rounding error
 	}
 }
 
-// Remove takes a load off that was added, and read.
+// Remove removes the rest of a load that was added and for which Read was called.
 func (b *Book) Remove(endpoint string, l Load) {
-	a := b.own[endpoint]
+	a := b.local[endpoint]
 	if a == nil {
 		return
 	}
 	b.changed[endpoint] = struct{}{}
-	a.load = a.load.minus(l).plus(l.reading())
+	a.load = a.load.minus(l).plus(l.prefillOnly())
 	a.requests--
 	if a.requests == 0 {
-		delete(b.own, endpoint)
+		delete(b.local, endpoint)
 	}
 }
 
-// Own returns this gateway's whole load, to be told to its peers.
+// Own returns this gateway's full load by endpoint, for reporting to peers.
 func (b *Book) Own() map[string]Load {
 	clear(b.changed)
-	out := make(map[string]Load, len(b.own))
-	for id, a := range b.own {
+	out := make(map[string]Load, len(b.local))
+	for id, a := range b.local {
 		out[id] = a.load
 	}
 	return out
 }
 
-// Changed returns this gateway's load at the endpoints where it changed since Own
-// was called; it is the zero Load where nothing is left.
+// Changed returns this gateway's load at the endpoints where it has changed since the
+// last call of Own. It is zero at endpoints without remaining load.
 func (b *Book) Changed() map[string]Load {
 	out := make(map[string]Load, len(b.changed))
 	for id := range b.changed {
-		out[id] = b.ownAt(id)
+		out[id] = b.localLoadAt(id)
 	}
 	return out
 }
 
-func (b *Book) ownAt(endpoint string) Load {
-	if a := b.own[endpoint]; a != nil {
+func (b *Book) localLoadAt(endpoint string) Load {
+	if a := b.local[endpoint]; a != nil {
 		return a.load
 	}
 	return Load{}
 }
 
-// Peer takes in the whole load of a peer in that data centre.
+// Peer records the full load of a peer in the given data centre.
 func (b *Book) Peer(name, dataCentre string, loads map[string]Load, now time.Time) {
-	b.peers[name] = peer{at: now, dataCentre: dataCentre, loads: loads}
+	b.peers[name] = peerLoad{receivedAt: now, dataCentre: dataCentre, loads: loads}
 }
 
-// PeerChanged takes in a peer's load at some endpoints. A word that was lost is
-// made good by the next whole one.
+// PeerChanged records a peer's load at the endpoints where it has changed. A lost
+// update is corrected by the peer's next full report.
 func (b *Book) PeerChanged(name, dataCentre string, loads map[string]Load, now time.Time) {
 	p := b.peers[name]
-	if p.loads == nil || now.Sub(p.at) > peerLife {
+	if p.loads == nil || now.Sub(p.receivedAt) > peerTTL {
 		p.loads = make(map[string]Load, len(loads))
 	}
-	p.at, p.dataCentre = now, dataCentre
+	p.receivedAt, p.dataCentre = now, dataCentre
 	maps.Copy(p.loads, loads)
 	b.peers[name] = p
 }
 
-// Peers returns how many peers were heard lately.
+// Peers returns the number of peers that have reported within peerTTL.
 func (b *Book) Peers(now time.Time) int {
 	for name, p := range b.peers {
-		if now.Sub(p.at) > peerLife {
+		if now.Sub(p.receivedAt) > peerTTL {
 			delete(b.peers, name)
 		}
 	}
 	return len(b.peers)
 }
 
-// Load returns what the gateways that this one hears have at an endpoint, and what the
-// newest digest of its cell tells of the others.
+// Load returns the load of an endpoint: that of this gateway, of peers with a valid
+// report, and of other cells according to their valid digests.
 func (b *Book) Load(endpoint string, now time.Time) Load {
 	sum := b.LoadWithout(endpoint, nil, now)
 	for _, d := range b.digests {
-		if now.Sub(d.Made) <= digestLife {
+		if now.Sub(d.Made) <= digestTTL {
 			sum = sum.plus(d.Loads[endpoint])
 		}
 	}
 	return sum
 }
 
-// LoadWithout returns what this gateway and its peers have at an endpoint, without
-// peers in data centres that are left out; nil: none is.
-func (b *Book) LoadWithout(endpoint string, leftOut func(dataCentre string) bool, now time.Time) Load {
-	sum := b.ownAt(endpoint)
+// LoadWithout returns the load that this gateway and its peers have at an endpoint,
+// without peers in data centres for which excluded returns true. A nil excluded
+// excludes none.
+func (b *Book) LoadWithout(endpoint string, excluded func(dataCentre string) bool, now time.Time) Load {
+	sum := b.localLoadAt(endpoint)
 	for _, p := range b.peers {
-		if now.Sub(p.at) <= peerLife && (leftOut == nil || !leftOut(p.dataCentre)) {
+		if now.Sub(p.receivedAt) <= peerTTL && (excluded == nil || !excluded(p.dataCentre)) {
 			sum = sum.plus(p.loads[endpoint])
 		}
 	}
 	return sum
 }
 
-// TakeDigest takes in the digest of another cell unless a younger one is known.
+// TakeDigest stores the digest of another cell unless a newer one is stored.
 func (b *Book) TakeDigest(cell string, d Digest) {
 	if d.Made.After(b.digests[cell].Made) {
 		b.digests[cell] = d
 	}
 }
 
-// Digests returns the digests that count, by cell.
+// Digests returns the valid digests by cell.
 func (b *Book) Digests(now time.Time) map[string]Digest {
 	for cell, d := range b.digests {
-		if now.Sub(d.Made) > digestLife {
+		if now.Sub(d.Made) > digestTTL {
 			delete(b.digests, cell)
 		}
 	}
--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -21,8 +21,8 @@
 	plain = &catalog.Service{Name: "plain"}
 )
 
-// idle returns n candidates without load, in the order of their ranks.
-func idle(n int) []Candidate {
+// idleCandidates returns n candidates without load, ordered by rank.
+func idleCandidates(n int) []Candidate {
 	out := make([]Candidate, n)
 	for i := range out {
 		out[i].ID, out[i].Rank = fmt.Sprint(i), uint64(i)
@@ -37,46 +37,46 @@
 var (
 	pauses = catalog.Pauses{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: time.Second}
 
-	short = Work{InputTokens: 5000, OutputTokens: 1400, LeftMs: 300, DeadlineMs: 2000, Pauses: pauses}
-	long  = Work{InputTokens: 133000, OutputTokens: 700, LeftMs: 2500, DeadlineMs: 10000, Slack: time.Second, Pauses: pauses}
-	huge  = Work{InputTokens: 400000, OutputTokens: 700, LeftMs: 2500, DeadlineMs: 10000, Slack: time.Second, Pauses: pauses}
+	short    = Work{InputTokens: 5000, OutputTokens: 1400, LeftMs: 300, DeadlineMs: 2000, Pauses: pauses}
+	long     = Work{InputTokens: 133000, OutputTokens: 700, LeftMs: 2500, DeadlineMs: 10000, Slack: time.Second, Pauses: pauses}
+	oversize = Work{InputTokens: 400000, OutputTokens: 700, LeftMs: 2500, DeadlineMs: 10000, Slack: time.Second, Pauses: pauses}
 )
 
 func TestModel(t *testing.T) {
 	is := is.New(t)
-	is.Equal(int(readMs(engine, 133000)), 1866) // 646 ms of tokens, 1,220 of pairs
-	is.Equal(readMs(nil, 133000), 0.0)
-	is.Equal(int(passMs(engine, 0, 0)), 43)
+	is.Equal(int(prefillMs(engine, 133000)), 1866) // 646 ms linear, 1,220 ms quadratic
+	is.Equal(prefillMs(nil, 133000), 0.0)
+	is.Equal(int(iterationMs(engine, 0, 0)), 43)
 }
 
-func TestPlainTakesTheLeastBusy(t *testing.T) {
+func TestLeastRequests(t *testing.T) {
 	is := is.New(t)
-	all := idle(3)
+	all := idleCandidates(3)
 	all[0].Load.Short, all[1].Load.Short, all[2].Load.Short = 2, 1, 2
 	is.Equal(choose(plain, Work{}, all).Endpoint, 1)
 }
 
-func TestNothingToChoose(t *testing.T) {
+func TestNoCandidates(t *testing.T) {
 	is := is.New(t)
-	is.Equal(choose(plain, Work{Avoid: []string{"0"}}, idle(1)).Endpoint, -1)
+	is.Equal(choose(plain, Work{Avoid: []string{"0"}}, idleCandidates(1)).Endpoint, -1)
 	is.Equal(choose(model, short, nil).Endpoint, -1)
 }
 
 func TestSuspectsComeLast(t *testing.T) {
 	is := is.New(t)
-	all := idle(2)
+	all := idleCandidates(2)
 	all[0].Suspect = true
 	all[1].Load.Short = 9
 	is.Equal(choose(plain, Work{}, all).Endpoint, 1)
 	is.Equal(choose(plain, Work{Avoid: []string{"1"}}, all).Endpoint, 0)
 }
 
-// TestShortsStayTogether: short requests of all gateways take the first
-// endpoints of the shared order, so that long prompts find the last ones free,
-// and spread before an endpoint is full.
+// TestShortsStayTogether: the short requests of all gateways use the first endpoints of
+// the shared order, which leaves the last ones free for long prompts, and spread to the
+// next one before an endpoint is full.
 func TestShortsStayTogether(t *testing.T) {
 	is := is.New(t)
-	all := idle(4)
+	all := idleCandidates(4)
 	for range 24 {
 		c := choose(model, short, all)
 		l := &all[c.Endpoint].Load
@@ -91,11 +91,11 @@
 	is.Equal(all[3].Load.Short, 0)
 }
 
-// TestGatewaysPreferDifferentEndpoints: where endpoints are about as good, each
-// gateway takes the first one of its own order.
+// TestGatewaysPreferDifferentEndpoints: of endpoints that are about equal, each gateway
+// selects the first one of its own order.
 func TestGatewaysPreferDifferentEndpoints(t *testing.T) {
 	is := is.New(t)
-	all := idle(4)
+	all := idleCandidates(4)
 	for i := range all {
 		all[i].Load.Short = 4
 	}
@@ -104,34 +104,34 @@
 	is.Equal(choose(model, short, all).Endpoint, 1)
 }
 
-// TestShortIsRefusedWhenAllSlotsAreTaken: only while the requests under way need
-// more than all slots, and only where it would be late and may come back.
+// TestShortIsRefusedWhenAllSlotsAreTaken: a request is refused only while the requests
+// in flight use all slots, and only if it would be late and may be retried.
 func TestShortIsRefusedWhenAllSlotsAreTaken(t *testing.T) {
 	is := is.New(t)
-	taken := func(short int) []Candidate {
-		all := idle(3)
+	busyCandidates := func(short int) []Candidate {
+		all := idleCandidates(3)
 		for i := range all {
 			all[i].Load = Load{Short: short, Tokens: short * 6000, Unread: 2}
 		}
 		return all
 	}
-	c := choose(model, short, taken(18))
+	c := choose(model, short, busyCandidates(18))
 	is.True(c.Refuse)
 	is.Equal(c.Endpoint, -1)
 	must := short
 	must.MustTake = true
-	is.True(choose(model, must, taken(18)).Endpoint >= 0)
-	patient := short
-	patient.LeftMs = 5000
-	is.True(choose(model, patient, taken(18)).Endpoint >= 0)
-	is.True(choose(model, short, taken(15)).Endpoint >= 0) // late perhaps, with slots free
+	is.True(choose(model, must, busyCandidates(18)).Endpoint >= 0)
+	relaxed := short
+	relaxed.LeftMs = 5000
+	is.True(choose(model, relaxed, busyCandidates(18)).Endpoint >= 0)
+	is.True(choose(model, short, busyCandidates(15)).Endpoint >= 0) // may be late, but slots are free
 }
 
-// TestShortAvoidsReading: a short request leaves out endpoints that read, and keeps
-// to the shared order where a long one only generates.
-func TestShortAvoidsReading(t *testing.T) {
+// TestShortAvoidsPrefill: a short request avoids endpoints with pending prefill, but
+// keeps to the shared order where a long request only decodes.
+func TestShortAvoidsPrefill(t *testing.T) {
 	is := is.New(t)
-	all := idle(3)
+	all := idleCandidates(3)
 	all[0].Load = Load{ReadMs: 400, Short: 3, Parts: 1}
 	all[1].Load = Load{Long: 1, Tokens: 140000}
 	is.Equal(choose(model, short, all).Endpoint, 1)
@@ -139,31 +139,32 @@
 	is.Equal(choose(model, short, all).Endpoint, 2)
 }
 
-// TestMiddleGeneratesBesideShorts: a prompt whose route allows no long pauses
-// generates at the first endpoint of the shared order where it harms nobody, so that
-// no part of a longer one makes it pause; a patient one keeps off the short ones.
+// TestMiddleGeneratesBesideShorts: a prompt whose route does not allow the longest gaps
+// decodes on the first endpoint of the shared order where it causes no interference, so
+// that parts of longer prompts cause it no gaps. A gap-tolerant one avoids the
+// endpoints of short requests.
 func TestMiddleGeneratesBesideShorts(t *testing.T) {
 	is := is.New(t)
-	all := idle(6)
+	all := idleCandidates(6)
 	for i := range 2 {
 		all[i].Load = Load{Short: 6, Tokens: 36000}
 	}
-	middle := long
-	middle.InputTokens, middle.Pause = 42000, 600*time.Millisecond
-	c := choose(model, middle, all)
+	medium := long
+	medium.InputTokens, medium.Pause = 42000, 600*time.Millisecond
+	c := choose(model, medium, all)
 	is.Equal(c.Endpoint, 0)
-	middle.Pause = time.Second
-	is.True(choose(model, middle, all).Endpoint >= 2)
+	medium.Pause = time.Second
+	is.True(choose(model, medium, all).Endpoint >= 2)
 	all[0].Load.ReadMs = 200
-	middle.Pause = 600 * time.Millisecond
-	is.Equal(choose(model, middle, all).Endpoint, 1)
+	medium.Pause = 600 * time.Millisecond
+	is.Equal(choose(model, medium, all).Endpoint, 1)
 }
 
-// TestLongKeepsOffShorts: the parts of a long prompt fall on endpoints without
-// short requests while there are any.
-func TestLongKeepsOffShorts(t *testing.T) {
+// TestLongAvoidsShort: the parts of a long prompt are placed on endpoints without short
+// requests while there are any.
+func TestLongAvoidsShort(t *testing.T) {
 	is := is.New(t)
-	all := idle(18)
+	all := idleCandidates(18)
 	for i := range 6 {
 		all[i].Load.Short = 10
 	}
@@ -176,12 +177,12 @@
 	is.Equal(len(c.Reserve), 0)
 }
 
-// TestLongWaitsForEndpointsThatReadNothing: engines read the newest part first,
-// so a part on top of another one would put that off, whatever the newer prompt's
-// time: a late one that does not wait makes the ones before it late as well.
-func TestLongWaitsForEndpointsThatReadNothing(t *testing.T) {
+// TestLongWaitsForIdleEndpoints: engines prefill the newest part first, so no part is
+// placed on top of another, however urgent the newer prompt. A late prompt that did not
+// wait would make the earlier ones late too.
+func TestLongWaitsForIdleEndpoints(t *testing.T) {
 	is := is.New(t)
-	all := idle(4)
+	all := idleCandidates(4)
 	for i := range all {
 		all[i].Load = Load{ReadMs: 900, Parts: 1}
 	}
@@ -198,14 +199,14 @@
 	is.Equal(len(c.Helpers), 0)
 }
 
-// TestLongAcceptsHarmByItsValue: a prompt that can be in time takes endpoints with
-// a few short requests at once and with more of them when it has waited, as far as
-// it is worth more than they are; one that is late takes none of them.
+// TestLongAcceptsHarmByItsValue: a prompt that can be in time shares endpoints with a
+// few short requests at once, and with more of them after waiting, limited by its own
+// value. A late prompt shares with none.
 func TestLongAcceptsHarmByItsValue(t *testing.T) {
 	is := is.New(t)
-	all := idle(4)
+	all := idleCandidates(4)
 	long := long
-	long.Pause = pauses.Longest // the kind that is worth so much
+	long.Pause = pauses.Longest // the class with the highest value
 	for i := range all {
 		all[i].Load.Short = 1
 	}
@@ -222,11 +223,11 @@
 	is.True(choose(model, late, all).Wait)
 }
 
-// TestLongTakesWhatReadsNothing: few endpoints that read nothing are better than
-// many of which some read.
-func TestLongTakesWhatReadsNothing(t *testing.T) {
+// TestLongPrefersIdleEndpoints: a few endpoints without prefill work are better than
+// many of which some have pending prefill.
+func TestLongPrefersIdleEndpoints(t *testing.T) {
 	is := is.New(t)
-	all := idle(18)
+	all := idleCandidates(18)
 	for i := range 15 {
 		all[i].Load = Load{ReadMs: 240, Parts: 1}
 	}
@@ -237,11 +238,11 @@
 	}
 }
 
-// TestLongSparesThoseThatGenerate: a part that would make the pass of another
-// long request too long goes elsewhere.
-func TestLongSparesThoseThatGenerate(t *testing.T) {
+// TestLongAvoidsDecodingEndpoints: a part that would make the iteration of another long
+// request too long is placed elsewhere.
+func TestLongAvoidsDecodingEndpoints(t *testing.T) {
 	is := is.New(t)
-	all := idle(6)
+	all := idleCandidates(6)
 	for i := range 3 {
 		all[i].Load = Load{Long: 1, Tokens: 50000}
 	}
@@ -252,98 +253,98 @@
 	}
 }
 
-// TestPatientOnesBearLongerParts: a part that would be too long for the pauses of
-// one long request goes beside another one whose route allows longer ones.
+// TestPatientOnesBearLongerParts: a part that is too long for the gap objective of one
+// long request is placed with another one whose route allows longer gaps.
 func TestPatientOnesBearLongerParts(t *testing.T) {
 	is := is.New(t)
-	all := idle(2)
+	all := idleCandidates(2)
 	all[0].Load = Load{Long: 1, Patient: 1, Tokens: 50000}
 	all[1].Load = Load{Long: 1, Tokens: 50000}
 	w := long
-	w.InputTokens, w.Pause = 70000, time.Second // 680 ms to read
-	alone := Default()
-	alone.MaxHelpers = 0
-	c := alone.Choose(model, w, all)
+	w.InputTokens, w.Pause = 70000, time.Second // 680 ms of prefill
+	noHelpers := Default()
+	noHelpers.MaxHelpers = 0
+	c := noHelpers.Choose(model, w, all)
 	is.Equal(c.Endpoint, 0)
 	is.Equal(c.Loads[0].Load.Patient, 1)
 	w.Pause = 600 * time.Millisecond
-	is.Equal(choose(model, w, idle(1)).Loads[0].Load.Patient, 0)
+	is.Equal(choose(model, w, idleCandidates(1)).Loads[0].Load.Patient, 0)
 }
 
-// TestPartsCountByTime: every part of a prompt counts as read after a time that
-// covers its reading, not only with the first event.
-func TestPartsCountByTime(t *testing.T) {
+// TestPrefillEndsByEstimate: each part of a long prompt counts as prefilled after a
+// time that covers its prefill, not only at the first event.
+func TestPrefillEndsByEstimate(t *testing.T) {
 	is := is.New(t)
-	c := choose(model, long, idle(18))
+	c := choose(model, long, idleCandidates(18))
 	is.True(len(c.Loads) > 1)
 	for _, p := range c.Loads {
 		is.True(p.ReadFor >= time.Duration(p.Load.ReadMs*float64(time.Millisecond)))
 		is.True(p.ReadFor < 2*time.Second)
 	}
-	is.Equal(choose(model, short, idle(18)).Loads[0].ReadFor, time.Duration(0))
+	is.Equal(choose(model, short, idleCandidates(18)).Loads[0].ReadFor, time.Duration(0))
 }
 
-// TestGeneratorHasFreeSlots: helpers begin only when the endpoint that generates
-// lets the request in.
-func TestGeneratorHasFreeSlots(t *testing.T) {
+// TestDecoderHasFreeSlots: helpers start only when the decoding endpoint admits the
+// request, so that endpoint must have free slots.
+func TestDecoderHasFreeSlots(t *testing.T) {
 	is := is.New(t)
-	all := idle(2)
+	all := idleCandidates(2)
 	all[0].Load = Load{Short: 14, Tokens: 20000}
 	all[1].Load = Load{Long: 1, Tokens: 60000}
 	w := long
 	w.Slack, w.Late = 0, true
-	w.Pauses = catalog.Pauses{} // a late event harms nobody
+	w.Pauses = catalog.Pauses{} // late events cause no interference
 	is.Equal(choose(model, w, all).Endpoint, 1)
 }
 
-// TestHugeWeighsLikeOthers: a prompt over an endpoint's memory takes endpoints that
-// read nothing, with short requests as far as it is worth more than they are, and with
-// none of them when it is late.
+// TestHugeWeighsLikeOthers: a prompt that exceeds an endpoint's memory is placed on
+// endpoints without prefill work. It shares them with short requests up to its own
+// value, and with none when it is late.
 func TestHugeWeighsLikeOthers(t *testing.T) {
 	is := is.New(t)
-	few, many, reading := idle(18), idle(18), idle(18)
+	few, many, prefilling := idleCandidates(18), idleCandidates(18), idleCandidates(18)
 	for i := range few {
 		few[i].Load.Short, many[i].Load.Short = 1, 8
-		reading[i].Load = Load{ReadMs: 250, Parts: 1}
+		prefilling[i].Load = Load{ReadMs: 250, Parts: 1}
 	}
-	w := huge
+	w := oversize
 	w.Waited = 1
 	is.True(!choose(model, w, few).Wait)
 	is.True(choose(model, w, many).Wait)
 	for _, late := range []bool{false, true} {
 		w.Late = late
-		is.True(choose(model, w, reading).Wait)
-		is.True(!choose(model, w, idle(18)).Wait)
+		is.True(choose(model, w, prefilling).Wait)
+		is.True(!choose(model, w, idleCandidates(18)).Wait)
 	}
 	w.LeftMs, w.Slack = -100, -time.Second
 	is.True(choose(model, w, few).Wait)
 }
 
-// TestNothingForACallerThatWouldBeGone: a prompt is not read when its first event
+// TestNothingForACallerThatWouldBeGone: a prompt is not prefilled if its first event
 // would come after its caller has given up.
 func TestNothingForACallerThatWouldBeGone(t *testing.T) {
 	is := is.New(t)
-	w := huge
+	w := oversize
 	w.DeadlineMs = 3000
-	is.True(choose(model, w, idle(2)).Wait) // 6.5 s of reading each
-	is.True(!choose(model, w, idle(18)).Wait)
+	is.True(choose(model, w, idleCandidates(2)).Wait) // 6.5 s of prefill each
+	is.True(!choose(model, w, idleCandidates(18)).Wait)
 }
 
-// TestHugeLeavesRoom: a prompt over an endpoint's memory leaves some endpoints
-// that read nothing to others, but takes all where there are only a few.
+// TestHugeLeavesRoom: a prompt that exceeds an endpoint's memory leaves some idle
+// endpoints to other requests, but uses all of them if there are only a few.
 func TestHugeLeavesRoom(t *testing.T) {
 	is := is.New(t)
-	all := idle(10)
-	c := choose(model, huge, all)
+	all := idleCandidates(10)
+	c := choose(model, oversize, all)
 	is.True(!c.Wait)
 	is.True(len(c.Loads) <= 9)
-	w := huge
+	w := oversize
 	w.InputTokens = 300000
-	is.True(!choose(model, w, idle(2)).Wait)
+	is.True(!choose(model, w, idleCandidates(2)).Wait)
 }
 
-// TestValue: what prompts of the sheets are worth in short requests, within a third, by
-// their kind or, where no kind is more patient than another, by their length.
+// TestValue: typical prompts have their expected value, within a factor of 1.5, by class or, if
+// no class is more gap-tolerant than another, by length.
 func TestValue(t *testing.T) {
 	two := catalog.Pauses{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: 600 * time.Millisecond}
 	cases := []struct {
@@ -353,19 +354,19 @@
 		pause  time.Duration
 		want   float64
 	}{
-		{"middle", 45000, pauses, pauses.Next, 2.4},
-		{"a long one of the middle kind", 110000, pauses, pauses.Next, 4.4},
-		{"a short one of the longest kind", 60000, pauses, pauses.Longest, 8},
-		{"the longest kind, small", 133000, pauses, pauses.Longest, 11.5},
-		{"the longest kind, middle", 190000, pauses, pauses.Longest, 15.4},
-		{"the longest kind", 300000, pauses, pauses.Longest, 21.4},
-		{"the largest", 1000000, pauses, pauses.Longest, 56},
-		{"two kinds only", 133000, two, two.Longest, 13.3},
+		{"medium", 45000, pauses, pauses.Next, 2.4},
+		{"medium class, long prompt", 110000, pauses, pauses.Next, 4.4},
+		{"gap-tolerant class, short prompt", 60000, pauses, pauses.Longest, 8},
+		{"gap-tolerant class, 133,000 tokens", 133000, pauses, pauses.Longest, 11.5},
+		{"gap-tolerant class, 190,000 tokens", 190000, pauses, pauses.Longest, 15.4},
+		{"gap-tolerant class, 300,000 tokens", 300000, pauses, pauses.Longest, 21.4},
+		{"gap-tolerant class, 1,000,000 tokens", 1000000, pauses, pauses.Longest, 56},
+		{"no gap-tolerant class", 133000, two, two.Longest, 13.3},
 	}
 	for _, tc := range cases {
 		w := Work{InputTokens: tc.tokens, Pauses: tc.pauses, Pause: tc.pause}
 		if got := w.value(); got < 0.67*tc.want || got > 1.5*tc.want {
-			t.Errorf("%s: worth %.1f, want about %.1f", tc.name, got, tc.want)
+			t.Errorf("%s: value %.1f, want %.1f within a factor of 1.5", tc.name, got, tc.want)
 		}
 	}
 }
@@ -377,19 +378,19 @@
 	is.True(!p.TakesTurns(model, short))
 	is.True(p.TakesTurns(model, long))
 	is.True(!p.Oversize(model, long))
-	is.True(p.Oversize(model, huge))
-	is.True(!p.Oversize(plain, huge))
+	is.True(p.Oversize(model, oversize))
+	is.True(!p.Oversize(plain, oversize))
 }
 
-// TestHugeFitsTogether: the memory of the endpoint that generates and what is
-// set aside at helpers hold the prompt, and no endpoint is given more than it has.
+// TestHugeFitsTogether: the memory of the decoding endpoint and the reservations on
+// helpers hold the prompt, and no endpoint is given more than it has.
 func TestHugeFitsTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := idle(18)
+		all := idleCandidates(18)
 		for i := range all {
 			all[i].Load.Tokens = rapid.IntRange(0, 232000).Draw(t, "tokens")
 		}
-		w := huge
+		w := oversize
 		w.InputTokens = rapid.IntRange(240000, 1000000).Draw(t, "prompt")
 		c := choose(model, w, all)
 		if c.Wait {
@@ -399,25 +400,25 @@
 		for _, p := range c.Loads {
 			held += p.Load.Tokens
 			if p.Load.Tokens+all[p.Candidate].Load.Tokens > engine.MemoryTokens {
-				t.Fatalf("candidate %d is given %d tokens beside %d", p.Candidate, p.Load.Tokens, all[p.Candidate].Load.Tokens)
+				t.Fatalf("candidate %d is assigned %d tokens, %d already in use", p.Candidate, p.Load.Tokens, all[p.Candidate].Load.Tokens)
 			}
 		}
 		if held != w.InputTokens+w.OutputTokens {
-			t.Fatalf("memory for %d tokens, the prompt needs %d", held, w.InputTokens+w.OutputTokens)
+			t.Fatalf("memory assigned for %d tokens, prompt needs %d", held, w.InputTokens+w.OutputTokens)
 		}
 		for _, r := range c.Reserve {
 			if r.Candidate == c.Endpoint || r.Tokens <= 0 {
-				t.Fatalf("reservation %+v, generator %d", r, c.Endpoint)
+				t.Fatalf("invalid reservation %+v with decoding endpoint %d", r, c.Endpoint)
 			}
 		}
 	})
 }
 
-// TestChoiceIsSound: whatever the load, a choice names each endpoint once, no
-// more helpers than allowed, and none that was to be avoided.
-func TestChoiceIsSound(t *testing.T) {
+// TestChoiceInvariants: for any load, a choice names each endpoint once, at most
+// MaxHelpers helpers, and no avoided endpoint.
+func TestChoiceInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := idle(rapid.IntRange(0, 20).Draw(t, "endpoints"))
+		all := idleCandidates(rapid.IntRange(0, 20).Draw(t, "endpoints"))
 		for i := range all {
 			all[i].Load = Load{ReadMs: float64(rapid.IntRange(0, 900).Draw(t, "read")), Short: rapid.IntRange(0, 20).Draw(t, "short"),
 				Long: rapid.IntRange(0, 3).Draw(t, "long"), Tokens: rapid.IntRange(0, 300000).Draw(t, "tokens"), Parts: rapid.IntRange(0, 3).Draw(t, "parts")}
@@ -432,19 +433,19 @@
 		seen := map[int]bool{c.Endpoint: true}
 		for _, h := range c.Helpers {
 			if seen[h] {
-				t.Fatalf("endpoint %d twice", h)
+				t.Fatalf("endpoint %d is used twice", h)
 			}
 			seen[h] = true
 		}
 		if len(c.Helpers) > Default().MaxHelpers || seen[1] || len(c.Loads) != len(seen) {
-			t.Fatalf("choice %+v", c)
+			t.Fatalf("invalid choice %+v", c)
 		}
 	})
 }
 
-// TestOpenConnectionsFirst: of endpoints that are equal a request takes the one to which a
-// connection is open, but not one that answers later.
-func TestOpenConnectionsFirst(t *testing.T) {
+// TestOpenConnectionsPreferred: of equal endpoints a request uses one with an open
+// connection, but not one that answers later.
+func TestOpenConnectionsPreferred(t *testing.T) {
 	is := is.New(t)
 	p := Default()
 	plain := &catalog.Service{Name: "s"}
--- a/balance/long.go
+++ b/balance/long.go
@@ -9,66 +9,67 @@
 	"github.com/micarudder/micarudder/catalog"
 )
 
-// long splits the reading of a prompt over endpoints that read nothing. It weighs
-// what a split costs others against the delay of the prompt itself, and waits while
-// the best one costs more than the prompt may.
-func (p Policy) long(e *catalog.Engine, w Work, read float64, all []Candidate, usable []int) Choice {
+// placeLong splits the prefill of a prompt over endpoints without prefill work. It
+// weighs the interference of a split against the delay of the prompt, and waits while
+// the best split causes more interference than the prompt may.
+func (p Policy) placeLong(e *catalog.Engine, w Work, prefill float64, all []Candidate, usable []int) Choice {
 	var best split
-	most := min(1+p.MaxHelpers, len(usable))
-	if p.isOversize(e, w) {
-		most = min(most, p.room(all, usable))
+	maxParts := min(1+p.MaxHelpers, len(usable))
+	if p.exceedsMemory(e, w) {
+		maxParts = min(maxParts, p.maxOversizeParts(all, usable))
 	}
-	for parts := 1; parts <= most; parts++ {
-		s, ok := p.split(e, w, read, parts, all, usable)
-		if s.busiest > p.CleanMs {
-			break // newer parts would put off the older ones
+	for parts := 1; parts <= maxParts; parts++ {
+		s, ok := p.bestSplit(e, w, prefill, parts, all, usable)
+		if s.queuedMs > p.MaxQueuedMs {
+			break // newer parts would delay the older ones
 		}
-		if ok && (best.chosen == nil || s.cost < best.cost-costMargin) {
+		if ok && (best.candidates == nil || s.cost < best.cost-costMargin) {
 			best = s
 		}
 	}
-	expected := Expected{FirstMs: best.first, Harm: best.harm, Parts: len(best.chosen), Idle: p.idle(all, usable)}
-	if best.chosen == nil || p.shouldWait(w, best, p.soonest(e, w, read, len(usable))) {
+	expected := Expected{FirstMs: best.firstMs, Harm: best.interference, Parts: len(best.candidates), Idle: p.countIdle(all, usable)}
+	if best.candidates == nil || p.shouldWait(w, best, p.minFirstMs(e, w, prefill, len(usable))) {
 		return Choice{Endpoint: -1, Wait: true, Expected: expected}
 	}
-	c := p.spread(e, w, read, all, best.chosen)
-	c.Expected, c.Poor = expected, best.first > inTime*w.LeftMs || best.harm > p.EarlyHarm
+	c := p.assignParts(e, w, prefill, all, best.candidates)
+	c.Expected, c.Suboptimal = expected, best.firstMs > budgetShare*w.LeftMs || best.interference > p.BaseInterference
 	return c
 }
 
-// shouldWait reports whether a prompt waits rather than take the best split. What
-// it may cost others is a part of what it would bring itself: the longer it has
-// waited the more, and hardly anything once it is late. soonest is when its first
-// event would come if all endpoints were idle: one that cannot be in time even so
-// does not wait for that.
-func (p Policy) shouldWait(w Work, best split, soonest float64) bool {
+// shouldWait reports whether a prompt waits instead of using the best split. It may
+// cause interference up to a share of its own value; the share grows while the prompt
+// waits and is small once it is late. minFirst is the time to its first event if all
+// endpoints were idle: a prompt that cannot be in time even then does not wait for idle
+// endpoints.
+func (p Policy) shouldWait(w Work, best split, minFirst float64) bool {
 	switch {
-	case best.first > w.DeadlineMs:
-		return true // its caller would be gone
-	case best.first <= w.LeftMs && !w.Late:
-		return best.harm > p.EarlyHarm+w.value()*(p.HarmAtOnce+p.HarmWaited*w.Waited)
-	case w.Slack > 0 && !w.Late && soonest <= w.LeftMs:
+	case best.firstMs > w.DeadlineMs:
+		return true // the caller would have given up
+	case best.firstMs <= w.LeftMs && !w.Late:
+		return best.interference > p.BaseInterference+w.value()*(p.ArrivalInterference+p.WaitedInterference*w.Waited)
+	case w.Slack > 0 && !w.Late && minFirst <= w.LeftMs:
 		return true
 	default:
-		return best.harm > w.value()*p.LateHarm
+		return best.interference > w.value()*p.LateInterference
 	}
 }
 
-// soonest returns how long a prompt takes to its first event on that many endpoints
-// that do nothing else, in milliseconds.
-func (p Policy) soonest(e *catalog.Engine, w Work, read float64, endpoints int) float64 {
-	return read/float64(min(1+p.MaxHelpers, endpoints)) + passesToFirst*passMs(e, 1, w.InputTokens)
+// minFirstMs returns the time to the first event of a prompt on the given number of
+// idle endpoints, in milliseconds.
+func (p Policy) minFirstMs(e *catalog.Engine, w Work, prefill float64, endpoints int) float64 {
+	return prefill/float64(min(1+p.MaxHelpers, endpoints)) + iterationsToFirst*iterationMs(e, 1, w.InputTokens)
 }
 
-// room returns how many endpoints a prompt may take that takes much of many for
-// the little that it brings: those that read nothing, less some for others where
-// there are enough.
-func (p Policy) room(all []Candidate, usable []int) int {
-	return p.idle(all, usable) - int(p.Headroom*float64(len(usable)))
+// maxOversizeParts returns how many endpoints an oversize prompt may use, which occupies
+// many endpoints for little value: those without prefill work, less a reserve for other
+// requests where there are enough endpoints.
+func (p Policy) maxOversizeParts(all []Candidate, usable []int) int {
+	return p.countIdle(all, usable) - int(p.IdleReserve*float64(len(usable)))
 }
 
-// idle returns how many endpoints read nothing that a part would put off.
-func (p Policy) idle(all []Candidate, usable []int) int {
+// countIdle returns the number of endpoints without prefill work that a part would
+// delay.
+func (p Policy) countIdle(all []Candidate, usable []int) int {
 	n := 0
 	for _, i := range usable {
 		n += 1 - p.busy(all[i].Load)
@@ -77,236 +78,239 @@
 }
 
 const (
-	// lateMs is the delay of a long prompt that weighs as much as one late
-	// short request.
-	lateMs = 100
-	// veryLateMs is the same for a prompt that is late anyway.
-	veryLateMs = 1000
-	// costMargin is how much better more parts must be to be taken.
+	// delayUnitMs is the delay of a long prompt that costs as much as one late short
+	// request.
+	delayUnitMs = 100
+	// lateDelayUnitMs is the same for a prompt that will be late in any case.
+	lateDelayUnitMs = 1000
+	// costMargin is how much cheaper a split into more parts must be to be preferred.
 	costMargin = 0.05
-	// inTime is the part of the time left that the expected first event of a
-	// prompt may take; the rest is for what the estimate does not see.
-	inTime = 0.7
+	// budgetShare is the share of the remaining time that the expected first event of a
+	// prompt may take. The rest covers what the estimate leaves out.
+	budgetShare = 0.7
 )
 
-// split is a way to read a long prompt in parts.
+// split is a way to prefill a long prompt in parts.
 type split struct {
-	chosen []int   // candidates; the first one generates
-	harm   float64 // what it costs others, in late short requests
-	first  float64 // expected time to the first event, ms
-	// busiest is the most reading that a chosen candidate has before it, ms.
-	busiest float64
-	cost    float64
+	candidates   []int   // indexes of candidates; the first one decodes
+	interference float64 // in late short requests
+	firstMs      float64 // expected time to the first event
+	// queuedMs is the longest prefill pending on one of the candidates.
+	queuedMs float64
+	cost     float64
 }
 
-// site is what a part of a prompt meets at an endpoint.
-type site struct {
-	index  int
-	harm   float64
-	finish float64 // when the part is expected to be read, ms from now
+// partEstimate is the estimated effect of placing a part of a prompt on an endpoint.
+type partEstimate struct {
+	index        int
+	interference float64
+	finishMs     float64 // expected time until the part is prefilled
 }
 
-// split returns the candidates on which so many parts do the least harm; ok is
-// false when they have not the memory.
-func (p Policy) split(e *catalog.Engine, w Work, read float64, parts int, all []Candidate, usable []int) (s split, ok bool) {
-	part := read / float64(parts)
-	sites := make([]site, 0, len(usable))
+// bestSplit returns the split into the given number of parts that causes the least
+// interference. ok is false if the candidates lack memory for the prompt.
+func (p Policy) bestSplit(e *catalog.Engine, w Work, prefill float64, parts int, all []Candidate, usable []int) (s split, ok bool) {
+	part := prefill / float64(parts)
+	estimates := make([]partEstimate, 0, len(usable))
 	for _, i := range usable {
-		at := p.site(e, w, i, all[i], part)
-		if all[i].Remote && (at.harm > 0 || p.busy(all[i].Load) > 0) {
+		estimate := p.estimatePart(e, w, i, all[i], part)
+		if all[i].Remote && (estimate.interference > 0 || p.busy(all[i].Load) > 0) {
 			continue
 		}
-		sites = append(sites, at)
+		estimates = append(estimates, estimate)
 	}
-	if len(sites) < parts {
+	if len(estimates) < parts {
 		return s, false
 	}
-	slices.SortFunc(sites, func(a, b site) int {
-		x, y := all[a.index], all[b.index]
-		return cmp.Or(cmp.Compare(p.busy(x.Load), p.busy(y.Load)), cmp.Compare(a.harm, b.harm), cmp.Compare(remote(x), remote(y)), cmp.Compare(shared(x), shared(y)),
-			cmp.Compare(int(a.finish/sameMs), int(b.finish/sameMs)), cmp.Compare(y.Rank, x.Rank))
+	slices.SortFunc(estimates, func(a, b partEstimate) int {
+		ca, cb := all[a.index], all[b.index]
+		return cmp.Or(cmp.Compare(p.busy(ca.Load), p.busy(cb.Load)), cmp.Compare(a.interference, b.interference), cmp.Compare(isRemote(ca), isRemote(cb)), cmp.Compare(isShared(ca), isShared(cb)),
+			cmp.Compare(int(a.finishMs/tieMs), int(b.finishMs/tieMs)), cmp.Compare(cb.Rank, ca.Rank))
 	})
-	if w.patient() == 0 {
-		p.besideShorts(e, w, all, sites)
+	if w.gapTolerant() == 0 {
+		p.decodeWithShort(e, w, all, estimates)
 	}
 	free := 0
-	for _, o := range sites[:parts] {
-		s.chosen = append(s.chosen, o.index)
-		s.harm += o.harm
-		s.first = max(s.first, o.finish)
-		s.busiest = max(s.busiest, all[o.index].Load.ReadMs)
+	for _, o := range estimates[:parts] {
+		s.candidates = append(s.candidates, o.index)
+		s.interference += o.interference
+		s.firstMs = max(s.firstMs, o.finishMs)
+		s.queuedMs = max(s.queuedMs, all[o.index].Load.ReadMs)
 		free += freeTokens(e, all[o.index].Load)
 	}
-	s.first += passesToFirst * passMs(e, 1, w.InputTokens)
-	s.cost = s.harm + p.partCost(part)*float64(parts)
-	if s.first <= w.LeftMs {
-		s.cost += max(0, s.first-inTime*w.LeftMs) / lateMs
+	s.firstMs += iterationsToFirst * iterationMs(e, 1, w.InputTokens)
+	s.cost = s.interference + p.partCost(part)*float64(parts)
+	if s.firstMs <= w.LeftMs {
+		s.cost += max(0, s.firstMs-budgetShare*w.LeftMs) / delayUnitMs
 	} else {
-		s.cost += p.LateLoss*w.value() + s.first/veryLateMs + max(0, s.first-inTime*w.DeadlineMs)/lateMs
+		s.cost += p.LateValueLoss*w.value() + s.firstMs/lateDelayUnitMs + max(0, s.firstMs-budgetShare*w.DeadlineMs)/delayUnitMs
 	}
-	if w.patient() == 1 || s.harm > 0 {
-		p.generatorFirst(e, w, all, s.chosen)
+	if w.gapTolerant() == 1 || s.interference > 0 {
+		p.moveDecoderFirst(e, w, all, s.candidates)
 	}
 	return s, free >= w.InputTokens+w.OutputTokens
 }
 
-// remote returns 1 for an endpoint of another cell, else 0.
-func remote(c Candidate) int {
+// isRemote returns 1 for an endpoint of another cell, else 0.
+func isRemote(c Candidate) int {
 	if c.Remote {
 		return 1
 	}
 	return 0
 }
 
-// shared returns 1 for an endpoint that another cell may use, else 0.
-func shared(c Candidate) int {
+// isShared returns 1 for an endpoint that another cell may use too, else 0.
+func isShared(c Candidate) int {
 	if c.Shared {
 		return 1
 	}
 	return 0
 }
 
-// busy returns 1 for an endpoint that has so much to read that a part would put
-// off others, else 0.
+// busy returns 1 for an endpoint with so much pending prefill that a new part would
+// delay other requests, else 0.
 func (p Policy) busy(l Load) int {
-	if l.ReadMs > p.CleanMs {
+	if l.ReadMs > p.MaxQueuedMs {
 		return 1
 	}
 	return 0
 }
 
-// partCost returns what a part of that length costs by itself: a little for
-// each one, and more for one that keeps an endpoint for long.
+// partCost returns the inherent cost of a part with the given prefill time: a small
+// fixed cost, and more for a part that keeps an endpoint for long.
 func (p Policy) partCost(part float64) float64 {
-	return p.PartCost + max(0, part-p.PartMs)/p.PartMs
+	return p.PartCost + max(0, part-p.LongPartMs)/p.LongPartMs
 }
 
-// site estimates what a part meets at an endpoint, and does there.
-func (p Policy) site(e *catalog.Engine, w Work, index int, c Candidate, part float64) site {
+// estimatePart estimates how long a part takes on an endpoint, and the interference
+// that it causes there.
+func (p Policy) estimatePart(e *catalog.Engine, w Work, index int, c Candidate, part float64) partEstimate {
 	l := c.Load
-	writers := l.Short + l.Long
-	reading := (l.ReadMs + part) * c.pace()
-	s := site{index: index, finish: reading}
-	if writers == 0 && l.Parts == 0 {
+	decoding := l.Short + l.Long
+	prefill := (l.ReadMs + part) * c.slowdown()
+	s := partEstimate{index: index, finishMs: prefill}
+	if decoding == 0 && l.Parts == 0 {
 		return s
 	}
-	pass := passMs(e, writers, l.Tokens) * c.pace()
-	s.finish += pass * passesToFirst
-	longest := reading + pass
-	if longest > p.longestPass(w.Pauses.Shortest) {
-		s.harm += float64(l.Short)
+	iteration := iterationMs(e, decoding, l.Tokens) * c.slowdown()
+	s.finishMs += iteration * iterationsToFirst
+	longestIteration := prefill + iteration
+	if longestIteration > p.maxIterationMs(w.Pauses.Shortest) {
+		s.interference += float64(l.Short)
 	}
-	if longest > p.longestPass(w.Pauses.Next) {
-		s.harm += float64(l.Long-l.Patient) * p.LongHarm
+	if longestIteration > p.maxIterationMs(w.Pauses.Next) {
+		s.interference += float64(l.Long-l.Patient) * p.LongGapCost
 	}
-	if longest > p.longestPass(w.Pauses.Longest) {
-		s.harm += float64(l.Patient) * p.PatientHarm
+	if longestIteration > p.maxIterationMs(w.Pauses.Longest) {
+		s.interference += float64(l.Patient) * p.TolerantGapCost
 	}
 	if l.Parts > 0 {
-		s.harm += part / lateMs * p.HoldUp
+		s.interference += part / delayUnitMs * p.PartDelayCost
 	}
 	return s
 }
 
-// longestPass returns how long a pass may be, in milliseconds, for requests whose
-// route allows that pause.
-func (p Policy) longestPass(pause time.Duration) float64 {
-	if pause <= 0 {
+// maxIterationMs returns the longest iteration, in milliseconds, acceptable to requests
+// whose route allows the given gap between events.
+func (p Policy) maxIterationMs(gap time.Duration) float64 {
+	if gap <= 0 {
 		return math.Inf(1)
 	}
-	return float64(pause.Milliseconds()) - p.PauseMargin
+	return float64(gap.Milliseconds()) - p.GapMargin
 }
 
-// readFor returns after what time a part counts as read. The first
-// event comes much later, when the slowest part is read and the endpoint that
-// generates has made a pass; the others are free again meanwhile.
-func (p Policy) readFor(s site) time.Duration {
-	return time.Duration((s.finish*p.ReadMargin + readSlackMs) * float64(time.Millisecond))
+// prefillFor returns the time after which a part is assumed to be prefilled. The first
+// event comes much later, after the slowest part is prefilled and the decoding endpoint
+// has completed an iteration; meanwhile the other endpoints are free again.
+func (p Policy) prefillFor(s partEstimate) time.Duration {
+	return time.Duration((s.finishMs*p.PrefillMargin + helperRoundTripMs) * float64(time.Millisecond))
 }
 
-// readSlackMs is the way of a request to the helpers and back.
-const readSlackMs = 20
+// helperRoundTripMs is the round-trip time of a request to the helpers.
+const helperRoundTripMs = 20
 
-// crowded returns 1 for an endpoint with few free slots, else 0. Helpers begin to
-// read only when the endpoint that generates lets the request in.
+// crowded returns 1 for an endpoint with few free slots, else 0. Helpers start the
+// prefill only when the decoding endpoint admits the request.
 func (p Policy) crowded(e *catalog.Engine, l Load) int {
-	if float64(l.Short+l.Long) >= fullSlots*float64(e.Slots) {
+	if float64(l.Short+l.Long) >= crowdedShare*float64(e.Slots) {
 		return 1
 	}
 	return 0
 }
 
-// pauses returns 1 for an endpoint so slow that each pause between the prompt's events
-// would be too long there, else 0.
-func (p Policy) pauses(e *catalog.Engine, w Work, c Candidate) int {
-	if passMs(e, 1+c.Load.Short+c.Load.Long, c.Load.Tokens)*c.pace() > p.longestPass(w.Pause) {
+// exceedsGap returns 1 for an endpoint so slow that every gap between the prompt's
+// events would be too long, else 0.
+func (p Policy) exceedsGap(e *catalog.Engine, w Work, c Candidate) int {
+	if iterationMs(e, 1+c.Load.Short+c.Load.Long, c.Load.Tokens)*c.slowdown() > p.maxIterationMs(w.Pause) {
 		return 1
 	}
 	return 0
 }
 
-// generatorFirst puts the endpoint that generates first: one that has the memory
-// for the whole prompt if there is one, and among them the one with the fewest
-// short requests, else the one with the most memory.
-func (p Policy) generatorFirst(e *catalog.Engine, w Work, all []Candidate, chosen []int) {
+// moveDecoderFirst moves the endpoint that decodes to the front of chosen. Among
+// endpoints that are fast enough, not crowded and in the own cell, it prefers one with
+// memory for the whole prompt, or else the one with the most memory; of equal ones, the
+// one with the fewest requests.
+func (p Policy) moveDecoderFirst(e *catalog.Engine, w Work, all []Candidate, chosen []int) {
 	need := w.InputTokens + w.OutputTokens
 	best := 0
 	for n := range chosen {
 		a, b := all[chosen[n]].Load, all[chosen[best]].Load
 		fa, fb := min(need, freeTokens(e, a)), min(need, freeTokens(e, b))
-		if cmp.Or(cmp.Compare(p.pauses(e, w, all[chosen[n]]), p.pauses(e, w, all[chosen[best]])), cmp.Compare(p.crowded(e, a), p.crowded(e, b)), cmp.Compare(remote(all[chosen[n]]), remote(all[chosen[best]])), cmp.Compare(fb, fa), cmp.Compare(a.Short+a.Long, b.Short+b.Long)) < 0 {
+		if cmp.Or(cmp.Compare(p.exceedsGap(e, w, all[chosen[n]]), p.exceedsGap(e, w, all[chosen[best]])), cmp.Compare(p.crowded(e, a), p.crowded(e, b)), cmp.Compare(isRemote(all[chosen[n]]), isRemote(all[chosen[best]])), cmp.Compare(fb, fa), cmp.Compare(a.Short+a.Long, b.Short+b.Long)) < 0 {
 			best = n
 		}
 	}
 	chosen[0], chosen[best] = chosen[best], chosen[0]
 }
 
-// memoryShare is the part of an endpoint's memory that is given to long
-// prompts; the rest is for short requests that gateways send at the same time.
-const memoryShare = 0.95
+// longMemoryShare is the share of an endpoint's memory that is available to long
+// prompts. The rest is for short requests that gateways send concurrently.
+const longMemoryShare = 0.95
 
-// freeTokens returns the memory of an endpoint that a long prompt may take.
+// freeTokens returns the memory of an endpoint that is available to long prompts.
 func freeTokens(e *catalog.Engine, l Load) int {
-	return max(0, int(memoryShare*float64(e.MemoryTokens))-l.Tokens)
+	return max(0, int(longMemoryShare*float64(e.MemoryTokens))-l.Tokens)
 }
 
-// spread reads a prompt on the chosen candidates, the first of which generates,
-// and fills their memory in turn.
-func (p Policy) spread(e *catalog.Engine, w Work, read float64, all []Candidate, chosen []int) Choice {
+// assignParts distributes the prefill of a prompt over the chosen candidates, the first
+// of which decodes, and fills their memory in order.
+func (p Policy) assignParts(e *catalog.Engine, w Work, prefill float64, all []Candidate, chosen []int) Choice {
 	need := w.InputTokens + w.OutputTokens
 	c := Choice{Endpoint: chosen[0], Helpers: chosen[1:]}
 	for n, i := range chosen {
-		held := min(need, freeTokens(e, all[i].Load))
-		need -= held
-		l := Load{ReadMs: read / float64(len(chosen)), Tokens: held, Parts: 1}
+		tokens := min(need, freeTokens(e, all[i].Load))
+		need -= tokens
+		l := Load{ReadMs: prefill / float64(len(chosen)), Tokens: tokens, Parts: 1}
 		if n == 0 {
 			l.Long = 1
-			l.Patient = w.patient()
-		} else if held > 0 {
-			c.Reserve = append(c.Reserve, Reservation{i, held})
+			l.Patient = w.gapTolerant()
+		} else if tokens > 0 {
+			c.Reserve = append(c.Reserve, Reservation{i, tokens})
 		}
-		c.Loads = append(c.Loads, Placed{Candidate: i, Load: l, ReadFor: p.readFor(p.site(e, w, i, all[i], l.ReadMs))})
+		c.Loads = append(c.Loads, Placed{Candidate: i, Load: l, ReadFor: p.prefillFor(p.estimatePart(e, w, i, all[i], l.ReadMs))})
 	}
 	return c
 }
 
-// besideShorts puts first, to generate, the endpoint that comes first in the order
-// of the short requests, of those that the prompt harms nobody at. So endpoints that
-// read for longer prompts have no requests whose pauses must be short.
-func (p Policy) besideShorts(e *catalog.Engine, w Work, all []Candidate, sites []site) {
+// decodeWithShort moves one endpoint to the front, to decode the prompt: of the
+// suitable ones on which the prompt causes no interference, the first in the order of
+// short requests. This keeps requests with short gap objectives off the endpoints that
+// prefill longer prompts.
+func (p Policy) decodeWithShort(e *catalog.Engine, w Work, all []Candidate, estimates []partEstimate) {
 	best := -1
-	for n, o := range sites {
+	for n, o := range estimates {
 		l := all[o.index].Load
-		if p.busy(l) > 0 || o.harm > 0 || p.crowded(e, l) > 0 || p.pauses(e, w, all[o.index]) > 0 || all[o.index].Remote {
+		if p.busy(l) > 0 || o.interference > 0 || p.crowded(e, l) > 0 || p.exceedsGap(e, w, all[o.index]) > 0 || all[o.index].Remote {
 			continue
 		}
-		if best < 0 || all[o.index].Rank < all[sites[best].index].Rank {
+		if best < 0 || all[o.index].Rank < all[estimates[best].index].Rank {
 			best = n
 		}
 	}
 	if best > 0 {
-		first := sites[best]
-		copy(sites[1:best+1], sites[:best])
-		sites[0] = first
+		first := estimates[best]
+		copy(estimates[1:best+1], estimates[:best])
+		estimates[0] = first
 	}
 }
--- a/balance/model.go
+++ b/balance/model.go
@@ -1,15 +1,14 @@
-// Package balance decides which endpoint a request goes to, and which other
-// endpoints help it to read its prompt. It is pure: the load of the endpoints
-// and the time come in, a decision comes out. Book keeps the load that the
-// decisions are made on: what this gateway has in flight, and what its peers
-// last said that they have.
+// Package balance selects the endpoint that serves a request and the helper endpoints
+// that prefill parts of its prompt. The selection is a pure function of endpoint load
+// and time. Book tracks the load that it is based on: this gateway's requests in
+// flight, and the load that its peers last reported.
 package balance
 
 import "github.com/micarudder/micarudder/catalog"
 
-// readMs returns how long an engine that does nothing else reads a prompt of so
-// many tokens, in milliseconds.
-func readMs(e *catalog.Engine, tokens int) float64 {
+// prefillMs returns how long an otherwise idle engine takes to prefill a prompt of the
+// given length, in milliseconds.
+func prefillMs(e *catalog.Engine, tokens int) float64 {
 	if e == nil || e.ReadPerMs <= 0 {
 		return 0
 	}
@@ -17,9 +16,10 @@
 	return n/e.ReadPerMs + n*n/2/1e6*e.PairsPerM
 }
 
-// passMs returns how long a pass takes in which so many requests generate, with
-// so many tokens of context together, and nothing is read.
-func passMs(e *catalog.Engine, writers, contextTokens int) float64 {
-	step := e.StepMs + e.PerWriterMs*float64(writers) + e.ContextPerK*float64(contextTokens)/1000
+// iterationMs returns the duration of one engine iteration, which is Stride decode
+// steps, in milliseconds. decoding is the number of requests that decode, contextTokens
+// their total context; no prompt is prefilled meanwhile.
+func iterationMs(e *catalog.Engine, decoding, contextTokens int) float64 {
+	step := e.StepMs + e.PerWriterMs*float64(decoding) + e.ContextPerK*float64(contextTokens)/1000
 	return step * float64(max(1, e.Stride))
 }
--- a/balance/policy.go
+++ b/balance/policy.go
@@ -1,84 +1,87 @@
 package balance
 
-// Policy holds the figures of the choice. Times are milliseconds.
+// Policy holds the parameters of endpoint selection. Times are in milliseconds.
+// Interference is the cost that a placement causes other requests, in late short
+// requests; a prompt's value has the same unit, see Work.value.
 type Policy struct {
-	ShortMs    float64 // prompts that take no longer to read are short
-	MaxHelpers int     // most helpers of one request
-	// PartMs is the reading time of a part from which on it costs more, since it
-	// keeps the endpoint from others for long; PartCost is what each part costs.
-	PartMs   float64
-	PartCost float64
-	// CleanMs is the reading that an endpoint may have before a part. An engine
-	// reads the newest part first: parts that queue up put off the oldest one,
-	// and with it the prompt that it belongs to.
-	CleanMs float64
-	// EarlyHarm is the cost for others that every long prompt accepts. One that
-	// can be in time accepts a part of its own value besides: HarmAtOnce when it
-	// arrives, HarmWaited more when its time to wait is over. One that is late
-	// accepts LateHarm of its value.
-	EarlyHarm  float64
-	HarmAtOnce float64
-	HarmWaited float64
-	LateHarm   float64
-	// Headroom is the part of the endpoints that a prompt larger than the memory
-	// of one leaves free of reading beside it.
-	Headroom float64
-	// LateLoss is the part of its value that a prompt loses that is served late.
-	LateLoss float64
-	// LongHarm is what a long request costs that gets a late event, PatientHarm
-	// one whose route allows the longest pauses, and HoldUp what the delay of a
-	// part of another prompt costs against that of a prompt.
-	LongHarm    float64
-	PatientHarm float64
-	HoldUp      float64
-	// ReadMargin is by how much the reading of a part may take longer than the
+	ShortPrefillMs float64 // a prompt that takes no longer to prefill is short
+	MaxHelpers     int     // maximum number of helpers of one request
+	// LongPartMs is the prefill time above which a part of a prompt costs more, because
+	// it keeps the endpoint from other requests for long. PartCost is the fixed cost of
+	// each part.
+	LongPartMs float64
+	PartCost   float64
+	// MaxQueuedMs is the longest prefill that may be pending on an endpoint that is
+	// given a part. Engines prefill the newest part first, so queued parts delay the
+	// oldest one and the prompt that it belongs to.
+	MaxQueuedMs float64
+	// BaseInterference is the interference that a long prompt that can be in time may
+	// always cause. It may cause more as a share of its own value: ArrivalInterference
+	// on arrival, rising by WaitedInterference until its time to wait is over. A late
+	// prompt may cause LateInterference of its value instead.
+	BaseInterference    float64
+	ArrivalInterference float64
+	WaitedInterference  float64
+	LateInterference    float64
+	// IdleReserve is the share of the endpoints that a prompt larger than one
+	// endpoint's memory leaves without prefill work.
+	IdleReserve float64
+	// LateValueLoss is the share of its value that a prompt loses when it is served
+	// late.
+	LateValueLoss float64
+	// LongGapCost is the cost of a late event to a long request, and TolerantGapCost to
+	// one whose route allows the longest gaps. PartDelayCost is the cost of delaying a
+	// part of another prompt, relative to delaying the prompt itself.
+	LongGapCost     float64
+	TolerantGapCost float64
+	PartDelayCost   float64
+	// PrefillMargin is the factor by which the prefill of a part may exceed its
 	// estimate.
-	ReadMargin float64
-	// PauseMargin is by how much a pass should be shorter than the pause that the
-	// routes allow: short requests are held to the shortest one, patient ones to
-	// the longest, other long ones to the one after the shortest.
-	PauseMargin float64
-	// FirstShare is the part of the time left within which the first event of a
-	// short request should be expected.
-	FirstShare float64
-	// SlotWaitMs is the expected wait for a slot of an endpoint whose slots are
-	// taken, for each of those that wait.
+	PrefillMargin float64
+	// GapMargin is how much shorter an iteration should be than the gap that the routes
+	// allow. Short requests are held to the shortest gap, gap-tolerant ones to the
+	// longest, other long requests to the next one above the shortest.
+	GapMargin float64
+	// FirstEventShare is the share of the remaining time within which the first event
+	// of a short request should be expected.
+	FirstEventShare float64
+	// SlotWaitMs is the expected wait per queued request for a slot of an endpoint
+	// whose slots are all in use.
 	SlotWaitMs float64
-	// FullSlots is the part of the slots of all endpoints from which on short
-	// requests that would be late are refused.
-	FullSlots float64
-	// PackSlots is the part of an endpoint's slots up to which short requests
-	// are put together.
-	PackSlots float64
+	// SaturatedShare is the share of all slots of all endpoints at which, once in use,
+	// short requests that would be late are refused.
+	SaturatedShare float64
+	// PackedShare is the share of an endpoint's slots up to which short requests are
+	// packed onto it.
+	PackedShare float64
 }
 
-// Default returns the policy that runs. A figure's comment says what it guards
-// against or what it gains: "worth" is the part of what the requests of a day were
-// worth that callers got, without what processors cost, on days of 34 s with
-// faults before 18 engines, 24 or 48 days for each figure, with the same arrivals
-// for both values; standard errors are 0.003 to 0.009. Differences below two of them
-// are called none. An estimate was not varied.
+// Default returns the policy that gateways use. The comments give the reason for each
+// value and the effect of others on the served value: the share of the value of all
+// requests that callers receive, less the cost of processors. The figures hold for 18
+// engines with faults. "No effect" means a difference below two standard errors, which
+// are 0.003 to 0.009.
 func Default() Policy {
 	return Policy{
-		ShortMs:     60,   // an estimate: a pass with two such prompts is under 250 ms
-		MaxHelpers:  15,   // 16 parts with the endpoint that generates; engines take 16 helpers
-		PauseMargin: 30,   // ms; covers a short request that is let in meanwhile
-		FirstShare:  0.75, // the rest is for what the estimate does not see; 0.57 and 0.9: none
-		SlotWaitMs:  150,  // an estimate: a stream of 2.3 s, over 12 to 16 slots
-		FullSlots:   1,    // 0.9: none
-		PackSlots:   0.75, // 0.5: none; 0.9: worth 0.007 lower, a late word fills an endpoint
-		PartMs:      250,  // ms, the shortest pause that routes allow; 450: none
-		PartCost:    0.03, // decides between equals; 0.15: none
-		EarlyHarm:   0.5,  // less than one late short request
-		HarmAtOnce:  0.3,  // 0.1: worth 0.012 lower, of long prompts 0.70 instead of 0.76; 0.15 and 0.5: none
-		HarmWaited:  0.4,  // an estimate: with HarmAtOnce a little under LateLoss
-		LateHarm:    0.05, // 0.125: none; without a limit worth of short requests 0.78 instead of 0.86
-		CleanMs:     60,   // ms, two short prompts; 120, 200 and 400: none
-		Headroom:    0.15, // none: worth 0.01 to 0.08 lower, measured beside other changes on six days
-		LateLoss:    0.75, // a late answer is worth a quarter of one in time
-		LongHarm:    2,    // half of what a middle prompt loses; 3.4: worth about 0.01 lower; 1: none
-		PatientHarm: 13,   // what a long one loses; 6: none
-		HoldUp:      0.2,  // an estimate; 0.5: none
-		ReadMargin:  1.2,  // covers the pass that is under way; 1 and 1.5: none
+		ShortPrefillMs:      60,   // an iteration that prefills two such prompts takes less than 250 ms
+		MaxHelpers:          15,   // 16 parts with the decoding endpoint; engines accept 16 helpers
+		GapMargin:           30,   // covers a short request that is admitted meanwhile
+		FirstEventShare:     0.75, // the rest covers what the estimate leaves out; 0.57 and 0.9 have no effect
+		SlotWaitMs:          150,  // a stream takes 2.3 s, divided by 12 to 16 slots
+		SaturatedShare:      1,    // 0.9 has no effect
+		PackedShare:         0.75, // at 0.9 a delayed load update fills an endpoint and served value drops by 0.007; 0.5 has no effect
+		LongPartMs:          250,  // the shortest gap that routes allow; 450 has no effect
+		PartCost:            0.03, // decides between equal splits; 0.15 has no effect
+		BaseInterference:    0.5,  // less than one late short request
+		ArrivalInterference: 0.3,  // 0.1 lowers served value by 0.012, and that of long prompts from 0.76 to 0.70; 0.15 and 0.5 have no effect
+		WaitedInterference:  0.4,  // with ArrivalInterference slightly below LateValueLoss
+		LateInterference:    0.05, // 0.125 has no effect; without a limit the served value of short requests drops from 0.86 to 0.78
+		MaxQueuedMs:         60,   // two short prompts; 120, 200 and 400 have no effect
+		IdleReserve:         0.15, // 0 lowers served value by 0.01 to 0.08, together with other changes
+		LateValueLoss:       0.75, // a late answer has a quarter of the value of one in time
+		LongGapCost:         2,    // half of the loss of a medium prompt; 3.4 lowers served value by about 0.01; 1 has no effect
+		TolerantGapCost:     13,   // the loss of a gap-tolerant prompt; 6 has no effect
+		PartDelayCost:       0.2,  // 0.5 has no effect
+		PrefillMargin:       1.2,  // covers the iteration in progress; 1 and 1.5 have no effect
 	}
 }
--- a/balance/turns_test.go
+++ b/balance/turns_test.go
@@ -7,8 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// settled is a time at which a prompt that joined at start may have its turn.
-var settled = start.Add(settleTime)
+// settled is the earliest time at which a prompt that joined at start may have its
+// turn.
+var settled = start.Add(settleDelay)
 
 func TestTurnsByDueTime(t *testing.T) {
 	is := is.New(t)
@@ -18,32 +19,32 @@
 	other := turns.Join("t", InTime, start.Add(9*time.Second), start)
 	is.True(!turns.First(later, InTime, settled))
 	is.True(turns.First(sooner, InTime, settled))
-	is.True(turns.First(other, InTime, settled)) // of another service
+	is.True(turns.First(other, InTime, settled)) // another service
 	turns.Leave(sooner)
 	is.True(turns.First(later, InTime, settled))
 	is.Equal(turns.Waiting(), 2)
 }
 
-// TestTurnsByRank: a prompt that can be in time goes before one that takes much
-// of many endpoints, and that one before a late one, whatever their due times.
+// TestTurnsByRank: a prompt that can be in time goes before an oversize one, and that
+// before a late one, regardless of their due times.
 func TestTurnsByRank(t *testing.T) {
 	is := is.New(t)
 	turns := NewTurns()
 	late := turns.Join("s", Late, start.Add(-time.Second), start)
-	huge := turns.Join("s", Oversize, start.Add(time.Second), start)
+	oversize := turns.Join("s", Oversize, start.Add(time.Second), start)
 	inTime := turns.Join("s", InTime, start.Add(2*time.Second), start)
 	is.True(turns.First(inTime, InTime, settled))
-	is.True(!turns.First(huge, Oversize, settled))
+	is.True(!turns.First(oversize, Oversize, settled))
 	turns.Leave(inTime)
-	is.True(turns.First(huge, Oversize, settled))
+	is.True(turns.First(oversize, Oversize, settled))
 	is.True(!turns.First(late, Late, settled))
-	// The huge one has become late as well; it is due later.
-	is.True(!turns.First(huge, Late, settled))
+	// The oversize prompt is late too now, and due later.
+	is.True(!turns.First(oversize, Late, settled))
 	is.True(turns.First(late, Late, settled))
 }
 
-// TestTurnsOfPeers: two gateways with a prompt each never place them at once, as
-// long as each hears the other in time.
+// TestTurnsOfPeers: two gateways with one prompt each never place them at the same
+// time, as long as each receives the other's messages in time.
 func TestTurnsOfPeers(t *testing.T) {
 	is := is.New(t)
 	a, b := NewTurns(), NewTurns()
@@ -58,27 +59,27 @@
 	is.True(b.First(second, InTime, settled.Add(time.Millisecond)))
 }
 
-// TestTurnsWaitForWords: a prompt that has just come waits until a choice that a
-// peer makes at the same time would have been heard.
+// TestTurnsWaitForWords: a new prompt waits until a message about a placement that a
+// peer makes at the same time would have arrived.
 func TestTurnsWaitForWords(t *testing.T) {
 	is := is.New(t)
 	turns := NewTurns()
-	alone := turns.Join("s", InTime, start, start)
-	is.True(turns.First(alone, InTime, start)) // no peers
+	turn := turns.Join("s", InTime, start, start)
+	is.True(turns.First(turn, InTime, start)) // no peers
 	turns.Peer("p", nil, start)
-	is.True(!turns.First(alone, InTime, settled.Add(-time.Millisecond)))
-	is.True(turns.First(alone, InTime, settled))
+	is.True(!turns.First(turn, InTime, settled.Add(-time.Millisecond)))
+	is.True(turns.First(turn, InTime, settled))
 }
 
-// TestTurnsOfSilentPeers: a peer that says nothing any more holds up nobody.
+// TestTurnsOfSilentPeers: a peer that has fallen silent blocks no prompts.
 func TestTurnsOfSilentPeers(t *testing.T) {
 	is := is.New(t)
 	turns := NewTurns()
 	turn := turns.Join("s", InTime, start.Add(time.Second), start)
 	turns.Peer("p", map[string]Claim{"s": {Rank: InTime, LeftMs: 10}}, start)
-	is.True(!turns.First(turn, InTime, start.Add(claimLife)))
-	is.True(turns.First(turn, InTime, start.Add(claimLife+time.Millisecond)))
-	turns.Forget(start.Add(peerLife + time.Millisecond))
+	is.True(!turns.First(turn, InTime, start.Add(claimTTL)))
+	is.True(turns.First(turn, InTime, start.Add(claimTTL+time.Millisecond)))
+	turns.Forget(start.Add(peerTTL + time.Millisecond))
 	is.Equal(len(turns.peers), 0)
 }
 
--- a/balance/value.go
+++ b/balance/value.go
@@ -1,40 +1,40 @@
 package balance
 
-// What a long prompt is worth that is served in time, in short requests: a part that every
-// one of its kind has, and a part by its length. Estimates from what users say that their
-// requests are worth to them, on sheets of five installations: prompts of 45,000 tokens are
-// worth 1.9 to 3.0 short ones, and those of the most patient kind of 133,000 tokens 11.5, of
-// 190,000 15, of 260,000 26, of 300,000 21; of one kind the worth follows the length by
-// seven tenths.
+// The value of a long prompt that is served in time, in short requests, is a base value
+// per class plus a part proportional to its length. According to users of five
+// installations, prompts of 45,000 tokens are worth 1.9 to 3.0 short requests; of the
+// most gap-tolerant class, prompts of 133,000 tokens are worth 11.5, of 190,000 15, of
+// 260,000 26 and of 300,000 21. Within a class the value follows the length by seven
+// tenths.
 const (
-	patientWorth  = 5.0
-	patientTokens = 18000 // that add the worth of one short request
-	middleWorth   = 0.7
-	middleTokens  = 27000
-	// otherTokens is the same where no kind is more patient than another, so that the
-	// length alone tells them apart.
-	otherTokens = 10000
+	tolerantBaseValue     = 5.0
+	tolerantTokensPerUnit = 18000 // add the value of one short request
+	mediumBaseValue       = 0.7
+	mediumTokensPerUnit   = 27000
+	// defaultTokensPerUnit applies where the routes do not distinguish gap-tolerant
+	// requests, so that only the length tells prompts apart.
+	defaultTokensPerUnit = 10000
 )
 
-// value returns what a long prompt is worth that is served in time, in short requests. By
-// length alone, one short request for otherTokens, prompts of middle length were overrated
-// by two and a half times: worth 0.017 lower (standard error 0.003), 12 pairs of days of
-// 34 s before 60 engines.
+// value returns the value of a long prompt that is served in time, in short requests.
+// Length alone, at one short request per defaultTokensPerUnit, overrates prompts of
+// medium length two and a half times and lowers the served value by 0.017 (standard
+// error 0.003, 60 engines).
 func (w Work) value() float64 {
 	tokens := float64(w.InputTokens)
 	switch {
-	case w.patient() == 1:
-		return patientWorth + tokens/patientTokens
+	case w.gapTolerant() == 1:
+		return tolerantBaseValue + tokens/tolerantTokensPerUnit
 	case w.Pauses.Longest > w.Pauses.Next:
-		return middleWorth + tokens/middleTokens
+		return mediumBaseValue + tokens/mediumTokensPerUnit
 	default:
-		return tokens / otherTokens
+		return tokens / defaultTokensPerUnit
 	}
 }
 
-// patient returns 1 for a request whose route allows longer pauses than the next
-// ones after the shortest, else 0.
-func (w Work) patient() int {
+// gapTolerant returns 1 for a request whose route allows longer gaps than the
+// second-shortest that routes to the service allow, else 0.
+func (w Work) gapTolerant() int {
 	if w.Pause > w.Pauses.Next {
 		return 1
 	}
