--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -1,7 +1,7 @@
-// Package affinity keeps, for one endpoint, the prefix-cache blocks that it is
-// believed to hold. Cache events come late and with gaps, so the set is a hint:
-// it is filled by events, by what was sent there and by what runs report, is
-// bounded in size, and discounts itself by how often it was wrong.
+// Package affinity tracks which prefix-cache blocks an endpoint is expected to hold.
+// Cache events arrive late and with gaps, so the set is only a hint: it is fed by
+// events, by requests that were sent and by reports of finished runs, is bounded in
+// size, and is discounted by its past error rate.
 package affinity
 
 import (
@@ -14,67 +14,67 @@
 )
 
 const (
-	// ways is the number of places that a block can have: the lanes of one word.
+	// ways is the number of slots in a bucket. A block may be stored in any of them.
 	ways = 4
-	// laneBits is the width of a block's mark in its word.
-	laneBits = 16
-	// lowBits and highBits are the lowest and the highest bit of each lane.
+	// slotBits is the width of a slot.
+	slotBits = 16
+	// lowBits and highBits have the lowest and the highest bit of each slot set.
 	lowBits  = 0x0001_0001_0001_0001
 	highBits = 0x8000_8000_8000_8000
-	// trustGain is the weight of a new report in the trust.
-	trustGain = 0.1
-	// oneTrust is full trust as kept, in fixed point.
-	oneTrust = 1 << 16
-	// minGroups is the smallest number of words.
-	minGroups = 16
+	// trustWeight is the weight of a new report in the trust.
+	trustWeight = 0.1
+	// fullTrust is full trust in fixed point.
+	fullTrust = 1 << 16
+	// minBuckets is the smallest number of buckets.
+	minBuckets = 16
 )
 
-// Set is one endpoint's believed blocks. Lookups take no lock and allocate
-// nothing; all methods are safe for concurrent use.
+// Set is the set of blocks that one endpoint is expected to hold. Lookups take no lock
+// and do not allocate; all methods are safe for concurrent use.
 //
-// A block is kept as a mark of fifteen bits in one of the four lanes of the
-// word that its hash selects, so that a lookup is one load and the sets of a
-// whole data centre stay in the processor's cache. One lookup in some eight
-// thousand is wrong by chance, which a hint can bear.
+// A block is stored as a 15-bit fingerprint in one of the four slots of the 64-bit
+// bucket that its hash selects, so that a lookup is a single load and the sets of a
+// whole data centre fit into the processor's cache. About one lookup in eight thousand
+// is a false positive, which is acceptable for a hint.
 type Set struct {
-	groups []atomic.Uint64
-	trust  atomic.Uint32 // fixed point, of oneTrust
+	buckets []atomic.Uint64
+	trust   atomic.Uint32 // fixed point, see fullTrust
 
-	mu     sync.Mutex
-	used   [][ways]uint32 // tick at which a place was last written
-	tick   uint32
-	length int
+	mu       sync.Mutex
+	lastUsed [][ways]uint32 // tick of the last write to a slot
+	tick     uint32
+	count    int
 }
 
-// New returns an empty set for an endpoint whose cache memory holds the given
-// number of tokens. It has two to four times the places that this takes in
-// blocks, each of six bytes.
+// New returns an empty set for an endpoint whose cache holds the given number of
+// tokens. It has two to four times as many slots as this takes in blocks, at six bytes
+// per slot.
 func New(memoryTokens uint64) *Set {
-	want := min(2*memoryTokens/prefix.BlockTokens/ways, math.MaxInt32)
-	n := max(minGroups, 1<<bits.Len64(want))
-	s := &Set{groups: make([]atomic.Uint64, n), used: make([][ways]uint32, n)}
-	s.trust.Store(oneTrust)
+	buckets := min(2*memoryTokens/prefix.BlockTokens/ways, math.MaxInt32)
+	n := max(minBuckets, 1<<bits.Len64(buckets))
+	s := &Set{buckets: make([]atomic.Uint64, n), lastUsed: make([][ways]uint32, n)}
+	s.trust.Store(fullTrust)
 	return s
 }
 
-// Cached returns how many leading blocks of the chain the endpoint is believed
-// to hold, discounted by the trust in that.
+// Cached returns how many leading blocks of the chain the endpoint is expected to hold,
+// discounted by the trust.
 func (s *Set) Cached(chain []uint64) int {
-	held := s.believed(chain)
-	return int(uint64(held) * uint64(s.trust.Load()) / oneTrust)
+	held := s.heldBlocks(chain)
+	return int(uint64(held) * uint64(s.trust.Load()) / fullTrust)
 }
 
-// believed searches for the end of what is held: a block of a chain is only
-// ever cached with those before it.
-func (s *Set) believed(chain []uint64) int {
-	low, high := 0, 1 // blocks before low are held, high is the next to look at
-	for high <= len(chain) && s.reaches(chain, high) {
+// heldBlocks finds the end of the held prefix by exponential search: a block of a chain
+// is only cached together with those before it.
+func (s *Set) heldBlocks(chain []uint64) int {
+	low, high := 0, 1 // the first low blocks are held; high is checked next
+	for high <= len(chain) && s.holdsPrefix(chain, high) {
 		low, high = high, 2*high
 	}
 	high = min(high, len(chain)+1)
 	for high-low > 1 {
 		mid := (low + high) / 2
-		if s.reaches(chain, mid) {
+		if s.holdsPrefix(chain, mid) {
 			low = mid
 		} else {
 			high = mid
@@ -83,14 +83,14 @@
 	return low
 }
 
-// reaches reports whether n leading blocks are believed to be held: the last
-// of them is, or the one after it, which shows that an event was lost.
-func (s *Set) reaches(chain []uint64, n int) bool {
-	return s.holds(chain[n-1]) || n < len(chain) && s.holds(chain[n])
+// holdsPrefix reports whether the first n blocks are expected to be held: the last of
+// them is in the set, or the block after it, which shows that an event was lost.
+func (s *Set) holdsPrefix(chain []uint64, n int) bool {
+	return s.contains(chain[n-1]) || n < len(chain) && s.contains(chain[n])
 }
 
-// Apply takes in cache events: blocks that entered and blocks that left. A
-// reset drops everything believed before.
+// Apply applies cache events: blocks that were added to the cache and removed from it.
+// A reset first drops all previous contents.
 func (s *Set) Apply(reset bool, added, removed []uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,129 +98,131 @@
 		s.clear()
 	}
 	for _, block := range added {
-		s.put(block)
+		s.insert(block)
 	}
 	for _, block := range removed {
-		s.drop(block)
+		s.remove(block)
 	}
 }
 
-// Sent notes that a prompt with this chain is on its way to the endpoint,
-// which will hold it soon.
+// Sent records that a prompt with this chain has been sent to the endpoint, which will
+// soon hold it.
 func (s *Set) Sent(chain []uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.putAll(chain)
+	s.insertChain(chain)
 }
 
-// Ran takes in a finished run's report: believed is what Cached returned when
-// the run was sent, cached how many prompt tokens the endpoint found. It now
-// holds the whole chain.
-func (s *Set) Ran(chain []uint64, believed int, cached uint64) {
+// Ran records the report of a finished run: expectedBlocks is what Cached returned when
+// the run was sent, cached the number of prompt tokens that the endpoint found in its
+// cache. The endpoint now holds the whole chain.
+func (s *Set) Ran(chain []uint64, expectedBlocks int, cached uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learn(believed, cached)
-	s.putAll(chain)
+	s.updateTrust(expectedBlocks, cached)
+	s.insertChain(chain)
 }
 
-// Trust returns the share of the believed blocks that runs lately found.
-func (s *Set) Trust() float64 { return float64(s.trust.Load()) / oneTrust }
+// Trust returns the share of the expected blocks that recent runs found.
+func (s *Set) Trust() float64 { return float64(s.trust.Load()) / fullTrust }
 
-// Len returns the number of blocks believed to be held.
+// Len returns the number of blocks in the set.
 func (s *Set) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.length
+	return s.count
 }
 
-// learn moves the trust towards what a run found of the undiscounted belief.
-// Without a belief only a find teaches. The caller holds mu.
-func (s *Set) learn(believed int, cached uint64) {
-	if believed <= 0 && cached == 0 {
+// updateTrust moves the trust towards the hit rate of a run, relative to the
+// undiscounted expectation. If no blocks were expected, only a hit counts. The caller
+// holds mu.
+func (s *Set) updateTrust(expectedBlocks int, cached uint64) {
+	if expectedBlocks <= 0 && cached == 0 {
 		return
 	}
-	found := 1.0
-	if expected := uint64(max(0, believed)) * prefix.BlockTokens; cached < expected {
-		found = s.Trust() * float64(cached) / float64(expected) // believed was discounted
+	hitRate := 1.0
+	if expected := uint64(max(0, expectedBlocks)) * prefix.BlockTokens; cached < expected {
+		hitRate = s.Trust() * float64(cached) / float64(expected) // expected is already discounted by the trust
 	}
-	trust := s.Trust() + trustGain*(found-s.Trust())
-	s.trust.Store(uint32(trust * oneTrust))
+	trust := s.Trust() + trustWeight*(hitRate-s.Trust())
+	s.trust.Store(uint32(trust * fullTrust))
 }
 
-// group returns the index of a block's word.
-func (s *Set) group(block uint64) int { return int(block & uint64(len(s.groups)-1)) }
+// bucket returns the index of a block's bucket.
+func (s *Set) bucket(block uint64) int { return int(block & uint64(len(s.buckets)-1)) }
 
-// mark is the part of a block's hash that is kept; it is never zero.
-func mark(block uint64) uint64 { return block>>(64-laneBits) | 1 }
+// fingerprint returns the part of a block's hash that is stored, which is never zero.
+func fingerprint(block uint64) uint64 { return block>>(64-slotBits) | 1 }
 
-// holds reports whether any lane of the block's word equals its mark: whether
-// a lane of their difference is zero.
-func (s *Set) holds(block uint64) bool {
-	diff := s.groups[s.group(block)].Load() ^ mark(block)*lowBits
+// contains reports whether any slot of the block's bucket equals its fingerprint, which
+// is the case if a slot of their difference is zero.
+func (s *Set) contains(block uint64) bool {
+	diff := s.buckets[s.bucket(block)].Load() ^ fingerprint(block)*lowBits
 	return (diff-lowBits)&^diff&highBits != 0
 }
 
-// lane returns a lane of a word.
-func lane(word uint64, i int) uint64 { return word >> (i * laneBits) & (1<<laneBits - 1) }
+// slot returns a slot of a bucket.
+func slot(word uint64, i int) uint64 { return word >> (i * slotBits) & (1<<slotBits - 1) }
 
-// with returns the word with one lane replaced.
-func with(word uint64, i int, m uint64) uint64 {
-	return word&^((1<<laneBits-1)<<(i*laneBits)) | m<<(i*laneBits)
+// withSlot returns the bucket with one slot replaced.
+func withSlot(word uint64, i int, fp uint64) uint64 {
+	return word&^((1<<slotBits-1)<<(i*slotBits)) | fp<<(i*slotBits)
 }
 
-// putAll puts a chain in, its beginning last, so that the beginning, which
-// more prompts share, stays longest.
-func (s *Set) putAll(chain []uint64) {
+// insertChain inserts a chain in reverse order, so that its beginning, which more
+// prompts share, is evicted last.
+func (s *Set) insertChain(chain []uint64) {
 	for i := len(chain) - 1; i >= 0; i-- {
-		s.put(chain[i])
+		s.insert(chain[i])
 	}
 }
 
-// put adds a block in place of its word's empty or least lately used one.
-func (s *Set) put(block uint64) {
+// insert inserts a block into an empty slot of its bucket, or replaces the least
+// recently used one.
+func (s *Set) insert(block uint64) {
 	s.tick++
-	g := s.group(block)
-	word := s.groups[g].Load()
-	i := s.placeFor(g, word, mark(block))
-	if lane(word, i) == 0 {
-		s.length++
+	b := s.bucket(block)
+	word := s.buckets[b].Load()
+	i := s.slotFor(b, word, fingerprint(block))
+	if slot(word, i) == 0 {
+		s.count++
 	}
-	s.groups[g].Store(with(word, i, mark(block)))
-	s.used[g][i] = s.tick
+	s.buckets[b].Store(withSlot(word, i, fingerprint(block)))
+	s.lastUsed[b][i] = s.tick
 }
 
-// placeFor returns the lane of a word that holds the mark or has to take it.
-func (s *Set) placeFor(g int, word, m uint64) int {
-	best, rank := 0, uint32(math.MaxUint32)
+// slotFor returns the slot of a bucket that holds the fingerprint or is to take it.
+func (s *Set) slotFor(b int, word, fp uint64) int {
+	best, oldest := 0, uint32(math.MaxUint32)
 	for i := range ways {
-		switch l := lane(word, i); {
-		case l == m:
+		switch l := slot(word, i); {
+		case l == fp:
 			return i
 		case l == 0:
-			best, rank = i, 0
-		case s.used[g][i] < rank:
-			best, rank = i, s.used[g][i]
+			best, oldest = i, 0
+		case s.lastUsed[b][i] < oldest:
+			best, oldest = i, s.lastUsed[b][i]
 		}
 	}
 	return best
 }
 
-func (s *Set) drop(block uint64) {
-	g := s.group(block)
-	word := s.groups[g].Load()
+func (s *Set) remove(block uint64) {
+	b := s.bucket(block)
+	word := s.buckets[b].Load()
 	for i := range ways {
-		if lane(word, i) == mark(block) {
-			s.groups[g].Store(with(word, i, 0))
-			s.length--
+		if slot(word, i) == fingerprint(block) {
+			s.buckets[b].Store(withSlot(word, i, 0))
+			s.count--
 			return
 		}
 	}
 }
 
 func (s *Set) clear() {
-	for i := range s.groups {
-		s.groups[i].Store(0)
+	for i := range s.buckets {
+		s.buckets[i].Store(0)
 	}
-	s.length = 0
-	s.trust.Store(oneTrust)
+	s.count = 0
+	s.trust.Store(fullTrust)
 }
--- a/affinity/affinity_test.go
+++ b/affinity/affinity_test.go
@@ -10,7 +10,7 @@
 	"github.com/micarudder/micarudder/prefix"
 )
 
-// chain returns n block hashes that no other seed shares.
+// chain returns n block hashes that are unique to the seed.
 func chain(seed uint64, n int) []uint64 {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	c := make([]uint64, n)
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestTrust has all eviction events lost: runs find less than was believed,
-// and the set believes less; when they find it again, trust comes back.
+// TestTrust loses all eviction events: runs hit less than expected, so the set expects
+// less. When runs hit again, the trust recovers.
 func TestTrust(t *testing.T) {
 	is := is.New(t)
 	s := New(100_000)
@@ -67,8 +67,8 @@
 	is.True(s.Cached(c) >= 19)
 }
 
-// TestBounds checks that the set stays within its size and never claims more
-// than the chain's length, whatever is put in.
+// TestBounds checks that the set stays within its size and never reports more blocks
+// than the chain has, for any sequence of operations.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -85,7 +85,7 @@
 			case 3:
 				s.Ran(c, s.Cached(c), rapid.Uint64Range(0, 50_000).Draw(t, "cached"))
 			}
-			is.True(s.Len() >= 0 && s.Len() <= ways*len(s.groups))
+			is.True(s.Len() >= 0 && s.Len() <= ways*len(s.buckets))
 			is.True(s.Cached(c) <= len(c))
 			is.True(s.Trust() >= 0 && s.Trust() <= 1)
 		}
--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -420,7 +420,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := idleCandidates(rapid.IntRange(0, 20).Draw(t, "endpoints"))
 		for i := range all {
-			all[i].Load = Load{ReadMs: float64(rapid.IntRange(0, 900).Draw(t, "read")), Short: rapid.IntRange(0, 20).Draw(t, "short"),
+			all[i].Load = Load{ReadMs: float64(rapid.IntRange(0, 900).Draw(t, "prefill")), Short: rapid.IntRange(0, 20).Draw(t, "short"),
 				Long: rapid.IntRange(0, 3).Draw(t, "long"), Tokens: rapid.IntRange(0, 300000).Draw(t, "tokens"), Parts: rapid.IntRange(0, 3).Draw(t, "parts")}
 			all[i].Suspect = rapid.Bool().Draw(t, "suspect")
 		}
--- a/cost/cost_test.go
+++ b/cost/cost_test.go
@@ -12,8 +12,8 @@
 
 var truth = routing.Cost{PrefillPerToken: 60 * time.Microsecond, PrefillPerToken2: 0.0002, DecodePerToken: 15 * time.Millisecond}
 
-// observe feeds n runs of an endpoint that is slow times slower than truth,
-// with a fifth of noise, one of every longEvery runs being long.
+// observe feeds the model n runs of an endpoint that is slower than truth by the factor
+// slow, with 20 % noise. One in longEvery runs is long.
 func observe(m *Model, n int, slow float64, longEvery int) {
 	rnd := rand.New(rand.NewPCG(1, 9))
 	for i := range n {
@@ -32,14 +32,14 @@
 	cases := []struct {
 		name   string
 		prior  routing.Cost
-		teach  func(m *Model)
+		train  func(m *Model)
 		factor float64 // expected over truth
-		within float64 // relative error allowed, at 2,000 and 150,000 tokens and for decode
+		within float64 // allowed relative error, at 2,000 and 150,000 tokens and for decode
 	}{
 		{"usual mix", routing.DefaultCost, func(m *Model) { observe(m, 200, 1, 50) }, 1, 0.25},
 		{"short runs only keep the prior's shape", routing.DefaultCost, func(m *Model) { observe(m, 200, 1, 0) }, 1, 0.35},
-		{"ten times slower than said", routing.DefaultCost, func(m *Model) { observe(m, 20, 10, 10) }, 10, 0.4},
-		{"ten times quicker than said", slow, func(m *Model) { observe(m, 20, 1, 10) }, 1, 0.4},
+		{"ten times slower than the prior", routing.DefaultCost, func(m *Model) { observe(m, 20, 10, 10) }, 10, 0.4},
+		{"ten times faster than the prior", slow, func(m *Model) { observe(m, 20, 1, 10) }, 1, 0.4},
 		{"becomes ten times slower", routing.DefaultCost, func(m *Model) { observe(m, 200, 1, 50); observe(m, 20, 10, 10) }, 10, 0.4},
 		{"one outlier", routing.DefaultCost, func(m *Model) {
 			observe(m, 200, 1, 50)
@@ -50,7 +50,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			m := New(tc.prior)
-			tc.teach(m)
+			tc.train(m)
 			c := m.Cost()
 			near := func(got, want time.Duration) {
 				ratio := float64(got) / float64(want) / tc.factor
@@ -84,9 +84,9 @@
 	}
 	f := s.Factor(time.Unix(10, 0))
 	is.True(f > 5 && f < 10)
-	is.True(s.Factor(time.Unix(200, 0)) < 1.1) // without runs it is tried again
+	is.True(s.Factor(time.Unix(200, 0)) < 1.1) // decays without runs, so that the endpoint is tried again
 	s.Observe(time.Microsecond, time.Hour, time.Unix(10, 0))
-	is.Equal(s.Factor(time.Unix(10, 0)), f) // too short to tell
+	is.Equal(s.Factor(time.Unix(10, 0)), f) // too short to be meaningful
 	s.Observe(time.Second, time.Hour, time.Unix(10, 0))
 	is.True(s.Factor(time.Unix(10, 0)) < maxSlowness)
 }
@@ -101,7 +101,7 @@
 		{"nothing seen", nil, truth.DecodePerToken, truth.DecodePerToken},
 		{"idle", []time.Duration{15 * time.Millisecond}, 15 * time.Millisecond, 16 * time.Millisecond},
 		{"mostly busy", []time.Duration{15 * time.Millisecond, 15*time.Millisecond + chunk, 10*time.Millisecond + chunk}, 14 * time.Millisecond, 16 * time.Millisecond},
-		{"ten times slower than assumed", []time.Duration{200*time.Millisecond + chunk}, 190 * time.Millisecond, 270 * time.Millisecond},
+		{"ten times slower than the prior", []time.Duration{200*time.Millisecond + chunk}, 190 * time.Millisecond, 270 * time.Millisecond},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -115,9 +115,9 @@
 	}
 }
 
-// TestTinyPromptsTeachNoTokenCost: a prompt of a few tokens takes one step of
-// the engine, which says nothing about what a thousand tokens take.
-func TestTinyPromptsTeachNoTokenCost(t *testing.T) {
+// TestTinyPromptsKeepTokenCost: a prompt of a few tokens takes one engine step,
+// which says nothing about the cost of a thousand tokens.
+func TestTinyPromptsKeepTokenCost(t *testing.T) {
 	is := is.New(t)
 	m := New(routing.Cost{})
 	before := m.Cost().Prefill(routing.ChunkTokens, 0)
--- a/cost/fit.go
+++ b/cost/fit.go
@@ -4,12 +4,13 @@
 	"time"
 )
 
-// fit holds the sums of a weighted least-squares fit y = a·x1 + b·x2 without a
-// constant, x1 being the tokens to prefill and x2 the difference of squares.
+// fit holds the sums of a weighted least-squares fit y = a·x1 + b·x2 without an
+// intercept, where x1 is the number of tokens to prefill and x2 the difference of the
+// squares.
 type fit struct{ s11, s12, s22, t1, t2 float64 }
 
-// unit scales tokens, to keep the sums well conditioned.
-const unit = 1024
+// tokenUnit scales token counts to keep the sums well conditioned.
+const tokenUnit = 1024
 
 func (f *fit) decay(keep float64) {
 	f.s11 *= keep
@@ -19,9 +20,9 @@
 	f.t2 *= keep
 }
 
-// add puts in one observation of y nanoseconds with weight w.
+// add adds an observation of y nanoseconds with weight w.
 func (f *fit) add(prompt, cached uint64, y, w float64) {
-	p, q := float64(prompt)/unit, float64(cached)/unit
+	p, q := float64(prompt)/tokenUnit, float64(cached)/tokenUnit
 	x1, x2 := p-q, p*p-q*q
 	f.s11 += w * x1 * x1
 	f.s12 += w * x1 * x2
@@ -30,25 +31,25 @@
 	f.t2 += w * x2 * y
 }
 
-// plus returns the fit over the observations of both.
+// plus returns the fit to the observations of both.
 func (f fit) plus(g fit) fit {
 	return fit{f.s11 + g.s11, f.s12 + g.s12, f.s22 + g.s22, f.t1 + g.t1, f.t2 + g.t2}
 }
 
-// solve returns the coefficients, neither of them negative.
-func (f *fit) solve() (perToken time.Duration, perToken2 float64) {
-	a, b := f.both()
+// solve returns the coefficients, constrained to be non-negative.
+func (f *fit) solve() (perToken time.Duration, perTokenSquared float64) {
+	a, b := f.solveUnconstrained()
 	if b < 0 {
 		a, b = f.t1/f.s11, 0
 	}
 	if a < 0 {
 		a, b = 0, f.t2/f.s22
 	}
-	micros := b / (unit * unit) / float64(time.Microsecond)
-	return max(1, time.Duration(a/unit)), micros
+	micros := b / (tokenUnit * tokenUnit) / float64(time.Microsecond)
+	return max(1, time.Duration(a/tokenUnit)), micros
 }
 
-func (f *fit) both() (a, b float64) {
+func (f *fit) solveUnconstrained() (a, b float64) {
 	det := f.s11*f.s22 - f.s12*f.s12
 	if det <= 1e-9*f.s11*f.s22 {
 		return f.t1 / f.s11, 0
--- a/cost/slowness.go
+++ b/cost/slowness.go
@@ -6,40 +6,40 @@
 )
 
 const (
-	// slowGain is the weight of a new run in the slowness.
-	slowGain = 0.3
-	// maxSlowness bounds the factor both ways.
+	// slownessGain is the weight of a new run in the slowness.
+	slownessGain = 0.3
+	// maxSlowness bounds the factor in both directions.
 	maxSlowness = 20
-	// slowSpan is the time constant with which it returns to one without runs:
-	// nobody would find out otherwise that an endpoint has recovered.
-	slowSpan = 30 * time.Second
+	// slownessDecay is the time constant with which the factor returns to 1 while there
+	// are no runs. Otherwise the recovery of an endpoint would go unnoticed.
+	slownessDecay = 30 * time.Second
 )
 
-// Slowness is a gateway's own measure of the factor by which an endpoint's
-// runs take longer than it predicts. The zero value is one.
+// Slowness is a gateway's own estimate of the factor by which the runs of an endpoint
+// take longer than the endpoint predicts. The zero value is a factor of 1.
 type Slowness struct {
-	log float64
-	at  time.Time
+	logFactor float64
+	updatedAt time.Time
 }
 
-// Observe takes in a run's predicted and measured time to the first token.
+// Observe records a run's predicted and measured time to the first token.
 func (s *Slowness) Observe(predicted, took time.Duration, now time.Time) {
 	if predicted < time.Millisecond || took <= 0 {
-		return // too short to tell
+		return // too short to be meaningful
 	}
-	s.log = s.now(now)
-	seen := math.Log(float64(took) / float64(predicted))
+	s.logFactor = s.decayed(now)
+	observed := math.Log(float64(took) / float64(predicted))
 	limit := math.Log(maxSlowness)
-	s.log += slowGain * (min(max(seen, -limit), limit) - s.log)
-	s.at = now
+	s.logFactor += slownessGain * (min(max(observed, -limit), limit) - s.logFactor)
+	s.updatedAt = now
 }
 
-// Factor returns the present factor.
-func (s *Slowness) Factor(now time.Time) float64 { return math.Exp(s.now(now)) }
+// Factor returns the current factor.
+func (s *Slowness) Factor(now time.Time) float64 { return math.Exp(s.decayed(now)) }
 
-func (s *Slowness) now(now time.Time) float64 {
-	if s.at.IsZero() {
+func (s *Slowness) decayed(now time.Time) float64 {
+	if s.updatedAt.IsZero() {
 		return 0
 	}
-	return s.log * math.Exp(-float64(max(0, now.Sub(s.at)))/float64(slowSpan))
+	return s.logFactor * math.Exp(-float64(max(0, now.Sub(s.updatedAt)))/float64(slownessDecay))
 }
