--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -50,8 +50,8 @@
 // tokens. It has two to four times as many slots as this takes in blocks, at six bytes
 // per slot.
 func New(memoryTokens uint64) *Set {
-	buckets := min(2*memoryTokens/prefix.BlockTokens/ways, math.MaxInt32)
-	n := max(minBuckets, 1<<bits.Len64(buckets))
+	wantBuckets := min(2*memoryTokens/prefix.BlockTokens/ways, math.MaxInt32)
+	n := max(minBuckets, 1<<bits.Len64(wantBuckets))
 	s := &Set{buckets: make([]atomic.Uint64, n), lastUsed: make([][ways]uint32, n)}
 	s.trust.Store(fullTrust)
 	return s
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -23,8 +23,8 @@
 	// LeftMs is the time left until the objective, DeadlineMs until the deadline.
 	LeftMs     float64
 	DeadlineMs float64
-	// Late is set for a prompt that is treated as late regardless of LeftMs: it has
-	// waited for much of its caller's patience, or its process is shutting down.
+	// Late is set for a prompt that is treated as late regardless of LeftMs: it has used
+	// up much of the time that its caller will wait, or its process is shutting down.
 	Late bool
 	// MustTake is set for a request that must not be refused, because its caller should
 	// not retry later.
