--- a/health/health.go
+++ b/health/health.go
@@ -1,132 +1,137 @@
-// Package health decides what a gateway believes of the endpoints' health: which of them
-// are better left alone, and how much slower than usual they work. It goes by how the
-// gateway's own exchanges ended, by what it read from the endpoints, and by what other
-// gateways tell of theirs. It is pure: events and times come in, beliefs come out.
+// Package health tracks a gateway's view of endpoint health: which endpoints to avoid, and
+// how much slower than usual they work. Its inputs are the outcomes of the gateway's own
+// exchanges, the endpoints' reports about themselves, and the observations that other
+// gateways share. The package does no I/O and reads no clock: callers pass in events and
+// times.
 package health
 
 import "time"
 
-// Outcome is what an exchange with an endpoint showed of its health.
+// Outcome classifies how an exchange with an endpoint ended, as far as the endpoint's health
+// is concerned.
 type Outcome uint8
 
-// The outcomes.
 const (
 	Good        Outcome = iota
-	Bad                 // an error, a broken answer
-	Unreachable         // no connection, or another endpoint that depends on it says so
-	Replaced            // another endpoint answered at its address
+	Bad                 // an error or a broken response
+	Unreachable         // no connection, or an endpoint that depends on it reported it unreachable
+	Replaced            // another endpoint responded at its address
 )
 
 const (
-	// outcomeWeight is the weight of the newest outcome in the average.
+	// outcomeWeight is the weight of the newest outcome in the moving average of failures.
 	outcomeWeight = 0.25
-	// suspectAbove is the average of failures above which an endpoint is
-	// suspect: two of three, or one in three over a longer time.
-	suspectAbove = 0.4
-	// firstRest and longestRest bound how long a suspect is left alone before
-	// one request tries it again.
-	firstRest   = time.Second
-	longestRest = 6 * time.Second
+	// suspectThreshold is the moving average of failures above which an endpoint is
+	// suspect. Two failures in a row exceed it, and so does one failure in three over a
+	// longer time.
+	suspectThreshold = 0.4
+	// initialBackoff and maxBackoff bound how long a suspect endpoint is avoided before
+	// requests are sent to it again.
+	initialBackoff = time.Second
+	maxBackoff     = 6 * time.Second
 )
 
-// record is what this gateway knows of one endpoint by itself.
+// record holds this gateway's own observations of one endpoint.
 type record struct {
-	failures float64 // moving average, 0 to 1
-	rest     time.Duration
-	until    time.Time
+	failures   float64 // moving average, 0 to 1
+	backoff    time.Duration
+	avoidUntil time.Time
 
-	good     time.Time // of the newest good outcome
-	reached  time.Time // when it last said something of itself
-	failed   time.Time // of the newest outcome that was not good
-	failedAs Outcome
-	late     time.Time // when a stream there paused or began later than expected
-	pace     float64   // that the endpoint told; 0: none
-	paceAt   time.Time
+	lastSuccess        time.Time // time of the newest Good outcome
+	lastReached        time.Time // when it last answered a question about itself
+	lastFailure        time.Time // time of the newest outcome other than Good
+	lastFailureOutcome Outcome
+	lastLate           time.Time // when a stream last started, or paused, much later than expected
+	slowdown           float64   // factor that the endpoint reported; 0 if none
+	slowdownAt         time.Time
 }
 
-// Table holds what is believed of each endpoint. It is not safe for concurrent use.
+// Table holds the health state of the endpoints. It is not safe for concurrent use.
 type Table struct {
-	own map[string]*record
-	// recent are the endpoints of which this gateway may have something to tell.
-	recent  map[string]struct{}
-	told    map[string]told   // by endpoint
-	tellers map[string]teller // by gateway
+	local map[string]*record // by endpoint
+	// shareCandidates are the endpoints about which this gateway may have an observation to
+	// share.
+	shareCandidates  map[string]struct{}
+	peerObservations map[string]gatewayObservations // by endpoint
+	peers            map[string]peerState           // by gateway
 }
 
-// NewTable returns a table that knows nothing.
+// NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{own: make(map[string]*record), recent: make(map[string]struct{}), told: make(map[string]told), tellers: make(map[string]teller)}
+	return &Table{local: make(map[string]*record), shareCandidates: make(map[string]struct{}), peerObservations: make(map[string]gatewayObservations), peers: make(map[string]peerState)}
 }
 
 func (t *Table) record(endpoint string) *record {
-	r := t.own[endpoint]
+	r := t.local[endpoint]
 	if r == nil {
 		r = &record{}
-		t.own[endpoint] = r
+		t.local[endpoint] = r
 	}
 	return r
 }
 
-// Note takes in how an exchange of this gateway ended; it reports whether the endpoint
-// has just become suspect.
+// Note records the outcome of one of this gateway's exchanges. It reports whether the
+// endpoint has just become suspect.
 func (t *Table) Note(endpoint string, o Outcome, now time.Time) bool {
 	r := t.record(endpoint)
 	switch o {
 	case Good:
-		r.good = now
+		r.lastSuccess = now
 		r.failures *= 1 - outcomeWeight
-		if now.After(r.until) && r.failures <= suspectAbove {
-			r.rest = 0
+		if now.After(r.avoidUntil) && r.failures <= suspectThreshold {
+			r.backoff = 0
 		}
 		return false
 	case Bad:
 		r.failures += outcomeWeight * (1 - r.failures)
 	case Unreachable, Replaced:
-		r.failures = max(r.failures, suspectAbove) + outcomeWeight*(1-max(r.failures, suspectAbove))
+		r.failures = max(r.failures, suspectThreshold) + outcomeWeight*(1-max(r.failures, suspectThreshold))
 	}
-	r.failed, r.failedAs = now, o
-	t.recent[endpoint] = struct{}{}
-	if r.failures <= suspectAbove || now.Before(r.until) {
+	r.lastFailure, r.lastFailureOutcome = now, o
+	t.shareCandidates[endpoint] = struct{}{}
+	if r.failures <= suspectThreshold || now.Before(r.avoidUntil) {
 		return false
 	}
-	r.rest = min(longestRest, max(firstRest, 2*r.rest))
-	r.until = now.Add(r.rest)
-	// One success after the rest is enough to be trusted with a few more.
-	r.failures = suspectAbove
+	r.backoff = min(maxBackoff, max(initialBackoff, 2*r.backoff))
+	r.avoidUntil = now.Add(r.backoff)
+	// Continue from the threshold: a single success after the backoff is enough for the
+	// endpoint to receive further requests.
+	r.failures = suspectThreshold
 	return true
 }
 
-// Suspect reports whether an endpoint should be left alone now.
+// Suspect reports whether an endpoint should be avoided now.
 func (t *Table) Suspect(endpoint string, now time.Time) bool {
-	r := t.own[endpoint]
-	if r != nil && now.Before(r.until) {
+	r := t.local[endpoint]
+	if r != nil && now.Before(r.avoidUntil) {
 		return true
 	}
-	return t.avoided(endpoint, now)
+	return t.avoidedByPeers(endpoint, now)
 }
 
-// Reached takes in that an endpoint answered a question about itself: it is there again, if
-// it was not. That says nothing of how it answers requests.
+// Reached records that an endpoint answered a question about itself. That ends a backoff
+// unless the newest failure was Bad: such an answer shows that the endpoint is reachable, not
+// that it serves requests correctly.
 func (t *Table) Reached(endpoint string, now time.Time) {
 	r := t.record(endpoint)
-	r.reached = now
-	if r.failedAs != Bad {
-		r.until, r.rest = time.Time{}, 0
+	r.lastReached = now
+	if r.lastFailureOutcome != Bad {
+		r.avoidUntil, r.backoff = time.Time{}, 0
 	}
 }
 
-// soundSince returns until when this gateway knows that an endpoint did not fail in that
-// way. What it says of itself proves nothing of how it answers requests.
-func (r *record) soundSince(o Outcome) time.Time {
-	if o != Bad && r.reached.After(r.good) {
-		return r.reached
+// lastKnownGood returns the newest time at which the endpoint is known not to have failed
+// with outcome o. An endpoint's answer about itself counts for reachability only, not for Bad.
+func (r *record) lastKnownGood(o Outcome) time.Time {
+	if o != Bad && r.lastReached.After(r.lastSuccess) {
+		return r.lastReached
 	}
-	return r.good
+	return r.lastSuccess
 }
 
-// Forget drops what is known of an endpoint that is gone or has started again.
+// Forget drops all state of an endpoint that is gone or has restarted.
 func (t *Table) Forget(endpoint string) {
-	delete(t.own, endpoint)
-	delete(t.recent, endpoint)
-	delete(t.told, endpoint)
+	delete(t.local, endpoint)
+	delete(t.shareCandidates, endpoint)
+	delete(t.peerObservations, endpoint)
 }
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -9,8 +9,8 @@
 
 var start = time.Unix(1000, 0)
 
-// TestHealth: an endpoint that fails part of its requests is left alone after a
-// few, tried again after a rest, and left alone longer if it fails again.
+// TestHealth checks that an endpoint is avoided after a few failed requests, receives requests
+// again after a backoff, and is avoided for longer if it fails again.
 func TestHealth(t *testing.T) {
 	is := is.New(t)
 	h := NewTable()
@@ -19,15 +19,16 @@
 	is.True(!h.Suspect("e", now))
 	h.Note("e", Bad, now)
 	is.True(h.Suspect("e", now))
-	now = now.Add(firstRest + time.Millisecond)
+	now = now.Add(initialBackoff + time.Millisecond)
 	is.True(!h.Suspect("e", now))
 	h.Note("e", Bad, now)
-	is.True(h.Suspect("e", now.Add(firstRest)))
-	is.True(!h.Suspect("e", now.Add(2*firstRest)))
+	is.True(h.Suspect("e", now.Add(initialBackoff)))
+	is.True(!h.Suspect("e", now.Add(2*initialBackoff)))
 	h.Forget("e")
 	is.True(!h.Suspect("e", now))
 }
 
+// TestHealthUnreachableAtOnce checks that a single Unreachable makes an endpoint suspect.
 func TestHealthUnreachableAtOnce(t *testing.T) {
 	is := is.New(t)
 	h := NewTable()
@@ -35,7 +36,9 @@
 	is.True(h.Suspect("e", start))
 }
 
-func TestHealthForgives(t *testing.T) {
+// TestHealthToleratesRareFailures checks that one failure in five does not make an endpoint
+// suspect.
+func TestHealthToleratesRareFailures(t *testing.T) {
 	is := is.New(t)
 	h := NewTable()
 	for range 20 {
--- a/health/shared.go
+++ b/health/shared.go
@@ -2,232 +2,243 @@
 
 import "time"
 
-// Sign is what one gateway tells others of an endpoint. Its fields are sent in this
-// order: new ones come last.
+// Sign is what one gateway shares with the others about an endpoint. The fields are encoded
+// by position: new ones go last.
 type Sign struct {
-	// Failed is how its newest failed exchange there ended, FailedMs ago; Good: none
-	// failed lately. Bad answers are not told: endpoints that lose one answer in twenty
-	// would be left alone by all. Told as well, worth was 0.010 and 0.001 lower and 0.005
-	// higher on three fleets of 18 engines, 15 pairs each: within the noise.
-	Failed   Outcome
-	FailedMs int64
-	// Pace is how many times as long as usual the endpoint takes, as it said itself PaceMs
-	// ago; 0: it was not asked.
-	Pace   float64
-	PaceMs int64
-	// Late is set when a stream there lately began or paused much later than expected.
+	// Failure is the outcome of the gateway's newest failed exchange with the endpoint,
+	// FailureAgeMs ago; Good if none failed recently. Bad is not shared, because every
+	// gateway would then avoid endpoints that lose one response in twenty. Sharing it changes
+	// worth by between -0.010 and +0.005 on three fleets of 18 engines, which is within the
+	// noise.
+	Failure      Outcome
+	FailureAgeMs int64
+	// Slowdown is how many times as long as usual the endpoint takes, as it reported
+	// SlowdownAgeMs ago; 0 if the gateway has no recent report of a slow endpoint.
+	Slowdown      float64
+	SlowdownAgeMs int64
+	// Late is set when a stream from the endpoint recently started, or paused, much later
+	// than expected.
 	Late bool
 }
 
 const (
-	// signLife is how long a failed exchange counts among gateways, and what an endpoint
-	// said of its pace. Those that watch an endpoint ask it several times meanwhile, so
-	// that a lasting failure is told anew before.
-	signLife = 2 * time.Second
-	// witnesses is how many gateways must have failed at an endpoint for all to leave it
-	// alone: one that is cut off from it alone must not take it from the others.
-	witnesses = 2
-	// doubtShare is the part of the endpoints, as a divisor, above which a gateway that
-	// failed at so many is thought to be cut off itself: it is no witness.
-	doubtShare = 3
-	// usualPace is the pace below which an endpoint counts as working as usual.
-	usualPace = 1.05
-	// mostLate is how many endpoints with late streams a gateway tells of: where there are
-	// more, there is too much to do, and the engines are not slow.
-	mostLate = 8
-	// slowestPace bounds what is believed of a pace.
-	slowestPace = 50
+	// observationTTL is how long a failed exchange, a late stream and an endpoint's report of
+	// its slowdown remain valid. The gateways that watch an endpoint ask it several times within
+	// this period, so a persistent failure is reported again before it expires.
+	observationTTL = 2 * time.Second
+	// failureQuorum is how many gateways must have failed to use an endpoint before all of
+	// them avoid it. A single gateway may be the only one that cannot reach it, and must not
+	// take it out of service for the others.
+	failureQuorum = 2
+	// isolationDivisor sets the share of all endpoints, 1/isolationDivisor, above which a
+	// gateway that failed at more is assumed to be isolated itself. Its failures do not count
+	// towards failureQuorum.
+	isolationDivisor = 3
+	// slowThreshold is the slowdown up to which an endpoint counts as working at its usual
+	// speed.
+	slowThreshold = 1.05
+	// maxSharedLate is how many endpoints with late streams a gateway reports. More than
+	// that are a sign of overload, not of slow engines.
+	maxSharedLate = 8
+	// maxSlowdown caps the slowdown that is believed of an endpoint.
+	maxSlowdown = 50
 )
 
-// told is what gateways told of one endpoint, by gateway. The choice looks at each endpoint
-// of a cell each time, so what is known is kept by endpoint: most have nothing.
-type told map[string]toldSign
+// gatewayObservations holds what other gateways shared about one endpoint, by gateway. They are
+// indexed by endpoint first, because each routing decision looks up every endpoint of a cell and
+// most have none.
+type gatewayObservations map[string]peerObservation
 
-type toldSign struct {
+type peerObservation struct {
 	Sign
-	at time.Time // when it was told
-	// noWitness is set for a gateway that failed at too many endpoints to be believed.
-	noWitness bool
+	receivedAt time.Time
+	// discounted is set if the gateway failed at so many endpoints that its failures do not
+	// count.
+	discounted bool
 }
 
-// teller is a gateway that told something.
-type teller struct {
-	at        time.Time
-	endpoints []string // that it told of
+// peerState records what another gateway shared last.
+type peerState struct {
+	updatedAt time.Time
+	endpoints []string // endpoints of its observations
 }
 
-// Peer takes in all that a gateway tells of endpoints; there are so many of them.
-func (t *Table) Peer(gateway string, signs map[string]Sign, endpoints int, now time.Time) {
-	t.dropTold(gateway)
-	if len(signs) == 0 {
+// Peer replaces all observations of another gateway. endpoints is the number of endpoints that
+// there are.
+func (t *Table) Peer(gateway string, observations map[string]Sign, endpoints int, now time.Time) {
+	t.dropPeer(gateway)
+	if len(observations) == 0 {
 		return
 	}
-	noWitness := cutOff(signs, endpoints)
-	w := teller{at: now, endpoints: make([]string, 0, len(signs))}
-	for id, s := range signs {
-		if t.told[id] == nil {
-			t.told[id] = make(told)
+	isolated := likelyIsolated(observations, endpoints)
+	peer := peerState{updatedAt: now, endpoints: make([]string, 0, len(observations))}
+	for id, s := range observations {
+		if t.peerObservations[id] == nil {
+			t.peerObservations[id] = make(gatewayObservations)
 		}
-		t.told[id][gateway] = toldSign{s, now, noWitness}
-		w.endpoints = append(w.endpoints, id)
+		t.peerObservations[id][gateway] = peerObservation{s, now, isolated}
+		peer.endpoints = append(peer.endpoints, id)
 	}
-	t.tellers[gateway] = w
+	t.peers[gateway] = peer
 }
 
-// cutOff reports whether a gateway that tells these signs of so many endpoints has failed at
-// too many of them.
-func cutOff(signs map[string]Sign, endpoints int) bool {
+// likelyIsolated reports whether a gateway with these observations has failed at too large a
+// share of the endpoints.
+func likelyIsolated(observations map[string]Sign, endpoints int) bool {
 	failed := 0
-	for _, s := range signs {
-		if s.Failed != Good {
+	for _, s := range observations {
+		if s.Failure != Good {
 			failed++
 		}
 	}
-	return failed > 1 && failed*doubtShare > endpoints
+	return failed > 1 && failed*isolationDivisor > endpoints
 }
 
-// dropTold drops what a gateway told.
-func (t *Table) dropTold(gateway string) {
-	for _, id := range t.tellers[gateway].endpoints {
-		delete(t.told[id], gateway)
-		if len(t.told[id]) == 0 {
-			delete(t.told, id)
+// dropPeer drops all observations of another gateway.
+func (t *Table) dropPeer(gateway string) {
+	for _, id := range t.peers[gateway].endpoints {
+		delete(t.peerObservations[id], gateway)
+		if len(t.peerObservations[id]) == 0 {
+			delete(t.peerObservations, id)
 		}
 	}
-	delete(t.tellers, gateway)
+	delete(t.peers, gateway)
 }
 
-// Own returns what this gateway has to tell others. What gateways told that are silent by
-// now is dropped.
+// Own returns the observations that this gateway shares with the others. It also drops those
+// of gateways that have not been heard from for observationTTL.
 func (t *Table) Own(now time.Time) map[string]Sign {
-	for name, w := range t.tellers {
-		if now.Sub(w.at) > signLife {
-			t.dropTold(name)
+	for name, p := range t.peers {
+		if now.Sub(p.updatedAt) > observationTTL {
+			t.dropPeer(name)
 		}
 	}
 	out := make(map[string]Sign)
 	late := 0
-	for id := range t.recent {
-		r := t.own[id]
+	for id := range t.shareCandidates {
+		r := t.local[id]
 		var s Sign
-		if r.failing(now) && r.failedAs != Bad {
-			s.Failed, s.FailedMs = r.failedAs, now.Sub(r.failed).Milliseconds()
+		if r.recentlyFailed(now) && r.lastFailureOutcome != Bad {
+			s.Failure, s.FailureAgeMs = r.lastFailureOutcome, now.Sub(r.lastFailure).Milliseconds()
 		}
-		if r.slow(now) {
-			s.Pace, s.PaceMs = r.pace, now.Sub(r.paceAt).Milliseconds()
+		if r.reportedSlow(now) {
+			s.Slowdown, s.SlowdownAgeMs = r.slowdown, now.Sub(r.slowdownAt).Milliseconds()
 		}
-		if r.isLate(now) && late < mostLate {
+		if r.recentlyLate(now) && late < maxSharedLate {
 			s.Late = true
 			late++
 		}
 		if s != (Sign{}) {
 			out[id] = s
-		} else if !r.isLate(now) {
-			delete(t.recent, id)
+		} else if !r.recentlyLate(now) {
+			delete(t.shareCandidates, id)
 		}
 	}
 	return out
 }
 
-// failing reports whether the newest exchange failed, not long ago.
-func (r *record) failing(now time.Time) bool {
-	return r.failed.After(r.soundSince(r.failedAs)) && now.Sub(r.failed) <= signLife
+// recentlyFailed reports whether the endpoint failed within observationTTL and is not known to
+// have recovered since.
+func (r *record) recentlyFailed(now time.Time) bool {
+	return r.lastFailure.After(r.lastKnownGood(r.lastFailureOutcome)) && now.Sub(r.lastFailure) <= observationTTL
 }
 
-// avoided reports whether other gateways failed at an endpoint, enough of them and after
-// it last served this one. One that found another endpoint at its address is enough: that
-// is said by who answered there.
-func (t *Table) avoided(endpoint string, now time.Time) bool {
-	return t.count(endpoint, now) >= witnesses
+// avoidedByPeers reports whether a quorum of gateways, this one included, failed to use the
+// endpoint.
+func (t *Table) avoidedByPeers(endpoint string, now time.Time) bool {
+	return t.failingGateways(endpoint, now) >= failureQuorum
 }
 
-// count returns how many gateways, this one included, are witnesses against an endpoint.
-func (t *Table) count(endpoint string, now time.Time) int {
-	own := t.own[endpoint]
+// failingGateways returns how many gateways, this one included, recently failed to use an
+// endpoint. Failures of other gateways count only if they are newer than the last time this
+// gateway knows the endpoint to be healthy. A single Replaced counts as a quorum: it rests on
+// the response of the endpoint that now has the address.
+func (t *Table) failingGateways(endpoint string, now time.Time) int {
+	own := t.local[endpoint]
 	if own == nil {
 		own = &record{}
 	}
 	count := 0
-	if own.failing(now) {
+	if own.recentlyFailed(now) {
 		count++
 	}
-	if len(t.told) == 0 {
+	if len(t.peerObservations) == 0 {
 		return count
 	}
-	for _, s := range t.told[endpoint] {
-		at := s.at.Add(-time.Duration(s.FailedMs) * time.Millisecond)
-		if s.Failed == Good || now.Sub(at) > signLife || !at.After(own.soundSince(s.Failed)) || s.noWitness {
+	for _, s := range t.peerObservations[endpoint] {
+		at := s.receivedAt.Add(-time.Duration(s.FailureAgeMs) * time.Millisecond)
+		if s.Failure == Good || now.Sub(at) > observationTTL || !at.After(own.lastKnownGood(s.Failure)) || s.discounted {
 			continue
 		}
-		if s.Failed == Replaced {
-			return max(count, witnesses)
+		if s.Failure == Replaced {
+			return max(count, failureQuorum)
 		}
 		count++
 	}
 	return count
 }
 
-// Witnesses returns how many gateways failed at an endpoint lately, if that is why it is
-// left alone, else 0.
+// Witnesses returns how many gateways recently failed to use an endpoint if they are a quorum,
+// so that it is avoided for that reason; otherwise 0.
 func (t *Table) Witnesses(endpoint string, now time.Time) int {
-	if n := t.count(endpoint, now); n >= witnesses {
+	if n := t.failingGateways(endpoint, now); n >= failureQuorum {
 		return n
 	}
 	return 0
 }
 
-// Doubt is why an endpoint should be asked about itself.
+// Doubt is the reason to ask an endpoint about its health.
 type Doubt uint8
 
-// The doubts.
 const (
 	NoDoubt    Doubt = iota
-	OthersSlow       // another endpoint is slow: they seldom come alone
-	Slow             // it is or may be slow
-	Failing          // some gateway failed there lately
+	OthersSlow       // another endpoint is slow; slow endpoints tend to occur together
+	Slow             // the endpoint is or may be slow
+	Failing          // a gateway recently failed to use the endpoint
 )
 
-// Doubt returns why whoever watches an endpoint should ask it now.
+// Doubt returns the reason why a gateway that watches the endpoint should ask it now.
 func (t *Table) Doubt(endpoint string, now time.Time) Doubt {
 	doubt := NoDoubt
 	if t.anySlow(now) {
 		doubt = OthersSlow
 	}
-	if r := t.own[endpoint]; r != nil {
-		if r.failing(now) {
+	if r := t.local[endpoint]; r != nil {
+		if r.recentlyFailed(now) {
 			return Failing
 		}
-		if r.isLate(now) || r.slow(now) {
+		if r.recentlyLate(now) || r.reportedSlow(now) {
 			doubt = Slow
 		}
 	}
-	for _, s := range t.told[endpoint] {
+	for _, s := range t.peerObservations[endpoint] {
 		switch {
-		case now.Sub(s.at) > signLife:
-		case s.Failed != Good:
+		case now.Sub(s.receivedAt) > observationTTL:
+		case s.Failure != Good:
 			return Failing
-		case s.Late || s.Pace > usualPace:
+		case s.Late || s.Slowdown > slowThreshold:
 			doubt = Slow
 		}
 	}
 	return doubt
 }
 
-// slow reports whether the endpoint said not long ago that it is slow.
-func (r *record) slow(now time.Time) bool {
-	return r.pace > usualPace && now.Sub(r.paceAt) <= signLife
+// reportedSlow reports whether the endpoint told this gateway within observationTTL that it is
+// slow.
+func (r *record) reportedSlow(now time.Time) bool {
+	return r.slowdown > slowThreshold && now.Sub(r.slowdownAt) <= observationTTL
 }
 
-// anySlow reports whether any endpoint said so to any gateway.
+// anySlow reports whether any endpoint recently told any gateway that it is slow.
 func (t *Table) anySlow(now time.Time) bool {
-	for id := range t.recent {
-		if t.own[id].slow(now) {
+	for id := range t.shareCandidates {
+		if t.local[id].reportedSlow(now) {
 			return true
 		}
 	}
-	for _, all := range t.told {
+	for _, all := range t.peerObservations {
 		for _, s := range all {
-			if s.Pace > usualPace && now.Sub(s.at) <= signLife {
+			if s.Slowdown > slowThreshold && now.Sub(s.receivedAt) <= observationTTL {
 				return true
 			}
 		}
@@ -235,37 +246,39 @@
 	return false
 }
 
-// SetLate takes in that a stream began or paused much later than expected.
+// SetLate records that a stream from the endpoint started, or paused, much later than expected.
 func (t *Table) SetLate(endpoint string, now time.Time) {
-	t.record(endpoint).late = now
-	t.recent[endpoint] = struct{}{}
+	t.record(endpoint).lastLate = now
+	t.shareCandidates[endpoint] = struct{}{}
 }
 
-// isLate reports whether a stream was late not long ago, and the endpoint has said nothing
-// of its pace since.
-func (r *record) isLate(now time.Time) bool {
-	return r.late.After(r.paceAt) && now.Sub(r.late) <= signLife
+// recentlyLate reports whether a stream was late within observationTTL and the endpoint has not
+// reported its slowdown since.
+func (r *record) recentlyLate(now time.Time) bool {
+	return r.lastLate.After(r.slowdownAt) && now.Sub(r.lastLate) <= observationTTL
 }
 
-// SetPace takes in how many times as long as usual an endpoint says that it takes.
-func (t *Table) SetPace(endpoint string, pace float64, now time.Time) {
+// SetPace records the slowdown that an endpoint reported: how many times as long as usual it
+// takes.
+func (t *Table) SetPace(endpoint string, slowdown float64, now time.Time) {
 	r := t.record(endpoint)
-	r.pace, r.paceAt = pace, now
-	t.recent[endpoint] = struct{}{}
+	r.slowdown, r.slowdownAt = slowdown, now
+	t.shareCandidates[endpoint] = struct{}{}
 }
 
-// Pace returns how many times as long as usual an endpoint takes, as it said last to this
-// gateway or another one; at least 1.
+// Pace returns the slowdown of an endpoint: how many times as long as usual it takes, by its
+// newest report within observationTTL, received directly or shared by another gateway. It is
+// between 1 and maxSlowdown.
 func (t *Table) Pace(endpoint string, now time.Time) float64 {
-	pace, newest := 1.0, time.Time{}
-	if r := t.own[endpoint]; r != nil && now.Sub(r.paceAt) <= signLife {
-		pace, newest = r.pace, r.paceAt
+	slowdown, newest := 1.0, time.Time{}
+	if r := t.local[endpoint]; r != nil && now.Sub(r.slowdownAt) <= observationTTL {
+		slowdown, newest = r.slowdown, r.slowdownAt
 	}
-	for _, s := range t.told[endpoint] {
-		at := s.at.Add(-time.Duration(s.PaceMs) * time.Millisecond)
-		if s.Pace > 0 && now.Sub(at) <= signLife && at.After(newest) {
-			pace, newest = s.Pace, at
+	for _, s := range t.peerObservations[endpoint] {
+		at := s.receivedAt.Add(-time.Duration(s.SlowdownAgeMs) * time.Millisecond)
+		if s.Slowdown > 0 && now.Sub(at) <= observationTTL && at.After(newest) {
+			slowdown, newest = s.Slowdown, at
 		}
 	}
-	return min(slowestPace, max(1, pace))
+	return min(maxSlowdown, max(1, slowdown))
 }
--- a/health/shared_test.go
+++ b/health/shared_test.go
@@ -8,69 +8,69 @@
 	"github.com/matryer/is"
 )
 
-func failedSign(o Outcome, ms int64) map[string]Sign {
-	return map[string]Sign{"e": {Failed: o, FailedMs: ms}}
+func failureObservation(o Outcome, ms int64) map[string]Sign {
+	return map[string]Sign{"e": {Failure: o, FailureAgeMs: ms}}
 }
 
-// TestWitnesses: an endpoint is left alone by all when two gateways failed there after it
-// last served this one; one gateway's word is not enough, whatever it is cut off from.
+// TestWitnesses checks that an endpoint is avoided once two gateways have failed to use it
+// since it last served this one, and that the report of a single gateway is not enough.
 func TestWitnesses(t *testing.T) {
 	const endpoints = 60
 	now := start
 	cases := []struct {
-		name string
-		play func(h *Table)
-		want bool
+		name  string
+		setup func(h *Table)
+		want  bool
 	}{
-		{"nobody failed", func(*Table) {}, false},
-		{"one other failed", func(h *Table) { h.Peer("a", failedSign(Unreachable, 0), endpoints, now) }, false},
-		{"two others failed", func(h *Table) {
-			h.Peer("a", failedSign(Unreachable, 0), endpoints, now)
-			h.Peer("b", failedSign(Bad, 100), endpoints, now)
+		{"no gateway failed", func(*Table) {}, false},
+		{"one other gateway failed", func(h *Table) { h.Peer("a", failureObservation(Unreachable, 0), endpoints, now) }, false},
+		{"two other gateways failed", func(h *Table) {
+			h.Peer("a", failureObservation(Unreachable, 0), endpoints, now)
+			h.Peer("b", failureObservation(Bad, 100), endpoints, now)
 		}, true},
-		{"one says so twice", func(h *Table) {
-			h.Peer("a", failedSign(Unreachable, 0), endpoints, now)
-			h.Peer("a", failedSign(Bad, 0), endpoints, now)
+		{"one gateway reports twice", func(h *Table) {
+			h.Peer("a", failureObservation(Unreachable, 0), endpoints, now)
+			h.Peer("a", failureObservation(Bad, 0), endpoints, now)
 		}, false},
-		{"one other and this one, whose first bad answer alone is not enough", func(h *Table) {
+		{"another gateway and this one, whose first bad response alone is not enough", func(h *Table) {
 			h.Note("e", Bad, now)
-			h.Peer("a", failedSign(Bad, 0), endpoints, now)
+			h.Peer("a", failureObservation(Bad, 0), endpoints, now)
 		}, true},
-		{"two failed long ago", func(h *Table) {
-			h.Peer("a", failedSign(Unreachable, 2100), endpoints, now)
-			h.Peer("b", failedSign(Unreachable, 2100), endpoints, now)
+		{"two failures have expired", func(h *Table) {
+			h.Peer("a", failureObservation(Unreachable, 2100), endpoints, now)
+			h.Peer("b", failureObservation(Unreachable, 2100), endpoints, now)
 		}, false},
-		{"two failed, and it served this one since", func(h *Table) {
-			h.Peer("a", failedSign(Bad, 300), endpoints, now)
-			h.Peer("b", failedSign(Bad, 300), endpoints, now)
+		{"two failed, and the endpoint has served this gateway since", func(h *Table) {
+			h.Peer("a", failureObservation(Bad, 300), endpoints, now)
+			h.Peer("b", failureObservation(Bad, 300), endpoints, now)
 			h.Note("e", Good, now.Add(-100*time.Millisecond))
 		}, false},
-		{"two did not reach it, and it answered this one since", func(h *Table) {
-			h.Peer("a", failedSign(Unreachable, 300), endpoints, now)
-			h.Peer("b", failedSign(Unreachable, 300), endpoints, now)
+		{"two could not reach it, and it has answered this gateway's health question since", func(h *Table) {
+			h.Peer("a", failureObservation(Unreachable, 300), endpoints, now)
+			h.Peer("b", failureObservation(Unreachable, 300), endpoints, now)
 			h.Reached("e", now.Add(-100*time.Millisecond))
 		}, false},
-		{"two got bad answers, which what it says of itself does not disprove", func(h *Table) {
-			h.Peer("a", failedSign(Bad, 300), endpoints, now)
-			h.Peer("b", failedSign(Bad, 300), endpoints, now)
+		{"two got bad responses, which an answer about itself does not disprove", func(h *Table) {
+			h.Peer("a", failureObservation(Bad, 300), endpoints, now)
+			h.Peer("b", failureObservation(Bad, 300), endpoints, now)
 			h.Reached("e", now.Add(-100*time.Millisecond))
 		}, true},
-		{"another one has its address", func(h *Table) { h.Peer("a", failedSign(Replaced, 0), endpoints, now) }, true},
-		{"a witness took it back", func(h *Table) {
-			h.Peer("a", failedSign(Unreachable, 0), endpoints, now)
-			h.Peer("b", failedSign(Unreachable, 0), endpoints, now)
+		{"another endpoint has its address", func(h *Table) { h.Peer("a", failureObservation(Replaced, 0), endpoints, now) }, true},
+		{"one gateway withdraws its report", func(h *Table) {
+			h.Peer("a", failureObservation(Unreachable, 0), endpoints, now)
+			h.Peer("b", failureObservation(Unreachable, 0), endpoints, now)
 			h.Peer("b", nil, endpoints, now)
 		}, false},
-		{"the endpoint is forgotten", func(h *Table) {
-			h.Peer("a", failedSign(Unreachable, 0), endpoints, now)
-			h.Peer("b", failedSign(Unreachable, 0), endpoints, now)
+		{"the endpoint was forgotten", func(h *Table) {
+			h.Peer("a", failureObservation(Unreachable, 0), endpoints, now)
+			h.Peer("b", failureObservation(Unreachable, 0), endpoints, now)
 			h.Forget("e")
 		}, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			h := NewTable()
-			tc.play(h)
+			tc.setup(h)
 			if got := h.Suspect("e", now); got != tc.want {
 				t.Errorf("suspect: %v, want %v", got, tc.want)
 			}
@@ -78,76 +78,78 @@
 	}
 }
 
-// TestCutOffGatewaysAreNoWitnesses: two gateways that are cut off from most endpoints and
-// say so of all of them take none from the others; when they fail at a few only, they are
-// believed.
+// TestCutOffGatewaysAreNoWitnesses checks that two gateways that report failures at most of the
+// endpoints make no other gateway avoid any of them, and that they are believed when they fail
+// at a third or less.
 func TestCutOffGatewaysAreNoWitnesses(t *testing.T) {
 	is := is.New(t)
 	const endpoints = 60
-	signs := func(n int) map[string]Sign {
+	observations := func(n int) map[string]Sign {
 		out := make(map[string]Sign)
 		for i := range n {
-			out[fmt.Sprint("e", i)] = Sign{Failed: Unreachable}
+			out[fmt.Sprint("e", i)] = Sign{Failure: Unreachable}
 		}
 		return out
 	}
 	h := NewTable()
-	h.Peer("a", signs(40), endpoints, start)
-	h.Peer("b", signs(40), endpoints, start)
+	h.Peer("a", observations(40), endpoints, start)
+	h.Peer("b", observations(40), endpoints, start)
 	for i := range endpoints {
 		is.True(!h.Suspect(fmt.Sprint("e", i), start))
 	}
-	h.Peer("a", signs(20), endpoints, start)
-	h.Peer("b", signs(20), endpoints, start)
+	h.Peer("a", observations(20), endpoints, start)
+	h.Peer("b", observations(20), endpoints, start)
 	is.True(h.Suspect("e0", start))
 	is.True(!h.Suspect("e20", start))
 }
 
-// TestPace: the newest word about an endpoint's pace counts, whoever asked it, for a time.
+// TestPace checks that the newest report of an endpoint's slowdown applies, whichever gateway
+// received it, until it expires.
 func TestPace(t *testing.T) {
 	is := is.New(t)
 	h := NewTable()
 	is.Equal(h.Pace("e", start), 1.0)
-	h.Peer("a", map[string]Sign{"e": {Pace: 4, PaceMs: 100}}, 9, start)
+	h.Peer("a", map[string]Sign{"e": {Slowdown: 4, SlowdownAgeMs: 100}}, 9, start)
 	is.Equal(h.Pace("e", start), 4.0)
 	h.SetPace("e", 1, start.Add(-200*time.Millisecond)) // older
 	is.Equal(h.Pace("e", start), 4.0)
 	h.SetPace("e", 1, start.Add(10*time.Millisecond))
 	is.Equal(h.Pace("e", start.Add(20*time.Millisecond)), 1.0)
 	h.SetPace("e", 1000, start.Add(30*time.Millisecond))
-	is.Equal(h.Pace("e", start.Add(40*time.Millisecond)), float64(slowestPace))
+	is.Equal(h.Pace("e", start.Add(40*time.Millisecond)), float64(maxSlowdown))
 	is.Equal(h.Pace("e", start.Add(3*time.Second)), 1.0) // too old
 	h.SetPace("e", 3, start)
-	h.Forget("e") // it has started again
+	h.Forget("e") // it has restarted
 	is.Equal(h.Pace("e", start), 1.0)
 }
 
-// TestOwnSigns: what a gateway tells is little, and ages.
-func TestOwnSigns(t *testing.T) {
+// TestOwnObservations checks which observations a gateway shares, that their number is bounded
+// and that they expire.
+func TestOwnObservations(t *testing.T) {
 	is := is.New(t)
 	h := NewTable()
 	h.Note("good", Good, start)
-	h.Note("bad", Bad, start) // not told
+	h.Note("bad", Bad, start) // not shared
 	h.Note("away", Unreachable, start)
 	h.SetPace("slow", 3, start)
 	h.SetPace("usual", 1, start)
 	h.SetLate("late", start)
 	later := start.Add(50 * time.Millisecond)
 	is.Equal(h.Own(later), map[string]Sign{
-		"away": {Failed: Unreachable, FailedMs: 50}, "slow": {Pace: 3, PaceMs: 50}, "late": {Late: true},
+		"away": {Failure: Unreachable, FailureAgeMs: 50}, "slow": {Slowdown: 3, SlowdownAgeMs: 50}, "late": {Late: true},
 	})
 	h.Note("away", Good, later)
-	h.SetPace("late", 1, later) // it was asked
+	h.SetPace("late", 1, later) // it was asked about its slowdown
 	is.Equal(len(h.Own(later)), 1)
 	for i := range 100 {
 		h.SetLate(fmt.Sprint("l", i), later)
 	}
-	is.Equal(len(h.Own(later)), 1+mostLate) // what is told is bounded
-	is.Equal(len(h.Own(start.Add(signLife+time.Second))), 0)
-	is.Equal(len(h.recent), 0)
+	is.Equal(len(h.Own(later)), 1+maxSharedLate) // shared late streams are bounded
+	is.Equal(len(h.Own(start.Add(observationTTL+time.Second))), 0)
+	is.Equal(len(h.shareCandidates), 0)
 }
 
-// TestDoubt: why an endpoint is asked, by what this gateway and others saw.
+// TestDoubt checks the reason to ask an endpoint, given the observations of other gateways.
 func TestDoubt(t *testing.T) {
 	is := is.New(t)
 	h := NewTable()
@@ -155,16 +157,16 @@
 	h.Peer("a", map[string]Sign{"e": {Late: true}}, 9, start)
 	is.Equal(h.Doubt("e", start), Slow)
 	is.Equal(h.Doubt("f", start), NoDoubt)
-	h.Peer("a", map[string]Sign{"e": {Pace: 3}}, 9, start)
+	h.Peer("a", map[string]Sign{"e": {Slowdown: 3}}, 9, start)
 	is.Equal(h.Doubt("e", start), Slow)
 	is.Equal(h.Doubt("f", start), OthersSlow)
-	h.Peer("b", map[string]Sign{"f": {Failed: Unreachable}}, 9, start)
+	h.Peer("b", map[string]Sign{"f": {Failure: Unreachable}}, 9, start)
 	is.Equal(h.Doubt("f", start), Failing)
-	is.Equal(h.Doubt("e", start.Add(signLife+time.Millisecond)), NoDoubt)
+	is.Equal(h.Doubt("e", start.Add(observationTTL+time.Millisecond)), NoDoubt)
 }
 
-// TestWatchers: gateways that know the same others agree who watches what, every endpoint
-// is watched by two, and one gateway less moves few.
+// TestWatchers checks that gateways that know the same members agree on the assignment, that two
+// gateways watch every endpoint, and that removing a gateway reassigns only its endpoints.
 func TestWatchers(t *testing.T) {
 	is := is.New(t)
 	first, second := NewWatchers(nil).Of("e")
@@ -193,16 +195,16 @@
 	is.True(moved < 120)
 }
 
-// BenchmarkLookups: what the choice asks of 1,000 endpoints, while 100 gateways tell of 20
-// each.
+// BenchmarkLookups measures the lookups of one routing decision over 1,000 endpoints while each
+// of 100 gateways shares observations of 20.
 func BenchmarkLookups(b *testing.B) {
 	h := NewTable()
 	for g := range 100 {
-		signs := make(map[string]Sign)
+		observations := make(map[string]Sign)
 		for i := range 20 {
-			signs[fmt.Sprint("e", (g*20+i)%1000)] = Sign{Late: true}
+			observations[fmt.Sprint("e", (g*20+i)%1000)] = Sign{Late: true}
 		}
-		h.Peer(fmt.Sprint("g", g), signs, 1000, start)
+		h.Peer(fmt.Sprint("g", g), observations, 1000, start)
 	}
 	names := make([]string, 1000)
 	for i := range names {
--- a/health/watch.go
+++ b/health/watch.go
@@ -7,33 +7,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Watchers says which gateways watch which endpoints: each endpoint has one that asks it
-// regularly and one that looks as well when somebody failed there. All gateways that know
-// the same others come to the same watchers, and one more or less of them moves few.
+// Watchers assigns endpoints to the gateways that watch them, by consistent hashing. Each
+// endpoint has a first gateway, which asks it regularly, and a second, which also asks it when
+// a gateway failed to use it. Gateways that know the same members compute the same assignment,
+// and adding or removing a member reassigns few endpoints.
 type Watchers struct{ ring []watcher }
 
 type watcher struct {
-	at   uint64 // on the ring
+	hash uint64 // position on the ring
 	name string
 }
 
-// NewWatchers returns the watchers among these gateways.
+// NewWatchers returns the assignment among the given gateways.
 func NewWatchers(gateways []string) Watchers {
 	w := Watchers{ring: make([]watcher, 0, len(gateways))}
 	for _, name := range gateways {
 		w.ring = append(w.ring, watcher{xxhash.Sum64String(name), name})
 	}
-	slices.SortFunc(w.ring, func(a, b watcher) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.name, b.name)) })
+	slices.SortFunc(w.ring, func(a, b watcher) int { return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.name, b.name)) })
 	return w
 }
 
-// Of returns the gateway that watches an endpoint, and the one that looks as well in doubt;
-// both are empty where there are none.
+// Of returns the gateways that watch an endpoint: the first and the second. Both are empty if
+// there are no gateways.
 func (w Watchers) Of(endpoint string) (first, second string) {
 	if len(w.ring) == 0 {
 		return "", ""
 	}
-	i, _ := slices.BinarySearchFunc(w.ring, xxhash.Sum64String(endpoint), func(e watcher, at uint64) int { return cmp.Compare(e.at, at) })
+	i, _ := slices.BinarySearchFunc(w.ring, xxhash.Sum64String(endpoint), func(e watcher, at uint64) int { return cmp.Compare(e.hash, at) })
 	n := len(w.ring)
 	return w.ring[i%n].name, w.ring[(i+1)%n].name
 }
