--- a/availability/leaves.go
+++ b/availability/leaves.go
@@ -8,48 +8,56 @@
 )
 
 const (
-	// FromStore and FromAnswer are sources of a leave beside the names of gateways.
+	// FromStore and FromAnswer are the sources of a Leave other than gateways, which are given by
+	// name.
 	FromStore  = "store"
 	FromAnswer = "answer"
-	// tellFor is how long a leave is told in each word; words are sent several times a second, so that a few may be lost.
-	tellFor = 2 * time.Second
-	// repeatEvery is how often what the store's list does not tell is repeated, for those that have just started or were cut off.
-	repeatEvery = 2 * time.Second
-	// rememberFor is how long the leave of an endpoint that is not known is remembered. Copies of the store's list are seconds old.
-	rememberFor = 10 * time.Minute
-	// maxUnknown is how many leaves of endpoints that are not known are remembered.
+	// shareFor is how long a new entry is included in every message to the other gateways. Messages
+	// are sent several times a second, so a few of them may be lost.
+	shareFor = 2 * time.Second
+	// repeatInterval is how often all entries that the store's list lacks are sent again, for gateways
+	// that have just started or were disconnected.
+	repeatInterval = 2 * time.Second
+	// unknownTTL is how long an entry of an unknown endpoint is kept. Copies of the store's list are
+	// seconds old.
+	unknownTTL = 10 * time.Minute
+	// maxUnknown is how many entries of unknown endpoints are kept.
 	maxUnknown = 4096
-	// maxTold is how many leaves one word tells; each word tells others of more.
-	maxTold = 256
+	// maxShared is how many entries one message contains. Where there are more, each message
+	// contains a different selection.
+	maxShared = 256
 )
 
-// Leave is what is known of an endpoint that takes no new requests any more.
+// Leave describes a draining endpoint, which accepts no new requests.
 type Leave struct {
-	Born   int64     // the life that leaves, see catalog.Endpoint
-	Since  time.Time // when it was learned
-	Source string    // who said so first: FromStore, FromAnswer or the name of a gateway
-	// listed is set when the store's list says so as well: everybody reads that.
+	Born   int64     // incarnation that is draining, see catalog.Endpoint
+	Since  time.Time // when this gateway learned of it
+	Source string    // where it learned of it first: FromStore, FromAnswer or the name of a gateway
+	// listed is set if the store's list says so too. All gateways read that list, so the entry need
+	// not be sent to them.
 	listed bool
-	// doubted is set where the life before may have said so instead.
-	doubted bool
-	// past is set while another life than this is known. An older copy of the store's list may name it for a while.
-	past bool
+	// uncertain is set if the statement may have come from the previous incarnation instead.
+	uncertain bool
+	// superseded is set while the known incarnation of the endpoint is another one. That may be
+	// temporary, as gateways may read an older copy of the store's list.
+	superseded bool
 }
 
-// Leaves holds which endpoints leave. Whoever leaves never comes back in the same life: neither an answer without the word, which
-// others may have overtaken, nor an entry of the store, which may be old, takes it back. Leaves is not safe for concurrent use.
+// Leaves tracks the draining endpoints. An incarnation that is draining never accepts requests again:
+// neither a response without the statement, which may have been overtaken by later ones, nor an entry
+// of the store, which may be outdated, reverts it. Leaves is not safe for concurrent use.
 type Leaves struct {
-	entries  map[string]*Leave
-	repeated time.Time // when what is not news was told last
+	entries    map[string]*Leave
+	lastRepeat time.Time // when Tell last returned all entries
 }
 
-// NewLeaves returns a table in which nobody leaves.
+// NewLeaves returns an empty table.
 func NewLeaves() *Leaves { return &Leaves{entries: make(map[string]*Leave)} }
 
-// Take takes in that an endpoint leaves; it reports whether that is news.
+// Take records that an endpoint is draining. It reports whether that is new.
 func (l *Leaves) Take(e catalog.Endpoint, source string, now time.Time) bool {
 	old := l.entries[e.ID]
-	if old != nil && !old.doubted && !restarted(old.Born, e.Born) {
+	if old != nil && !old.uncertain && !restarted(old.Born, e.Born) {
 		old.listed = old.listed || source == FromStore
 		return false
 	}
@@ -57,31 +65,35 @@
 	return true
 }
 
-// Restarted takes in that an endpoint is seen to have started again, as e. listed is when its earlier life was listed last. What was
-// said since may be of the new life already: it counts as leaving until TakeBack. It reports whether that is so.
+// Restarted records that an endpoint was seen to have restarted as e; listed is when its previous
+// incarnation was listed last. A statement received later than restartListingLag before that time may
+// already come from the new incarnation, which therefore counts as draining until TakeBack. Restarted
+// reports whether that is the case.
 func (l *Leaves) Restarted(e catalog.Endpoint, listed, now time.Time) bool {
 	old := l.entries[e.ID]
-	if old == nil || old.listed || old.Since.Before(listed.Add(-restartTold)) {
+	if old == nil || old.listed || old.Since.Before(listed.Add(-restartListingLag)) {
 		return false
 	}
-	l.entries[e.ID] = &Leave{Born: e.Born, Since: now, Source: old.Source, doubted: true}
+	l.entries[e.ID] = &Leave{Born: e.Born, Since: now, Source: old.Source, uncertain: true}
 	return true
 }
 
-// Doubted reports whether an endpoint counts as leaving for what the life before may have said.
+// Doubted reports whether an endpoint counts as draining because of a statement that may have come from
+// its previous incarnation.
 func (l *Leaves) Doubted(e catalog.Endpoint) bool {
 	leave, ok := l.Of(e)
-	return ok && leave.doubted
+	return ok && leave.uncertain
 }
 
-// TakeBack takes in an answer in which an endpoint whose leave is doubted does not say that it leaves.
+// TakeBack records a response in which the endpoint does not state that it is draining. It drops the
+// endpoint's entry if that is uncertain.
 func (l *Leaves) TakeBack(e catalog.Endpoint) {
 	if l.Doubted(e) {
 		delete(l.entries, e.ID)
 	}
 }
 
-// Of returns what is known of an endpoint's leave; ok is false where it does not leave in this life.
+// Of returns the entry of an endpoint; ok is false if this incarnation is not draining.
 func (l *Leaves) Of(e catalog.Endpoint) (leave Leave, ok bool) {
 	entry := l.entries[e.ID]
 	if entry == nil || restarted(entry.Born, e.Born) {
@@ -90,46 +102,48 @@
 	return *entry, true
 }
 
-// restarted reports whether two lives under one name differ; 0: it is not known which life it is.
+// restarted reports whether two incarnations of one endpoint differ; 0 stands for an unknown incarnation.
 func restarted(before, now int64) bool {
 	return catalog.Endpoint{Born: before}.RestartedAs(catalog.Endpoint{Born: now})
 }
 
-// Tell returns the lives that are to be told by endpoint: those learned lately, and now and then also the
-// others that the store's list does not tell. regular is set for a word that is sent in any case.
+// Tell returns the draining incarnations to send to the other gateways, by endpoint: those learned within
+// shareFor and, at intervals of repeatInterval, all others that the store's list lacks. regular is set for
+// a message that is sent anyway; only such a message repeats all.
 func (l *Leaves) Tell(regular bool, now time.Time) map[string]int64 {
-	everything := regular && now.Sub(l.repeated) >= repeatEvery
-	if everything {
-		l.repeated = now
+	full := regular && now.Sub(l.lastRepeat) >= repeatInterval
+	if full {
+		l.lastRepeat = now
 	}
 	var out map[string]int64
-	for id, leave := range l.entries { // in no order, so that each is told in some word
-		if leave.listed || leave.past || leave.doubted || !everything && now.Sub(leave.Since) > tellFor {
+	for id, leave := range l.entries { // in random order, so that each is sent in some message
+		if leave.listed || leave.superseded || leave.uncertain || !full && now.Sub(leave.Since) > shareFor {
 			continue
 		}
 		if out == nil {
 			out = make(map[string]int64)
 		}
 		out[id] = leave.Born
-		if len(out) == maxTold {
+		if len(out) == maxShared {
 			break
 		}
 	}
 	return out
 }
 
-// Expire drops what was learned long ago of endpoints that are not known, or not in that life, and of the former what goes beyond their number.
+// Expire drops entries older than unknownTTL of endpoints that are unknown or known in another incarnation,
+// and entries of unknown endpoints beyond maxUnknown.
 func (l *Leaves) Expire(known func(id string) (e catalog.Endpoint, ok bool), now time.Time) {
 	unknown := 0
 	maps.DeleteFunc(l.entries, func(id string, leave *Leave) bool {
 		e, ok := known(id)
-		leave.past = ok && restarted(leave.Born, e.Born)
-		if ok && !leave.past {
+		leave.superseded = ok && restarted(leave.Born, e.Born)
+		if ok && !leave.superseded {
 			return false
 		}
 		if !ok {
 			unknown++
 		}
-		return unknown > maxUnknown || now.Sub(leave.Since) > rememberFor
+		return unknown > maxUnknown || now.Sub(leave.Since) > unknownTTL
 	})
 }
--- a/availability/leaves_test.go
+++ b/availability/leaves_test.go
@@ -12,26 +12,27 @@
 
 var now = time.Unix(1000, 0)
 
-// TestLeaveIsTakenBackByALaterLifeOnly: who says so again, or a source that says less, changes nothing.
+// TestLeaveIsTakenBackByALaterLifeOnly checks that an endpoint counts as draining until it has restarted,
+// and that a repeated statement from another source changes nothing.
 func TestLeaveIsTakenBackByALaterLifeOnly(t *testing.T) {
 	cases := []struct {
-		name        string
-		told, asked int64 // lives
-		leaves      bool
+		name              string
+		reported, queried int64 // incarnations
+		leaves            bool
 	}{
-		{"the same life", 1, 1, true},
-		{"a later one", 1, 2, false},
-		{"a later one by a clock that was set back", 5, 2, false},
-		{"a life that is not told", 1, 0, true},
-		{"told of a life that is not told", 0, 1, true},
+		{"same incarnation", 1, 1, true},
+		{"later incarnation", 1, 2, false},
+		{"later incarnation, clock set back", 5, 2, false},
+		{"unknown incarnation queried", 1, 0, true},
+		{"unknown incarnation reported", 0, 1, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			l := NewLeaves()
-			is.True(l.Take(catalog.Endpoint{ID: "e", Born: tc.told}, "g", now))
-			is.True(!l.Take(catalog.Endpoint{ID: "e", Born: tc.told}, FromAnswer, now.Add(time.Second)))
-			leave, ok := l.Of(catalog.Endpoint{ID: "e", Born: tc.asked})
+			is.True(l.Take(catalog.Endpoint{ID: "e", Born: tc.reported}, "g", now))
+			is.True(!l.Take(catalog.Endpoint{ID: "e", Born: tc.reported}, FromAnswer, now.Add(time.Second)))
+			leave, ok := l.Of(catalog.Endpoint{ID: "e", Born: tc.queried})
 			is.Equal(ok, tc.leaves)
 			if ok {
 				is.Equal(leave.Source, "g")
@@ -41,22 +42,24 @@
 	}
 }
 
-// TestLeavesAreTold: news in each word for a while, what the store does not tell in some words for as long as it is known.
+// TestLeavesAreTold checks that a new entry is in every message for shareFor, and that one which the
+// store's list lacks is repeated at intervals for as long as it exists.
 func TestLeavesAreTold(t *testing.T) {
 	is := is.New(t)
 	l := NewLeaves()
 	l.Take(catalog.Endpoint{ID: "a", Born: 3}, FromAnswer, now)
 	l.Take(catalog.Endpoint{ID: "b"}, FromStore, now)
 	is.Equal(l.Tell(false, now), map[string]int64{"a": 3})
-	is.Equal(len(l.Tell(false, now.Add(tellFor+1))), 0)
+	is.Equal(len(l.Tell(false, now.Add(shareFor+1))), 0)
 	is.Equal(l.Tell(true, now.Add(time.Hour)), map[string]int64{"a": 3})
-	is.Equal(len(l.Tell(true, now.Add(time.Hour+repeatEvery-1))), 0)
-	is.Equal(l.Tell(true, now.Add(time.Hour+repeatEvery)), map[string]int64{"a": 3})
+	is.Equal(len(l.Tell(true, now.Add(time.Hour+repeatInterval-1))), 0)
+	is.Equal(l.Tell(true, now.Add(time.Hour+repeatInterval)), map[string]int64{"a": 3})
 	l.Take(catalog.Endpoint{ID: "a", Born: 3}, FromStore, now)
 	is.Equal(len(l.Tell(true, now.Add(2*time.Hour))), 0)
 }
 
-// TestLeavesAreBounded: those of endpoints that are not known lapse, and are few; those of known ones stay.
+// TestLeavesAreBounded checks that entries of unknown endpoints expire and are limited in number, and that
+// those of known endpoints stay.
 func TestLeavesAreBounded(t *testing.T) {
 	is := is.New(t)
 	l := NewLeaves()
@@ -64,14 +67,15 @@
 		l.Take(catalog.Endpoint{ID: fmt.Sprint(n)}, "g", now)
 	}
 	known := func(id string) (catalog.Endpoint, bool) { return catalog.Endpoint{}, id == "7" }
-	is.Equal(len(l.Tell(true, now)), maxTold)
+	is.Equal(len(l.Tell(true, now)), maxShared)
 	l.Expire(known, now)
 	is.Equal(len(l.entries), maxUnknown+1)
-	l.Expire(known, now.Add(rememberFor+1))
+	l.Expire(known, now.Add(unknownTTL+1))
 	is.Equal(len(l.entries), 1)
 }
 
-// TestLeaveOfAnotherLifeIsNotTold: while an older copy of the list names another life; it holds again when the list names this one.
+// TestLeaveOfAnotherLifeIsNotTold checks that an entry is not sent while an outdated copy of the store's
+// list names another incarnation, and that it applies again once the list names its own.
 func TestLeaveOfAnotherLifeIsNotTold(t *testing.T) {
 	is := is.New(t)
 	l := NewLeaves()
@@ -83,7 +87,7 @@
 	lists(1)
 	is.Equal(len(l.Tell(true, now)), 0)
 	lists(2)
-	is.Equal(l.Tell(true, now.Add(repeatEvery)), map[string]int64{"e": 2})
+	is.Equal(l.Tell(true, now.Add(repeatInterval)), map[string]int64{"e": 2})
 	_, leaves := l.Of(e)
 	is.True(leaves)
 }
--- a/availability/line.go
+++ b/availability/line.go
@@ -6,35 +6,37 @@
 	"time"
 )
 
-// Line orders requests that wait until endpoints have rested: the more urgent first, then whose caller came first. The zero value is an
-// empty line. It is not safe for concurrent use.
+// Line is the queue of requests that wait for the backoffs of endpoints to end. It is ordered by urgency
+// and then by the arrival of the caller. The zero value is an empty queue. Line is not safe for
+// concurrent use.
 type Line struct {
 	waiting []*Waiter
 }
 
-// Waiter is a request in line.
+// Waiter is a queued request.
 type Waiter struct {
 	Urgency int       // 0 is the most urgent
-	Since   time.Time // when its caller came
+	Since   time.Time // when the caller's request arrived
 }
 
-// Join puts a request in line.
+// Join adds a request to the queue.
 func (l *Line) Join(w *Waiter) {
 	i, _ := slices.BinarySearchFunc(l.waiting, w, func(a, b *Waiter) int {
-		return cmp.Or(cmp.Compare(a.Urgency, b.Urgency), a.Since.Compare(b.Since), -1) // behind its equals
+		return cmp.Or(cmp.Compare(a.Urgency, b.Urgency), a.Since.Compare(b.Since), -1) // insert after equal requests
 	})
 	l.waiting = slices.Insert(l.waiting, i, w)
 }
 
-// Leave takes a request out of the line.
+// Leave removes a request from the queue.
 func (l *Line) Leave(w *Waiter) {
 	l.waiting = slices.DeleteFunc(l.waiting, func(other *Waiter) bool { return other == w })
 }
 
-// First reports whether nobody is before a request that waits; nil: before one that has just come.
+// First reports whether no request precedes w. A nil w stands for a request that is not queued yet, which
+// every queued request precedes.
 func (l *Line) First(w *Waiter) bool {
 	return len(l.waiting) == 0 || l.waiting[0] == w
 }
 
-// Len returns how many requests wait.
+// Len returns the number of queued requests.
 func (l *Line) Len() int { return len(l.waiting) }
--- a/availability/rests.go
+++ b/availability/rests.go
@@ -2,74 +2,80 @@
 
 import "time"
 
-// fullWindow is how many sends may be unanswered at an endpoint that has just rested before it is used like any other. The first
-// one finds out whether it takes requests again; each that is answered lets one more go.
-const fullWindow = 8
-
-// restartTold is how long an endpoint that has started again may answer before lists that are read say so.
-const restartTold = 1500 * time.Millisecond
-
-// Rests holds which endpoints want rest from this gateway. After it an endpoint gets one request, and more as these are answered: what has
-// waited meanwhile must not meet it all at once. A rest says nothing of other gateways, nor of the endpoint's health. Rests
-// is not safe for concurrent use.
+// slowStartLimit is the largest window of unanswered requests during slow start after a backoff. Beyond it
+// the endpoint is used like any other. The first request finds out whether the endpoint accepts requests
+// again; each one that is answered widens the window by one.
+const slowStartLimit = 8
+
+// restartListingLag is how long a restarted endpoint may be responding before the lists that gateways read
+// show the restart.
+const restartListingLag = 1500 * time.Millisecond
+
+// Rests tracks the backoffs that endpoints have requested from this gateway. After a backoff an endpoint
+// goes through slow start: it gets one request, and more as these are answered, so that the requests
+// queued meanwhile do not reach it all at once. A backoff does not apply to other gateways and says
+// nothing about the endpoint's health. Rests is not safe for concurrent use.
 type Rests struct {
-	entries map[string]*rest
+	entries map[string]*backoff
 }
 
-// rest is a rest and what follows it.
-type rest struct {
-	asked time.Time // last
-	until time.Time
-	// round counts the asks: the answers to sends of before one say nothing of what follows it.
-	round uint64
-	// out of the sends after the rest are not answered yet, and so many may be.
-	out, window int
+// backoff is the backoff of one endpoint and the slow start that follows it.
+type backoff struct {
+	requestedAt time.Time // of the newest request for a backoff
+	until       time.Time
+	// epoch counts the endpoint's requests for a backoff. Responses to requests sent in an
+	// earlier epoch do not count for slow start.
+	epoch uint64
+	// inFlight is the number of unanswered requests sent since the backoff, window their limit.
+	inFlight, window int
 }
 
-// Send is a request to an endpoint that may have rested lately. The zero value is none.
+// Send is a request sent to an endpoint that may be in slow start. The zero value is no request.
 type Send struct {
 	endpoint string
-	round    uint64 // 0: nothing is known of a rest
+	epoch    uint64 // 0 if the endpoint had no backoff
 }
 
-// NewRests returns a table in which nobody rests.
-func NewRests() *Rests { return &Rests{entries: make(map[string]*rest)} }
+// NewRests returns an empty table.
+func NewRests() *Rests { return &Rests{entries: make(map[string]*backoff)} }
 
-// Ask takes in that an endpoint wants rest from now on. Of several that overlap the one holds that ends last: answers overtake each other. It
-// reports whether that changes when the endpoint gets requests again.
+// Ask records that an endpoint requested a backoff of d from now on. Of overlapping backoffs the one that
+// ends last applies, because responses can overtake each other. Ask reports whether the end of the
+// backoff has changed.
 func (r *Rests) Ask(endpoint string, d time.Duration, now time.Time) bool {
-	old := r.entries[endpoint]
-	if old == nil {
-		old = &rest{}
-		r.entries[endpoint] = old
+	e := r.entries[endpoint]
+	if e == nil {
+		e = &backoff{}
+		r.entries[endpoint] = e
 	}
-	old.asked = now
+	e.requestedAt = now
 	until := now.Add(d)
-	longer := until.After(old.until)
+	longer := until.After(e.until)
 	if longer {
-		old.until = until
+		e.until = until
 	}
-	old.round++
-	old.out, old.window = 0, 1
+	e.epoch++
+	e.inFlight, e.window = 0, 1
 	return longer
 }
 
-// Any reports whether there is anything to look at.
+// Any reports whether any endpoint is in a backoff or in slow start.
 func (r *Rests) Any() bool { return len(r.entries) > 0 }
 
-// Resting reports whether an endpoint rests.
+// Resting reports whether an endpoint is in a backoff.
 func (r *Rests) Resting(endpoint string, now time.Time) bool {
 	e := r.entries[endpoint]
 	return e != nil && now.Before(e.until)
 }
 
-// Open reports whether one more request may be sent to an endpoint.
+// Open reports whether one more request may be sent to an endpoint now.
 func (r *Rests) Open(endpoint string, now time.Time) bool {
 	e := r.entries[endpoint]
-	return e == nil || !now.Before(e.until) && e.out < e.window
+	return e == nil || !now.Before(e.until) && e.inFlight < e.window
 }
 
-// OpensAt returns when one more request may be sent to an endpoint; now, where that depends on answers only.
+// OpensAt returns when one more request may be sent to an endpoint. It returns now if the endpoint is not
+// in a backoff, also where slow start has to wait for responses.
 func (r *Rests) OpensAt(endpoint string, now time.Time) time.Time {
 	if e := r.entries[endpoint]; e != nil && now.Before(e.until) {
 		return e.until
@@ -77,48 +83,51 @@
 	return now
 }
 
-// Begin counts a request that was chosen for an endpoint; ok is false where it must not go there.
+// Begin registers a request that is about to be sent to an endpoint; ok is false if it must not be sent.
 func (r *Rests) Begin(endpoint string, now time.Time) (s Send, ok bool) {
 	if !r.Open(endpoint, now) {
 		return s, false
 	}
 	s.endpoint = endpoint
 	if e := r.entries[endpoint]; e != nil {
-		e.out++
-		s.round = e.round
+		e.inFlight++
+		s.epoch = e.epoch
 	}
 	return s, true
 }
 
-// End takes in that a request was answered, or will not be. It reports whether the endpoint is used like any other from now on.
+// End records that a request was answered, or will not be. It reports whether this ended the endpoint's slow
+// start.
 func (r *Rests) End(s Send, answered bool) bool {
 	e := r.entries[s.endpoint]
-	if e == nil || s.round != e.round {
+	if e == nil || s.epoch != e.epoch {
 		return false
 	}
-	e.out--
+	e.inFlight--
 	if answered {
 		e.window++
 	}
-	if e.window <= fullWindow {
+	if e.window <= slowStartLimit {
 		return false
 	}
 	delete(r.entries, s.endpoint)
 	return true
 }
 
-// Restarted takes in that an endpoint is seen to have started again: what its earlier life asked for is over. listed is when its earlier life
-// was listed last. What was asked since may be of the new life already.
+// Restarted records that an endpoint was seen to have restarted, which ends a backoff that its previous
+// incarnation requested. listed is when that incarnation was listed last. A backoff requested later than
+// restartListingLag before that time stays, as it may have been requested by the new incarnation.
 func (r *Rests) Restarted(endpoint string, listed time.Time) {
-	if e := r.entries[endpoint]; e != nil && e.asked.Before(listed.Add(-restartTold)) {
+	if e := r.entries[endpoint]; e != nil && e.requestedAt.Before(listed.Add(-restartListingLag)) {
 		delete(r.entries, endpoint)
 	}
 }
 
-// Forget drops what is known of an endpoint that is gone.
+// Forget drops the state of an endpoint that is gone.
 func (r *Rests) Forget(endpoint string) { delete(r.entries, endpoint) }
 
-// Suspended takes in that the host was suspended for so long, which its clock does not count.
+// Suspended shortens all backoffs by the time for which the host was suspended, which its clock
+// does not count.
 func (r *Rests) Suspended(d time.Duration) {
 	for _, e := range r.entries {
 		e.until = e.until.Add(-d)
--- a/availability/rests_test.go
+++ b/availability/rests_test.go
@@ -9,27 +9,27 @@
 
 func after(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 
-// TestWhichRestHolds: of several asks the one that ends last.
+// TestWhichRestHolds checks that of several requested backoffs the one that ends last applies.
 func TestWhichRestHolds(t *testing.T) {
-	type ask struct {
+	type request struct {
 		atMs, restMs int
 		changes      bool
 	}
 	cases := []struct {
-		name    string
-		asks    []ask
-		untilMs int
+		name     string
+		requests []request
+		untilMs  int
 	}{
-		{"one", []ask{{0, 3000, true}}, 3000},
-		{"a longer one", []ask{{0, 3000, true}, {1000, 3000, true}}, 4000},
-		{"a shorter one", []ask{{0, 3000, true}, {1000, 500, false}}, 3000},
-		{"after the first", []ask{{0, 1000, true}, {2000, 500, true}}, 2500},
+		{"one", []request{{0, 3000, true}}, 3000},
+		{"second ends later", []request{{0, 3000, true}, {1000, 3000, true}}, 4000},
+		{"second ends earlier", []request{{0, 3000, true}, {1000, 500, false}}, 3000},
+		{"second starts after the first", []request{{0, 1000, true}, {2000, 500, true}}, 2500},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			r := NewRests()
-			for _, a := range tc.asks {
+			for _, a := range tc.requests {
 				is.Equal(r.Ask("e", time.Duration(a.restMs)*time.Millisecond, after(a.atMs)), a.changes)
 			}
 			is.True(r.Resting("e", after(tc.untilMs-1)))
@@ -41,7 +41,8 @@
 	}
 }
 
-// TestRestedEndpointGetsOneAndThenMore: not all that has waited at once.
+// TestRestedEndpointGetsOneAndThenMore checks that slow start lets one request through after a backoff and
+// widens the window with each one that is answered, so that queued requests do not arrive all at once.
 func TestRestedEndpointGetsOneAndThenMore(t *testing.T) {
 	is := is.New(t)
 	r := NewRests()
@@ -59,14 +60,14 @@
 		}
 	}
 	is.Equal(begin(), 1)
-	is.True(!r.End(out[0], false)) // it had no answer: the next one finds out
+	is.True(!r.End(out[0], false)) // unanswered: the window stays at one request
 	out = nil
 	is.Equal(begin(), 1)
 	is.True(!r.End(out[0], true))
 	out = nil
 	is.Equal(begin(), 2)
 	is.True(!r.End(out[0], true))
-	is.Equal(begin(), 2) // its successor, and one more
+	is.Equal(begin(), 2) // one in place of the answered one, and one more
 	is.True(r.Any())
 	over := false
 	for _, s := range out[1:] {
@@ -80,7 +81,8 @@
 	is.True(!r.Any())
 }
 
-// TestAnswersOfBeforeARest: those to sends of before an ask open nothing after it.
+// TestAnswersOfBeforeARest checks that responses to requests sent before an endpoint asked for a backoff do
+// not widen the window after it.
 func TestAnswersOfBeforeARest(t *testing.T) {
 	is := is.New(t)
 	r := NewRests()
@@ -90,7 +92,7 @@
 	is.True(!r.End(early, true))
 	first, ok := r.Begin("e", after(1000))
 	is.True(ok)
-	r.Ask("e", time.Second, after(1000)) // it is turned away
+	r.Ask("e", time.Second, after(1000)) // the endpoint refuses it and asks for another backoff
 	is.True(!r.End(first, true))
 	_, ok = r.Begin("e", after(2000))
 	is.True(ok)
@@ -98,7 +100,7 @@
 	is.True(!ok)
 }
 
-// TestRestWhileTheHostIsSuspended: the time that its clock does not count is part of the rest.
+// TestRestWhileTheHostIsSuspended checks that time for which the host was suspended counts towards a backoff.
 func TestRestWhileTheHostIsSuspended(t *testing.T) {
 	is := is.New(t)
 	r := NewRests()
@@ -110,7 +112,7 @@
 	is.True(!r.Any())
 }
 
-// TestLine: the more urgent first, then whose caller came first.
+// TestLine checks that the queue is ordered by urgency and then by arrival.
 func TestLine(t *testing.T) {
 	is := is.New(t)
 	var l Line
--- a/availability/statement.go
+++ b/availability/statement.go
@@ -1,6 +1,7 @@
-// Package availability decides from what endpoints say of themselves which of them take requests: one that
-// leaves takes none any more, one that wants rest takes none from this gateway for a while. The package is pure:
-// statements and times come in, beliefs come out.
+// Package availability decides which endpoints accept requests, from what the endpoints state about
+// themselves: a draining endpoint accepts no new requests, and one that asked for a backoff accepts
+// none from this gateway until the backoff is over. The package does no I/O and reads no clock:
+// callers pass in statements and times.
 package availability
 
 import (
@@ -9,14 +10,16 @@
 	"github.com/micarudder/micarudder/ratelimit"
 )
 
-// Statement is what an answer of an endpoint says of that endpoint.
+// Statement is what a response of an endpoint says about the endpoint's availability.
 type Statement struct {
-	// Leaving is set where it takes no new requests any more in this life.
+	// Leaving is set if the endpoint is draining: this incarnation accepts no new requests.
 	Leaving bool
-	// Rest is for how long, from the answer on, it wants nothing from the gateway that it answers; 0: it asks for none.
+	// Rest is the requested backoff, from the response on: for so long the gateway that gets the
+	// response must send the endpoint nothing. It is 0 if none is requested.
 	Rest time.Duration
-	// Limit is how many requests a second it takes from all gateways together.
+	// Limit is how many requests a second the endpoint accepts from all gateways together.
 	Limit ratelimit.Named
-	// LimitUnreadable is set where the answer names a limit that cannot be read, which neither sets nor ends one.
+	// LimitUnreadable is set if the response has a limit that cannot be parsed. Such a limit neither
+	// sets nor ends one.
 	LimitUnreadable bool
 }
