--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkHead is what a request costs while anything is known: 0.25 µs.
+// BenchmarkHead measures what each request costs while any record exists: 0.25 µs.
 func BenchmarkHead(b *testing.B) {
 	r := Request{Workspace: "workspace-17", Method: "POST", Host: "captions.example", Target: "/albums/2f/captions?page=3", Body: make([]byte, 5000)}
 	for b.Loop() {
@@ -14,8 +14,8 @@
 	}
 }
 
-// BenchmarkFingerprint is what a prompt of a million tokens (4 MB) costs whose head is known:
-// 2.9 ms.
+// BenchmarkFingerprint measures what a prompt of a million tokens (4 MB) costs if a record has its
+// Head: 2.9 ms.
 func BenchmarkFingerprint(b *testing.B) {
 	r := Request{Workspace: "workspace-17", Method: "POST", Host: "captions.example", Target: "/albums/2f", Body: bytes.Repeat([]byte("text "), 800_000)}
 	b.SetBytes(int64(len(r.Body)))
@@ -24,19 +24,19 @@
 	}
 }
 
-// BenchmarkVerdict is one look at a full table: 0.07 µs.
+// BenchmarkVerdict measures a lookup in a full table: 0.07 µs.
 func BenchmarkVerdict(b *testing.B) {
-	t, now := full()
+	t, now := fullTable()
 	for b.Loop() {
 		t.Verdict(Fingerprint{7, 1}, now)
 	}
 }
 
-// BenchmarkRemember is one more crash where the table is full: 13 µs, and 434 µs while each
-// looked for the oldest request.
-func BenchmarkRemember(b *testing.B) {
-	t, now := full()
-	n := uint64(MostRequests)
+// BenchmarkCrashedFull measures recording a crash of a new request in a full table: 13 µs. Searching for
+// the oldest record on each crash, instead of evicting many at once, takes 434 µs.
+func BenchmarkCrashedFull(b *testing.B) {
+	t, now := fullTable()
+	n := uint64(MaxRequests)
 	for b.Loop() {
 		n++
 		now = now.Add(time.Millisecond)
@@ -44,9 +44,9 @@
 	}
 }
 
-func full() (*Table, time.Time) {
+func fullTable() (*Table, time.Time) {
 	t, now := NewTable(), start
-	for n := range uint64(MostRequests) {
+	for n := range uint64(MaxRequests) {
 		now = now.Add(time.Millisecond)
 		t.Crashed(Fingerprint{n, 1}, Crash{Endpoint: 1, At: now}, now)
 	}
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// TestFingerprint: what makes a request the same work decides, and nothing else may be
-// mistaken for it.
+// TestFingerprint checks that each part of a request changes the fingerprint, that other splits of
+// the same bytes do too, and that equal requests have equal fingerprints.
 func TestFingerprint(t *testing.T) {
 	base := Request{Workspace: "w", Method: "POST", Host: "h", Target: "/a/b", Body: []byte("text")}
 	others := map[string]func(r *Request){
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -10,192 +10,194 @@
 )
 
 const (
-	// crashesBefore is how many endpoints must have crashed under a request that had not
-	// answered anything there for it to be quarantined. Each of the up to sixteen requests
-	// that shared the endpoint has the same sign against it, so one crash says little, and
-	// two happen to requests that are sent again together. After three the users allow
-	// three sends more, for those that are on their way.
-	crashesBefore = 3
-	// crashesInAll is the same where it had begun to answer: most that crash an endpoint do
-	// so at their beginning, and streams under way are those that share it.
-	crashesInAll = 5
-	// sameMoment is how soon after one crash another counts as the same event: whoever ends
-	// many endpoints at once ends them within milliseconds, and work that many callers ask
-	// for is on all of them. Endpoints that crashed under one request that came again and
-	// again ended 80 ms to some seconds apart.
-	sameMoment = 50 * time.Millisecond
-	// firstRest is how long after its newest crash a request stays quarantined. It doubles
-	// with each crash beyond those that were needed, up to longestRest: one that is sent
-	// once more by then and crashes another endpoint has to wait longer each time.
-	firstRest   = 10 * time.Minute
-	longestRest = 24 * time.Hour
-	// suspectLife is how long a crash counts against a request that was not sent since, or
-	// comes seldom.
-	suspectLife = time.Hour
-	// sameTime is how far apart two gateways may date the same event: each dates it by when
-	// it heard of it.
-	sameTime = 500 * time.Millisecond
-	// mostCrashes is how many crashes are remembered of one request, and how many endpoints
-	// that ended it well.
-	mostCrashes = 12
-	// goodLife is how long before its newest crash a good end speaks for a request: the
-	// engines may have been replaced since.
-	goodLife = time.Minute
-	// sweepEvery is how often old records are looked for.
-	sweepEvery = time.Minute
-	// MostRequests bounds the requests that are remembered, at most 0.9 KB each; each crash brings
-	// up to sixteen.
-	MostRequests = 4096
+	// minCrashesBefore is how many endpoints must have crashed under a request, before the request
+	// had begun to be answered there, for it to be quarantined. A crash is counted against each of
+	// the up to sixteen requests that shared the endpoint. One crash therefore says little, and
+	// requests that are retried together share two. After the third crash the requirement allows
+	// three more sends, for copies that are already on their way.
+	minCrashesBefore = 3
+	// minCrashesTotal is how many crashes quarantine a request if they include those after the
+	// beginning of the answer. It is higher because most requests that crash an endpoint do so at
+	// their beginning, while a stream in progress tends to be one that only shared the endpoint.
+	minCrashesTotal = 5
+	// correlationWindow is how soon after one crash another counts as the same event. Endpoints
+	// that are terminated together end within milliseconds, and a request that many callers send
+	// is on all of them. Endpoints that crash under one request that is sent repeatedly end 80 ms
+	// to some seconds apart.
+	correlationWindow = 50 * time.Millisecond
+	// minQuarantine is how long a request stays quarantined after its newest crash. The time doubles
+	// with each crash beyond minCrashesBefore, up to maxQuarantine, so that a request that crashes
+	// another endpoint when it is sent again has to wait longer each time.
+	minQuarantine = 10 * time.Minute
+	maxQuarantine = 24 * time.Hour
+	// crashTTL is how long a crash counts against a request that is not sent again, or seldom.
+	crashTTL = time.Hour
+	// timestampTolerance is how far the times that two gateways assign to the same event may
+	// differ: each takes the time at which it learned of the event.
+	timestampTolerance = 500 * time.Millisecond
+	// maxCrashes is how many crashes are kept of one request, and how many successes.
+	maxCrashes = 12
+	// successWindow is how long before the newest crash a success still counts in favour of a
+	// request: the engines may have been replaced since.
+	successWindow = time.Minute
+	// sweepInterval is how often expired records are removed.
+	sweepInterval = time.Minute
+	// MaxRequests bounds the number of records. A record takes at most 0.9 KB, and each crash adds
+	// up to sixteen records.
+	MaxRequests = 4096
 )
 
-// Incarnation identifies one life of an endpoint.
+// Incarnation identifies one run of an endpoint, from one start to the next.
 type Incarnation uint64
 
-// IncarnationOf returns the identity of an endpoint's life that began at born, which is
-// zero where it does not tell.
+// IncarnationOf returns the identity of the endpoint's incarnation that started at born, which is
+// zero if the endpoint does not state it.
 func IncarnationOf(endpoint string, born int64) Incarnation {
 	var b [8]byte
 	for i := range b {
 		b[i] = byte(born >> (8 * i))
 	}
 	d := xxhash.New()
-	_, _ = d.WriteString(endpoint) // a hash takes all that it is given
+	_, _ = d.WriteString(endpoint) // writing to a hash never fails
 	_, _ = d.Write(b[:])
 	return Incarnation(d.Sum64())
 }
 
-// Crash is one endpoint that crashed while a request was on it.
+// Crash describes an endpoint that crashed while it was running a request.
 type Crash struct {
 	Endpoint Incarnation
-	Begun    bool // whether a part of the answer had come from there
+	Begun    bool // whether a part of the response had arrived from the endpoint
 	At       time.Time
 }
 
-// Verdict is what is believed of a request.
+// Verdict is the assessment of a request.
 type Verdict struct {
-	// Before and Within are how many times endpoints crashed before and after it had begun
-	// to answer there.
+	// Before and Within count the crashes before and after the endpoint had begun to answer the
+	// request.
 	Before, Within int
-	// Good is how many endpoints ended it well, not long before the newest crash or since. As many as crashed speak for it: work that
-	// many callers ask for is on every endpoint that fails, and ends well on all others. One
-	// endpoint alone does not: it may be of another kind.
+	// Good is how many endpoints completed the request, within successWindow before its newest
+	// crash or later. The request is not quarantined if they are at least as many as the crashes:
+	// a request that many callers send is on every endpoint that fails, and is completed on all
+	// others. Each endpoint counts once, because a single one may be of another kind.
 	Good int
-	// Until is when it may be sent again; zero: it is not quarantined.
+	// Until is when the request may be sent again; zero if it is not quarantined.
 	Until time.Time
 }
 
 // Quarantined reports whether the request must not be sent.
 func (v Verdict) Quarantined() bool { return !v.Until.IsZero() }
 
-// origin is how a gateway learned something, which decides whom it tells.
+// origin is where a gateway learned of an event. It determines to which gateways the event is
+// forwarded.
 type origin uint8
 
 const (
-	own  origin = iota // it saw that itself
-	near               // a gateway of its own cell told it
-	far                // a gateway of another cell, or the store
+	local     origin = iota // observed by this gateway
+	sameCell                // reported by a gateway of the same cell
+	otherCell               // reported by a gateway of another cell, or read from the store
 )
 
-// goodEnd is an endpoint that ended a request well, and when it did so last.
-type goodEnd struct {
+// success is an endpoint that completed a request, and when it last did.
+type success struct {
 	endpoint Incarnation
 	at       time.Time
 }
 
-// record is what is known of one request.
+// record holds what is known of one request.
 type record struct {
-	made    time.Time
-	crashes []Crash   // by time, one for each endpoint
-	good    []goodEnd // by time, one for each endpoint, since it is known
-	cleared time.Time // when an operator cleared it of all before
-	news    []news    // what others may not have heard yet
+	createdAt time.Time
+	crashes   []Crash   // sorted by time, one for each incarnation
+	successes []success // sorted by time, one for each incarnation, since the record exists
+	clearedAt time.Time // when an operator cleared the request of all earlier crashes
+	updates   []update  // that other gateways may not have received yet
 }
 
-// Table holds what is known of requests that were on endpoints that crashed. It is not safe
-// for concurrent use.
+// Table holds a record of each request that an endpoint was running when it crashed. It is not
+// safe for concurrent use.
 type Table struct {
 	records map[Fingerprint]*record
-	heads   map[uint64]int // how many records have a head
-	// fresh are the requests of which there is news.
-	fresh map[Fingerprint]struct{}
-	swept time.Time // when old records were forgotten last
-	// repeated is where the turn of the quarantined ones to be told again stands.
-	repeated int
+	heads   map[uint64]int // number of records by Fingerprint.Head
+	// updated are the requests whose records have updates.
+	updated   map[Fingerprint]struct{}
+	lastSweep time.Time // when expired records were last removed
+	// repeatCursor is the position of Repeat in the sorted list of quarantined requests.
+	repeatCursor int
 }
 
-// NewTable returns a table that knows nothing.
+// NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{records: make(map[Fingerprint]*record), heads: make(map[uint64]int), fresh: make(map[Fingerprint]struct{})}
+	return &Table{records: make(map[Fingerprint]*record), heads: make(map[uint64]int), updated: make(map[Fingerprint]struct{})}
 }
 
-// Len returns how many requests are remembered.
+// Len returns the number of records.
 func (t *Table) Len() int { return len(t.records) }
 
-// MayKnow reports whether there may be something to say of a request with that head.
+// MayKnow reports whether a request with that Head may have a record.
 func (t *Table) MayKnow(head uint64) bool { return t.heads[head] > 0 }
 
-// Crashed takes in that an endpoint crashed while a request of this gateway was on it.
-func (t *Table) Crashed(f Fingerprint, c Crash, now time.Time) { t.add(f, c, own, now) }
+// Crashed records that an endpoint crashed while it was running a request of this gateway.
+func (t *Table) Crashed(f Fingerprint, c Crash, now time.Time) { t.addCrash(f, c, local, now) }
 
-// Served takes in that an endpoint ended a request of this gateway well. It reports whether
-// that is of interest, since something stands against the request.
+// Served records that an endpoint completed a request of this gateway. It reports whether that is
+// new information about a request that has a record; other requests are ignored.
 func (t *Table) Served(f Fingerprint, endpoint Incarnation, now time.Time) bool {
-	return t.records[f] != nil && t.serve(f, goodEnd{endpoint, now}, own, now)
+	return t.records[f] != nil && t.addSuccess(f, success{endpoint, now}, local, now)
 }
 
-// Clear takes in that an operator clears a request; it reports whether anything stood
-// against it.
+// Clear drops the crashes of a request at an operator's command. It reports whether there were
+// any.
 func (t *Table) Clear(f Fingerprint, now time.Time) bool {
 	r := t.records[f]
-	return r != nil && len(r.crashes) > 0 && t.clear(f, now, own, now)
+	return r != nil && len(r.crashes) > 0 && t.clear(f, now, local, now)
 }
 
-// add takes in a crash; it reports whether it is new.
-func (t *Table) add(f Fingerprint, c Crash, from origin, now time.Time) bool {
+// addCrash records a crash and reports whether it is new.
+func (t *Table) addCrash(f Fingerprint, c Crash, from origin, now time.Time) bool {
 	r := t.records[f]
-	if r != nil && (!c.At.After(r.cleared) || r.knows(c.Endpoint)) || now.Sub(c.At) > longestRest {
+	if r != nil && (!c.At.After(r.clearedAt) || r.hasCrash(c.Endpoint)) || now.Sub(c.At) > maxQuarantine {
 		return false
 	}
 	if r == nil {
-		r = t.remember(f, now)
+		r = t.newRecord(f, now)
 	}
 	r.crashes = append(r.crashes, c)
 	slices.SortStableFunc(r.crashes, func(a, b Crash) int { return a.At.Compare(b.At) })
-	if len(r.crashes) > mostCrashes {
+	if len(r.crashes) > maxCrashes {
 		r.crashes = slices.Delete(r.crashes, 0, 1)
 	}
-	t.note(r, news{Report: Report{Kind: Crashed, Fingerprint: f, Endpoint: c.Endpoint, Begun: c.Begun}, at: c.At, learned: now, from: from})
+	t.queueUpdate(r, update{Report: Report{Kind: Crashed, Fingerprint: f, Endpoint: c.Endpoint, Begun: c.Begun}, occurredAt: c.At, learnedAt: now, from: from})
 	return true
 }
 
-// note keeps a piece of news for others.
-func (t *Table) note(r *record, n news) {
-	r.news = append(r.news, n)
-	t.fresh[n.Fingerprint] = struct{}{}
+// queueUpdate queues an update for other gateways.
+func (t *Table) queueUpdate(r *record, n update) {
+	r.updates = append(r.updates, n)
+	t.updated[n.Fingerprint] = struct{}{}
 }
 
-// serve takes in that an endpoint ended a request well; it reports whether that is new. The
-// same endpoint's next good end is, when the first is about to count no more.
-func (t *Table) serve(f Fingerprint, g goodEnd, from origin, now time.Time) bool {
+// addSuccess records that an endpoint completed a request and reports whether that is new. A further
+// success of the same endpoint is new if it is at least half of successWindow later, as the earlier
+// one will soon expire.
+func (t *Table) addSuccess(f Fingerprint, g success, from origin, now time.Time) bool {
 	r := t.records[f]
 	if r == nil {
-		r = t.remember(f, now) // the crashes may be heard of later
+		r = t.newRecord(f, now) // reports of its crashes may arrive later
 	}
-	i := slices.IndexFunc(r.good, func(known goodEnd) bool { return known.endpoint == g.endpoint })
+	i := slices.IndexFunc(r.successes, func(known success) bool { return known.endpoint == g.endpoint })
 	if i < 0 {
-		r.good = append(r.good, g)
+		r.successes = append(r.successes, g)
 	} else {
-		before := r.good[i].at
-		r.good[i].at = maxTime(before, g.at)
-		if g.at.Sub(before) < goodLife/2 {
+		before := r.successes[i].at
+		r.successes[i].at = maxTime(before, g.at)
+		if g.at.Sub(before) < successWindow/2 {
 			return false
 		}
 	}
-	slices.SortStableFunc(r.good, func(a, b goodEnd) int { return a.at.Compare(b.at) })
-	if len(r.good) > mostCrashes {
-		r.good = slices.Delete(r.good, 0, 1)
+	slices.SortStableFunc(r.successes, func(a, b success) int { return a.at.Compare(b.at) })
+	if len(r.successes) > maxCrashes {
+		r.successes = slices.Delete(r.successes, 0, 1)
 	}
-	t.note(r, news{Report: Report{Kind: Served, Fingerprint: f, Endpoint: g.endpoint}, at: g.at, learned: now, from: from})
+	t.queueUpdate(r, update{Report: Report{Kind: Served, Fingerprint: f, Endpoint: g.endpoint}, occurredAt: g.at, learnedAt: now, from: from})
 	return true
 }
 
@@ -206,50 +208,51 @@
 	return b
 }
 
-// clear takes in that an operator cleared a request at that time; it reports whether that is
+// clear records that an operator cleared a request at the given time and reports whether that is
 // new.
 func (t *Table) clear(f Fingerprint, at time.Time, from origin, now time.Time) bool {
 	r := t.records[f]
 	if r == nil {
-		r = t.remember(f, now)
+		r = t.newRecord(f, now)
 	}
-	if at.Sub(r.cleared) < sameTime {
+	if at.Sub(r.clearedAt) < timestampTolerance {
 		return false
 	}
-	r.cleared = at
+	r.clearedAt = at
 	r.crashes = slices.DeleteFunc(r.crashes, func(c Crash) bool { return !c.At.After(at) })
-	t.note(r, news{Report: Report{Kind: Cleared, Fingerprint: f}, at: at, learned: now, from: from})
+	t.queueUpdate(r, update{Report: Report{Kind: Cleared, Fingerprint: f}, occurredAt: at, learnedAt: now, from: from})
 	return true
 }
 
-func (r *record) knows(e Incarnation) bool {
+func (r *record) hasCrash(e Incarnation) bool {
 	return slices.ContainsFunc(r.crashes, func(c Crash) bool { return c.Endpoint == e })
 }
 
-// remember makes a record, if need be in place of old ones.
-func (t *Table) remember(f Fingerprint, now time.Time) *record {
-	if now.Sub(t.swept) >= sweepEvery {
-		t.forgetOld(now)
+// newRecord adds an empty record. It removes expired records first, and evicts others if the table is
+// full.
+func (t *Table) newRecord(f Fingerprint, now time.Time) *record {
+	if now.Sub(t.lastSweep) >= sweepInterval {
+		t.sweep(now)
 	}
-	if len(t.records) >= MostRequests {
-		t.makeRoom()
+	if len(t.records) >= MaxRequests {
+		t.evict()
 	}
-	r := &record{made: now}
+	r := &record{createdAt: now}
 	t.records[f] = r
 	t.heads[f.Head]++
 	return r
 }
 
-// makeRoom forgets an eighth of all requests, so that it is seldom needed: those whose
-// newest crash is the oldest, and quarantined ones last.
-func (t *Table) makeRoom() {
+// evict removes an eighth of all records at once, so that it is rarely needed. It takes those with the
+// oldest newest crash first, and those over the threshold for a quarantine last.
+func (t *Table) evict() {
 	all := slices.Collect(maps.Keys(t.records))
 	slices.SortFunc(all, func(a, b Fingerprint) int {
 		x, y := t.records[a], t.records[b]
-		return cmp.Or(compareBool(x.condemned(), y.condemned()), x.newest().Compare(y.newest()))
+		return cmp.Or(compareBool(x.overThreshold(), y.overThreshold()), x.lastCrash().Compare(y.lastCrash()))
 	})
 	for _, f := range all[:len(all)/8] {
-		t.forget(f)
+		t.remove(f)
 	}
 }
 
@@ -264,33 +267,34 @@
 	}
 }
 
-func (t *Table) forget(f Fingerprint) {
+func (t *Table) remove(f Fingerprint) {
 	delete(t.records, f)
-	delete(t.fresh, f)
+	delete(t.updated, f)
 	if t.heads[f.Head]--; t.heads[f.Head] <= 0 {
 		delete(t.heads, f.Head)
 	}
 }
 
-// forgetOld drops records that decide nothing any more.
-func (t *Table) forgetOld(now time.Time) {
-	t.swept = now
+// sweep removes records that no longer affect any verdict.
+func (t *Table) sweep(now time.Time) {
+	t.lastSweep = now
 	for f, r := range t.records {
-		if now.Sub(r.newest()) > max(suspectLife, 2*r.rest()) && len(r.news) == 0 {
-			t.forget(f)
+		if now.Sub(r.lastCrash()) > max(crashTTL, 2*r.quarantineTime()) && len(r.updates) == 0 {
+			t.remove(f)
 		}
 	}
 }
 
-// newest returns when an endpoint last crashed under the request.
-func (r *record) newest() time.Time {
+// lastCrash returns when an endpoint last crashed under the request. Without a crash it returns when
+// the record was created.
+func (r *record) lastCrash() time.Time {
 	if n := len(r.crashes); n > 0 {
 		return r.crashes[n-1].At
 	}
-	return r.made
+	return r.createdAt
 }
 
-// Verdict returns what is believed of a request.
+// Verdict returns the assessment of a request.
 func (t *Table) Verdict(f Fingerprint, now time.Time) Verdict {
 	r := t.records[f]
 	if r == nil {
@@ -301,20 +305,20 @@
 
 func (r *record) verdict(now time.Time) Verdict {
 	var v Verdict
-	v.Before, v.Within = r.count()
-	v.Good = r.goodEnds()
-	if rest := r.rest(); rest > 0 && r.newest().Add(rest).After(now) {
-		v.Until = r.newest().Add(rest)
+	v.Before, v.Within = r.crashCounts()
+	v.Good = r.successCount()
+	if d := r.quarantineTime(); d > 0 && r.lastCrash().Add(d).After(now) {
+		v.Until = r.lastCrash().Add(d)
 	}
 	return v
 }
 
-// count returns how many times endpoints crashed before and after the request had begun to
-// answer there; several at the same moment count once, as the worse of them.
-func (r *record) count() (before, within int) {
+// crashCounts returns the number of crashes before and after the endpoint had begun to answer.
+// Crashes within correlationWindow count as one, which is before the answer if any of them is.
+func (r *record) crashCounts() (before, within int) {
 	for i := 0; i < len(r.crashes); {
 		first, begun := r.crashes[i], true
-		for ; i < len(r.crashes) && r.crashes[i].At.Sub(first.At) < sameMoment; i++ {
+		for ; i < len(r.crashes) && r.crashes[i].At.Sub(first.At) < correlationWindow; i++ {
 			begun = begun && r.crashes[i].Begun
 		}
 		if begun {
@@ -326,34 +330,35 @@
 	return before, within
 }
 
-// condemned reports whether endpoints crashed as often as a quarantine takes, and more often
-// than others ended the request well.
-func (r *record) condemned() bool {
-	before, within := r.count()
-	return (before >= crashesBefore || before+within >= crashesInAll) && before+within > r.goodEnds()
+// overThreshold reports whether there are enough crashes for a quarantine, and more crashes than
+// endpoints that completed the request.
+func (r *record) overThreshold() bool {
+	before, within := r.crashCounts()
+	return (before >= minCrashesBefore || before+within >= minCrashesTotal) && before+within > r.successCount()
 }
 
-// goodEnds returns how many endpoints ended the request well, not long before its newest
-// crash or since.
-func (r *record) goodEnds() int {
+// successCount returns how many endpoints completed the request within successWindow before its
+// newest crash or later.
+func (r *record) successCount() int {
 	n := 0
-	for _, g := range r.good {
-		if g.at.After(r.newest().Add(-goodLife)) {
+	for _, g := range r.successes {
+		if g.at.After(r.lastCrash().Add(-successWindow)) {
 			n++
 		}
 	}
 	return n
 }
 
-// rest returns how long after its newest crash the request may not be sent; zero: it may.
-func (r *record) rest() time.Duration {
-	if !r.condemned() {
+// quarantineTime returns how long the request is quarantined after its newest crash; zero if it is
+// not.
+func (r *record) quarantineTime() time.Duration {
+	if !r.overThreshold() {
 		return 0
 	}
-	before, within := r.count()
-	rest := firstRest
-	for range before + within - crashesBefore {
-		rest = min(longestRest, 2*rest)
+	before, within := r.crashCounts()
+	d := minQuarantine
+	for range before + within - minCrashesBefore {
+		d = min(maxQuarantine, 2*d)
 	}
-	return rest
+	return d
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -11,16 +11,16 @@
 )
 
 var (
-	start = time.Unix(1000, 0)
-	one   = Fingerprint{1, 1}
+	start       = time.Unix(1000, 0)
+	fingerprint = Fingerprint{1, 1}
 )
 
-// crash is a crash of the nth endpoint at a second.
+// crash returns a crash of the nth endpoint, at the given second after start.
 func crash(n int, begun bool, second int) Crash {
 	return Crash{Endpoint: IncarnationOf(fmt.Sprint("e", n), 0), Begun: begun, At: start.Add(time.Duration(second) * time.Second)}
 }
 
-// TestVerdict: how many endpoints have to crash, and under what circumstances.
+// TestVerdict checks how many crashes quarantine a request, before and after the beginning of an answer.
 func TestVerdict(t *testing.T) {
 	cases := []struct {
 		name           string
@@ -29,10 +29,10 @@
 	}{
 		{"one crash", 1, 0, false},
 		{"two crashes", 2, 0, false},
-		{"three before it answered", 3, 0, true},
-		{"four while it answered", 0, 4, false},
-		{"five while it answered", 0, 5, true},
-		{"some of each", 2, 2, false},
+		{"three before the answer began", 3, 0, true},
+		{"four during the answer", 0, 4, false},
+		{"five during the answer", 0, 5, true},
+		{"two of each kind", 2, 2, false},
 		{"five of both kinds", 2, 3, true},
 	}
 	for _, tc := range cases {
@@ -41,10 +41,10 @@
 			table := NewTable()
 			for n := range tc.before + tc.within {
 				c := crash(n, n >= tc.before, n)
-				table.Crashed(one, c, c.At)
-				table.Crashed(one, c, c.At) // seen by two streams of the same work
+				table.Crashed(fingerprint, c, c.At)
+				table.Crashed(fingerprint, c, c.At) // reported by two streams of the same request
 			}
-			v := table.Verdict(one, start.Add(10*time.Second))
+			v := table.Verdict(fingerprint, start.Add(10*time.Second))
 			is.Equal(v.Quarantined(), tc.want)
 			is.Equal(v.Before, tc.before)
 			is.Equal(v.Within, tc.within)
@@ -53,153 +53,154 @@
 	}
 }
 
-// TestEndpointThatStartsAgain: another life of the same endpoint is another crash.
-func TestEndpointThatStartsAgain(t *testing.T) {
+// TestEndpointThatRestarts checks that crashes of several incarnations of one endpoint count separately.
+func TestEndpointThatRestarts(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	for born := range int64(3) {
 		at := start.Add(time.Duration(born) * time.Second)
-		table.Crashed(one, Crash{Endpoint: IncarnationOf("e", born), At: at}, at)
+		table.Crashed(fingerprint, Crash{Endpoint: IncarnationOf("e", born), At: at}, at)
 	}
-	is.True(table.Verdict(one, start.Add(3*time.Second)).Quarantined())
+	is.True(table.Verdict(fingerprint, start.Add(3*time.Second)).Quarantined())
 }
 
-// TestSameMoment: endpoints that end together, as when somebody stops them all, are one sign
-// against what was on them.
+// TestSameMoment checks that endpoints that end together, as when an operator stops them all, count as one
+// crash.
 func TestSameMoment(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	for n := range 10 {
 		c := Crash{Endpoint: Incarnation(n + 1), Begun: n > 0, At: start.Add(time.Duration(n) * time.Millisecond)}
-		table.Crashed(one, c, c.At)
+		table.Crashed(fingerprint, c, c.At)
 	}
 	now := start.Add(time.Second)
-	is.Equal(table.Verdict(one, now), Verdict{Before: 1})
+	is.Equal(table.Verdict(fingerprint, now), Verdict{Before: 1})
 	for n := range 2 {
-		at := now.Add(time.Duration(n) * sameMoment)
-		table.Crashed(one, Crash{Endpoint: Incarnation(n + 20), At: at}, at)
+		at := now.Add(time.Duration(n) * correlationWindow)
+		table.Crashed(fingerprint, Crash{Endpoint: Incarnation(n + 20), At: at}, at)
 	}
-	is.True(table.Verdict(one, now.Add(time.Second)).Quarantined())
+	is.True(table.Verdict(fingerprint, now.Add(time.Second)).Quarantined())
 }
 
-// TestRest: a quarantine ends, and each crash after it makes the next one longer.
-func TestRest(t *testing.T) {
+// TestQuarantineTime checks that a quarantine ends, and that each further crash makes the next one longer.
+func TestQuarantineTime(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	for n := range 3 {
-		table.Crashed(one, crash(n, false, n-3), start)
+		table.Crashed(fingerprint, crash(n, false, n-3), start)
 	}
 	newest := start.Add(-time.Second)
-	is.Equal(table.Verdict(one, start).Until, newest.Add(firstRest))
-	is.True(!table.Verdict(one, newest.Add(firstRest)).Quarantined())
-	again := start.Add(firstRest + time.Second)
-	table.Crashed(one, Crash{Endpoint: 77, At: again}, again)
-	is.Equal(table.Verdict(one, again).Until, again.Add(2*firstRest))
+	is.Equal(table.Verdict(fingerprint, start).Until, newest.Add(minQuarantine))
+	is.True(!table.Verdict(fingerprint, newest.Add(minQuarantine)).Quarantined())
+	again := start.Add(minQuarantine + time.Second)
+	table.Crashed(fingerprint, Crash{Endpoint: 77, At: again}, again)
+	is.Equal(table.Verdict(fingerprint, again).Until, again.Add(2*minQuarantine))
 	for n := range 20 {
 		again = again.Add(time.Second)
-		table.Crashed(one, Crash{Endpoint: Incarnation(100 + n), At: again}, again)
+		table.Crashed(fingerprint, Crash{Endpoint: Incarnation(100 + n), At: again}, again)
 	}
-	is.Equal(table.Verdict(one, again).Until, again.Add(longestRest))
+	is.Equal(table.Verdict(fingerprint, again).Until, again.Add(maxQuarantine))
 }
 
-// TestServed: a request that ended well at as many endpoints as crashed under it is not
-// quarantined; one that a single endpoint of another kind ends well again and again is.
+// TestServed checks that a request is not quarantined if as many endpoints completed it as crashed, and
+// that repeated successes of a single endpoint do not prevent a quarantine.
 func TestServed(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	now := start.Add(5 * time.Second)
-	is.True(!table.Served(one, 100, start)) // nothing stood against it
+	is.True(!table.Served(fingerprint, 100, start)) // it has no crashes
 	for n := range 3 {
-		table.Crashed(one, crash(n, false, n), start)
-		is.Equal(table.Served(one, 100, start), n == 0)
+		table.Crashed(fingerprint, crash(n, false, n), start)
+		is.Equal(table.Served(fingerprint, 100, start), n == 0)
 	}
-	is.True(table.Verdict(one, now).Quarantined())
-	is.True(table.Served(one, 101, now))
-	is.True(table.Verdict(one, now).Quarantined())
-	is.True(table.Served(one, 102, now))
-	is.True(!table.Verdict(one, now).Quarantined())
-	table.Crashed(one, crash(4, false, 6), now.Add(time.Second))
-	is.True(table.Verdict(one, now).Quarantined())
+	is.True(table.Verdict(fingerprint, now).Quarantined())
+	is.True(table.Served(fingerprint, 101, now))
+	is.True(table.Verdict(fingerprint, now).Quarantined())
+	is.True(table.Served(fingerprint, 102, now))
+	is.True(!table.Verdict(fingerprint, now).Quarantined())
+	table.Crashed(fingerprint, crash(4, false, 6), now.Add(time.Second))
+	is.True(table.Verdict(fingerprint, now).Quarantined())
 }
 
-// TestGoodEndsGrowOld: what ended well before the engines were replaced does not speak for a
-// request under which the new ones crash.
-func TestGoodEndsGrowOld(t *testing.T) {
+// TestSuccessesExpire checks that successes from before the engines were replaced do not count in favour
+// of a request under which the new ones crash.
+func TestSuccessesExpire(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
-	table.Crashed(one, crash(0, false, 0), start)
-	for n := range mostCrashes + 3 {
-		is.True(table.Served(one, Incarnation(100+n), start))
+	table.Crashed(fingerprint, crash(0, false, 0), start)
+	for n := range maxCrashes + 3 {
+		is.True(table.Served(fingerprint, Incarnation(100+n), start))
 	}
-	is.Equal(table.Verdict(one, start).Good, mostCrashes)
-	now := start.Add(2 * goodLife)
-	is.True(table.Served(one, 200, now.Add(-2*time.Second)))
-	is.True(!table.Served(one, 200, now.Add(-time.Second))) // as good as before
+	is.Equal(table.Verdict(fingerprint, start).Good, maxCrashes)
+	now := start.Add(2 * successWindow)
+	is.True(table.Served(fingerprint, 200, now.Add(-2*time.Second)))
+	is.True(!table.Served(fingerprint, 200, now.Add(-time.Second))) // too soon after the first to be new
 	for n := range 3 {
-		table.Crashed(one, crash(10+n, false, int((2*goodLife).Seconds())+n), now)
+		table.Crashed(fingerprint, crash(10+n, false, int((2*successWindow).Seconds())+n), now)
 	}
-	is.Equal(table.Verdict(one, now).Good, 1)
-	is.True(table.Verdict(one, now.Add(3*time.Second)).Quarantined())
+	is.Equal(table.Verdict(fingerprint, now).Good, 1)
+	is.True(table.Verdict(fingerprint, now.Add(3*time.Second)).Quarantined())
 }
 
-// TestStrangeReports: reports of a later release, and ages of any kind, do no harm.
-func TestStrangeReports(t *testing.T) {
+// TestInvalidReports checks that reports of an unknown kind are ignored and that extreme ages are clamped.
+func TestInvalidReports(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
-	_, fresh := table.Hear([]Report{{Kind: 99, Fingerprint: one, Endpoint: 1}}, false, start)
-	is.Equal(fresh, 0)
+	_, added := table.Hear([]Report{{Kind: 99, Fingerprint: fingerprint, Endpoint: 1}}, false, start)
+	is.Equal(added, 0)
 	for n, age := range []int64{-5, 1<<63 - 1, -1 << 63} {
-		table.Hear([]Report{{Kind: Crashed, Fingerprint: one, Endpoint: Incarnation(n + 1), AgeMs: age}}, false, start)
-		is.True(!table.records[one].newest().After(start))
+		table.Hear([]Report{{Kind: Crashed, Fingerprint: fingerprint, Endpoint: Incarnation(n + 1), AgeMs: age}}, false, start)
+		is.True(!table.records[fingerprint].lastCrash().After(start))
 	}
 }
 
-// TestClear: an operator's word ends a quarantine, also against crashes from before that are
-// heard of late; what comes later counts.
+// TestClear checks that an operator's command ends a quarantine and also covers earlier crashes that are
+// reported afterwards, and that later crashes count.
 func TestClear(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
-	is.True(!table.Clear(one, start)) // nothing stood against it
+	is.True(!table.Clear(fingerprint, start)) // it has no crashes
 	for n := range 3 {
-		table.Crashed(one, crash(n, false, n), start)
+		table.Crashed(fingerprint, crash(n, false, n), start)
 	}
 	now := start.Add(5 * time.Second)
-	is.True(table.Clear(one, now))
-	is.True(!table.Verdict(one, now).Quarantined())
-	table.Hear([]Report{{Fingerprint: one, Endpoint: 9, AgeMs: 3000}}, false, now.Add(time.Second))
-	is.Equal(table.Verdict(one, now).Before, 0)
-	table.Crashed(one, crash(4, false, 6), now.Add(time.Second))
-	is.Equal(table.Verdict(one, now).Before, 1)
+	is.True(table.Clear(fingerprint, now))
+	is.True(!table.Verdict(fingerprint, now).Quarantined())
+	table.Hear([]Report{{Fingerprint: fingerprint, Endpoint: 9, AgeMs: 3000}}, false, now.Add(time.Second))
+	is.Equal(table.Verdict(fingerprint, now).Before, 0)
+	table.Crashed(fingerprint, crash(4, false, 6), now.Add(time.Second))
+	is.Equal(table.Verdict(fingerprint, now).Before, 1)
 }
 
-// TestHearAtOnce: what one message tells counts together.
-func TestHearAtOnce(t *testing.T) {
+// TestHearJudgesWholeMessage checks that Hear determines which requests became quarantined only after all
+// reports of a message, so that a Cleared counts against crashes in the same message.
+func TestHearJudgesWholeMessage(t *testing.T) {
 	is := is.New(t)
 	var reports []Report
 	for n := range 3 {
-		reports = append(reports, Report{Kind: Crashed, Fingerprint: one, Endpoint: Incarnation(n + 1), AgeMs: int64(n * 1000)})
+		reports = append(reports, Report{Kind: Crashed, Fingerprint: fingerprint, Endpoint: Incarnation(n + 1), AgeMs: int64(n * 1000)})
 	}
-	quarantined, fresh := NewTable().Hear(reports, false, start)
-	is.Equal(quarantined, []Fingerprint{one})
-	is.Equal(fresh, 3)
-	quarantined, fresh = NewTable().Hear(append(reports, Report{Kind: Cleared, Fingerprint: one}), false, start)
+	quarantined, added := NewTable().Hear(reports, false, start)
+	is.Equal(quarantined, []Fingerprint{fingerprint})
+	is.Equal(added, 3)
+	quarantined, added = NewTable().Hear(append(reports, Report{Kind: Cleared, Fingerprint: fingerprint}), false, start)
 	is.Equal(len(quarantined), 0)
-	is.Equal(fresh, 4)
+	is.Equal(added, 4)
 }
 
-// TestOrderDoesNotMatter: gateways that hear the same reports, in any order and any number of
-// times, come to the same verdict.
+// TestOrderDoesNotMatter checks that gateways that receive the same reports, in any order and any number
+// of times, reach the same verdict.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start.Add(time.Minute)
 		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Report {
 			return Report{
 				Kind:        rapid.SampledFrom([]Kind{Crashed, Crashed, Crashed, Served, Cleared}).Draw(t, "kind"),
-				Fingerprint: one, Endpoint: Incarnation(rapid.IntRange(1, 6).Draw(t, "endpoint")), Begun: rapid.Bool().Draw(t, "begun"),
+				Fingerprint: fingerprint, Endpoint: Incarnation(rapid.IntRange(1, 6).Draw(t, "endpoint")), Begun: rapid.Bool().Draw(t, "begun"),
 				AgeMs: int64(rapid.IntRange(0, 50).Draw(t, "seconds")) * 1000,
 			}
 		}), 0, 12).Draw(t, "reports")
-		// An endpoint crashes once, at one time.
+		// An incarnation crashes only once.
 		seen := make(map[Incarnation]Report)
 		for i, r := range reports {
 			if first, ok := seen[r.Endpoint]; ok && r.Kind == Crashed {
@@ -218,69 +219,69 @@
 				b.Hear([]Report{reports[i]}, true, now)
 			}
 		}
-		if a.Verdict(one, now) != b.Verdict(one, now) {
-			t.Fatalf("%+v and %+v", a.Verdict(one, now), b.Verdict(one, now))
+		if a.Verdict(fingerprint, now) != b.Verdict(fingerprint, now) {
+			t.Fatalf("%+v and %+v", a.Verdict(fingerprint, now), b.Verdict(fingerprint, now))
 		}
 	})
 }
 
-// TestBounded: any number of requests that were on endpoints that crashed takes bounded
-// memory, and does not push out one that is quarantined.
+// TestBounded checks that the number of records is bounded, and that new records do not evict a
+// quarantined request.
 func TestBounded(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	for n := range 3 {
-		table.Crashed(one, crash(n, false, n-3), start)
+		table.Crashed(fingerprint, crash(n, false, n-3), start)
 	}
-	for n := range 2 * MostRequests {
+	for n := range 2 * MaxRequests {
 		now := start.Add(time.Duration(n) * time.Millisecond)
 		table.Crashed(Fingerprint{uint64(n + 2), 1}, Crash{Endpoint: 1, At: now}, now)
 	}
-	is.True(table.Len() <= MostRequests)
-	is.True(len(table.heads) <= MostRequests)
-	is.True(table.Verdict(one, start.Add(time.Minute)).Quarantined())
-	is.True(table.MayKnow(one.Head))
-	// What is old goes as soon as something new comes.
-	late := start.Add(longestRest)
-	table.Tell(OwnCell, true, false, late) // nothing is news by then
+	is.True(table.Len() <= MaxRequests)
+	is.True(len(table.heads) <= MaxRequests)
+	is.True(table.Verdict(fingerprint, start.Add(time.Minute)).Quarantined())
+	is.True(table.MayKnow(fingerprint.Head))
+	// Expired records are removed when a new one is added.
+	late := start.Add(maxQuarantine)
+	table.Tell(OwnCell, true, false, late) // all updates have expired
 	table.Crashed(Fingerprint{1, 9}, Crash{Endpoint: 1, At: late}, late)
 	is.Equal(table.Len(), 1)
 	is.True(table.MayKnow(1))
 	is.True(!table.MayKnow(2))
 }
 
-// TestTell: who tells whom, and for how long.
+// TestTell checks which updates go to which audience, how often and for how long.
 func TestTell(t *testing.T) {
 	is := is.New(t)
-	count := func(table *Table, a Audience, speaks bool) int { return len(table.Tell(a, speaks, false, start)) }
-	saw, heardNear, heardFar := NewTable(), NewTable(), NewTable()
-	saw.Crashed(one, crash(1, false, 0), start)
-	reports := saw.Tell(OwnCell, false, false, start)
-	_, fresh := heardNear.Hear(reports, false, start)
-	is.Equal(fresh, 1)
-	_, fresh = heardNear.Hear(reports, false, start)
-	is.Equal(fresh, 0)
-	heardFar.Hear(reports, true, start)
+	count := func(table *Table, a Audience, rep bool) int { return len(table.Tell(a, rep, false, start)) }
+	observer, peer, remotePeer := NewTable(), NewTable(), NewTable()
+	observer.Crashed(fingerprint, crash(1, false, 0), start)
+	reports := observer.Tell(OwnCell, false, false, start)
+	_, added := peer.Hear(reports, false, start)
+	is.Equal(added, 1)
+	_, added = peer.Hear(reports, false, start)
+	is.Equal(added, 0)
+	remotePeer.Hear(reports, true, start)
 
-	is.Equal(count(saw, OwnCell, false), 1)
-	is.Equal(count(saw, OtherCells, false), 0) // that is for those who speak
-	is.Equal(count(saw, OtherCells, true), 1)
-	is.Equal(count(heardNear, OwnCell, true), 0) // all have heard it
-	is.Equal(count(heardNear, OtherCells, true), 1)
-	is.Equal(count(heardFar, OwnCell, false), 0)
-	is.Equal(count(heardFar, OwnCell, true), 1)
-	is.Equal(count(heardFar, OtherCells, true), 0) // it does not go round
+	is.Equal(count(observer, OwnCell, false), 1)
+	is.Equal(count(observer, OtherCells, false), 0) // only representatives send to other cells
+	is.Equal(count(observer, OtherCells, true), 1)
+	is.Equal(count(peer, OwnCell, true), 0) // all of the cell have received it from the observer
+	is.Equal(count(peer, OtherCells, true), 1)
+	is.Equal(count(remotePeer, OwnCell, false), 0)
+	is.Equal(count(remotePeer, OwnCell, true), 1)
+	is.Equal(count(remotePeer, OtherCells, true), 0) // it does not circulate
 
-	for range urgentTellings {
-		is.Equal(len(saw.Tell(OwnCell, false, true, start)), 1)
+	for range maxUrgentSends {
+		is.Equal(len(observer.Tell(OwnCell, false, true, start)), 1)
 	}
-	is.Equal(len(saw.Tell(OwnCell, false, true, start)), 0)
-	is.Equal(len(saw.Tell(OwnCell, false, false, start.Add(newsLife))), 1)
-	is.Equal(len(saw.Tell(OwnCell, false, false, start.Add(newsLife+time.Millisecond))), 0)
+	is.Equal(len(observer.Tell(OwnCell, false, true, start)), 0)
+	is.Equal(len(observer.Tell(OwnCell, false, false, start.Add(updateTTL))), 1)
+	is.Equal(len(observer.Tell(OwnCell, false, false, start.Add(updateTTL+time.Millisecond))), 0)
 }
 
-// TestRepeat: one that has heard nothing so far comes to the same verdict by what is
-// repeated; many quarantined requests are repeated in turn, and none is left out.
+// TestRepeat checks that a gateway without records reaches the same verdicts from repeated reports, and
+// that many quarantined requests are repeated in turn without leaving any out.
 func TestRepeat(t *testing.T) {
 	is := is.New(t)
 	table, other := NewTable(), NewTable()
@@ -292,9 +293,9 @@
 		}
 	}
 	table.Crashed(Fingerprint{many, 1}, crash(0, false, 0), start) // not quarantined
-	for range 3*many/MostReports + 1 {
+	for range 3*many/MaxReports + 1 {
 		reports := table.Repeat(start)
-		is.True(len(reports) <= MostReports)
+		is.True(len(reports) <= MaxReports)
 		other.Hear(reports, true, start)
 	}
 	is.Equal(other.Len(), many)
@@ -305,16 +306,16 @@
 	is.True(len(quarantined) > 0)
 }
 
-// TestRecall: what was kept decides as before, and is no news.
+// TestRecall checks that a restored entry gives the same verdict and queues no updates.
 func TestRecall(t *testing.T) {
 	is := is.New(t)
 	before, after := NewTable(), NewTable()
 	for n := range 3 {
-		before.Crashed(one, crash(n, false, n), start)
+		before.Crashed(fingerprint, crash(n, false, n), start)
 	}
 	now := start.Add(time.Minute)
-	after.Recall(before.Entry(one), now)
-	is.Equal(after.Verdict(one, now), before.Verdict(one, now))
+	after.Recall(before.Entry(fingerprint), now)
+	is.Equal(after.Verdict(fingerprint, now), before.Verdict(fingerprint, now))
 	is.Equal(len(after.Tell(OwnCell, true, false, now)), 0)
 	is.Equal(len(before.Entry(Fingerprint{5, 5}).Crashes), 0)
 }
--- a/quarantine/tell.go
+++ b/quarantine/tell.go
@@ -7,98 +7,96 @@
 )
 
 const (
-	// newsLife is how long something new is told: eight regular messages, so that a third
-	// of them may be lost.
-	newsLife = 2 * time.Second
-	// urgentTellings is how often it is told in messages that go out beside the regular
-	// ones.
-	urgentTellings = 3
-	// MostReports bounds what one message tells, some 40 bytes each. A crash brings sixteen
-	// reports at the most, of all gateways together.
-	MostReports = 64
+	// updateTTL is how long an update is sent. It covers eight regular messages, so that a third of
+	// them may be lost.
+	updateTTL = 2 * time.Second
+	// maxUrgentSends is how often an update is sent in urgent messages, which go out in addition to
+	// the regular ones.
+	maxUrgentSends = 3
+	// MaxReports bounds the number of reports in one message. A report takes about 40 bytes, and a
+	// crash causes at most sixteen of them at all gateways together.
+	MaxReports = 64
 )
 
-// Kind is what a report tells.
+// Kind is the kind of event that a Report describes.
 type Kind uint8
 
-// The kinds.
 const (
-	Crashed Kind = iota // an endpoint crashed while the request was on it
-	Served              // an endpoint ended it well
-	Cleared             // an operator cleared it of all before
+	Crashed Kind = iota // an endpoint crashed while it was running the request
+	Served              // an endpoint completed the request
+	Cleared             // an operator cleared the request of all earlier crashes
 )
 
-// Report is what one gateway tells another of a request, which happened AgeMs ago. Its fields
-// are sent in this order: new ones come last.
+// Report tells another gateway of an event that concerns a request and happened AgeMs ago. The
+// fields are encoded by position: new ones go last.
 type Report struct {
 	Kind        Kind
 	Fingerprint Fingerprint
 	Endpoint    Incarnation
-	Begun       bool // it had begun to answer there
+	Begun       bool // whether the endpoint had begun to answer
 	AgeMs       int64
 }
 
-// news is a report that others may not have heard.
-type news struct {
+// update is a report that other gateways may not have received yet.
+type update struct {
 	Report
-	at       time.Time // when it happened
-	learned  time.Time
-	from     origin
-	tellings int
+	occurredAt  time.Time // when the event happened
+	learnedAt   time.Time
+	from        origin
+	urgentSends int
 }
 
-// Audience is whom a message is for.
+// Audience is the group of gateways that a message is for.
 type Audience uint8
 
-// The audiences.
 const (
 	OwnCell Audience = iota
 	OtherCells
 )
 
-// concerns reports whether a gateway that speaks for its cell, or does not, tells a piece
-// of news to an audience. What a gateway saw itself it tells its own cell; those that speak
-// for a cell tell the others what was seen in theirs, and theirs what comes from others, so
-// that everything arrives everywhere and nothing goes round.
-func (n *news) concerns(a Audience, speaks bool) bool {
+// isFor reports whether this gateway sends the update to an audience; representative is set if the
+// gateway represents its cell towards the others. Every gateway sends its own cell what it observed
+// itself. Representatives send other cells what was observed in their own, and their own cell what
+// comes from others. So every update reaches all cells and none circulates.
+func (n *update) isFor(a Audience, representative bool) bool {
 	if a == OwnCell {
-		return n.from == own || speaks && n.from == far
+		return n.from == local || representative && n.from == otherCell
 	}
-	return speaks && n.from != far
+	return representative && n.from != otherCell
 }
 
-// Tell returns what is new for an audience; urgent is set for a message beside the regular
-// ones.
-func (t *Table) Tell(a Audience, speaks, urgent bool, now time.Time) []Report {
+// Tell returns the updates for an audience. representative is set if this gateway represents its cell
+// towards the others, urgent for a message in addition to the regular ones.
+func (t *Table) Tell(a Audience, representative, urgent bool, now time.Time) []Report {
 	var out []Report
-	for f := range t.fresh {
+	for f := range t.updated {
 		r := t.records[f]
-		r.news = slices.DeleteFunc(r.news, func(n news) bool { return now.Sub(n.learned) > newsLife })
-		if len(r.news) == 0 {
-			delete(t.fresh, f)
+		r.updates = slices.DeleteFunc(r.updates, func(n update) bool { return now.Sub(n.learnedAt) > updateTTL })
+		if len(r.updates) == 0 {
+			delete(t.updated, f)
 		}
-		for i := range r.news {
-			n := &r.news[i]
-			if len(out) >= MostReports || !n.concerns(a, speaks) || urgent && n.tellings >= urgentTellings {
+		for i := range r.updates {
+			n := &r.updates[i]
+			if len(out) >= MaxReports || !n.isFor(a, representative) || urgent && n.urgentSends >= maxUrgentSends {
 				continue
 			}
 			if urgent {
-				n.tellings++
+				n.urgentSends++
 			}
-			out = append(out, n.aged(now))
+			out = append(out, n.report(now))
 		}
 	}
 	return out
 }
 
-func (n *news) aged(now time.Time) Report {
+func (n *update) report(now time.Time) Report {
 	r := n.Report
-	r.AgeMs = now.Sub(n.at).Milliseconds()
+	r.AgeMs = now.Sub(n.occurredAt).Milliseconds()
 	return r
 }
 
-// Repeat returns all that stands against the quarantined requests, a part of them in turn
-// where they are many: gateways that were out of touch, or have started since, hear of them.
+// Repeat returns the reports on quarantined requests again, for gateways that were disconnected or
+// have started since. If they are more than MaxReports, successive calls return them in turn.
 func (t *Table) Repeat(now time.Time) []Report {
 	var all []Fingerprint
 	for f, r := range t.records {
@@ -112,44 +110,44 @@
 	slices.SortFunc(all, func(a, b Fingerprint) int { return cmp.Or(cmp.Compare(a.Head, b.Head), cmp.Compare(a.Body, b.Body)) })
 	var out []Report
 	for range all {
-		f := all[t.repeated%len(all)]
+		f := all[t.repeatCursor%len(all)]
 		next := t.records[f].reports(f, now)
-		if len(out)+len(next) > MostReports {
+		if len(out)+len(next) > MaxReports {
 			return out
 		}
 		out = append(out, next...)
-		t.repeated++
+		t.repeatCursor++
 	}
 	return out
 }
 
-// reports returns all that is known of one request.
+// reports returns reports of all crashes and successes of the request.
 func (r *record) reports(f Fingerprint, now time.Time) []Report {
-	out := make([]Report, 0, len(r.crashes)+len(r.good))
+	out := make([]Report, 0, len(r.crashes)+len(r.successes))
 	for _, c := range r.crashes {
 		out = append(out, Report{Kind: Crashed, Fingerprint: f, Endpoint: c.Endpoint, Begun: c.Begun, AgeMs: now.Sub(c.At).Milliseconds()})
 	}
-	for _, g := range r.good {
+	for _, g := range r.successes {
 		out = append(out, Report{Kind: Served, Fingerprint: f, Endpoint: g.endpoint, AgeMs: now.Sub(g.at).Milliseconds()})
 	}
 	return out
 }
 
-// Hear takes in what a gateway of this cell or of another one tells. It returns the requests
-// that are quarantined by it, and how many reports were new.
-func (t *Table) Hear(reports []Report, fromAfar bool, now time.Time) (quarantined []Fingerprint, fresh int) {
-	from := near
-	if fromAfar {
-		from = far
+// Hear records the reports of a gateway of this cell or of another one. It returns the requests that
+// became quarantined by them, and the number of reports that were new.
+func (t *Table) Hear(reports []Report, fromOtherCell bool, now time.Time) (quarantined []Fingerprint, added int) {
+	from := sameCell
+	if fromOtherCell {
+		from = otherCell
 	}
-	reports = reports[:min(len(reports), 2*MostReports)] // news, and what is repeated
+	reports = reports[:min(len(reports), 2*MaxReports)] // the results of Tell and of Repeat
 	before := make(map[Fingerprint]bool)
 	for _, r := range reports {
 		if _, seen := before[r.Fingerprint]; !seen {
 			before[r.Fingerprint] = t.Verdict(r.Fingerprint, now).Quarantined()
 		}
-		if t.hear(r, from, now) {
-			fresh++
+		if t.applyReport(r, from, now) {
+			added++
 		}
 	}
 	for f, was := range before {
@@ -157,32 +155,32 @@
 			quarantined = append(quarantined, f)
 		}
 	}
-	return quarantined, fresh
+	return quarantined, added
 }
 
-func (t *Table) hear(r Report, from origin, now time.Time) bool {
-	age := min(max(0, r.AgeMs), longestRest.Milliseconds())
+func (t *Table) applyReport(r Report, from origin, now time.Time) bool {
+	age := min(max(0, r.AgeMs), maxQuarantine.Milliseconds())
 	at := now.Add(-time.Duration(age) * time.Millisecond)
 	switch r.Kind {
 	case Crashed:
-		return t.add(r.Fingerprint, Crash{r.Endpoint, r.Begun, at}, from, now)
+		return t.addCrash(r.Fingerprint, Crash{r.Endpoint, r.Begun, at}, from, now)
 	case Served:
-		return t.serve(r.Fingerprint, goodEnd{r.Endpoint, at}, from, now)
+		return t.addSuccess(r.Fingerprint, success{r.Endpoint, at}, from, now)
 	case Cleared:
 		return t.clear(r.Fingerprint, at, from, now)
 	default:
-		return false // of a later release
+		return false // a kind of a later release
 	}
 }
 
-// Entry is all that stands against one request, as it is kept beyond the life of all
-// gateways.
+// Entry holds the crashes of one request in the form in which the store keeps them, also while no
+// gateway is running.
 type Entry struct {
 	Fingerprint Fingerprint
 	Crashes     []Crash
 }
 
-// Entry returns what to keep of a request.
+// Entry returns the entry to store for a request.
 func (t *Table) Entry(f Fingerprint) Entry {
 	e := Entry{Fingerprint: f}
 	if r := t.records[f]; r != nil {
@@ -191,28 +189,28 @@
 	return e
 }
 
-// Recall takes in what was kept. Other gateways recall it too, so it is no news to them.
+// Recall restores a request from its stored entry. It queues no updates, because the other gateways
+// restore the entry themselves.
 func (t *Table) Recall(e Entry, now time.Time) {
-	for _, c := range e.Crashes[:min(len(e.Crashes), mostCrashes)] {
-		t.add(e.Fingerprint, c, far, now)
+	for _, c := range e.Crashes[:min(len(e.Crashes), maxCrashes)] {
+		t.addCrash(e.Fingerprint, c, otherCell, now)
 	}
 	if r := t.records[e.Fingerprint]; r != nil {
-		r.news = nil
-		delete(t.fresh, e.Fingerprint)
+		r.updates = nil
+		delete(t.updated, e.Fingerprint)
 	}
 }
 
-// Listing is a request against which something stands, as operators are shown it.
+// Listing describes a request that has crashes, as shown to operators.
 type Listing struct {
 	Fingerprint   string `json:"fingerprint"`
 	CrashedBefore int    `json:"crashed_before"` // see Verdict
 	CrashedWithin int    `json:"crashed_within"`
 	EndedWell     int    `json:"ended_well"`
-	ForMs         int64  `json:"for_ms"` // until it may be sent again; 0: it may
+	ForMs         int64  `json:"for_ms"` // until it may be sent again; 0 if it may be sent now
 }
 
-// List returns all requests against which something stands, those that stay quarantined for
-// the longest time first.
+// List returns all requests that have crashes, those with the longest remaining quarantine first.
 func (t *Table) List(now time.Time) []Listing {
 	out := []Listing{}
 	for f, r := range t.records {
@@ -232,7 +230,7 @@
 	return out
 }
 
-// Quarantined returns the requests that are quarantined now.
+// Quarantined returns the requests that are quarantined at now.
 func (t *Table) Quarantined(now time.Time) []Fingerprint {
 	var out []Fingerprint
 	for f := range t.records {
