--- a/ratelimit/coordinator.go
+++ b/ratelimit/coordinator.go
@@ -7,90 +7,94 @@
 )
 
 const (
-	// burstSpan is for how long an endpoint's unused sends are kept, so that callers who come unevenly
-	// use what it takes.
-	burstSpan = 500 * time.Millisecond
-	// leastRate is the lowest rate at which requests are sent, in requests a second, also to an endpoint that takes none: without an answer
-	// nobody would learn that its need is over.
-	leastRate = 0.1
-	// ProbeEvery is how long an endpoint with a limit may go without a request while others have room: the answer tells
-	// whether it still has one.
+	// burstWindow is how long the unused part of an endpoint's limit accumulates, so that requests that
+	// arrive unevenly can use all of the limit.
+	burstWindow = 500 * time.Millisecond
+	// minRate is the lowest rate at which requests are sent, in requests a second. It also applies to an
+	// endpoint that accepts none: without a response no gateway would learn that the limit has ended.
+	minRate = 0.1
+	// ProbeEvery is how long an endpoint with a limit may go without a request while other endpoints
+	// have capacity. The response to a probe shows whether it still has a limit.
 	ProbeEvery = time.Second
-	// longestPromise bounds the time to come back that a refused caller is told.
-	longestPromise = 10 * time.Second
+	// maxRetryAfter bounds the time after which a refused caller is told to retry.
+	maxRetryAfter = 10 * time.Second
 )
 
-// Ask is a request that waits for one of several endpoints with limits.
+// Ask is a request that asks to be sent to one of several endpoints with limits.
 type Ask struct {
 	Service string
-	// Endpoints are those that will do, the best first.
+	// Endpoints are the acceptable endpoints, in order of preference.
 	Endpoints []string
 	Urgency   int       // 0 is the most urgent
-	Since     time.Time // when its caller came
-	Until     time.Time // how long it is worth waiting
-	// Probe is set for a request that others would take at once.
+	Since     time.Time // when the caller's request arrived
+	Until     time.Time // how long it may wait
+	// Probe is set for a request that other endpoints would accept at once.
 	Probe bool
-	// expected is when it would be granted, by the newest plan, and at which endpoint.
-	expected time.Time
-	endpoint string
+	// expectedAt and endpoint are when and for which endpoint the newest plan grants the request.
+	expectedAt time.Time
+	endpoint   string
 }
 
-// Answer is what becomes of an Ask.
+// Answer is the coordinator's decision about an Ask.
 type Answer struct {
-	// Endpoint is where the request may be sent now; empty: nowhere yet.
+	// Endpoint is where the request may be sent now; empty if it is not granted yet.
 	Endpoint string
-	// Refused is set when no endpoint can take it in its time; its caller had better come back
-	// after RetryAfter.
+	// Refused is set if no endpoint can accept the request in time. Its caller should retry after
+	// RetryAfter.
 	Refused    bool
 	RetryAfter time.Duration
-	// Unlimited is set when none of the endpoints has a limit that the coordinator knows of: it has ended, or is too new.
+	// Unlimited is set if the coordinator knows of no limit for any of the endpoints, because it has
+	// ended or is too new.
 	Unlimited bool
-	// Expected is when it will be granted, where none of these holds.
+	// Expected is when the request is expected to be granted, if none of the other fields is set.
 	Expected time.Time
 }
 
-// pacer spaces the sends to one endpoint.
+// pacer spaces the grants for one endpoint.
 type pacer struct {
-	next     time.Time     // when the next send is due at an even pace
-	interval time.Duration // of that pace
-	granted  time.Time     // of the newest send; zero: none was granted yet
+	next      time.Time     // when the next grant is due at an even rate
+	interval  time.Duration // between two grants at that rate
+	lastGrant time.Time     // zero if there was none yet
 }
 
-// Coordinator grants the sends to endpoints with limits one by one, to the most urgent requests first and among
-// these in the order in which their callers came. It is not safe for concurrent use.
+// Coordinator grants requests to endpoints with limits one by one, the most urgent first and those of equal
+// urgency in order of arrival. It is not safe for concurrent use.
 type Coordinator struct {
 	pacers  map[string]*pacer
 	waiting []*Ask
-	// promised is, by service, when the caller that was refused last was told to come back.
-	promised map[string]time.Time
+	// nextRetry is the time at which the last refused caller was told to retry, by service, not counting
+	// times capped by maxRetryAfter.
+	nextRetry map[string]time.Time
 }
 
-// NewCoordinator returns one that has granted nothing.
+// NewCoordinator returns a coordinator that has granted nothing.
 func NewCoordinator() *Coordinator {
-	return &Coordinator{pacers: make(map[string]*pacer), promised: make(map[string]time.Time)}
+	return &Coordinator{pacers: make(map[string]*pacer), nextRetry: make(map[string]time.Time)}
 }
 
-// Rates tells how many requests a second this coordinator may grant of an endpoint; ok is false for one without a limit.
+// Rates returns how many requests a second the coordinator may grant for an endpoint; ok is false if the
+// endpoint has no limit.
 type Rates func(endpoint string) (perSecond float64, ok bool)
 
-// Reset forgets what was granted: another gateway has coordinated meanwhile.
+// Reset drops the history of grants, after another gateway was the coordinator.
 func (c *Coordinator) Reset() { c.pacers = make(map[string]*pacer) }
 
-// Forget drops what was granted of an endpoint that has no limit any more.
+// Forget drops the history of an endpoint that no longer has a limit.
 func (c *Coordinator) Forget(endpoint string) { delete(c.pacers, endpoint) }
 
-// Leave takes a request out of those that wait.
+// Leave removes a waiting request.
 func (c *Coordinator) Leave(a *Ask) {
 	c.waiting = slices.DeleteFunc(c.waiting, func(w *Ask) bool { return w == a })
 }
 
-// Try decides about a request that is waiting or has just come. It waits on unless it was granted or refused.
+// Try decides about a request that is waiting or has just arrived. The request keeps waiting unless it is
+// granted, refused or not limited.
 func (c *Coordinator) Try(a *Ask, rates Rates, now time.Time) Answer {
 	if a.Probe {
 		return c.tryProbe(a, rates, now)
 	}
 	if !slices.Contains(c.waiting, a) {
-		at, _ := slices.BinarySearchFunc(c.waiting, a, byUrgency)
+		at, _ := slices.BinarySearchFunc(c.waiting, a, compareAsks)
 		c.waiting = slices.Insert(c.waiting, at, a)
 	}
 	c.plan(rates, now)
@@ -98,24 +102,24 @@
 	case a.endpoint == "":
 		c.Leave(a)
 		return Answer{Unlimited: true}
-	case a.expected.After(a.Until):
+	case a.expectedAt.After(a.Until):
 		c.Leave(a)
-		return Answer{Refused: true, RetryAfter: c.promise(a, rates, now)}
-	case a.expected.After(now):
-		return Answer{Expected: a.expected}
+		return Answer{Refused: true, RetryAfter: c.retryAfter(a, rates, now)}
+	case a.expectedAt.After(now):
+		return Answer{Expected: a.expectedAt}
 	default:
 		c.Leave(a)
-		c.take(a.endpoint, rates, now)
+		c.recordGrant(a.endpoint, rates, now)
 		return Answer{Endpoint: a.endpoint}
 	}
 }
 
-// byUrgency orders those that wait; a is behind all that came as soon.
-func byUrgency(w, a *Ask) int {
+// compareAsks orders waiting requests by urgency and arrival. A new request a comes after equal ones.
+func compareAsks(w, a *Ask) int {
 	return cmp.Or(cmp.Compare(w.Urgency, a.Urgency), w.Since.Compare(a.Since), -1)
 }
 
-// tryProbe grants a send to an endpoint that has had none for long, while nobody needs it.
+// tryProbe grants a probe to an endpoint that has had no grant for ProbeEvery, if no request is waiting.
 func (c *Coordinator) tryProbe(a *Ask, rates Rates, now time.Time) Answer {
 	for _, id := range a.Endpoints {
 		perSecond, ok := rates(id)
@@ -123,105 +127,106 @@
 			continue
 		}
 		p := c.pacer(id, perSecond, now)
-		idle := p.granted.IsZero() || now.Sub(p.granted) >= ProbeEvery
-		if idle && !p.earliest().After(now) && len(c.waiting) == 0 {
-			c.take(id, rates, now)
+		idle := p.lastGrant.IsZero() || now.Sub(p.lastGrant) >= ProbeEvery
+		if idle && !p.earliestGrant().After(now) && len(c.waiting) == 0 {
+			c.recordGrant(id, rates, now)
 			return Answer{Endpoint: id}
 		}
 	}
 	return Answer{Refused: true}
 }
 
-// planned is an endpoint while a plan is made.
-type planned struct {
+// endpointPlan is the state of an endpoint while a plan is computed.
+type endpointPlan struct {
 	next     time.Time     // see pacer
-	interval time.Duration // between two sends; 0: it has no limit any more
+	interval time.Duration // between two grants; 0 if the endpoint has no limit
 }
 
-// plan works out when each request that waits would be granted.
+// plan computes when and for which endpoint each waiting request would be granted.
 func (c *Coordinator) plan(rates Rates, now time.Time) {
-	endpoints := make(map[string]*planned)
+	endpoints := make(map[string]*endpointPlan)
 	for _, a := range c.waiting {
 		a.endpoint = ""
-		var best *planned
+		var best *endpointPlan
 		for _, id := range a.Endpoints {
 			e := endpoints[id]
 			if e == nil {
-				e = c.planned(id, rates, now)
+				e = c.planEndpoint(id, rates, now)
 				endpoints[id] = e
 			}
 			if e.interval == 0 {
 				continue
 			}
-			if at := later(e.next.Add(-burstSpan), now); best == nil || at.Before(a.expected) {
-				best, a.endpoint, a.expected = e, id, at
+			if at := maxTime(e.next.Add(-burstWindow), now); best == nil || at.Before(a.expectedAt) {
+				best, a.endpoint, a.expectedAt = e, id, at
 			}
 		}
-		if best != nil && !a.expected.After(a.Until) { // one that goes away takes nothing from those behind it
-			best.next = later(best.next, a.expected).Add(best.interval)
+		if best != nil && !a.expectedAt.After(a.Until) { // a request that will be refused uses no capacity
+			best.next = maxTime(best.next, a.expectedAt).Add(best.interval)
 		}
 	}
 }
 
-func (c *Coordinator) planned(endpoint string, rates Rates, now time.Time) *planned {
+func (c *Coordinator) planEndpoint(endpoint string, rates Rates, now time.Time) *endpointPlan {
 	perSecond, ok := rates(endpoint)
 	if !ok {
-		return &planned{}
+		return &endpointPlan{}
 	}
-	return &planned{c.pacer(endpoint, perSecond, now).next, interval(perSecond)}
+	return &endpointPlan{c.pacer(endpoint, perSecond, now).next, interval(perSecond)}
 }
 
-func (c *Coordinator) take(endpoint string, rates Rates, now time.Time) {
+func (c *Coordinator) recordGrant(endpoint string, rates Rates, now time.Time) {
 	perSecond, _ := rates(endpoint)
 	p := c.pacer(endpoint, perSecond, now)
-	p.next, p.granted = later(p.next, now).Add(interval(perSecond)), now
+	p.next, p.lastGrant = maxTime(p.next, now).Add(interval(perSecond)), now
 }
 
-// pacer returns that of an endpoint. The first send is granted after the time of one: what was sent before is not known.
+// pacer returns the pacer of an endpoint and updates its rate. A new pacer grants its first request after
+// one interval, because earlier requests are not known.
 func (c *Coordinator) pacer(endpoint string, perSecond float64, now time.Time) *pacer {
 	p := c.pacers[endpoint]
 	if p == nil {
-		p = &pacer{next: now.Add(burstSpan + interval(perSecond)), interval: interval(perSecond)}
+		p = &pacer{next: now.Add(burstWindow + interval(perSecond)), interval: interval(perSecond)}
 		c.pacers[endpoint] = p
 	}
-	p.change(interval(perSecond), now)
+	p.setInterval(interval(perSecond), now)
 	return p
 }
 
-// change takes in a new pace. The part of a send that is still owed stays the same, not the time for it: a limit that has risen
-// holds at once.
-func (p *pacer) change(interval time.Duration, now time.Time) {
-	if owed := p.earliest().Sub(now); owed > 0 && interval != p.interval {
-		p.next = now.Add(burstSpan + time.Duration(float64(owed)*float64(interval)/float64(p.interval)))
+// setInterval changes the rate. The time until the next grant is scaled in proportion, so that a raised
+// limit applies at once.
+func (p *pacer) setInterval(interval time.Duration, now time.Time) {
+	if wait := p.earliestGrant().Sub(now); wait > 0 && interval != p.interval {
+		p.next = now.Add(burstWindow + time.Duration(float64(wait)*float64(interval)/float64(p.interval)))
 	}
 	p.interval = interval
 }
 
-// earliest returns when the next send may be granted.
-func (p *pacer) earliest() time.Time { return p.next.Add(-burstSpan) }
+// earliestGrant returns when the next request may be granted.
+func (p *pacer) earliestGrant() time.Time { return p.next.Add(-burstWindow) }
 
 func interval(perSecond float64) time.Duration {
-	return max(1, time.Duration(float64(time.Second)/max(perSecond, leastRate)))
+	return max(1, time.Duration(float64(time.Second)/max(perSecond, minRate)))
 }
 
-// promise returns after what time the caller of a request that is refused had better come back: one after the other, as
-// fast as the endpoints that will do take requests.
-func (c *Coordinator) promise(a *Ask, rates Rates, now time.Time) time.Duration {
-	all := 0.0
+// retryAfter returns the time after which the caller of a refused request should retry. Successive callers
+// of a service get times spaced at the rate at which the acceptable endpoints accept requests.
+func (c *Coordinator) retryAfter(a *Ask, rates Rates, now time.Time) time.Duration {
+	totalRate := 0.0
 	for _, id := range a.Endpoints {
 		if perSecond, ok := rates(id); ok {
-			all += max(perSecond, leastRate)
+			totalRate += max(perSecond, minRate)
 		}
 	}
-	at := later(later(c.promised[a.Service], now), a.expected).Add(interval(all))
-	if at.Sub(now) > longestPromise {
-		return longestPromise
+	at := maxTime(maxTime(c.nextRetry[a.Service], now), a.expectedAt).Add(interval(totalRate))
+	if at.Sub(now) > maxRetryAfter {
+		return maxRetryAfter
 	}
-	c.promised[a.Service] = at
+	c.nextRetry[a.Service] = at
 	return at.Sub(now)
 }
 
-func later(a, b time.Time) time.Time {
+func maxTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/ratelimit/coordinator_test.go
+++ b/ratelimit/coordinator_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// fixed returns rates that do not change.
+// fixed returns Rates that look up a map.
 func fixed(rates map[string]float64) Rates {
 	return func(id string) (float64, bool) {
 		r, ok := rates[id]
@@ -16,43 +16,44 @@
 	}
 }
 
-// grants plays requests that come every so often for so long, and returns when each endpoint was granted.
-func grants(rates Rates, endpoints []string, every, patience, length time.Duration) (granted map[string][]time.Time, refused int) {
+// simulate sends requests at a fixed interval for the given duration of simulated time, each of which waits
+// for at most maxWait. It returns the times of the grants by endpoint, and the number of refusals.
+func simulate(rates Rates, endpoints []string, interval, maxWait, duration time.Duration) (granted map[string][]time.Time, refused int) {
 	c, begin := NewCoordinator(), time.Unix(0, 0)
 	granted = make(map[string][]time.Time)
 	var waiting []*Ask
 	next := begin
-	for now := begin; now.Sub(begin) < length; now = now.Add(time.Millisecond) {
+	for now := begin; now.Sub(begin) < duration; now = now.Add(time.Millisecond) {
 		if !now.Before(next) {
-			waiting = append(waiting, &Ask{Endpoints: endpoints, Since: now, Until: now.Add(patience)})
-			next = next.Add(every)
+			waiting = append(waiting, &Ask{Endpoints: endpoints, Since: now, Until: now.Add(maxWait)})
+			next = next.Add(interval)
 		}
-		var rest []*Ask
+		var remaining []*Ask
 		for _, a := range waiting {
-			switch answer := c.Try(a, rates, now); {
-			case answer.Endpoint != "":
-				granted[answer.Endpoint] = append(granted[answer.Endpoint], now)
-			case answer.Refused:
+			switch decision := c.Try(a, rates, now); {
+			case decision.Endpoint != "":
+				granted[decision.Endpoint] = append(granted[decision.Endpoint], now)
+			case decision.Refused:
 				refused++
 			default:
-				rest = append(rest, a)
+				remaining = append(remaining, a)
 			}
 		}
-		waiting = rest
+		waiting = remaining
 	}
 	return granted, refused
 }
 
-// TestLimitIsKeptAndUsed: under more requests than the endpoints take, none gets more than it named in any four
-// seconds beyond what it may have saved, and nearly all that they take is granted.
+// TestLimitIsKeptAndUsed checks that, with more requests than the endpoints accept, no endpoint gets more than
+// its limit and the permitted burst in any four seconds, and that at least 90% of the limits is used.
 func TestLimitIsKeptAndUsed(t *testing.T) {
 	for _, perSecond := range []float64{0.2, 0.5, 1.9, 7, 50} {
 		rates := fixed(map[string]float64{"a": perSecond, "b": perSecond})
-		length := max(30*time.Second, time.Duration(30/perSecond)*time.Second)
-		granted, _ := grants(rates, []string{"a", "b"}, 5*time.Millisecond, 100*time.Millisecond, length)
-		all := 0
+		duration := max(30*time.Second, time.Duration(30/perSecond)*time.Second)
+		granted, _ := simulate(rates, []string{"a", "b"}, 5*time.Millisecond, 100*time.Millisecond, duration)
+		total := 0
 		for id, times := range granted {
-			all += len(times)
+			total += len(times)
 			for i, from := range times {
 				n := 0
 				for _, at := range times[i:] {
@@ -60,19 +61,20 @@
 						n++
 					}
 				}
-				if most := 4*perSecond + perSecond*burstSpan.Seconds() + 1; float64(n) > most {
-					t.Errorf("%s at %.1f a second: %d in four seconds, want at most %.1f", id, perSecond, n, most)
+				if most := 4*perSecond + perSecond*burstWindow.Seconds() + 1; float64(n) > most {
+					t.Errorf("%s at %.1f requests a second: %d granted in four seconds, want at most %.1f", id, perSecond, n, most)
 				}
 			}
 		}
-		if used := float64(all) / (2 * perSecond * length.Seconds()); used < 0.9 {
-			t.Errorf("%.1f a second: %.2f of the limits used", perSecond, used)
+		if used := float64(total) / (2 * perSecond * duration.Seconds()); used < 0.9 {
+			t.Errorf("%.1f requests a second: %.2f of the limits used, want at least 0.9", perSecond, used)
 		}
 	}
 }
 
-// TestChangedLimitHoldsAtOnce: an endpoint that took one request in ten seconds and takes five a second from now on got nothing for
-// the rest of the ten; while it was so, all who waited were granted together at its end. What is owed is owed in requests, not in time.
+// TestChangedLimitHoldsAtOnce guards against a raised limit taking effect late: an endpoint that accepted one
+// request in ten seconds and now accepts five a second got none for the rest of the ten seconds, and then all
+// waiting requests at once. The remaining wait must scale with the interval between grants.
 func TestChangedLimitHoldsAtOnce(t *testing.T) {
 	is := is.New(t)
 	limits := map[string]float64{"a": 0}
@@ -81,7 +83,7 @@
 	ask := func() Answer {
 		return c.Try(&Ask{Endpoints: []string{"a"}, Since: now, Until: now}, rates, now)
 	}
-	ask() // its pacer begins
+	ask() // creates the pacer
 	now = now.Add(10 * time.Second)
 	is.Equal(ask().Endpoint, "a")
 	is.True(ask().Refused)
@@ -92,7 +94,7 @@
 			granted++
 		}
 	}
-	is.True(granted >= 9 && granted <= 13) // and what it saves in half a second
+	is.True(granted >= 9 && granted <= 13) // including the burst of half a second
 
 	limits["a"] = 0.5
 	granted = 0
@@ -104,13 +106,14 @@
 	is.True(granted >= 3 && granted <= 5)
 }
 
-// TestUnevenCallersUseTheLimit: callers that ask for less than the endpoints take, but unevenly, are served.
+// TestUnevenCallersUseTheLimit checks that no request is refused if requests arrive in bursts but at a lower
+// average rate than the endpoints accept.
 func TestUnevenCallersUseTheLimit(t *testing.T) {
 	is := is.New(t)
 	c, now := NewCoordinator(), time.Unix(0, 0)
 	rates := fixed(map[string]float64{"a": 2, "b": 2, "c": 2, "d": 2})
 	ids := []string{"a", "b", "c", "d"}
-	c.Try(&Ask{Endpoints: ids, Since: now, Until: now}, rates, now) // the pacers begin
+	c.Try(&Ask{Endpoints: ids, Since: now, Until: now}, rates, now) // creates the pacers
 	refused := 0
 	for range 10 {
 		now = now.Add(time.Second)
@@ -123,50 +126,51 @@
 	is.Equal(refused, 0)
 }
 
-// TestUrgentFirst: the most urgent of those that wait is granted first, then the one whose caller came first; one that
-// cannot be granted in time any more is refused at once.
+// TestUrgentFirst checks that waiting requests are granted by urgency and then by arrival, and that a request
+// that can no longer be granted in time is refused at once.
 func TestUrgentFirst(t *testing.T) {
 	is := is.New(t)
 	c, now := NewCoordinator(), time.Unix(0, 0)
 	rates := fixed(map[string]float64{"a": 2})
-	ask := func(urgency int, since, patience time.Duration) *Ask {
-		return &Ask{Endpoints: []string{"a"}, Urgency: urgency, Since: now.Add(since), Until: now.Add(patience)}
+	ask := func(urgency int, since, maxWait time.Duration) *Ask {
+		return &Ask{Endpoints: []string{"a"}, Urgency: urgency, Since: now.Add(since), Until: now.Add(maxWait)}
 	}
 	second := ask(1, 20*time.Millisecond, 10*time.Second)
 	first := ask(1, 10*time.Millisecond, 10*time.Second)
 	urgent := ask(0, 30*time.Millisecond, 10*time.Second)
-	hasty := ask(1, 0, 600*time.Millisecond)
+	shortWait := ask(1, 0, 600*time.Millisecond)
 	is.Equal(c.Try(second, rates, now).Expected, now.Add(500*time.Millisecond))
 	is.Equal(c.Try(first, rates, now).Expected, now.Add(500*time.Millisecond))
 	is.Equal(c.Try(second, rates, now).Expected, now.Add(time.Second))
-	is.Equal(c.Try(hasty, rates, now).Expected, now.Add(500*time.Millisecond))
+	is.Equal(c.Try(shortWait, rates, now).Expected, now.Add(500*time.Millisecond))
 	is.Equal(c.Try(urgent, rates, now).Expected, now.Add(500*time.Millisecond))
-	is.True(c.Try(hasty, rates, now).Refused)
+	is.True(c.Try(shortWait, rates, now).Refused)
 	now = now.Add(500 * time.Millisecond)
 	is.Equal(c.Try(first, rates, now).Expected, now.Add(500*time.Millisecond))
 	is.Equal(c.Try(urgent, rates, now).Endpoint, "a")
-	c.Leave(first) // its caller has gone
+	c.Leave(first) // its caller has disconnected
 	is.Equal(c.Try(second, rates, now).Expected, now.Add(500*time.Millisecond))
 }
 
-// TestRefusedCallersComeBackOneByOne: refused callers are told to come back as fast as the endpoints take requests.
+// TestRefusedCallersComeBackOneByOne checks that refused callers are told to retry one after the other, at the
+// rate at which the endpoints accept requests.
 func TestRefusedCallersComeBackOneByOne(t *testing.T) {
 	is := is.New(t)
 	c, now := NewCoordinator(), time.Unix(0, 0)
 	rates := fixed(map[string]float64{"a": 2, "b": 2})
-	var told []time.Duration
+	var delays []time.Duration
 	for range 60 {
 		a := c.Try(&Ask{Service: "s", Endpoints: []string{"a", "b"}, Since: now, Until: now}, rates, now)
 		is.True(a.Refused)
-		told = append(told, a.RetryAfter)
+		delays = append(delays, a.RetryAfter)
 	}
-	is.Equal(told[0], 750*time.Millisecond)
-	is.Equal(told[1]-told[0], 250*time.Millisecond)
-	is.Equal(told[59], longestPromise)
+	is.Equal(delays[0], 750*time.Millisecond)
+	is.Equal(delays[1]-delays[0], 250*time.Millisecond)
+	is.Equal(delays[59], maxRetryAfter)
 	is.Equal(c.Try(&Ask{Service: "s", Endpoints: []string{"gone"}, Until: now}, rates, now), Answer{Unlimited: true})
 }
 
-// TestProbes: an endpoint that nobody needs gets a request now and then, also one that takes none, and none while others wait for it.
+// TestProbes checks that probes are granted at intervals, also for an endpoint that accepts no requests.
 func TestProbes(t *testing.T) {
 	is := is.New(t)
 	c, now := NewCoordinator(), time.Unix(0, 0)
@@ -179,7 +183,7 @@
 	now = now.Add(300 * time.Millisecond)
 	is.True(probe("a"))
 	now = now.Add(ProbeEvery / 2)
-	is.True(!probe("a")) // one was sent lately
+	is.True(!probe("a")) // less than ProbeEvery since the previous one
 	now = now.Add(ProbeEvery / 2)
 	is.True(probe("a"))
 	is.True(!probe("none"))
@@ -190,8 +194,8 @@
 	is.True(!probe("without a limit"))
 }
 
-// BenchmarkTry measures one look at a request that waits among 35 others for 18 endpoints: a data centre of 181 endpoints of which
-// a tenth are limited. docs/CAPACITY.md has the figure.
+// BenchmarkTry measures one Try of a request that waits with 35 others for 18 endpoints, as in a data centre of
+// 181 endpoints of which a tenth have limits. The result is in docs/CAPACITY.md.
 func BenchmarkTry(b *testing.B) {
 	now := time.Now()
 	limits := make(map[string]float64)
--- a/ratelimit/known.go
+++ b/ratelimit/known.go
@@ -1,9 +1,9 @@
-// Package ratelimit decides how many requests a second gateways send together to endpoints that
-// limit how many they take from all of them. Each gateway sends alone, and no part of such a limit is
-// both safe and useful if each keeps it alone: an endpoint that takes two a second before a hundred
-// gateways. So the gateways of a cell know the same limits (Known), agree on one of them
-// that coordinates (Votes), and that one grants single sends (Coordinator). The package is pure: events and
-// times come in, beliefs and grants come out.
+// Package ratelimit enforces rate limits that endpoints set for all gateways together. The gateways
+// send requests independently, and no fixed share of such a limit for each gateway is both safe and
+// useful: an endpoint may accept two requests a second and have a hundred gateways. The gateways of a
+// cell therefore share the limits they know (Known) and elect one of themselves as coordinator (Votes),
+// which grants requests one by one (Coordinator). The package does no I/O and reads no clock: callers
+// pass in events and times.
 package ratelimit
 
 import (
@@ -12,53 +12,58 @@
 )
 
 const (
-	// tellFor is how long a change is told in each word; words are sent several times a second, so that
-	// a few may be lost, and endpoints that have started again are listed everywhere in less.
-	tellFor = 2 * time.Second
-	// endedFor is how long the end of a limit is repeated: a gateway that was cut off
-	// tells it older news for so long at most, as it is answered with the newer.
-	endedFor = time.Minute
-	// foreignFor is how long a limit of an endpoint of another cell holds. Nobody here sends there
-	// and learns of its end; its own cell offers it again when it ended.
-	foreignFor = 10 * time.Second
+	// shareFor is how long a change is included in every message to the other gateways. Messages are
+	// sent several times a second, so a few of them may be lost, and all gateways read of a restarted
+	// endpoint in less time than that.
+	shareFor = 2 * time.Second
+	// endedTTL is how long the end of a limit is repeated. A gateway that was disconnected sends
+	// outdated limits for no longer than that, as it receives the newer state in reply.
+	endedTTL = time.Minute
+	// foreignTTL is how long the limit of an endpoint of another cell applies without being confirmed.
+	// No gateway of this cell sends requests to such an endpoint and could learn that the limit has
+	// ended; once it has, the endpoint's own cell offers the endpoint again.
+	foreignTTL = 10 * time.Second
 )
 
-// Named is what an answer of an endpoint says of its limit.
+// Named is what a response of an endpoint says about the endpoint's limit.
 type Named struct {
-	// Is is set where the answer names a limit. An answer without one ends it.
+	// Is is set if the response names a limit. A response without one ends the limit.
 	Is bool
-	// PerSecond is how many requests a second the endpoint takes from all gateways together, 0 for none.
+	// PerSecond is how many requests a second the endpoint accepts from all gateways together; 0 if it
+	// accepts none.
 	PerSecond float64
 }
 
-// Notice is what one gateway tells others of an endpoint's limit.
+// Notice is what one gateway sends to the others about an endpoint's limit. The fields are encoded by
+// position: new ones go last.
 type Notice struct {
-	// Version rises with each change of what is known of the endpoint's limit.
+	// Version increases with each change of the known limit of the endpoint.
 	Version uint64
 	Named   Named
-	// Born is the life of the endpoint that it holds for, see catalog.Endpoint.
+	// Born is the incarnation of the endpoint that the limit applies to, see catalog.Endpoint.
 	Born int64
 }
 
-// entry is what is known of one endpoint.
+// entry is the known limit of one endpoint, or its end.
 type entry struct {
 	Notice
-	at    time.Time // when it was learned or confirmed
-	until time.Time // until when it is told
+	confirmedAt time.Time // when it was learned or last confirmed
+	shareUntil  time.Time // until when every message includes it
 }
 
-// Known holds the limits of endpoints. Answers come late and out of order, and gateways read them at
-// different times, so clocks do not tell which one is the newest. An answer is known to be newer than the
-// limit that holds only if its request was sent when that limit was known; only such an answer raises or ends a limit.
-// Of answers in no known order the lowest limit holds. Known is not safe for concurrent use.
+// Known holds the limits of endpoints. Responses arrive late and out of order, and at different gateways,
+// so clocks do not show which is the newest. A response is known to be newer than the current limit only if
+// its request was sent when that limit was already known, and only such a response raises or ends a limit.
+// Among responses in unknown order the lowest limit applies. Known is not safe for concurrent use.
 type Known struct {
 	entries map[string]*entry
 }
 
-// NewKnown returns a table without limits.
+// NewKnown returns an empty table.
 func NewKnown() *Known { return &Known{entries: make(map[string]*entry)} }
 
-// Version returns what has to be given to Answered with the answer to a request that is sent now.
+// Version returns the version of an endpoint's limit. The caller reads it when it sends a request and
+// passes it to Answered with the response.
 func (k *Known) Version(endpoint string) uint64 {
 	if e := k.entries[endpoint]; e != nil {
 		return e.Version
@@ -66,7 +71,7 @@
 	return 0
 }
 
-// Limit returns the limit that an endpoint has named; ok is false where it has none.
+// Limit returns the limit of an endpoint; ok is false if it has none.
 func (k *Known) Limit(endpoint string) (perSecond float64, ok bool) {
 	e := k.entries[endpoint]
 	if e == nil || !e.Named.Is {
@@ -75,7 +80,7 @@
 	return e.Named.PerSecond, true
 }
 
-// Limits returns all limits that hold, in requests a second by endpoint.
+// Limits returns all limits in force, in requests a second by endpoint.
 func (k *Known) Limits() map[string]float64 {
 	out := make(map[string]float64)
 	for id, e := range k.entries {
@@ -86,60 +91,62 @@
 	return out
 }
 
-// Answered takes in what an answer says of the limit of an endpoint in that life. sent is the Version when the request was
-// sent. It reports whether that changes what is known.
+// Answered records what a response says about the limit of an endpoint, for the incarnation born. sent is
+// the Version at the time when the request was sent. It reports whether the known limit has changed.
 func (k *Known) Answered(endpoint string, born int64, sent uint64, n Named, now time.Time) bool {
 	e := k.entries[endpoint]
 	if e == nil || e.Born != born {
 		if !n.Is {
 			return false
 		}
-		k.entries[endpoint] = &entry{Notice{1, n, born}, now, now.Add(tellFor)}
+		k.entries[endpoint] = &entry{Notice{1, n, born}, now, now.Add(shareFor)}
 		return true
 	}
 	newer := sent >= e.Version
 	if n == e.Named {
-		e.at = now
+		e.confirmedAt = now
 		return false
 	}
 	if !newer && !lower(n, e.Named) {
 		return false
 	}
 	e.Version++
-	e.Named, e.at, e.until = n, now, now.Add(tellFor)
+	e.Named, e.confirmedAt, e.shareUntil = n, now, now.Add(shareFor)
 	return true
 }
 
-// lower reports whether a allows less than b.
+// lower reports whether a is a stricter limit than b.
 func lower(a, b Named) bool {
 	return a.Is && (!b.Is || a.PerSecond < b.PerSecond)
 }
 
-// Heard takes in what another gateway tells of an endpoint in the life that the caller knows; it reports whether that
-// changes what is known. A gateway that tells something old is told the newer.
+// Heard records what another gateway sent about an endpoint, which must be about the incarnation that the
+// caller knows. It reports whether the known limit has changed. If the notice is outdated, the newer state
+// is included in messages again.
 func (k *Known) Heard(endpoint string, n Notice, now time.Time) bool {
 	e := k.entries[endpoint]
 	switch {
 	case e == nil || n.Born != e.Born:
 	case n.Version < e.Version:
-		e.until = now.Add(tellFor)
+		e.shareUntil = now.Add(shareFor)
 		return false
 	case n.Version == e.Version && !lower(n.Named, e.Named):
 		if n.Named == e.Named {
-			e.at = now
+			e.confirmedAt = now
 		}
 		return false
 	}
 	changed := e == nil && n.Named.Is || e != nil && e.Named != n.Named
-	k.entries[endpoint] = &entry{n, now, now.Add(tellFor)}
+	k.entries[endpoint] = &entry{n, now, now.Add(shareFor)}
 	return changed
 }
 
-// Tell returns what is to be told: what has changed lately, or everything that others may have missed.
-func (k *Known) Tell(everything bool, now time.Time) map[string]Notice {
+// Tell returns the notices to send to the other gateways: those changed within shareFor and, if full is
+// set, all others that a gateway may have missed.
+func (k *Known) Tell(full bool, now time.Time) map[string]Notice {
 	var out map[string]Notice
 	for id, e := range k.entries {
-		if now.After(e.until) && !(everything && (e.Named.Is || now.Sub(e.at) <= endedFor)) {
+		if now.After(e.shareUntil) && !(full && (e.Named.Is || now.Sub(e.confirmedAt) <= endedTTL)) {
 			continue
 		}
 		if out == nil {
@@ -150,15 +157,15 @@
 	return out
 }
 
-// Expire drops limits of endpoints that are not of the own cell and were not named lately; it reports
-// whether there were any.
+// Expire drops the limits of endpoints of other cells that were not confirmed within foreignTTL. It reports
+// whether there were any. own reports whether an endpoint belongs to this cell.
 func (k *Known) Expire(own func(endpoint string) bool, now time.Time) bool {
 	before := len(k.entries)
 	maps.DeleteFunc(k.entries, func(id string, e *entry) bool {
-		return now.Sub(e.at) > foreignFor && !own(id)
+		return now.Sub(e.confirmedAt) > foreignTTL && !own(id)
 	})
 	return len(k.entries) < before
 }
 
-// Forget drops what is known of an endpoint that is gone or has started again.
+// Forget drops the limit of an endpoint that is gone or has restarted.
 func (k *Known) Forget(endpoint string) { delete(k.entries, endpoint) }
--- a/ratelimit/known_test.go
+++ b/ratelimit/known_test.go
@@ -9,32 +9,32 @@
 
 func limitOf(perSecond float64) Named { return Named{Is: true, PerSecond: perSecond} }
 
-// TestWhichAnswerHolds: only an answer to a request that was sent after a limit was known raises or
-// ends it; of answers in no known order the lowest holds.
+// TestWhichAnswerHolds checks that only a response to a request sent when the limit was known raises or ends
+// it, and that among responses in unknown order the lowest limit applies.
 func TestWhichAnswerHolds(t *testing.T) {
-	type answer struct {
+	type response struct {
 		sent  uint64
 		named Named
 	}
 	cases := []struct {
-		name    string
-		answers []answer
-		want    Named
+		name      string
+		responses []response
+		want      Named
 	}{
-		{"none", []answer{{0, Named{}}}, Named{}},
-		{"first", []answer{{0, limitOf(2)}}, limitOf(2)},
-		{"one that was sent before comes without", []answer{{0, limitOf(2)}, {0, Named{}}}, limitOf(2)},
-		{"a later one comes without", []answer{{0, limitOf(2)}, {1, Named{}}}, Named{}},
-		{"raised by a later one", []answer{{0, limitOf(2)}, {1, limitOf(3)}}, limitOf(3)},
-		{"raised by one in no known order", []answer{{0, limitOf(2)}, {0, limitOf(3)}}, limitOf(2)},
-		{"lowered by one in no known order", []answer{{0, limitOf(2)}, {0, limitOf(1)}}, limitOf(1)},
-		{"named again late after its end", []answer{{0, limitOf(2)}, {1, Named{}}, {1, limitOf(2)}}, limitOf(2)},
-		{"zero", []answer{{0, limitOf(0)}}, limitOf(0)},
+		{"none", []response{{0, Named{}}}, Named{}},
+		{"first", []response{{0, limitOf(2)}}, limitOf(2)},
+		{"no limit in the response to an earlier request", []response{{0, limitOf(2)}, {0, Named{}}}, limitOf(2)},
+		{"no limit in the response to a later request", []response{{0, limitOf(2)}, {1, Named{}}}, Named{}},
+		{"raised by a later response", []response{{0, limitOf(2)}, {1, limitOf(3)}}, limitOf(3)},
+		{"raised by a response in unknown order", []response{{0, limitOf(2)}, {0, limitOf(3)}}, limitOf(2)},
+		{"lowered by a response in unknown order", []response{{0, limitOf(2)}, {0, limitOf(1)}}, limitOf(1)},
+		{"named again after its end", []response{{0, limitOf(2)}, {1, Named{}}, {1, limitOf(2)}}, limitOf(2)},
+		{"zero", []response{{0, limitOf(0)}}, limitOf(0)},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			k, now := NewKnown(), time.Now()
-			for _, a := range tc.answers {
+			for _, a := range tc.responses {
 				k.Answered("e", 0, a.sent, a.named, now)
 			}
 			perSecond, ok := k.Limit("e")
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestGatewaysAgreeOnLimits: two gateways that read answers at the same time come to the same belief,
-// whatever order they hear each other in, and old news ends nothing.
+// TestGatewaysAgreeOnLimits checks that two gateways that read different responses at the same time agree on
+// the limit once they exchange notices, and that an outdated notice does not restore a limit that has ended.
 func TestGatewaysAgreeOnLimits(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -72,41 +72,43 @@
 	exchange()
 	_, limited := a.Limit("e")
 	is.True(!limited)
-	is.True(!b.Heard("e", stale, now)) // from one that was cut off
+	is.True(!b.Heard("e", stale, now)) // from a gateway that was disconnected
 	_, limited = b.Limit("e")
 	is.True(!limited)
-	now = now.Add(2 * tellFor)
+	now = now.Add(2 * shareFor)
 	b.Heard("e", stale, now)
-	is.Equal(b.Tell(false, now)["e"].Named, Named{}) // it is answered
+	is.Equal(b.Tell(false, now)["e"].Named, Named{}) // the newer state is sent again
 }
 
-// TestNewLifeHasNoLimit: what an endpoint named in an earlier life, whatever its clock said, does not outlast it.
+// TestNewLifeHasNoLimit checks that the limit of an earlier incarnation does not apply to a later one, whether
+// or not the endpoint's clock was set back.
 func TestNewLifeHasNoLimit(t *testing.T) {
 	is := is.New(t)
 	for _, born := range []int64{9, 1} {
 		k, now := NewKnown(), time.Now()
 		k.Answered("e", 5, 0, limitOf(2), now)
 		k.Answered("e", 5, 1, limitOf(3), now)
-		is.True(!k.Answered("e", born, 2, Named{}, now)) // of another life: nothing ends
+		is.True(!k.Answered("e", born, 2, Named{}, now)) // another incarnation: the limit does not end
 		k.Answered("e", born, 0, limitOf(9), now)
 		got, _ := k.Limit("e")
 		is.Equal(got, 9.0)
 		k.Heard("e", Notice{Version: 1, Named: limitOf(4), Born: 5}, now)
 		got, _ = k.Limit("e")
-		is.Equal(got, 4.0) // the caller knows that life
+		is.Equal(got, 4.0) // the caller vouches for the incarnation
 		k.Forget("e")
 		_, limited := k.Limit("e")
 		is.True(!limited)
 	}
 }
 
-// TestForeignLimitsLapse: nobody here learns of the end of a limit in another cell.
+// TestForeignLimitsLapse checks that limits of endpoints of other cells expire, because no gateway of this cell
+// learns when they end.
 func TestForeignLimitsLapse(t *testing.T) {
 	is := is.New(t)
 	k, now := NewKnown(), time.Now()
 	k.Answered("own", 0, 0, limitOf(2), now)
 	k.Answered("foreign", 0, 0, limitOf(2), now)
-	is.True(k.Expire(func(id string) bool { return id == "own" }, now.Add(foreignFor+time.Second)))
+	is.True(k.Expire(func(id string) bool { return id == "own" }, now.Add(foreignTTL+time.Second)))
 	_, own := k.Limit("own")
 	_, foreign := k.Limit("foreign")
 	is.True(own)
--- a/ratelimit/votes.go
+++ b/ratelimit/votes.go
@@ -7,49 +7,51 @@
 )
 
 const (
-	// voteLife is how long a gateway's last word counts; a live one speaks several times a second.
-	voteLife = time.Second
-	// settleTime is how long a gateway has to be the coordinator before it grants: a word of each of the others
-	// takes less, and one that grants still hears of it.
-	settleTime = 300 * time.Millisecond
-	// tolerance is what all coordinators together may grant of a limit while gateways do not hear each
-	// other. Endpoints bear half more than they name, for a few seconds; a tenth of that is left for sends that
-	// reach them closer together than they were granted.
-	tolerance = 1.35
+	// voteTTL is how long the last vote of a gateway counts. A live gateway sends several a second.
+	voteTTL = time.Second
+	// settlingTime is how long a gateway must be the coordinator before it grants requests. It is longer
+	// than a message from each of the other gateways takes, and long enough for a previous coordinator
+	// that still grants to learn of the change.
+	settlingTime = 300 * time.Millisecond
+	// maxTotalShare is the share of a limit that all coordinators together may grant while gateways do
+	// not receive each other's messages. Endpoints tolerate 1.5 times their limit for a few seconds; a
+	// tenth of that is reserved for requests that arrive closer together than they were granted.
+	maxTotalShare = 1.35
 )
 
-// ballot is what another gateway said last.
+// ballot is the last vote of another gateway.
 type ballot struct {
-	vote uint64 // key of the gateway that it takes for the coordinator
-	at   time.Time
+	vote       uint64 // gatewayKey of the coordinator that it follows
+	receivedAt time.Time
 }
 
-// Votes finds out which gateway coordinates the limits of the cell's endpoints. All that know of a limit vote in their words;
-// the one with most votes coordinates. Gateways that do not hear each other may follow several, so each grants only as much as
-// it has votes: whoever follows whom, the parts add up to no more than tolerance. Nothing has to be agreed, and
-// one that hears nobody grants little. Votes is not safe for concurrent use.
+// Votes elects the gateway that coordinates the limits of the cell's endpoints. All gateways that know of a
+// limit send their votes in their messages, and the one with most votes is the coordinator. If gateways do not
+// receive each other's messages there may be several coordinators, so each grants a share in proportion to its
+// votes: whichever gateway follows which, the shares add up to no more than maxTotalShare. This needs no
+// consensus, and a gateway that receives no messages grants little. Votes is not safe for concurrent use.
 type Votes struct {
 	self        string
 	coordinator string
-	since       time.Time // when that one was chosen
+	since       time.Time // when this gateway chose that coordinator
 	ballots     map[string]ballot
 }
 
-// NewVotes returns the votes as a gateway of that name counts them.
+// NewVotes returns the election state of the gateway named self.
 func NewVotes(self string) *Votes {
 	return &Votes{self: self, ballots: make(map[string]ballot)}
 }
 
-// key identifies a gateway in words, 0 for none.
-func key(name string) uint64 {
+// gatewayKey returns the identifier of a gateway in messages; 0 stands for no gateway.
+func gatewayKey(name string) uint64 {
 	if name == "" {
 		return 0
 	}
 	return max(1, xxhash.Sum64String(name))
 }
 
-// Heard takes in the vote of another gateway of the cell; 0 means that it cannot coordinate: it knows of no
-// limit, is leaving, or is of a release that knows none.
+// Heard records the vote of another gateway of the cell. A vote of 0 means that this gateway cannot be the
+// coordinator: it knows of no limit, is draining, or runs a release without limits.
 func (v *Votes) Heard(from string, vote uint64, now time.Time) {
 	if vote == 0 {
 		delete(v.ballots, from)
@@ -58,20 +60,21 @@
 	v.ballots[from] = ballot{vote, now}
 }
 
-// Reset begins anew: no endpoint has a limit any more.
+// Reset returns to the initial state, when no endpoint has a limit any more.
 func (v *Votes) Reset() {
 	v.coordinator, v.since = "", time.Time{}
 	clear(v.ballots)
 }
 
-// Clear forgets all votes: the host was suspended, and nobody knows for how long they have been old.
+// Clear drops all votes received. It is called after the host was suspended, when their age is unknown.
 func (v *Votes) Clear() { clear(v.ballots) }
 
-// Choose returns which gateway coordinates, as far as this one knows. One that is leaving does so only if there is no other.
+// Choose returns the coordinator from this gateway's point of view. A gateway that is draining chooses
+// itself only if it knows of no other candidate.
 func (v *Votes) Choose(leaving bool, now time.Time) string {
-	counts := map[uint64]int{key(v.coordinator): 1}
+	counts := map[uint64]int{gatewayKey(v.coordinator): 1}
 	for name, b := range v.ballots {
-		if now.Sub(b.at) > voteLife {
+		if now.Sub(b.receivedAt) > voteTTL {
 			delete(v.ballots, name)
 			continue
 		}
@@ -82,7 +85,7 @@
 		best = v.self
 	}
 	for name := range v.ballots {
-		if best == "" || precedes(name, best, counts) {
+		if best == "" || preferred(name, best, counts) {
 			best = name
 		}
 	}
@@ -92,40 +95,41 @@
 	return best
 }
 
-// precedes reports whether gateway a is rather the coordinator than b.
-func precedes(a, b string, counts map[uint64]int) bool {
-	if x, y := counts[key(a)], counts[key(b)]; x != y {
+// preferred reports whether gateway a takes precedence over b as coordinator: by votes, then by key.
+func preferred(a, b string, counts map[uint64]int) bool {
+	if x, y := counts[gatewayKey(a)], counts[gatewayKey(b)]; x != y {
 		return x > y
 	}
-	return key(a) < key(b)
+	return gatewayKey(a) < gatewayKey(b)
 }
 
-// Own returns what this gateway tells as its vote. One that nobody follows after a while may be heard without hearing
-// the others: it tells them not to choose it.
+// Own returns the vote of this gateway. A gateway that has been its own coordinator for voteTTL without a
+// follower may be one whose messages arrive while it receives none. It votes 0, so that the others do not
+// choose it.
 func (v *Votes) Own(now time.Time) uint64 {
-	if v.coordinator == v.self && now.Sub(v.since) > voteLife && v.followers(now) == 0 {
+	if v.coordinator == v.self && now.Sub(v.since) > voteTTL && v.followers(now) == 0 {
 		return 0
 	}
-	return key(v.coordinator)
+	return gatewayKey(v.coordinator)
 }
 
-// followers returns how many other gateways take this one for the coordinator.
+// followers returns how many other gateways vote for this one.
 func (v *Votes) followers(now time.Time) int {
 	n := 0
 	for _, b := range v.ballots {
-		if b.vote == key(v.self) && now.Sub(b.at) <= voteLife {
+		if b.vote == gatewayKey(v.self) && now.Sub(b.receivedAt) <= voteTTL {
 			n++
 		}
 	}
 	return n
 }
 
-// Share returns which part of each limit this gateway may grant when the cell has so many gateways, 0 while
-// it is not the coordinator or has only just become it.
+// Share returns the share of each limit that this gateway may grant if the cell has the given number of
+// gateways. It is 0 if the gateway is not the coordinator, or has been for less than settlingTime.
 func (v *Votes) Share(gateways int, now time.Time) float64 {
-	if v.coordinator != v.self || now.Sub(v.since) < settleTime {
+	if v.coordinator != v.self || now.Sub(v.since) < settlingTime {
 		return 0
 	}
 	votes := 1 + v.followers(now)
-	return min(1, tolerance*float64(votes)/float64(max(gateways, votes)))
+	return min(1, maxTotalShare*float64(votes)/float64(max(gateways, votes)))
 }
