--- a/health/health.go
+++ b/health/health.go
@@ -38,7 +38,7 @@
 	avoidUntil time.Time
 
 	lastSuccess        time.Time // time of the newest Good outcome
-	lastReached        time.Time // when it last answered a question about itself
+	lastReached        time.Time // when it last answered a status query
 	lastFailure        time.Time // time of the newest outcome other than Good
 	lastFailureOutcome Outcome
 	lastLate           time.Time // when a stream last started, or paused, much later than expected
@@ -109,8 +109,8 @@
 	return t.avoidedByPeers(endpoint, now)
 }
 
-// Reached records that an endpoint answered a question about itself. That ends a backoff
-// unless the newest failure was Bad: such an answer shows that the endpoint is reachable, not
+// Reached records that an endpoint answered a status query. That ends a backoff
+// unless the newest failure was Bad: such a response shows that the endpoint is reachable, not
 // that it serves requests correctly.
 func (t *Table) Reached(endpoint string, now time.Time) {
 	r := t.record(endpoint)
@@ -121,7 +121,7 @@
 }
 
 // lastKnownGood returns the newest time at which the endpoint is known not to have failed
-// with outcome o. An endpoint's answer about itself counts for reachability only, not for Bad.
+// with outcome o. A response to a status query counts for reachability only, not for Bad.
 func (r *record) lastKnownGood(o Outcome) time.Time {
 	if o != Bad && r.lastReached.After(r.lastSuccess) {
 		return r.lastReached
--- a/health/shared.go
+++ b/health/shared.go
@@ -23,7 +23,7 @@
 
 const (
 	// observationTTL is how long a failed exchange, a late stream and an endpoint's report of
-	// its slowdown remain valid. The gateways that watch an endpoint ask it several times within
+	// its slowdown remain valid. The gateways that watch an endpoint query it several times within
 	// this period, so a persistent failure is reported again before it expires.
 	observationTTL = 2 * time.Second
 	// failureQuorum is how many gateways must have failed to use an endpoint before all of
@@ -187,7 +187,7 @@
 	return 0
 }
 
-// Doubt is the reason to ask an endpoint about its health.
+// Doubt is the reason to send an endpoint a status query.
 type Doubt uint8
 
 const (
@@ -197,7 +197,7 @@
 	Failing          // a gateway recently failed to use the endpoint
 )
 
-// Doubt returns the reason why a gateway that watches the endpoint should ask it now.
+// Doubt returns the reason why a gateway that watches the endpoint should query it now.
 func (t *Table) Doubt(endpoint string, now time.Time) Doubt {
 	doubt := NoDoubt
 	if t.anySlow(now) {
--- a/health/shared_test.go
+++ b/health/shared_test.go
@@ -45,12 +45,12 @@
 			h.Peer("b", failureObservation(Bad, 300), endpoints, now)
 			h.Note("e", Good, now.Add(-100*time.Millisecond))
 		}, false},
-		{"two could not reach it, and it has answered this gateway's health question since", func(h *Table) {
+		{"two could not reach it, and it has answered this gateway's status query since", func(h *Table) {
 			h.Peer("a", failureObservation(Unreachable, 300), endpoints, now)
 			h.Peer("b", failureObservation(Unreachable, 300), endpoints, now)
 			h.Reached("e", now.Add(-100*time.Millisecond))
 		}, false},
-		{"two got bad responses, which an answer about itself does not disprove", func(h *Table) {
+		{"two got bad responses, which a response to a status query does not disprove", func(h *Table) {
 			h.Peer("a", failureObservation(Bad, 300), endpoints, now)
 			h.Peer("b", failureObservation(Bad, 300), endpoints, now)
 			h.Reached("e", now.Add(-100*time.Millisecond))
@@ -139,7 +139,7 @@
 		"away": {Failure: Unreachable, FailureAgeMs: 50}, "slow": {Slowdown: 3, SlowdownAgeMs: 50}, "late": {Late: true},
 	})
 	h.Note("away", Good, later)
-	h.SetPace("late", 1, later) // it was asked about its slowdown
+	h.SetPace("late", 1, later) // it answered a status query
 	is.Equal(len(h.Own(later)), 1)
 	for i := range 100 {
 		h.SetLate(fmt.Sprint("l", i), later)
@@ -149,7 +149,7 @@
 	is.Equal(len(h.shareCandidates), 0)
 }
 
-// TestDoubt checks the reason to ask an endpoint, given the observations of other gateways.
+// TestDoubt checks the reason to query an endpoint, given the observations of other gateways.
 func TestDoubt(t *testing.T) {
 	is := is.New(t)
 	h := NewTable()
--- a/health/watch.go
+++ b/health/watch.go
@@ -8,7 +8,7 @@
 )
 
 // Watchers assigns endpoints to the gateways that watch them, by consistent hashing. Each
-// endpoint has a first gateway, which asks it regularly, and a second, which also asks it when
+// endpoint has a first gateway, which queries it regularly, and a second, which also queries it when
 // a gateway failed to use it. Gateways that know the same members compute the same assignment,
 // and adding or removing a member reassigns few endpoints.
 type Watchers struct{ ring []watcher }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -17,7 +17,7 @@
 	// three more sends, for copies that are already on their way.
 	minCrashesBefore = 3
 	// minCrashesTotal is how many crashes quarantine a request if they include those after the
-	// beginning of the answer. It is higher because most requests that crash an endpoint do so at
+	// beginning of the response. It is higher because most requests that crash an endpoint do so at
 	// their beginning, while a stream in progress tends to be one that only shared the endpoint.
 	minCrashesTotal = 5
 	// correlationWindow is how soon after one crash another counts as the same event. Endpoints
@@ -314,7 +314,7 @@
 }
 
 // crashCounts returns the number of crashes before and after the endpoint had begun to answer.
-// Crashes within correlationWindow count as one, which is before the answer if any of them is.
+// Crashes within correlationWindow count as one, which is before the response if any of them is.
 func (r *record) crashCounts() (before, within int) {
 	for i := 0; i < len(r.crashes); {
 		first, begun := r.crashes[i], true
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -20,7 +20,7 @@
 	return Crash{Endpoint: IncarnationOf(fmt.Sprint("e", n), 0), Begun: begun, At: start.Add(time.Duration(second) * time.Second)}
 }
 
-// TestVerdict checks how many crashes quarantine a request, before and after the beginning of an answer.
+// TestVerdict checks how many crashes quarantine a request, before and after the beginning of a response.
 func TestVerdict(t *testing.T) {
 	cases := []struct {
 		name           string
@@ -29,9 +29,9 @@
 	}{
 		{"one crash", 1, 0, false},
 		{"two crashes", 2, 0, false},
-		{"three before the answer began", 3, 0, true},
-		{"four during the answer", 0, 4, false},
-		{"five during the answer", 0, 5, true},
+		{"three before the response began", 3, 0, true},
+		{"four during the response", 0, 4, false},
+		{"five during the response", 0, 5, true},
 		{"two of each kind", 2, 2, false},
 		{"five of both kinds", 2, 3, true},
 	}
