--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -197,7 +197,7 @@
 	if len(r.successes) > maxCrashes {
 		r.successes = slices.Delete(r.successes, 0, 1)
 	}
-	t.queueUpdate(r, update{Report: Report{Kind: Served, Fingerprint: f, Endpoint: g.endpoint}, occurredAt: g.at, learnedAt: now, from: from})
+	t.queueUpdate(r, update{Report: Report{Kind: Succeeded, Fingerprint: f, Endpoint: g.endpoint}, occurredAt: g.at, learnedAt: now, from: from})
 	return true
 }
 
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -195,7 +195,7 @@
 		now := start.Add(time.Minute)
 		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Report {
 			return Report{
-				Kind:        rapid.SampledFrom([]Kind{Crashed, Crashed, Crashed, Served, Cleared}).Draw(t, "kind"),
+				Kind:        rapid.SampledFrom([]Kind{Crashed, Crashed, Crashed, Succeeded, Cleared}).Draw(t, "kind"),
 				Fingerprint: fingerprint, Endpoint: Incarnation(rapid.IntRange(1, 6).Draw(t, "endpoint")), Begun: rapid.Bool().Draw(t, "begun"),
 				AgeMs: int64(rapid.IntRange(0, 50).Draw(t, "seconds")) * 1000,
 			}
--- a/quarantine/tell.go
+++ b/quarantine/tell.go
@@ -22,9 +22,9 @@
 type Kind uint8
 
 const (
-	Crashed Kind = iota // an endpoint crashed while it was running the request
-	Served              // an endpoint completed the request
-	Cleared             // an operator cleared the request of all earlier crashes
+	Crashed   Kind = iota // an endpoint crashed while it was running the request
+	Succeeded             // an endpoint completed the request
+	Cleared               // an operator cleared the request of all earlier crashes
 )
 
 // Report tells another gateway of an event that concerns a request and happened AgeMs ago. The
@@ -128,7 +128,7 @@
 		out = append(out, Report{Kind: Crashed, Fingerprint: f, Endpoint: c.Endpoint, Begun: c.Begun, AgeMs: now.Sub(c.At).Milliseconds()})
 	}
 	for _, g := range r.successes {
-		out = append(out, Report{Kind: Served, Fingerprint: f, Endpoint: g.endpoint, AgeMs: now.Sub(g.at).Milliseconds()})
+		out = append(out, Report{Kind: Succeeded, Fingerprint: f, Endpoint: g.endpoint, AgeMs: now.Sub(g.at).Milliseconds()})
 	}
 	return out
 }
@@ -164,7 +164,7 @@
 	switch r.Kind {
 	case Crashed:
 		return t.addCrash(r.Fingerprint, Crash{r.Endpoint, r.Begun, at}, from, now)
-	case Served:
+	case Succeeded:
 		return t.addSuccess(r.Fingerprint, success{r.Endpoint, at}, from, now)
 	case Cleared:
 		return t.clear(r.Fingerprint, at, from, now)
