--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,6 +1,7 @@
-// Package admission decides at the agent which waiting request runs next and
-// which is refused at once. It is pure: time is an argument, and the caller
-// carries out the returned actions.
+// Package admission schedules the requests that wait for one endpoint, at its agent: it
+// decides which request starts next and which ones are refused immediately. It does no I/O
+// and reads no clock: time is an argument, and the caller carries out the returned
+// decisions.
 package admission
 
 import (
@@ -14,68 +15,70 @@
 type Item struct {
 	ID           string
 	Workspace    string
-	Weight       uint32 // share of the workspace; 0 counts as 1
-	Priority     uint32 // of the workspace; 0 is the most urgent
+	Weight       uint32 // weight of the workspace in fair sharing; 0 counts as 1
+	Priority     uint32 // priority of the workspace; 0 is the highest
 	Class        routing.Class
-	PromptTokens uint64 // uncached estimate
-	// ContextTokens are prompt tokens before those, held under a reservation and
-	// not counted in MemoryTokens.
+	PromptTokens uint64 // estimated tokens to prefill, cached ones excluded
+	// ContextTokens are the prompt tokens that precede PromptTokens. They are held under a
+	// memory reservation and not counted in MemoryTokens.
 	ContextTokens uint64
-	MemoryTokens  uint64 // prompt and answer, held while running
+	MemoryTokens  uint64 // memory for prompt and answer, held while running
 	OutputTokens  uint64
 	Arrived       time.Time
 	Deadline      time.Time
 }
 
-// Capacity is what the endpoint has for new work at one moment.
+// Capacity describes what the endpoint can take on at one moment.
 type Capacity struct {
 	FreeTokens   uint64
-	MemoryTokens uint64 // whole size; 0 when unknown
+	MemoryTokens uint64 // total size; 0 when unknown
 	Running      int
 	MaxRunning   int // 0: no limit
 }
 
-// Verdict is the answer to an offer.
+// Verdict is the decision about an offered item.
 type Verdict struct {
 	Admitted   bool
 	Wait       time.Duration // predicted wait until prefill starts
 	RetryAfter time.Duration // set when refused
-	Code       result.Code   // why it was refused
-	Detail     string        // for people, when refused
+	Code       result.Code   // reason for the refusal
+	Detail     string        // human-readable reason, set when refused
 }
 
-// Queue orders the waiting work of one endpoint. It is not safe for
-// concurrent use.
+// Queue schedules the waiting items of one endpoint. It is not safe for concurrent use.
 //
-// The caller calls Next until it returns false after each Offer, Prefilled,
-// Done, Remove and Expire, and every PollEvery while items wait. Each item that
-// Next returned ends with Done, or with Remove when its run taught nothing.
+// The caller calls Next until it returns false, after each Offer, Prefilled, Done, Remove
+// and Expire, and every PollEvery while items wait. Each item returned by Next ends with
+// Done, or with Remove if its run did not complete.
 type Queue interface {
-	// Offer admits the item or refuses it at once.
+	// Offer admits the item or refuses it immediately.
 	Offer(it Item, cap Capacity, now time.Time) Verdict
-	// Next removes and returns the item to start now, if any fits.
+	// Next removes and returns the item to start now. It returns false if none can start.
 	Next(cap Capacity, now time.Time) (Item, bool)
-	// Expire removes and returns the items that can no longer meet their deadline.
+	// Expire removes and returns the waiting items that can no longer meet their deadline.
 	Expire(now time.Time) []Item
-	// Remove takes a waiting or started item out, for a caller that went away.
+	// Remove removes a waiting or started item, for example when its caller has disconnected.
+	// It reports whether the item was known.
 	Remove(id string) bool
-	// Prefilled says that a started item has produced its first token.
+	// Prefilled records that a started item has produced its first token.
 	Prefilled(id string, now time.Time)
-	// Done ends a started item and teaches the queue what it took. A time of
-	// zero was not observed; cached counts the prompt tokens held already.
+	// Done ends a started item and updates the cost estimates with the measured times. A time
+	// of zero was not observed; cached is the number of prompt tokens that were already
+	// cached.
 	Done(it Item, queued, prefill, decode time.Duration, cached uint64)
-	// Load returns the totals for reports.
+	// Load returns the totals for load reports.
 	Load(now time.Time) Totals
 }
 
-// PollEvery is how often Next is called while items wait and nothing happens.
+// PollEvery is the interval at which Next is called while items wait and no other event
+// occurs.
 const PollEvery = 5 * time.Millisecond
 
-// Totals sums up a queue.
+// Totals summarizes a queue's load.
 type Totals struct {
 	Queued       int
 	QueuedTokens uint64
-	LongTokens   uint64 // of long work, waiting or still to prefill
-	Wait         [routing.NumClasses]time.Duration
+	LongTokens   uint64                            // prompt tokens of long items, waiting or still to be prefilled
+	Wait         [routing.NumClasses]time.Duration // predicted wait of a new item, by class
 	Cost         routing.Cost
 }
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkQueue measures one offer, start and end at an endpoint where the
-// given number of items of ten workspaces wait.
+// BenchmarkQueue measures offering, starting and finishing one item at an endpoint where
+// the given number of items of ten workspaces wait.
 func BenchmarkQueue(b *testing.B) {
 	for _, waiting := range []int{0, 100, 500} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
@@ -21,8 +21,8 @@
 			for b.Loop() {
 				now++
 				it := item("new", "w3", 500, 10, now, now+1_000_000)
-				q.Offer(it, room(400_000), at(now))
-				if next, ok := q.Next(room(400_000), at(now)); ok {
+				q.Offer(it, capacityWith(400_000), at(now))
+				if next, ok := q.Next(capacityWith(400_000), at(now)); ok {
 					q.Prefilled(next.ID, at(now))
 					q.Done(next, 0, 1, 1, 0)
 				}
--- a/admission/lines.go
+++ b/admission/lines.go
@@ -7,15 +7,16 @@
 	"github.com/micarudder/micarudder/routing"
 )
 
-// entry is one waiting item with what it was predicted to take.
+// entry is a waiting item with its predicted costs.
 type entry struct {
 	item    Item
 	prefill time.Duration
 	decode  time.Duration
-	charge  time.Duration // time of the endpoint that it uses up
+	charge  time.Duration // endpoint time charged to its workspace
 }
 
-func (e *entry) run() time.Duration { return e.prefill + e.decode }
+// runTime returns the predicted time from the start of prefill to the end of the answer.
+func (e *entry) runTime() time.Duration { return e.prefill + e.decode }
 
 // before orders entries by deadline, then by arrival.
 func (e *entry) before(o *entry) bool {
@@ -25,17 +26,17 @@
 	return e.item.Arrived.Before(o.item.Arrived)
 }
 
-// line holds the waiting items of one workspace and class, earliest deadline
-// first, with their sums.
-type line struct {
+// waitList holds the waiting items of one workspace and class, earliest deadline first,
+// and the sums of their costs.
+type waitList struct {
 	entries []*entry
 	prefill time.Duration
 	charge  time.Duration
 	memory  uint64
 }
 
-// place returns the position where the entry belongs.
-func (l *line) place(e *entry) int {
+// position returns the index at which the entry belongs.
+func (l *waitList) position(e *entry) int {
 	i, _ := slices.BinarySearchFunc(l.entries, e, func(have, e *entry) int {
 		if e.before(have) {
 			return 1
@@ -45,14 +46,14 @@
 	return i
 }
 
-func (l *line) insert(e *entry) {
-	l.entries = slices.Insert(l.entries, l.place(e), e)
+func (l *waitList) insert(e *entry) {
+	l.entries = slices.Insert(l.entries, l.position(e), e)
 	l.prefill += e.prefill
 	l.charge += e.charge
 	l.memory += e.item.MemoryTokens
 }
 
-func (l *line) remove(e *entry) {
+func (l *waitList) remove(e *entry) {
 	i := slices.Index(l.entries, e)
 	l.entries = slices.Delete(l.entries, i, i+1)
 	l.prefill -= e.prefill
@@ -60,59 +61,60 @@
 	l.memory -= e.item.MemoryTokens
 }
 
-// workspace holds one workspace's lines and its share of the endpoint. Its
-// virtual time is the endpoint time it was charged over its share.
+// workspace holds one workspace's wait lists and its share of the endpoint. Its virtual
+// time is the endpoint time charged to it divided by its share.
 type workspace struct {
-	share    float64
-	virtual  float64
-	waiting  int
-	rate     rate      // of the prefill it started, long work left out
-	comeback time.Time // told to the last refused item
-	lines    [routing.NumClasses]line
+	share       float64
+	virtualTime float64
+	waiting     int
+	rate        rate      // of the prefill started, long items excluded
+	nextRetry   time.Time // retry time given to the last refused item
+	lists       [routing.NumClasses]waitList
 }
 
-// minActive is the rate of prefill from which a workspace counts as active.
-const minActive = 0.01
+// minActiveRate is the prefill rate above which a workspace counts as active.
+const minActiveRate = 0.01
 
-// active reports whether the workspace has work or lately had.
+// active reports whether the workspace has waiting items or recently started prefill.
 func (w *workspace) active(now time.Time) bool {
-	return w.waiting > 0 || w.rate.now(now) > minActive
+	return w.waiting > 0 || w.rate.valueAt(now) > minActiveRate
 }
 
-// workspaceOf returns the item's workspace. One that was idle starts at the
-// present virtual time: it saves up nothing.
-func (q *queue) workspaceOf(it Item, now time.Time) *workspace {
+// workspaceFor returns the item's workspace, creating it if necessary. A workspace without
+// waiting items starts at the current virtual time, so that it accumulates no credit while
+// idle.
+func (q *queue) workspaceFor(it Item, now time.Time) *workspace {
 	w := q.workspaces[it.Workspace]
 	if w == nil {
-		q.forgetIdle(now)
+		q.dropIdle(now)
 		w = &workspace{}
 		q.workspaces[it.Workspace] = w
 	}
 	w.share = shareOf(it)
 	if w.waiting == 0 {
-		w.virtual = max(w.virtual, q.virtual)
+		w.virtualTime = max(w.virtualTime, q.virtualTime)
 	}
 	return w
 }
 
-// forgetIdle drops workspaces whose record has no effect any more.
-func (q *queue) forgetIdle(now time.Time) {
+// dropIdle deletes the workspaces whose state no longer affects scheduling.
+func (q *queue) dropIdle(now time.Time) {
 	for name, w := range q.workspaces {
-		if w.waiting == 0 && w.virtual <= q.virtual && !w.comeback.After(now) {
+		if w.waiting == 0 && w.virtualTime <= q.virtualTime && !w.nextRetry.After(now) {
 			delete(q.workspaces, name)
 		}
 	}
 }
 
-func (q *queue) push(e *entry, w *workspace) {
-	w.lines[e.item.Class].insert(e)
+func (q *queue) enqueue(e *entry, w *workspace) {
+	w.lists[e.item.Class].insert(e)
 	w.waiting++
 	q.waiting[e.item.ID] = e
 }
 
-func (q *queue) pull(e *entry) *workspace {
+func (q *queue) dequeue(e *entry) *workspace {
 	w := q.workspaces[e.item.Workspace]
-	w.lines[e.item.Class].remove(e)
+	w.lists[e.item.Class].remove(e)
 	w.waiting--
 	delete(q.waiting, e.item.ID)
 	return w
--- a/admission/offer.go
+++ b/admission/offer.go
@@ -8,93 +8,93 @@
 
 // Offer implements Queue.
 func (q *queue) Offer(it Item, cap Capacity, now time.Time) Verdict {
-	q.cap = cap
+	q.capacity = cap
 	q.advance(now)
 	if q.waiting[it.ID] != nil || q.running[it.ID] != nil {
 		return Verdict{Admitted: true}
 	}
-	w := q.workspaceOf(it, now)
-	e := q.entryOf(it)
+	w := q.workspaceFor(it, now)
+	e := q.newEntry(it)
 	if cap.MemoryTokens > 0 && it.MemoryTokens > cap.MemoryTokens {
 		return q.refuse(e, w, 0, now, result.MemoryHeld, "more memory than the endpoint has")
 	}
 	if w.waiting >= q.cfg.MaxQueued-len(q.waiting) {
-		return q.refuse(e, w, w.lines[it.Class].charge, now, result.Overloaded, "the queue is full")
+		return q.refuse(e, w, w.lists[it.Class].charge, now, result.Overloaded, "the queue is full")
 	}
-	wait := q.waitOf(e, w, cap, now)
+	wait := q.predictWait(e, w, cap, now)
 	remaining := it.Deadline.Sub(now)
 	allowed := time.Duration(q.cfg.Headroom * float64(remaining))
-	stretched := q.stretched(e.prefill, it.Class, w, now)
-	if over := wait + stretched + e.decode - allowed; over > 0 && !q.probes(now) {
+	prefill := q.prefillWithPreemption(e.prefill, it.Class, w, now)
+	if excess := wait + prefill + e.decode - allowed; excess > 0 && !q.admitProbe(now) {
 		code := result.Overloaded
-		if stretched+e.decode > allowed {
+		if prefill+e.decode > allowed {
 			code = result.DeadlineTooNear
 		}
-		return q.refuse(e, w, min(over, wait), now, code, "cannot be finished in its time")
+		return q.refuse(e, w, min(excess, wait), now, code, "cannot be finished in its time")
 	}
-	if over := q.harm(e, w, now, wait); over > 0 {
-		return q.refuse(e, w, over, now, result.Overloaded, "admitted work would be late")
+	if excess := q.inducedLateness(e, w, now, wait); excess > 0 {
+		return q.refuse(e, w, excess, now, result.Overloaded, "admitted work would be late")
 	}
-	q.push(e, w)
+	q.enqueue(e, w)
 	return Verdict{Admitted: true, Wait: wait}
 }
 
-// entryOf predicts what an item takes.
-func (q *queue) entryOf(it Item) *entry {
-	prompt := promptOf(it)
+// newEntry predicts the costs of an item.
+func (q *queue) newEntry(it Item) *entry {
+	prompt := totalPromptTokens(it)
 	c := q.model.Cost()
 	e := &entry{item: it}
 	e.prefill = c.Prefill(prompt, prompt-min(prompt, it.PromptTokens))
-	e.decode = q.decodeBeside(it.OutputTokens)
+	e.decode = q.predictDecode(it.OutputTokens)
 	if it.PromptTokens == 0 && it.OutputTokens == 0 {
-		e.decode = q.meanRun // a service call
+		e.decode = q.meanRunTime // service call: no tokens to predict from
 	}
-	e.charge = max(minCharge, e.prefill+e.decode/time.Duration(max(1, q.cap.MaxRunning)))
+	e.charge = max(minCharge, e.prefill+e.decode/time.Duration(max(1, q.capacity.MaxRunning)))
 	return e
 }
 
 // minCharge is the least that a workspace is charged for an item.
 const minCharge = time.Microsecond
 
-// probes reports whether an item is admitted against the prediction, because
-// nothing runs and nothing has been learned for a while.
-func (q *queue) probes(now time.Time) bool {
-	if len(q.waiting) > 0 || len(q.running) > 0 || now.Sub(q.probed) < q.cfg.ProbeEvery {
+// admitProbe reports whether an item is admitted against the prediction, because nothing
+// waits or runs and neither a probe nor an observation was made within ProbeInterval.
+func (q *queue) admitProbe(now time.Time) bool {
+	if len(q.waiting) > 0 || len(q.running) > 0 || now.Sub(q.lastProbe) < q.cfg.ProbeInterval {
 		return false
 	}
-	if q.model.Samples() > 0 && now.Sub(q.model.Last()) < q.cfg.ProbeEvery {
+	if q.model.Samples() > 0 && now.Sub(q.model.Last()) < q.cfg.ProbeInterval {
 		return false
 	}
-	q.probed = now
+	q.lastProbe = now
 	return true
 }
 
-// harm returns by how much the entry would make waiting items of its own line
-// late that could be in time without it.
-func (q *queue) harm(e *entry, w *workspace, now time.Time, wait time.Duration) time.Duration {
-	l := &w.lines[e.item.Class]
-	behind := wait
+// inducedLateness returns the largest amount by which the entry would make a waiting item
+// of its own wait list miss a deadline that it would meet otherwise.
+func (q *queue) inducedLateness(e *entry, w *workspace, now time.Time, wait time.Duration) time.Duration {
+	l := &w.lists[e.item.Class]
+	delay := wait
 	var worst time.Duration
-	for _, o := range l.entries[l.place(e):] {
-		finish := now.Add(behind + o.run())
+	for _, o := range l.entries[l.position(e):] {
+		finish := now.Add(delay + o.runTime())
 		if late := finish.Add(e.prefill).Sub(o.item.Deadline); late > 0 && !finish.After(o.item.Deadline) {
 			worst = max(worst, late)
 		}
-		behind += o.prefill
+		delay += o.prefill
 	}
 	return worst
 }
 
-// refuse answers with the time to come back: when the excess will have been
-// worked off, after those of the same workspace that were told to come back
-// before, so that they do not return all at once.
-func (q *queue) refuse(e *entry, w *workspace, over time.Duration, now time.Time, code result.Code, detail string) Verdict {
-	earliest := now.Add(over)
-	if w.comeback.Before(earliest) {
-		w.comeback = earliest
+// refuse returns a refusal with a retry time: the time at which the excess will have been
+// worked off, after the retry times given to earlier refused items of the same workspace,
+// so that they do not all return at once.
+func (q *queue) refuse(e *entry, w *workspace, excess time.Duration, now time.Time, code result.Code, detail string) Verdict {
+	earliest := now.Add(excess)
+	if w.nextRetry.Before(earliest) {
+		w.nextRetry = earliest
 	}
-	w.comeback = w.comeback.Add(e.charge)
-	after := min(max(w.comeback.Sub(now), minRetryAfter), q.cfg.MaxRetryAfter)
-	w.comeback = now.Add(min(w.comeback.Sub(now), q.cfg.MaxRetryAfter))
+	w.nextRetry = w.nextRetry.Add(e.charge)
+	after := min(max(w.nextRetry.Sub(now), minRetryAfter), q.cfg.MaxRetryAfter)
+	w.nextRetry = now.Add(min(w.nextRetry.Sub(now), q.cfg.MaxRetryAfter))
 	return Verdict{RetryAfter: after, Code: code, Detail: detail}
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -22,36 +22,36 @@
 }
 
 type queue struct {
-	cfg        Config
-	model      *cost.Model
-	meanRun    time.Duration // learned length of a run, 0 before the first
-	workspaces map[string]*workspace
-	waiting    map[string]*entry
-	running    map[string]*run
-	virtual    float64   // of the workspace served last
-	probed     time.Time // when an item was last admitted against the prediction
-	rates      [routing.NumClasses]rate
-	clock      time.Time // up to which runs are accounted
-	cap        Capacity  // as last seen
-	heads      []head    // scratch of Next
+	cfg            Config
+	model          *cost.Model
+	meanRunTime    time.Duration // learned duration of a run; 0 before the first observation
+	workspaces     map[string]*workspace
+	waiting        map[string]*entry
+	running        map[string]*run
+	virtualTime    float64                  // of the workspace served last
+	lastProbe      time.Time                // when an item was last admitted as a probe
+	prefillRates   [routing.NumClasses]rate // of the prefill started, by class
+	accountedUntil time.Time                // time up to which the running items are accounted for
+	capacity       Capacity                 // as last passed by the caller
+	heads          []head                   // scratch space of Next
 }
 
-// Next implements Queue. Classes go shortest first, workspaces of one class
-// by their share, items of one workspace by deadline.
+// Next implements Queue. Shorter classes come first, workspaces within a class in the
+// order of their virtual time, and items within a workspace by deadline.
 func (q *queue) Next(cap Capacity, now time.Time) (Item, bool) {
-	q.cap = cap
+	q.capacity = cap
 	q.advance(now)
 	if len(q.waiting) == 0 || cap.MaxRunning > 0 && cap.Running >= cap.MaxRunning {
 		return Item{}, false
 	}
-	heads := q.order()
-	blocked := q.blocked(heads, cap, now)
+	heads := q.sortedHeads()
+	blocked := q.blockedOnMemory(heads, cap, now)
 	for _, h := range heads {
 		e := h.entry
 		if e.item.MemoryTokens > cap.FreeTokens || !q.mayPrefill(e, h.workspace, now) {
 			continue
 		}
-		if blocked != nil && !q.mayPass(e, blocked, cap, now) {
+		if blocked != nil && !q.mayBackfill(e, blocked, cap, now) {
 			continue
 		}
 		q.start(e, now)
@@ -60,8 +60,8 @@
 	return Item{}, false
 }
 
-// blocked returns the entry that has waited longest for memory alone.
-func (q *queue) blocked(heads []head, cap Capacity, now time.Time) *entry {
+// blockedOnMemory returns the earliest arrived entry that waits only for memory.
+func (q *queue) blockedOnMemory(heads []head, cap Capacity, now time.Time) *entry {
 	var longest *entry
 	for _, h := range heads {
 		e := h.entry
@@ -75,18 +75,18 @@
 	return longest
 }
 
-// head is the first entry of a line.
+// head is the first entry of a wait list.
 type head struct {
 	entry     *entry
 	workspace *workspace
 }
 
-// order returns the heads of all lines in the order in which they are served.
-func (q *queue) order() []head {
+// sortedHeads returns the heads of all wait lists in scheduling order.
+func (q *queue) sortedHeads() []head {
 	q.heads = q.heads[:0]
 	for _, w := range q.workspaces {
-		for c := range w.lines {
-			if l := &w.lines[c]; len(l.entries) > 0 {
+		for c := range w.lists {
+			if l := &w.lists[c]; len(l.entries) > 0 {
 				q.heads = append(q.heads, head{l.entries[0], w})
 			}
 		}
@@ -94,7 +94,7 @@
 	slices.SortFunc(q.heads, func(a, b head) int {
 		return cmp.Or(
 			cmp.Compare(a.entry.item.Class, b.entry.item.Class),
-			cmp.Compare(a.workspace.virtual, b.workspace.virtual),
+			cmp.Compare(a.workspace.virtualTime, b.workspace.virtualTime),
 			a.entry.item.Deadline.Compare(b.entry.item.Deadline),
 			cmp.Compare(a.entry.item.ID, b.entry.item.ID),
 		)
@@ -102,18 +102,17 @@
 	return q.heads
 }
 
-// start moves an entry from its line to the running ones and charges its
-// workspace.
+// start moves an entry from its wait list to the running items and charges its workspace.
 func (q *queue) start(e *entry, now time.Time) {
-	w := q.pull(e)
-	q.virtual = max(q.virtual, w.virtual)
-	w.virtual += float64(e.charge) / w.share
+	w := q.dequeue(e)
+	q.virtualTime = max(q.virtualTime, w.virtualTime)
+	w.virtualTime += float64(e.charge) / w.share
 	c := e.item.Class
 	if c < routing.ClassLong {
 		w.rate.add(e.prefill, now)
 	}
 	q.running[e.item.ID] = &run{entry: e, started: now}
-	q.rates[c].add(e.prefill, now)
+	q.prefillRates[c].add(e.prefill, now)
 }
 
 // Expire implements Queue.
@@ -128,7 +127,7 @@
 		return cmp.Or(a.Deadline.Compare(b.Deadline), cmp.Compare(a.ID, b.ID))
 	})
 	for _, it := range out {
-		q.pull(q.waiting[it.ID])
+		q.dequeue(q.waiting[it.ID])
 	}
 	return out
 }
@@ -136,7 +135,7 @@
 // Remove implements Queue.
 func (q *queue) Remove(id string) bool {
 	if e := q.waiting[id]; e != nil {
-		q.pull(e)
+		q.dequeue(e)
 		return true
 	}
 	r := q.running[id]
@@ -144,7 +143,7 @@
 		return false
 	}
 	delete(q.running, id)
-	q.learnBroken(r)
+	q.observeAborted(r)
 	return true
 }
 
@@ -165,15 +164,15 @@
 	if prefill <= 0 && decode <= 0 {
 		return
 	}
-	q.learnRun(prefill + decode)
-	if r != nil && !r.prefilled.IsZero() && r.got > 0 {
-		prefill = min(prefill, r.got) // without what passed it
+	q.observeRunTime(prefill + decode)
+	if r != nil && !r.prefilled.IsZero() && r.attained > 0 {
+		prefill = min(prefill, r.attained) // excludes the time in which it was preempted
 	}
-	q.model.Observe(promptOf(it), cached, it.OutputTokens, prefill, decode, ended)
+	q.model.Observe(totalPromptTokens(it), cached, it.OutputTokens, prefill, decode, ended)
 }
 
-// promptOf returns the whole prompt's tokens, held ones included.
-func promptOf(it Item) uint64 {
+// totalPromptTokens returns the tokens of the whole prompt, including those already held.
+func totalPromptTokens(it Item) uint64 {
 	if it.ContextTokens > 0 {
 		return it.ContextTokens + it.PromptTokens
 	}
@@ -183,40 +182,40 @@
 	return it.PromptTokens
 }
 
-// runGain is the weight of a new observation of a run's length.
-const runGain = 0.1
+// runTimeGain is the weight of a new observation of a run's duration.
+const runTimeGain = 0.1
 
-func (q *queue) learnRun(took time.Duration) {
-	if q.meanRun == 0 {
-		q.meanRun = took
+func (q *queue) observeRunTime(took time.Duration) {
+	if q.meanRunTime == 0 {
+		q.meanRunTime = took
 		return
 	}
-	q.meanRun += time.Duration(runGain * float64(took-q.meanRun))
+	q.meanRunTime += time.Duration(runTimeGain * float64(took-q.meanRunTime))
 }
 
-// brokenFactor is how much longer than its time so far a run that was broken
-// off late is assumed to take.
-const brokenFactor = 2
+// abortedFactor is the assumed total duration of a phase that was aborted late, as a
+// multiple of its duration so far.
+const abortedFactor = 2
 
-// learnBroken learns from a run that did not come to its end: its prefill if
-// that is over, and of the rest only that it takes longer than predicted.
-func (q *queue) learnBroken(r *run) {
+// observeAborted learns from a run that did not complete: its prefill time if prefill had
+// ended. A phase that was aborted counts only if it took longer than predicted.
+func (q *queue) observeAborted(r *run) {
 	it := r.entry.item
 	var decode time.Duration
 	if !r.prefilled.IsZero() {
-		decode = q.clock.Sub(r.prefilled)
+		decode = q.accountedUntil.Sub(r.prefilled)
 	}
 	if decode < r.entry.decode {
 		decode = 0
 	}
-	prefill := r.got
+	prefill := r.attained
 	if r.prefilled.IsZero() {
-		prefill *= brokenFactor
-		if r.got < r.entry.prefill {
+		prefill *= abortedFactor
+		if r.attained < r.entry.prefill {
 			prefill = 0
 		}
 	}
 	if prefill > 0 || decode > 0 {
-		q.model.Observe(promptOf(it), 0, it.OutputTokens, prefill, brokenFactor*decode, q.clock)
+		q.model.Observe(totalPromptTokens(it), 0, it.OutputTokens, prefill, abortedFactor*decode, q.accountedUntil)
 	}
 }
