--- a/limits/breaker.go
+++ b/limits/breaker.go
@@ -3,108 +3,109 @@
 import "time"
 
 const (
-	// tripStreak is the number of failures in a row that open a breaker.
-	tripStreak = 3
-	// tripShare is the share of failures that opens it, once outcomes of the
-	// weight tripWeight have been seen: about ten, as they decay.
-	tripShare  = 0.5
-	tripWeight = 6
-	// breakerMemory is the share that past outcomes keep at each new one.
-	breakerMemory = 0.9
-	// firstOpen is how long it stays open at first; each failed probe doubles
-	// that up to maxOpen.
-	firstOpen = time.Second
-	maxOpen   = 30 * time.Second
-	// probeTime is how long one probe may take before another is let through.
-	probeTime = 10 * time.Second
+	// tripFailures is the number of consecutive failures that open a breaker.
+	tripFailures = 3
+	// tripRatio is the ratio of failures that opens it, once the decayed count of outcomes has
+	// reached tripMinWeight, which takes about ten outcomes.
+	tripRatio     = 0.5
+	tripMinWeight = 6
+	// outcomeDecay is the factor by which past outcomes decay at each new one.
+	outcomeDecay = 0.9
+	// initialOpenTime is how long a breaker stays open at first; each failed probe doubles it,
+	// up to maxOpenTime.
+	initialOpenTime = time.Second
+	maxOpenTime     = 30 * time.Second
+	// probeTimeout is how long a probe may take before another one is let through.
+	probeTimeout = 10 * time.Second
 )
 
-// Breaker keeps requests from an endpoint that fails. Only failures of the
-// endpoint itself count: lost, unreachable, failed; not refusals. The zero
-// value is a closed breaker.
+// Breaker is a circuit breaker that keeps requests from a failing endpoint. Only failures
+// of the endpoint itself count (it was lost, was unreachable or failed), refusals do not.
+// The zero value is a closed breaker.
 type Breaker struct {
-	streak   int
-	failures float64 // decaying
-	outcomes float64 // decaying
-	opened   int     // times in a row without a success between
-	until    time.Time
-	probing  time.Time // since when a probe is out; zero: none
+	consecutiveFailures int
+	failures            float64 // decaying count
+	outcomes            float64 // decaying count
+	consecutiveOpens    int     // times opened in a row without a success in between
+	openUntil           time.Time
+	probeStarted        time.Time // when the outstanding probe was sent; zero: none
 }
 
-// State names a breaker's state.
+// State is the state of a breaker.
 type State string
 
 // The states of a breaker.
 const (
 	Closed   State = "closed"
 	Open     State = "open"
-	HalfOpen State = "half-open" // its time is over; one probe at a time passes
+	HalfOpen State = "half-open" // the open time is over; one probe at a time is let through
 )
 
 // State returns the breaker's state.
 func (b *Breaker) State(now time.Time) State {
 	switch {
-	case b.opened == 0:
+	case b.consecutiveOpens == 0:
 		return Closed
-	case now.Before(b.until):
+	case now.Before(b.openUntil):
 		return Open
 	}
 	return HalfOpen
 }
 
-// Blocks reports whether routing has to leave the endpoint out.
+// Blocks reports whether routing must exclude the endpoint.
 func (b *Breaker) Blocks(now time.Time) bool {
 	switch b.State(now) {
 	case Open:
 		return true
 	case HalfOpen:
-		return !b.probing.IsZero() && now.Sub(b.probing) < probeTime
+		return !b.probeStarted.IsZero() && now.Sub(b.probeStarted) < probeTimeout
 	}
 	return false
 }
 
-// Sent notes that a request goes to the endpoint; half open it is the probe.
+// Sent records that a request is sent to the endpoint; a half-open breaker takes it as the
+// probe.
 func (b *Breaker) Sent(now time.Time) {
 	if b.State(now) == HalfOpen {
-		b.probing = now
+		b.probeStarted = now
 	}
 }
 
-// Success notes that the endpoint served a request.
+// Success records that the endpoint served a request.
 func (b *Breaker) Success(now time.Time) {
 	if b.State(now) == Open {
-		return // of a request sent before it opened
+		return // from a request sent before the breaker opened
 	}
-	b.count(0)
-	b.streak, b.opened, b.probing = 0, 0, time.Time{}
+	b.record(0)
+	b.consecutiveFailures, b.consecutiveOpens, b.probeStarted = 0, 0, time.Time{}
 }
 
-// Failure notes that the endpoint failed a request, and reports whether the
-// breaker opened by it.
+// Failure records that the endpoint failed a request, and reports whether that opened the
+// breaker.
 func (b *Breaker) Failure(now time.Time) bool {
 	state := b.State(now)
 	if state == Open {
 		return false
 	}
-	b.streak++
-	b.count(1)
-	often := b.outcomes >= tripWeight && b.failures >= tripShare*b.outcomes
-	if state == Closed && b.streak < tripStreak && !often {
+	b.consecutiveFailures++
+	b.record(1)
+	ratioReached := b.outcomes >= tripMinWeight && b.failures >= tripRatio*b.outcomes
+	if state == Closed && b.consecutiveFailures < tripFailures && !ratioReached {
 		return false
 	}
 	b.open(now)
 	return true
 }
 
-func (b *Breaker) count(failure float64) {
-	b.failures = breakerMemory*b.failures + failure
-	b.outcomes = breakerMemory*b.outcomes + 1
+func (b *Breaker) record(failure float64) {
+	b.failures = outcomeDecay*b.failures + failure
+	b.outcomes = outcomeDecay*b.outcomes + 1
 }
 
 func (b *Breaker) open(now time.Time) {
-	span := min(firstOpen<<min(b.opened, 10), maxOpen)
-	b.opened++
-	b.until = now.Add(span)
-	b.probing = time.Time{}
+	openTime := min(initialOpenTime<<min(b.consecutiveOpens, 10), maxOpenTime)
+	b.consecutiveOpens++
+	b.openUntil = now.Add(openTime)
+	b.probeStarted = time.Time{}
 	b.failures, b.outcomes = 0, 0
 }
--- a/limits/bucket.go
+++ b/limits/bucket.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// bucket is a token bucket that may be overdrawn: a request passes while any
-// credit is left, whatever its size, and its whole size is then paid off.
-// Prompts larger than a second's allowance could never pass otherwise.
+// bucket is a token bucket that may be overdrawn: a request passes while a unit is left,
+// whatever the request's size, and its whole size is then deducted. Otherwise prompts
+// larger than one second's allowance could never pass.
 type bucket struct {
-	rate  float64 // units per second; 0 means no limit
-	level float64
-	at    time.Time
+	rate    float64 // units per second; 0 means no limit
+	level   float64
+	updated time.Time
 }
 
-// burstSpan is the time for which unused allowance is kept.
-const burstSpan = time.Second
+// burstPeriod is the time for which unused allowance is kept.
+const burstPeriod = time.Second
 
-// minBurst lets a share below one unit a second still pass single requests.
+// minBurst lets a share below one unit per second still pass single requests.
 const minBurst = 1
 
-func (b *bucket) burst() float64 { return max(minBurst, b.rate*burstSpan.Seconds()) }
+func (b *bucket) burst() float64 { return max(minBurst, b.rate*burstPeriod.Seconds()) }
 
-// setRate changes the rate and keeps what is owed.
+// setRate changes the rate and keeps what is overdrawn.
 func (b *bucket) setRate(rate float64, now time.Time) {
-	if b.at.IsZero() {
-		b.rate, b.at = rate, now
+	if b.updated.IsZero() {
+		b.rate, b.updated = rate, now
 		b.level = b.burst()
 		return
 	}
-	b.fill(now)
+	b.refill(now)
 	b.rate = rate
 	b.level = min(b.level, b.burst())
 }
 
-func (b *bucket) fill(now time.Time) {
-	if elapsed := now.Sub(b.at); elapsed > 0 {
+func (b *bucket) refill(now time.Time) {
+	if elapsed := now.Sub(b.updated); elapsed > 0 {
 		b.level = min(b.burst(), b.level+b.rate*elapsed.Seconds())
-		b.at = now
+		b.updated = now
 	}
 }
 
-// wait returns the time until a request may pass; 0 means now.
+// wait returns the time until a request may pass; 0 means that it may pass now.
 func (b *bucket) wait(now time.Time) time.Duration {
 	if b.rate <= 0 {
 		return 0
 	}
-	b.fill(now)
+	b.refill(now)
 	if b.level >= minBurst {
 		return 0
 	}
@@ -56,8 +56,8 @@
 	}
 }
 
-// span returns the time that n units are worth.
-func (b *bucket) span(n float64) time.Duration {
+// timeFor returns the time in which n units accrue.
+func (b *bucket) timeFor(n float64) time.Duration {
 	if b.rate <= 0 {
 		return 0
 	}
--- a/limits/budget.go
+++ b/limits/budget.go
@@ -6,36 +6,37 @@
 )
 
 const (
-	// retryShare is the number of automatic retries per request.
-	retryShare = 0.1
-	// retryFloor is the number of retries per second that is always there at all gateways together, so
-	// that a workspace with few requests can retry at all.
-	retryFloor = 0.5
-	// budgetSpan is the time constant of the budget's memory.
-	budgetSpan = 10 * time.Second
-	// maxRetries bounds the budget at any rate of requests.
-	maxRetries = 100
+	// retryRatio is the number of automatic retries earned by each request.
+	retryRatio = 0.1
+	// minRetryRate is the number of retries per second that is always available to all
+	// gateways together, so that a workspace with few requests can retry at all.
+	minRetryRate = 0.5
+	// budgetTimeConstant is the time constant with which earned credit decays, and the time
+	// for which minRetryRate accumulates.
+	budgetTimeConstant = 10 * time.Second
+	// maxCredit bounds the budget at any rate of requests.
+	maxCredit = 100
 )
 
-// Budget bounds the automatic retries of one workspace to a share of its
-// requests, so that a failing fleet is not hit by a multiple of its load. One gateway keeps it alone: it
-// has its part of what is always there.
+// Budget limits the automatic retries of one workspace to a ratio of its requests, so that
+// a failing fleet is not hit by a multiple of its load. Each gateway keeps its own budget
+// without coordination and gets its part of minRetryRate.
 type Budget struct {
-	gateways int // that share retryFloor, this one included
+	gateways int // number of gateways that share minRetryRate, this one included
 	credit   float64
-	at       time.Time
+	updated  time.Time
 }
 
-// NewBudget returns the budget of one of so many gateways.
+// NewBudget returns the budget of one of the given number of gateways.
 func NewBudget(gateways int) *Budget { return &Budget{gateways: gateways} }
 
-// Request counts a first attempt.
+// Request records a first attempt.
 func (b *Budget) Request(now time.Time) {
 	b.decay(now)
-	b.credit = min(maxRetries, b.credit+retryShare)
+	b.credit = min(maxCredit, b.credit+retryRatio)
 }
 
-// Retry takes one retry out of the budget, and reports whether it had one.
+// Retry takes one retry from the budget and reports whether one was available.
 func (b *Budget) Retry(now time.Time) bool {
 	b.decay(now)
 	if b.credit < 1 {
@@ -45,21 +46,23 @@
 	return true
 }
 
-// decay brings the budget to what is always there: what is missing comes back evenly, and what requests have left above it counts
-// less with time. A retry that is saved up, though by many requests of long ago, does not: with many gateways each has few requests.
+// decay moves the credit towards its baseline: below it, credit returns at a constant
+// rate; above it, credit earned by requests decays exponentially. One whole retry does not
+// decay, even if it was earned by many requests long ago: with many gateways, each has few
+// requests.
 func (b *Budget) decay(now time.Time) {
-	rate := retryFloor / float64(b.gateways)
-	if b.at.IsZero() {
-		b.credit, b.at = rate*budgetSpan.Seconds(), now
+	rate := minRetryRate / float64(b.gateways)
+	if b.updated.IsZero() {
+		b.credit, b.updated = rate*budgetTimeConstant.Seconds(), now
 		return
 	}
-	elapsed := max(0, now.Sub(b.at))
-	b.at = now
-	rest := max(1, rate*budgetSpan.Seconds())
-	if b.credit <= rest {
-		b.credit = min(rest, b.credit+rate*elapsed.Seconds())
+	elapsed := max(0, now.Sub(b.updated))
+	b.updated = now
+	baseline := max(1, rate*budgetTimeConstant.Seconds())
+	if b.credit <= baseline {
+		b.credit = min(baseline, b.credit+rate*elapsed.Seconds())
 		return
 	}
-	keep := math.Exp(-float64(elapsed) / float64(budgetSpan))
-	b.credit = rest + (b.credit-rest)*keep
+	factor := math.Exp(-float64(elapsed) / float64(budgetTimeConstant))
+	b.credit = baseline + (b.credit-baseline)*factor
 }
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -1,8 +1,8 @@
-// Package limits bounds what one workspace may ask for and what one failing
-// endpoint may cost: workspace limits that gateways split among themselves by
-// recent use, without a shared counter; retry budgets per workspace; and
-// circuit breakers per endpoint. It is pure: time is an argument. Its types
-// are not safe for concurrent use.
+// Package limits bounds what one workspace may use and what one failing endpoint may cost.
+// It has workspace limits, which the gateways split among themselves by recent use without
+// a shared counter; retry budgets per workspace; bounds on the retries to a service; and
+// circuit breakers per endpoint. It reads no clock: time is an argument. Its types are not
+// safe for concurrent use.
 package limits
 
 import (
@@ -17,50 +17,53 @@
 	MaxInFlight       int
 }
 
-// Verdict is the answer to one request.
+// Verdict is the decision about one request.
 type Verdict struct {
 	OK         bool
 	RetryAfter time.Duration // set when refused
-	Detail     string        // which limit, when refused
+	Detail     string        // which limit was reached, set when refused
 }
 
 const (
-	// MaxRetryAfter bounds the time to come back.
+	// MaxRetryAfter is the upper bound of Verdict.RetryAfter.
 	MaxRetryAfter = time.Minute
 	minRetryAfter = 50 * time.Millisecond
-	// inFlightRetry is the time to come back when too many run: how long a run
-	// takes is not known here.
-	inFlightRetry = time.Second
+	// inFlightRetryAfter is the retry time when too many requests are in flight: how long a
+	// run takes is not known here.
+	inFlightRetryAfter = time.Second
 )
 
-// Table holds one gateway's part of all workspaces' limits.
+// Table holds one gateway's part of the limits of all workspaces.
 type Table struct {
 	self       string
 	workspaces map[string]*account
-	peers      map[string]report
-	// others is how many other gateways there should be; one of which nothing was heard peerSpan after the
-	// beginning is not there.
-	others int
-	begun  time.Time // zero: no limits were set yet
+	peers      map[string]peerReport
+	// expectedPeers is the number of other gateways that are expected. Those not heard from
+	// within peerTimeout of the start are taken as absent.
+	expectedPeers int
+	started       time.Time // when limits were first set; zero: not yet
 }
 
+// account is one workspace's use of its limits at this gateway.
 type account struct {
 	limit    Limit
 	requests bucket
 	tokens   bucket
 	inFlight int
 	demand   demand
-	// mostInFlight is this gateway's part of the limit; 0 means no limit.
-	mostInFlight int
-	comeback     time.Time // told to the last refused request
+	// maxInFlight is this gateway's part of the limit; 0 means no limit.
+	maxInFlight int
+	nextRetry   time.Time // retry time given to the last refused request
 }
 
-// NewTable returns the table of the gateway with the given name, which shares with so many others.
-func NewTable(self string, others int) *Table {
-	return &Table{self: self, others: others, workspaces: make(map[string]*account), peers: make(map[string]report)}
+// NewTable returns the table of the gateway with the given name, which shares the limits
+// with expectedPeers other gateways.
+func NewTable(self string, expectedPeers int) *Table {
+	return &Table{self: self, expectedPeers: expectedPeers, workspaces: make(map[string]*account), peers: make(map[string]peerReport)}
 }
 
-// SetAll puts new limits in force, by workspace. What is in flight and owed stays.
+// SetAll replaces the limits, by workspace. Requests in flight and overdrawn buckets are
+// kept.
 func (t *Table) SetAll(limits map[string]Limit, now time.Time) {
 	maps.DeleteFunc(t.workspaces, func(name string, _ *account) bool {
 		_, ok := limits[name]
@@ -74,29 +77,28 @@
 		}
 		a.limit = l
 	}
-	if t.begun.IsZero() {
-		t.begun = now
+	if t.started.IsZero() {
+		t.started = now
 	}
-	t.divide(now)
+	t.splitLimits(now)
 }
 
-// Admit counts a request of the given size in tokens, or refuses it. An
-// admitted request ends with Done. A workspace without limits is always
-// admitted.
+// Admit counts a request of the given size in tokens and admits or refuses it. An admitted
+// request ends with Done. A workspace without limits is always admitted.
 func (t *Table) Admit(workspace string, tokens uint64, now time.Time) Verdict {
 	a := t.workspaces[workspace]
 	if a == nil {
 		return Verdict{OK: true}
 	}
 	a.demand.add(tokens, now)
-	if a.mostInFlight > 0 && a.inFlight >= a.mostInFlight {
-		return a.refuse(inFlightRetry, 0, now, "requests in flight")
+	if a.maxInFlight > 0 && a.inFlight >= a.maxInFlight {
+		return a.refuse(inFlightRetryAfter, 0, now, "requests in flight")
 	}
 	if wait := a.requests.wait(now); wait > 0 {
-		return a.refuse(wait, a.requests.span(1), now, "requests per second")
+		return a.refuse(wait, a.requests.timeFor(1), now, "requests per second")
 	}
 	if wait := a.tokens.wait(now); wait > 0 {
-		return a.refuse(wait, a.tokens.span(float64(tokens)), now, "tokens per second")
+		return a.refuse(wait, a.tokens.timeFor(float64(tokens)), now, "tokens per second")
 	}
 	a.requests.take(1)
 	a.tokens.take(float64(tokens))
@@ -104,20 +106,20 @@
 	return Verdict{OK: true}
 }
 
-// Done ends an admitted request.
+// Done records the end of an admitted request.
 func (t *Table) Done(workspace string) {
 	if a := t.workspaces[workspace]; a != nil && a.inFlight > 0 {
 		a.inFlight--
 	}
 }
 
-// refuse tells each refused request a later time than the one before, by what
-// it is worth, so that they do not come back all at once.
-func (a *account) refuse(wait, worth time.Duration, now time.Time, detail string) Verdict {
-	if earliest := now.Add(wait); a.comeback.Before(earliest) {
-		a.comeback = earliest
+// refuse gives each refused request a later retry time than the one before, by the cost of
+// the request, so that they do not all return at once.
+func (a *account) refuse(wait, cost time.Duration, now time.Time, detail string) Verdict {
+	if earliest := now.Add(wait); a.nextRetry.Before(earliest) {
+		a.nextRetry = earliest
 	}
-	after := min(max(a.comeback.Sub(now), minRetryAfter), MaxRetryAfter)
-	a.comeback = now.Add(min(a.comeback.Sub(now)+worth, MaxRetryAfter))
+	after := min(max(a.nextRetry.Sub(now), minRetryAfter), MaxRetryAfter)
+	a.nextRetry = now.Add(min(a.nextRetry.Sub(now)+cost, MaxRetryAfter))
 	return Verdict{RetryAfter: after, Detail: detail}
 }
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -13,7 +13,7 @@
 
 func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-// fleet returns gateways that tell each other their use in round.
+// fleet is a set of gateways that report their recent use to each other.
 type fleet []*Table
 
 func newFleet(n int, l Limit) fleet {
@@ -22,11 +22,11 @@
 		f[i] = NewTable(fmt.Sprint("gateway-", i), n-1)
 		f[i].SetAll(map[string]Limit{"w": l}, epoch)
 	}
-	f.round(epoch)
+	f.exchange(epoch)
 	return f
 }
 
-func (f fleet) round(now time.Time) {
+func (f fleet) exchange(now time.Time) {
 	for _, from := range f {
 		for _, to := range f {
 			to.Peer(from.self, from.Uses(now), now)
@@ -37,14 +37,14 @@
 	}
 }
 
-// ask sends requests of the given rates to the gateways for some seconds and
-// returns how many each admitted in the second half.
-func (f fleet) ask(seconds int, tokens uint64, perSecond ...int) (admitted []int, total int) {
+// sendRequests sends requests at the given rates to the gateways for some seconds. It
+// returns how many each gateway admitted in the second half.
+func (f fleet) sendRequests(seconds int, tokens uint64, perSecond ...int) (admitted []int, total int) {
 	admitted = make([]int, len(f))
 	for ms := range seconds * 1000 {
 		now := at(ms)
 		if ms%1000 == 0 {
-			f.round(now)
+			f.exchange(now)
 		}
 		for i, r := range perSecond {
 			if r == 0 || ms%(1000/r) != 0 || !f[i].Admit("w", tokens, now).OK {
@@ -66,8 +66,8 @@
 		limit     Limit
 		tokens    uint64
 		perSecond []int
-		want      int // admitted a second by all
-		busiest   int // admitted a second by the first at least
+		want      int // admitted per second by all gateways
+		busiest   int // least admitted per second by the first gateway
 	}{
 		{"under the limit, all at one gateway", Limit{RequestsPerSecond: 60}, 1, []int{50, 0, 0}, 50, 50},
 		{"over the limit, all at one gateway", Limit{RequestsPerSecond: 60}, 1, []int{200, 0, 0}, 52, 50},
@@ -81,7 +81,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			const seconds = 40
-			admitted, total := newFleet(len(tc.perSecond), tc.limit).ask(seconds, tc.tokens, tc.perSecond...)
+			admitted, total := newFleet(len(tc.perSecond), tc.limit).sendRequests(seconds, tc.tokens, tc.perSecond...)
 			t.Log(admitted, total)
 			perSecond := float64(total) / (seconds / 2)
 			is.True(perSecond >= 0.93*float64(tc.want) && perSecond <= 1.07*float64(tc.want)+0.25)
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestSharesSumToOne checks that gateways with the same view never give out
-// more than the limit, and that each keeps some of it.
+// TestSharesSumToOne checks that gateways with the same view never give out more than the
+// limit, and that each gets a part of it.
 func TestSharesSumToOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -101,7 +101,7 @@
 				g.Admit("w", rapid.Uint64Range(0, 100_000).Draw(t, "tokens"), epoch)
 			}
 		}
-		f.round(epoch)
+		f.exchange(epoch)
 		var requests, tokens float64
 		for _, g := range f {
 			r, k := g.shares("w", g.workspaces["w"], epoch)
@@ -114,8 +114,10 @@
 	})
 }
 
-// TestInFlightSumsToTheLimit: four gateways that share ten requests in flight each rounded two and a half up and let
-// twelve through. Gateways with the same view now give out just the limit, however uneven their use, and one each where it is less.
+// TestInFlightSumsToTheLimit: four gateways that shared a limit of ten requests in flight
+// each rounded 2.5 up, and admitted twelve together. Gateways with the same view must give
+// out exactly the limit, however uneven their use, and one each where the limit is
+// smaller.
 func TestInFlightSumsToTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gateways := rapid.IntRange(1, 25).Draw(t, "gateways")
@@ -128,23 +130,23 @@
 				}
 			}
 		}
-		f.round(epoch)
-		all, lifted := 0, 0
+		f.exchange(epoch)
+		all, roundedUp := 0, 0
 		for _, g := range f {
-			n := g.workspaces["w"].mostInFlight
+			n := g.workspaces["w"].maxInFlight
 			all += n
 			if n == 1 {
-				lifted++ // its part may be less than one
+				roundedUp++ // its part may be less than one
 			}
 		}
-		if all > limit+lifted || all < limit {
-			t.Fatalf("%d gateways let %d through, the limit is %d", gateways, all, limit)
+		if all > limit+roundedUp || all < limit {
+			t.Fatalf("%d gateways admit %d in flight, the limit is %d", gateways, all, limit)
 		}
 	})
 	is := is.New(t)
 	all := 0
 	for _, g := range newFleet(4, Limit{MaxInFlight: 10}) {
-		all += g.workspaces["w"].mostInFlight
+		all += g.workspaces["w"].maxInFlight
 	}
 	is.Equal(all, 10)
 }
@@ -170,9 +172,10 @@
 	is.Equal(inFlight(at(33_000)), 10)
 }
 
-// TestGatewaysThatStartTogether: gateways that have not heard of each other yet each gave out a workspace's whole limit, 24 times
-// as much together, until they had told each other, ten seconds later. All together they now let through what the limit
-// allows, a second's worth that may come at once, and one request each.
+// TestGatewaysThatStartTogether: gateways that had not heard from each other yet each gave
+// out a workspace's whole limit, 24 times the limit together, until they exchanged reports
+// ten seconds later. Together they must admit no more than the limit, one second's burst
+// and one request each.
 func TestGatewaysThatStartTogether(t *testing.T) {
 	is := is.New(t)
 	const gateways, perSecond, seconds = 24, 48, 10
@@ -204,11 +207,11 @@
 	alone := tables[0]
 	alone.Tick(at(31_000))
 	requests, _ := alone.shares("w", alone.workspaces["w"], at(31_000))
-	is.Equal(requests, 1.0) // nobody else is there
+	is.Equal(requests, 1.0) // no other gateway is up
 }
 
-// TestRetryAfter has a burst over the limit: each refused request is told a
-// later time, at the pace of the limit, and up to a bound.
+// TestRetryAfter sends a burst over the limit: each refused request must get a later retry
+// time, at the rate of the limit and up to a bound.
 func TestRetryAfter(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1, Limit{RequestsPerSecond: 10})
@@ -231,8 +234,8 @@
 func TestBudget(t *testing.T) {
 	cases := []struct {
 		name     string
-		requests int // before the failures begin
-		retries  int // wanted
+		requests int // sent before the failures begin
+		retries  int // asked for
 		want     int // granted
 	}{
 		{"few requests", 0, 20, 5},
@@ -254,13 +257,14 @@
 			}
 			is.True(granted >= tc.want-1 && granted <= tc.want)
 			is.True(!b.Retry(epoch))
-			is.True(b.Retry(at(10_000))) // it comes back
+			is.True(b.Retry(at(10_000))) // credit returns
 		})
 	}
 }
 
-// TestBudgetOfManyGateways: the retries that are always there were there at each gateway: with 24 of them a workspace that asks ten times a
-// second had every request repeated. All together they now grant what one alone does, and a tenth of the requests.
+// TestBudgetOfManyGateways: the minimum retry rate was available at each gateway, so that
+// with 24 gateways a workspace with ten requests per second had every request retried.
+// Together they must grant the minimum rate only once, plus a tenth of the requests.
 func TestBudgetOfManyGateways(t *testing.T) {
 	for _, gateways := range []int{1, 6, 24, 400} {
 		budgets := make([]*Budget, gateways)
@@ -276,9 +280,9 @@
 				granted++
 			}
 		}
-		most := retryShare*float64(requests) + retryFloor*(60+budgetSpan.Seconds())
-		if float64(granted) > most || granted < int(retryShare*float64(requests))/2 && gateways <= 24 {
-			t.Errorf("%d gateways: %d retries of %d requests, want at most %.0f and half of the share", gateways, granted, requests, most)
+		limit := retryRatio*float64(requests) + minRetryRate*(60+budgetTimeConstant.Seconds())
+		if float64(granted) > limit || granted < int(retryRatio*float64(requests))/2 && gateways <= 24 {
+			t.Errorf("%d gateways: %d retries of %d requests, want at most %.0f and at least half of the retry ratio", gateways, granted, requests, limit)
 		}
 	}
 }
@@ -286,17 +290,17 @@
 func TestBreaker(t *testing.T) {
 	cases := []struct {
 		name   string
-		events string // f failure, s success, 100 ms apart
+		events string // f: failure, s: success; 100 ms apart
 		now    int    // ms
 		state  State
 		blocks bool
 	}{
 		{"new", "", 0, Closed, false},
 		{"two failures", "ff", 300, Closed, false},
-		{"three in a row", "fff", 300, Open, true},
-		{"not in a row", "ffsffsff", 900, Closed, false},
-		{"half of many", "sfsfsfsfsfsfsf", 1_500, Open, true},
-		{"its time is over", "fff", 1_300, HalfOpen, false},
+		{"three failures in a row", "fff", 300, Open, true},
+		{"failures not in a row", "ffsffsff", 900, Closed, false},
+		{"half of many fail", "sfsfsfsfsfsfsf", 1_500, Open, true},
+		{"open time is over", "fff", 1_300, HalfOpen, false},
 		{"late success while open", "fffs", 400, Open, true},
 	}
 	for _, tc := range cases {
@@ -324,15 +328,15 @@
 	}
 	b.Sent(at(1_000))
 	is.True(b.Blocks(at(1_001)))   // one probe at a time
-	is.True(!b.Blocks(at(11_000))) // whose answer is not waited for for ever
+	is.True(!b.Blocks(at(11_000))) // a probe without an answer times out
 	is.True(b.Failure(at(1_100)))
-	is.True(b.Blocks(at(3_099))) // twice as long
+	is.True(b.Blocks(at(3_099))) // twice the open time
 	is.True(!b.Blocks(at(3_100)))
 	b.Sent(at(3_100))
 	b.Success(at(3_200))
 	is.Equal(b.State(at(3_200)), Closed)
-	for i := range 40 { // a probe a minute, each failing
+	for i := range 40 { // one failing probe a minute
 		b.Failure(at(10_000 + 60_000*i))
 	}
-	is.True(b.State(at(10_000+60_000*39+30_000)) == HalfOpen) // never longer than 30 s
+	is.True(b.State(at(10_000+60_000*39+30_000)) == HalfOpen) // at most 30 s
 }
--- a/limits/window.go
+++ b/limits/window.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// WindowConfig sets the bound that a service puts on second sends: in every
-// window of length Window, at most Ratio times the first sends plus Slack.
+// WindowConfig is the bound on the retries to a service: in every window of length Window
+// at most Ratio times the number of requests, plus Slack. Requests are first sends,
+// retries are second sends.
 type WindowConfig struct {
 	Ratio  float64
 	Slack  float64
@@ -14,37 +15,38 @@
 }
 
 const (
-	// windowCells is how many parts a window is counted in.
-	windowCells = 10
-	// windowShare is the part of the bound that is used. The rest covers
-	// second sends that a killed gateway has forgotten, and gateways that
-	// share the slack without knowing all others.
-	windowShare = 0.6
+	// subWindows is the number of parts in which a window is counted.
+	subWindows = 10
+	// usableFraction is the fraction of the bound that is used. The rest covers retries that a
+	// killed gateway has forgotten, and gateways that share the slack without knowing all
+	// others.
+	usableFraction = 0.6
 )
 
-// Window bounds second sends to one service over a sliding window, shared by
-// several gateways: each uses its own requests and an even part of the slack.
+// Window bounds the retries to one service over a sliding window that several gateways
+// share: each counts its own requests and gets an even part of the slack.
 type Window struct {
 	config   WindowConfig
-	requests [windowCells + 1]int
-	retries  [windowCells + 1]int
-	newest   int64 // number of the newest cell since the zero time
+	requests [subWindows + 1]int
+	retries  [subWindows + 1]int
+	newest   int64 // number of the newest sub-window, counted from the Unix epoch
 }
 
 // NewWindow returns an empty window.
 func NewWindow(c WindowConfig) *Window { return &Window{config: c} }
 
-// Request counts a first send.
+// Request records a first send.
 func (w *Window) Request(now time.Time) {
 	w.advance(now)
-	w.requests[w.cell()]++
+	w.requests[w.index()]++
 }
 
-// UnknownGateways is the number of gateways for one that does not know yet who shares the slack with it.
+// UnknownGateways is the number of gateways to pass to Retry while it is not known how
+// many gateways share the slack.
 const UnknownGateways = math.MaxInt
 
-// Retry takes a second send out of the budget of one among so many gateways,
-// and reports whether it was there.
+// Retry takes one retry from the budget of one among the given number of gateways, and
+// reports whether one was available.
 func (w *Window) Retry(now time.Time, gateways int) bool {
 	w.advance(now)
 	requests, retries := 0, 0
@@ -52,27 +54,28 @@
 		requests += w.requests[i]
 		retries += w.retries[i]
 	}
-	most := windowShare * (w.config.Ratio*float64(requests) + w.config.Slack/float64(max(1, gateways)))
-	if float64(retries+1) > most {
+	limit := usableFraction * (w.config.Ratio*float64(requests) + w.config.Slack/float64(max(1, gateways)))
+	if float64(retries+1) > limit {
 		return false
 	}
-	w.retries[w.cell()]++
+	w.retries[w.index()]++
 	return true
 }
 
-func (w *Window) cell() int { return int(w.newest % int64(len(w.requests))) }
+// index returns the position of the newest sub-window in the counts.
+func (w *Window) index() int { return int(w.newest % int64(len(w.requests))) }
 
-// advance empties the cells that have left the window.
+// advance clears the sub-windows that have left the window.
 func (w *Window) advance(now time.Time) {
-	current := now.UnixNano() / int64(w.config.Window/windowCells)
+	current := now.UnixNano() / int64(w.config.Window/subWindows)
 	steps := min(current-w.newest, int64(len(w.requests)))
 	for range max(0, steps) {
 		w.newest++
-		w.requests[w.cell()] = 0
-		w.retries[w.cell()] = 0
+		w.requests[w.index()] = 0
+		w.retries[w.index()] = 0
 	}
 	w.newest = max(w.newest, current)
 	if steps == int64(len(w.requests)) {
-		w.requests, w.retries = [windowCells + 1]int{}, [windowCells + 1]int{}
+		w.requests, w.retries = [subWindows + 1]int{}, [subWindows + 1]int{}
 	}
 }
--- a/limits/window_test.go
+++ b/limits/window_test.go
@@ -18,12 +18,13 @@
 	for w.Retry(now, 4) {
 		granted++
 	}
-	is.Equal(granted, int(windowShare*windowBounds.Slack/4))
+	is.Equal(granted, int(usableFraction*windowBounds.Slack/4))
 }
 
-// TestWindowOfGatewaysThatStartTogether: 24 gateways whose processes started at the same moment each took the whole slack for
-// their own, before they had heard of each other: 1,440 second sends where 100 are allowed. One that does not know how
-// many share the slack now uses none of it, and a part of its own requests as ever.
+// TestWindowOfGatewaysThatStartTogether: 24 gateways whose processes started at the same
+// moment each used the whole slack before they had heard from each other: 1,440 retries
+// where 100 are allowed. A gateway that does not know how many share the slack must use
+// none of it, but still the ratio of its own requests.
 func TestWindowOfGatewaysThatStartTogether(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -52,8 +53,8 @@
 	is.True(w.Retry(now.Add(12*time.Second), 4))
 }
 
-// TestWindowBound: however requests and retries of several gateways fall, no
-// window holds more retries than the bound allows.
+// TestWindowBound checks that no window holds more retries than the bound allows, whatever
+// the order of requests and retries at several gateways.
 func TestWindowBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gateways := rapid.IntRange(1, 6).Draw(t, "gateways")
@@ -80,10 +81,10 @@
 				}
 				return n
 			}
-			// A cell may reach back a tenth of a window further.
+			// A sub-window may reach back a tenth of a window further.
 			all := float64(len(requests))
 			if bound := windowBounds.Ratio*all + windowBounds.Slack; recent(retries) > bound {
-				t.Fatalf("%v retries in a window, at most %v", recent(retries), bound)
+				t.Fatalf("%v retries in a window, want at most %v", recent(retries), bound)
 			}
 		}
 	})
