--- a/memory/book_test.go
+++ b/memory/book_test.go
@@ -14,7 +14,7 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func ask(group string, epoch, tokens uint64) Request {
+func request(group string, epoch, tokens uint64) Request {
 	return Request{Group: group, Epoch: epoch, Tokens: tokens, Lease: time.Second}
 }
 
@@ -25,49 +25,49 @@
 		do   func(is *is.I, b *Book)
 	}{
 		{"grants up to the limit", func(is *is.I, b *Book) {
-			is.True(b.Reserve(ask("a", 1, 60), at(0)).Granted)
-			is.Equal(b.Reserve(ask("b", 1, 41), at(0)).Code, result.MemoryHeld)
+			is.True(b.Reserve(request("a", 1, 60), at(0)).Granted)
+			is.Equal(b.Reserve(request("b", 1, 41), at(0)).Code, result.MemoryHeld)
 			is.True(b.Reserve(Request{Group: "c", Epoch: 1, Tokens: 40, Since: -1}, at(0)).Granted)
 			is.Equal(b.Reserved(), uint64(100))
 		}},
 		{"never more than the limit", func(is *is.I, b *Book) {
-			is.Equal(b.Reserve(ask("a", 1, 101), at(0)).Code, result.MemoryHeld)
-			is.True(b.Reserve(ask("b", 1, 100), at(0)).Granted) // a has no place in line
+			is.Equal(b.Reserve(request("a", 1, 101), at(0)).Code, result.MemoryHeld)
+			is.True(b.Reserve(request("b", 1, 100), at(0)).Granted) // a is not kept as a waiting group
 		}},
 		{"a repeated request extends the lease", func(is *is.I, b *Book) {
-			first := b.Reserve(ask("a", 1, 60), at(0))
-			is.Equal(b.Reserve(ask("a", 1, 60), at(500)), first)
+			first := b.Reserve(request("a", 1, 60), at(0))
+			is.Equal(b.Reserve(request("a", 1, 60), at(500)), first)
 			is.True(b.Live("a.1", at(1400)))
 			is.Equal(b.Reserved(), uint64(60))
 		}},
-		{"a lapsed lease is over before anyone noticed", func(is *is.I, b *Book) {
-			b.Reserve(ask("a", 1, 60), at(0))
+		{"an expired lease is over before Expire is called", func(is *is.I, b *Book) {
+			b.Reserve(request("a", 1, 60), at(0))
 			is.True(!b.Renew("a.1", time.Second, at(1000)))
 			is.True(!b.Pin("a.1", at(1000)))
-			is.Equal(b.Reserve(ask("a", 1, 60), at(1000)).Code, result.LeaseLost)
-			is.Equal(b.Reserved(), uint64(60)) // until the endpoint has it back
+			is.Equal(b.Reserve(request("a", 1, 60), at(1000)).Code, result.LeaseLost)
+			is.Equal(b.Reserved(), uint64(60)) // until the endpoint has freed it
 			is.Equal(len(b.Expire(at(1000))), 1)
 			b.Freed("a.1")
 			is.Equal(b.Reserved(), uint64(0))
 		}},
 		{"a later attempt ends the earlier", func(is *is.I, b *Book) {
-			b.Reserve(ask("a", 1, 30), at(0))
-			is.True(b.Reserve(ask("a", 2, 60), at(1)).Granted)
+			b.Reserve(request("a", 1, 30), at(0))
+			is.True(b.Reserve(request("a", 2, 60), at(1)).Granted)
 			is.True(!b.Live("a.1", at(1)))
-			is.Equal(b.Reserve(ask("a", 1, 1), at(2)).Code, result.LeaseLost)
+			is.Equal(b.Reserve(request("a", 1, 1), at(2)).Code, result.LeaseLost)
 		}},
-		{"released before it was asked for", func(is *is.I, b *Book) {
+		{"released before it was requested", func(is *is.I, b *Book) {
 			is.True(!b.Release("a.1", at(0)))
-			is.Equal(b.Reserve(ask("a", 1, 60), at(1)).Code, result.LeaseLost)
-			is.True(b.Reserve(ask("a", 2, 60), at(1)).Granted)
+			is.Equal(b.Reserve(request("a", 1, 60), at(1)).Code, result.LeaseLost)
+			is.True(b.Reserve(request("a", 2, 60), at(1)).Granted)
 		}},
-		{"a late release leaves the later attempt", func(is *is.I, b *Book) {
-			b.Reserve(ask("a", 2, 60), at(0))
+		{"a late release does not affect the later attempt", func(is *is.I, b *Book) {
+			b.Reserve(request("a", 2, 60), at(0))
 			is.True(!b.Release("a.1", at(1)))
 			is.True(b.Live("a.2", at(1)))
 		}},
 		{"a pinned lease outlives its coordinator", func(is *is.I, b *Book) {
-			b.Reserve(ask("a", 1, 60), at(0))
+			b.Reserve(request("a", 1, 60), at(0))
 			is.True(b.Pin("a.1", at(1)))
 			is.True(!b.Pin("a.1", at(2)))
 			is.Equal(len(b.Expire(at(100_000))), 0)
@@ -76,11 +76,11 @@
 			is.Equal(len(b.Expire(at(100_000))), 1)
 		}},
 		{"the older group is served first", func(is *is.I, b *Book) {
-			b.Reserve(ask("x", 1, 60), at(0))
+			b.Reserve(request("x", 1, 60), at(0))
 			older := Request{Group: "o", Epoch: 1, Tokens: 80, Lease: time.Second, Since: 1}
 			younger := Request{Group: "y", Epoch: 1, Tokens: 30, Lease: time.Second, Since: 2}
 			is.True(!b.Reserve(older, at(1)).Granted)
-			is.True(!b.Reserve(younger, at(2)).Granted) // fits now, but not beside the older
+			is.True(!b.Reserve(younger, at(2)).Granted) // fits now, but not beside the older one
 			b.Release("x.1", at(3))
 			b.Freed("x.1")
 			younger.Epoch, older.Epoch = 2, 2
@@ -88,7 +88,7 @@
 			is.True(b.Reserve(older, at(5)).Granted)
 		}},
 		{"admitted work goes first", func(is *is.I, b *Book) {
-			r := ask("a", 1, 60)
+			r := request("a", 1, 60)
 			r.Queued = 41
 			is.True(!b.Reserve(r, at(0)).Granted)
 			is.Equal(b.Wanted(at(1)), uint64(60))
@@ -97,18 +97,18 @@
 			is.True(b.Reserve(r, at(2)).Granted)
 			is.Equal(b.Wanted(at(2)), uint64(0))
 		}},
-		{"a place in line lapses", func(is *is.I, b *Book) {
-			b.Reserve(ask("x", 1, 60), at(0))
+		{"a waiting group expires", func(is *is.I, b *Book) {
+			b.Reserve(request("x", 1, 60), at(0))
 			b.Reserve(Request{Group: "o", Epoch: 1, Tokens: 80, Since: 1}, at(1))
 			is.True(b.Reserve(Request{Group: "y", Epoch: 1, Tokens: 30, Since: 2}, at(5001)).Granted)
 		}},
-		{"a lease has a longest time", func(is *is.I, b *Book) {
+		{"the duration of a lease is bounded", func(is *is.I, b *Book) {
 			b.Reserve(Request{Group: "a", Epoch: 1, Tokens: 1, Lease: time.Hour}, at(0))
 			is.True(!b.Live("a.1", at(10_000)))
 		}},
-		{"fences are forgotten", func(is *is.I, b *Book) {
+		{"fences expire", func(is *is.I, b *Book) {
 			b.Release("a.1", at(0))
-			is.True(b.Reserve(ask("a", 1, 1), at(60_000)).Granted)
+			is.True(b.Reserve(request("a", 1, 1), at(60_000)).Granted)
 		}},
 	}
 	for _, c := range cases {
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestBookNeverOvercommitsOrLeaks: whatever messages come, late, twice or not
-// at all, the leases never exceed the limit, an attempt that is over never
-// comes back, and in the end all memory is free.
+// TestBookNeverOvercommitsOrLeaks checks for messages that arrive in any order, late,
+// twice or not at all that the leases never exceed the limit, that an attempt that is over
+// is never granted again, and that all memory is free in the end.
 func TestBookNeverOvercommitsOrLeaks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 100
@@ -135,15 +135,15 @@
 				}
 				v := b.Reserve(r, now)
 				if v.Granted && over[v.Reservation] {
-					t.Fatalf("%s was over", v.Reservation)
+					t.Fatalf("%s was granted after its attempt had ended", v.Reservation)
 				}
 				if v.Granted != (v.Code == 0) {
-					t.Fatalf("%+v", v)
+					t.Fatalf("granted and code disagree: %+v", v)
 				}
 			},
 			"renew": func(t *rapid.T) {
 				if r := id(t); b.Renew(r, time.Second, now) && over[r] {
-					t.Fatalf("%s was over", r)
+					t.Fatalf("%s was renewed after its attempt had ended", r)
 				}
 			},
 			"pin":   func(t *rapid.T) { b.Pin(id(t), now) },
@@ -164,7 +164,7 @@
 			},
 			"": func(t *rapid.T) {
 				if b.Reserved() > limit {
-					t.Fatalf("%d reserved", b.Reserved())
+					t.Fatalf("%d tokens reserved, more than the limit", b.Reserved())
 				}
 			},
 		})
@@ -177,7 +177,7 @@
 			b.Freed(l.ID)
 		}
 		if b.Reserved() != 0 {
-			t.Fatalf("%d reserved in the end", b.Reserved())
+			t.Fatalf("%d tokens still reserved in the end", b.Reserved())
 		}
 	})
 }
--- a/memory/group.go
+++ b/memory/group.go
@@ -8,81 +8,82 @@
 	"github.com/micarudder/micarudder/result"
 )
 
-// Kind names what a coordinator does next.
-type Kind int
+// ActionKind is the kind of a coordinator's next step.
+type ActionKind int
 
-// The steps of a group.
+// The kinds of steps.
 const (
-	DoReserve Kind = iota // reserve the member's memory
-	DoCompute             // have the member import what is before its span and compute it
-	DoImport              // have the last member import what is before its span
-	DoRun                 // order the run from the last member
-	DoPause               // hold nothing for a while, then plan anew
-	DoFail                // give the caller Code
+	DoReserve ActionKind = iota // reserve the member's memory
+	DoCompute                   // have the member import the spans before its own, then compute its own
+	DoImport                    // have the last member import the spans before its own
+	DoRun                       // order the run from the last member
+	DoBackoff                   // release everything, wait, then plan again
+	DoFail                      // return Code to the caller
 )
 
-// String returns the step's name.
-func (k Kind) String() string {
+// String returns the name of the step.
+func (k ActionKind) String() string {
 	return [...]string{"reserve", "compute", "import", "run", "pause", "fail"}[k]
 }
 
 // Action is a coordinator's next step. Member is an index into the plan.
 type Action struct {
-	Kind   Kind
+	Kind   ActionKind
 	Member int
-	Pause  time.Duration // before jitter; of DoPause
-	Code   result.Code   // of DoFail
+	Pause  time.Duration // before jitter; set for DoBackoff
+	Code   result.Code   // set for DoFail
 }
 
 const (
-	// FirstPause and MaxPause bound the pause after a refused reservation;
-	// it doubles from one to the next.
-	FirstPause = 100 * time.Millisecond
-	MaxPause   = 2 * time.Second
-	// maxLosses bounds the attempts of one group that fail after it was formed.
-	maxLosses = 3
-	// maxStrikes bounds the attempts that fail for another reason than memory
-	// before the group was ever formed. One that was is tried until its deadline.
-	maxStrikes = 8
+	// InitialBackoff and MaxBackoff bound the pause after a failed attempt. It doubles from
+	// one attempt to the next.
+	InitialBackoff = 100 * time.Millisecond
+	MaxBackoff     = 2 * time.Second
+	// maxFormedFailures bounds the attempts of one group that fail after it was formed, that
+	// is, after all members were reserved.
+	maxFormedFailures = 3
+	// maxUnformedFailures bounds the attempts that fail for a reason other than memory before
+	// the group was ever formed. A group that was formed once is retried until its deadline.
+	maxUnformedFailures = 8
 )
 
-// state is what a coordinator knows of its reservation at one member.
-type state struct {
-	asked   bool      // a request was sent; the lease may exist
-	granted bool      // until released
-	lapse   time.Time // when the lease ends at the earliest, on the coordinator's clock
+// memberState is what a coordinator knows of its reservation at one member.
+type memberState struct {
+	requested bool      // a request was sent; the lease may exist
+	granted   bool      // and not yet released
+	expires   time.Time // earliest end of the lease, on the coordinator's clock
 }
 
-// Group is the coordinator's state of one group over all its attempts. Members
-// are reserved in the order of their names, so that of two groups that want the
-// same endpoints one gets ahead; a group that is refused anywhere gives all back
-// before it asks again.
+// Group is the coordinator's state of one group over all its attempts. Members are
+// reserved in the order of their names, so that of two groups that want the same endpoints
+// one makes progress. A group that is refused by any member releases everything before it
+// tries again.
 type Group struct {
-	id      string
-	epoch   uint64
-	plan    Plan
-	states  []state
-	order   []int // members in the order of reservation
-	formed  int   // members reserved
-	done    int   // members that have computed, the last one: imported
-	next    Action
-	pause   time.Duration
-	losses  int
-	strikes int
-	ever    bool // formed at least once
+	id               string
+	epoch            uint64
+	plan             Plan
+	states           []memberState
+	order            []int // members in the order of reservation
+	reserved         int   // number of members that have granted their lease
+	computed         int   // number of members that have computed; the last one imports instead
+	next             Action
+	backoff          time.Duration
+	formedFailures   int
+	unformedFailures int
+	everFormed       bool // all members were reserved at least once
 }
 
-// NewGroup returns a group without a plan. One that follows an earlier group of
-// the same request is as patient as if it had been formed before.
-func NewGroup(id string, follows bool) *Group {
-	return &Group{id: id, pause: FirstPause, ever: follows}
+// NewGroup returns a group without a plan. A group that follows an earlier one of the same
+// request is retried as long as if it had been formed before.
+func NewGroup(id string, followsEarlier bool) *Group {
+	return &Group{id: id, backoff: InitialBackoff, everFormed: followsEarlier}
 }
 
-// Begin starts the next attempt with a plan.
+// Begin starts the next attempt with the given plan.
 func (g *Group) Begin(p Plan) {
 	g.epoch++
-	g.plan, g.formed, g.done = p, 0, 0
-	g.states = make([]state, len(p))
+	g.plan, g.reserved, g.computed = p, 0, 0
+	g.states = make([]memberState, len(p))
 	g.order = make([]int, len(p))
 	for i := range p {
 		g.order[i] = i
@@ -91,10 +92,10 @@
 	g.advance()
 }
 
-// Epoch numbers the attempts from 1.
+// Epoch returns the number of the current attempt, counted from 1.
 func (g *Group) Epoch() uint64 { return g.epoch }
 
-// Reservation names this attempt's reservation at every member.
+// Reservation returns the ID of this attempt's reservation, the same at every member.
 func (g *Group) Reservation() string { return ReservationID(g.id, g.epoch) }
 
 // Plan returns this attempt's plan.
@@ -103,103 +104,102 @@
 // Next returns the step to take now.
 func (g *Group) Next() Action { return g.next }
 
-// advance sets the next step of an attempt that goes well.
+// advance sets the next step of an attempt that has not failed.
 func (g *Group) advance() {
 	last := len(g.plan) - 1
 	switch {
-	case g.formed < len(g.plan):
-		g.next = Action{Kind: DoReserve, Member: g.order[g.formed]}
-	case g.done < last:
-		g.next = Action{Kind: DoCompute, Member: g.done}
-	case g.done == last:
+	case g.reserved < len(g.plan):
+		g.next = Action{Kind: DoReserve, Member: g.order[g.reserved]}
+	case g.computed < last:
+		g.next = Action{Kind: DoCompute, Member: g.computed}
+	case g.computed == last:
 		g.next = Action{Kind: DoImport, Member: last}
 	default:
 		g.next = Action{Kind: DoRun, Member: last}
 	}
 }
 
-// Asked says that a reservation is about to be asked for.
-func (g *Group) Asked(member int) { g.states[member].asked = true }
+// Asked records that a reservation is about to be requested.
+func (g *Group) Asked(member int) { g.states[member].requested = true }
 
-// Granted says that a member granted the lease that was asked for at sent.
+// Granted records that a member granted the lease that was requested at time sent.
 func (g *Group) Granted(member int, sent time.Time, lease time.Duration) {
-	g.states[member].granted, g.states[member].lapse = true, sent.Add(lease)
-	g.formed++
-	g.ever = g.ever || g.formed == len(g.plan)
+	g.states[member].granted, g.states[member].expires = true, sent.Add(lease)
+	g.reserved++
+	g.everFormed = g.everFormed || g.reserved == len(g.plan)
 	g.advance()
 }
 
-// Renewed says that a member extended the lease, as asked at sent.
+// Renewed records that a member extended the lease, as requested at time sent.
 func (g *Group) Renewed(member int, sent time.Time, lease time.Duration) {
 	if s := &g.states[member]; s.granted {
-		s.lapse = sent.Add(lease)
+		s.expires = sent.Add(lease)
 	}
 }
 
-// Computed says that a member did its part, and returns the members that are
-// not needed any more: their spans have been imported by this one, which hands
-// on all of them.
+// Computed records that a member has done its part. It returns the members that are no
+// longer needed, because this member has imported their spans and hands all of them on.
 func (g *Group) Computed(member int) (free []int) {
-	g.done++
+	g.computed++
 	for i := range member {
 		if g.states[i].granted {
 			free = append(free, i)
-			g.states[i].granted, g.states[i].asked = false, false
+			g.states[i].granted, g.states[i].requested = false, false
 		}
 	}
 	g.advance()
 	return free
 }
 
-// Lapsed returns a member whose lease is over as far as the coordinator can
-// tell; ok is false when there is none.
+// Lapsed returns a member whose lease has expired as far as the coordinator can tell; ok
+// is false if there is none.
 func (g *Group) Lapsed(now time.Time) (member int, ok bool) {
 	for i, s := range g.states {
-		if s.granted && !now.Before(s.lapse) {
+		if s.granted && !now.Before(s.expires) {
 			return i, true
 		}
 	}
 	return 0, false
 }
 
-// Held returns the members that may hold a lease of this attempt, granted only
-// or all that were asked.
+// Held returns the members that may hold a lease of this attempt: those that granted it
+// or, if granted is false, all that were asked.
 func (g *Group) Held(granted bool) (out []int) {
 	for i, s := range g.states {
-		if s.granted || s.asked && !granted {
+		if s.granted || s.requested && !granted {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// Failed says that this attempt failed with a code, and decides whether there
-// is another. All members of Held(false) are to be released first.
+// Failed records that this attempt failed with the given code, and decides whether there
+// is another attempt. All members of Held(false) must be released before that.
 func (g *Group) Failed(code result.Code) {
-	formed := g.formed == len(g.plan)
+	formed := g.reserved == len(g.plan)
 	switch {
 	case formed:
-		g.losses++
-		g.pause = FirstPause
-	case code != result.MemoryHeld && !g.ever:
-		g.strikes++
+		g.formedFailures++
+		g.backoff = InitialBackoff
+	case code != result.MemoryHeld && !g.everFormed:
+		g.unformedFailures++
 	}
-	if !mayHelp(code) || g.losses >= maxLosses || g.strikes >= maxStrikes {
+	if !retryable(code) || g.formedFailures >= maxFormedFailures || g.unformedFailures >= maxUnformedFailures {
 		g.next = Action{Kind: DoFail, Code: code}
 		return
 	}
-	g.next = Action{Kind: DoPause, Pause: g.pause}
-	g.pause = min(2*g.pause, MaxPause)
+	g.next = Action{Kind: DoBackoff, Pause: g.backoff}
+	g.backoff = min(2*g.backoff, MaxBackoff)
 }
 
-// Unplanned says that no plan was found for the next attempt.
+// Unplanned records that no plan was found for the next attempt.
 func (g *Group) Unplanned(code result.Code) {
-	g.plan, g.states, g.formed = nil, nil, -1
+	g.plan, g.states, g.reserved = nil, nil, -1
 	g.Failed(code)
 }
 
-// mayHelp reports whether another attempt may do better after a code.
-func mayHelp(c result.Code) bool {
+// retryable reports whether another attempt may succeed after the given code.
+func retryable(c result.Code) bool {
 	switch c {
 	case result.DeadlineTooNear, result.DeadlinePassed, result.Canceled, result.PromptTooLong:
 		return false
--- a/memory/group_test.go
+++ b/memory/group_test.go
@@ -16,24 +16,24 @@
 	simLease = 4 * time.Second
 )
 
-// sim drives groups over books without a network: one step of one group at a
-// time, in an order that the test chooses.
+// sim drives groups and books without a network: one step of one group at a time, in an
+// order that the test chooses.
 type sim struct {
-	books  map[string]*Book
-	now    time.Time
-	groups []*simGroup
-	hold   time.Duration // how long each keeps its memory; less than a lease
+	books   map[string]*Book
+	now     time.Time
+	groups  []*simGroup
+	runTime time.Duration // how long each group keeps its memory; less than a lease
 }
 
 type simGroup struct {
-	g      *Group
-	since  int64
-	plan   Plan
-	wakes  time.Time // when its pause ends
-	begun  bool
-	held   bool // its run has had its time
-	done   bool
-	failed result.Code
+	g        *Group
+	since    int64
+	plan     Plan
+	resumeAt time.Time // time of its next step
+	begun    bool
+	running  bool // its run has started
+	done     bool
+	failed   result.Code
 }
 
 func newSim(endpoints ...string) *sim {
@@ -44,19 +44,19 @@
 	return s
 }
 
-// add adds a group that wants tokens of each endpoint.
+// add adds a group that reserves the given tokens at each endpoint.
 func (s *sim) add(tokens uint64, endpoints ...string) {
 	var p Plan
 	for _, e := range endpoints {
 		p = append(p, Member{Endpoint: e, Tokens: 1, Reserve: tokens})
 	}
 	id := fmt.Sprint("g", len(s.groups))
-	s.groups = append(s.groups, &simGroup{g: NewGroup(id, false), since: s.now.UnixMilli(), plan: p, wakes: s.now})
+	s.groups = append(s.groups, &simGroup{g: NewGroup(id, false), since: s.now.UnixMilli(), plan: p, resumeAt: s.now})
 }
 
-// step lets one group take its next step; it reports whether there was one.
+// step lets one group take its next step. It reports whether there was one.
 func (s *sim) step(sg *simGroup) bool {
-	if sg.done || sg.failed != 0 || s.now.Before(sg.wakes) {
+	if sg.done || sg.failed != 0 || s.now.Before(sg.resumeAt) {
 		return false
 	}
 	if !sg.begun {
@@ -67,15 +67,15 @@
 	switch a.Kind {
 	case DoReserve:
 		s.reserve(sg, a.Member)
-	case DoPause:
+	case DoBackoff:
 		s.release(sg)
-		sg.begun, sg.wakes = false, s.now.Add(a.Pause)
+		sg.begun, sg.resumeAt = false, s.now.Add(a.Pause)
 	case DoFail:
 		s.release(sg)
 		sg.failed = a.Code
 	case DoRun:
-		if !sg.held {
-			sg.held, sg.wakes = true, s.now.Add(s.hold)
+		if !sg.running {
+			sg.running, sg.resumeAt = true, s.now.Add(s.runTime)
 			return true
 		}
 		s.release(sg)
@@ -112,8 +112,8 @@
 	b.Freed(sg.g.Reservation())
 }
 
-// run goes on until every group has ended; it reports false when that takes
-// more than a virtual minute.
+// run steps the groups until all have ended. It returns false if that takes more than a
+// minute of virtual time.
 func (s *sim) run(choose func(n int) int) bool {
 	for end := s.now.Add(time.Minute); s.now.Before(end); {
 		stepped := false
@@ -123,14 +123,14 @@
 		if !stepped {
 			s.now = s.now.Add(10 * time.Millisecond)
 		}
-		if s.over() {
+		if s.allEnded() {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *sim) over() bool {
+func (s *sim) allEnded() bool {
 	for _, sg := range s.groups {
 		if !sg.done && sg.failed == 0 {
 			return false
@@ -148,8 +148,8 @@
 	return out
 }
 
-// TestGroupsNeverStarveEachOther: two to four groups over overlapping
-// endpoints, in every order of their steps, all finish, and give all back.
+// TestGroupsNeverStarveEachOther checks that two to four groups on overlapping endpoints,
+// stepped in any order, all finish and release all memory.
 func TestGroupsNeverStarveEachOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := []string{"a", "b", "c", "d"}
@@ -168,18 +168,18 @@
 		}
 		for e, b := range s.books {
 			if b.Reserved() != 0 {
-				t.Fatalf("%s: %d reserved in the end", e, b.Reserved())
+				t.Fatalf("%s: %d tokens still reserved in the end", e, b.Reserved())
 			}
 		}
 	})
 }
 
-// TestOlderGroupIsNotOvertaken: a group that needs everything is formed although
-// small ones that together leave no gap keep coming.
+// TestOlderGroupIsNotOvertaken checks that a group that needs all memory is formed
+// although smaller groups, which together leave no gap, keep arriving.
 func TestOlderGroupIsNotOvertaken(t *testing.T) {
 	is := is.New(t)
 	s := newSim("a", "b", "c", "d")
-	s.hold = 2 * time.Second
+	s.runTime = 2 * time.Second
 	s.add(60, "a", "b")
 	s.step(s.groups[0])
 	s.add(100, "a", "b", "c", "d")
@@ -241,7 +241,7 @@
 			is.Equal(g.Computed(2), []int{1})
 			is.Equal(g.Held(false), []int{2})
 		}},
-		{"a lease that was not renewed is over", func(is *is.I) {
+		{"a lease that was not renewed has expired", func(is *is.I) {
 			g := formed()
 			g.Renewed(0, at(500), time.Second)
 			g.Renewed(2, at(500), time.Second)
@@ -258,40 +258,40 @@
 			is.Equal(g.Held(true), nil)
 			is.Equal(g.Held(false), []int{2})
 		}},
-		{"pauses grow while memory is held by others", func(is *is.I) {
+		{"backoff grows while memory is held by others", func(is *is.I) {
 			g := NewGroup("g", false)
 			var last time.Duration
 			for range 20 {
 				g.Begin(plan)
 				g.Failed(result.MemoryHeld)
-				is.Equal(g.Next().Kind, DoPause)
+				is.Equal(g.Next().Kind, DoBackoff)
 				is.True(g.Next().Pause >= last)
 				last = g.Next().Pause
 			}
-			is.Equal(last, MaxPause)
+			is.Equal(last, MaxBackoff)
 			is.Equal(g.Epoch(), uint64(20))
 		}},
-		{"gives up after some losses", func(is *is.I) {
+		{"gives up after repeated failures of a formed group", func(is *is.I) {
 			g := NewGroup("g", false)
-			for i := range maxLosses {
+			for i := range maxFormedFailures {
 				g.Begin(plan)
 				for range plan {
 					m := g.Next().Member
 					g.Granted(m, at(0), time.Second)
 				}
 				g.Failed(result.EndpointLost)
-				is.Equal(g.Next().Kind == DoFail, i == maxLosses-1)
+				is.Equal(g.Next().Kind == DoFail, i == maxFormedFailures-1)
 			}
 			is.Equal(g.Next().Code, result.EndpointLost)
 		}},
-		{"gives up without a plan after a while", func(is *is.I) {
+		{"gives up after repeated attempts without a plan", func(is *is.I) {
 			g := NewGroup("g", false)
-			for range maxStrikes {
+			for range maxUnformedFailures {
 				g.Unplanned(result.NoEndpoint)
 			}
 			is.Equal(g.Next(), Action{Kind: DoFail, Code: result.NoEndpoint})
 		}},
-		{"no time is no reason to try again", func(is *is.I) {
+		{"does not retry when the deadline is too near", func(is *is.I) {
 			g := formed()
 			g.Failed(result.DeadlineTooNear)
 			is.Equal(g.Next().Kind, DoFail)
--- a/memory/lease.go
+++ b/memory/lease.go
@@ -12,19 +12,19 @@
 	return ok && l.live(now)
 }
 
-// Renew extends a live lease; it reports false when the lease is over.
+// Renew extends a live lease. It returns false if the lease is over.
 func (b *Book) Renew(id string, lease time.Duration, now time.Time) bool {
 	l, ok := b.leases[id]
 	if !ok || !l.live(now) {
 		return false
 	}
-	l.Until = now.Add(leaseOf(lease))
+	l.Expires = now.Add(clampLease(lease))
 	return true
 }
 
-// Pin ties a live lease to a run: it lasts until Unpin, renewed or not, so that
-// the run does not depend on its coordinator. It reports false when the lease is
-// over or already has a run.
+// Pin ties a live lease to a run: the lease lasts until Unpin, renewed or not, so that the
+// run does not depend on its coordinator. It returns false if the lease is over or already
+// has a run.
 func (b *Book) Pin(id string, now time.Time) bool {
 	l, ok := b.leases[id]
 	if !ok || !l.live(now) || l.Pinned {
@@ -34,25 +34,25 @@
 	return true
 }
 
-// Unpin ends the lease of a run that is over.
+// Unpin ends the lease of a run that has ended.
 func (b *Book) Unpin(id string) {
 	if l, ok := b.leases[id]; ok {
 		l.Pinned = false
-		b.end(l)
+		b.closeLease(l)
 	}
 }
 
-// Release ends a reservation that no run uses. One that is not known, its
-// request being late or lost, will never be granted; it reports whether there
-// was one to end.
+// Release ends a reservation that no run uses, and reports whether there was one to end. A
+// reservation that is not known, because its request was delayed or lost, will never be
+// granted.
 func (b *Book) Release(id string, now time.Time) bool {
-	b.forget(now)
+	b.dropExpired(now)
 	group, epoch, ok := ParseReservationID(id)
 	if !ok {
 		return false
 	}
 	if f, known := b.fences[group]; !known && len(b.fences) < maxFences || known && epoch >= f.epoch {
-		b.fences[group] = fence{epoch: epoch, over: true, until: now.Add(fenceTime)}
+		b.fences[group] = fence{epoch: epoch, ended: true, expires: now.Add(fenceTTL)}
 	}
 	l, ok := b.leases[id]
 	if !ok || l.Pinned || l.Closing {
@@ -62,13 +62,13 @@
 	return true
 }
 
-// Expire ends the leases that have lapsed and returns all that are closing and
-// not yet freed, in the order of their names.
+// Expire ends the leases that have expired. It returns all leases that are closing and not
+// yet freed, ordered by ID.
 func (b *Book) Expire(now time.Time) []Lease {
 	var out []Lease
 	for _, l := range b.leases {
 		if !l.live(now) {
-			b.end(l)
+			b.closeLease(l)
 			out = append(out, *l)
 		}
 	}
@@ -76,22 +76,21 @@
 	return out
 }
 
-// Freed says that the endpoint has a closing lease's memory back.
+// Freed records that the endpoint has freed the memory of a closing lease.
 func (b *Book) Freed(id string) {
 	if l, ok := b.leases[id]; ok && l.Closing {
 		delete(b.leases, id)
 	}
 }
 
-// Next returns when the next lease lapses unless it is renewed; ok is false
-// when none will.
+// Next returns when the next lease expires unless it is renewed; ok is false if none will.
 func (b *Book) Next() (at time.Time, ok bool) {
 	for _, l := range b.leases {
 		if l.Closing || l.Pinned {
 			continue
 		}
-		if !ok || l.Until.Before(at) {
-			at, ok = l.Until, true
+		if !ok || l.Expires.Before(at) {
+			at, ok = l.Expires, true
 		}
 	}
 	return at, ok
--- a/memory/memory.go
+++ b/memory/memory.go
@@ -1,8 +1,8 @@
-// Package memory decides who may use the cache memory of model engines for
-// prompts that no single engine can hold. Book is an agent's record of the
-// leases over its own endpoint's memory; Plan and Group are the coordinator's
-// choice of endpoints and its steps from the first reservation to the last
-// release. All of it is pure: time and random numbers are arguments.
+// Package memory manages the cache memory of model engines for prompts that no single
+// engine can hold. Book is an agent's record of the leases on its own endpoint's memory.
+// Plan and Group are the coordinator's side: the choice of endpoints, and the steps from
+// the first reservation to the last release. The package does no I/O, and time is an
+// argument.
 package memory
 
 import (
@@ -12,21 +12,21 @@
 )
 
 const (
-	// MaxLease bounds how long a lease lasts without being renewed.
+	// MaxLease is the longest time that a lease lasts without renewal.
 	MaxLease = 10 * time.Second
-	// placeTime is how long a group that was refused keeps its place in line.
-	placeTime = 5 * time.Second
-	// fenceTime is how long the epochs of a group are remembered after its last
-	// order: longer than a message can be under way.
-	fenceTime = time.Minute
-	// maxPlaces and maxFences bound what is remembered of groups.
-	maxPlaces = 64
-	maxFences = 4096
+	// waiterTTL is how long a refused group is kept among the waiting groups.
+	waiterTTL = 5 * time.Second
+	// fenceTTL is how long the epochs of a group are remembered after its last message: longer
+	// than a message can be in transit.
+	fenceTTL = time.Minute
+	// maxWaiters and maxFences bound the state that is kept of groups.
+	maxWaiters = 64
+	maxFences  = 4096
 )
 
-// ReservationID names the reservation of one attempt of a group at any member.
-// It can be told before the reservation is made, so that one whose answer was
-// lost can be released.
+// ReservationID returns the ID of the reservation of one attempt of a group, which is the
+// same at every member. It is known before the reservation is made, so that a reservation
+// whose answer was lost can be released.
 func ReservationID(group string, epoch uint64) string {
 	return group + "." + strconv.FormatUint(epoch, 10)
 }
--- a/memory/plan.go
+++ b/memory/plan.go
@@ -9,136 +9,137 @@
 )
 
 const (
-	// DefaultImportDivisor: an imported span takes its tokens over this much
-	// memory, for it stays in the compressed form in which it travelled.
+	// DefaultImportDivisor is the number of tokens of an imported span that take the memory of
+	// one token, because the span stays in the compressed form in which it was transferred.
 	DefaultImportDivisor = 8
-	// marginParts is the part of a member's memory that is reserved on top, for
-	// prompt lengths are estimates.
-	marginParts = 32
-	// MaxMembers bounds the endpoints of one group.
+	// marginDivisor sets the margin that is reserved on top of a member's memory, one part in
+	// marginDivisor, because prompt lengths are estimates.
+	marginDivisor = 32
+	// MaxMembers is the maximum number of endpoints in one group.
 	MaxMembers = 16
-	// bucketParts is how finely the memory now free counts in the choice.
-	bucketParts = 8
-	// easyParts of easyOf is the share of its limit that a member is asked for
-	// while more members would do: what is left serves other work and groups.
-	easyParts = 6
-	easyOf    = 7
+	// availabilityBuckets is the number of levels to which the memory now available is rounded
+	// in the choice of endpoints.
+	availabilityBuckets = 8
+	// preferredNum over preferredDen is the fraction of its limit that an endpoint is asked
+	// for as long as more members would do: the rest serves other work and groups.
+	preferredNum = 6
+	preferredDen = 7
 )
 
-// Room is one endpoint as a coordinator knows it.
+// Room is the memory of one endpoint as a coordinator knows it.
 type Room struct {
 	Endpoint string
-	Limit    uint64        // most tokens that reservations may take together
+	Limit    uint64        // maximum number of tokens that reservations may take together
 	Reserved uint64        // tokens that they take now
 	Free     uint64        // tokens neither used nor reserved
 	Wait     time.Duration // predicted wait of long work
 	Near     bool          // in the coordinator's data centre
-	Avoid    bool          // failed this request lately
+	Avoid    bool          // failed this request recently
 }
 
-// whole returns the tokens that a reservation could get once no other is left.
-func (r Room) whole() uint64 { return r.Limit }
+// maximum returns the tokens that a reservation could get once there is no other.
+func (r Room) maximum() uint64 { return r.Limit }
 
-// now returns the tokens that a reservation could get at once.
-func (r Room) now() uint64 { return r.Limit - min(r.Limit, r.Reserved) }
+// available returns the tokens that a reservation could get immediately.
+func (r Room) available() uint64 { return r.Limit - min(r.Limit, r.Reserved) }
 
-// easy returns the part of them that leaves the endpoint some room.
-func (r Room) easy() uint64 { return min(r.now(), r.Limit/easyOf*easyParts) }
+// preferred returns the part of the available tokens that leaves the endpoint some memory.
+func (r Room) preferred() uint64 { return min(r.available(), r.Limit/preferredDen*preferredNum) }
 
-// Need is what a prompt asks of a group.
+// Need describes the prompt that a group is planned for.
 type Need struct {
 	Prompt uint64
 	Answer uint64
-	// ImportDivisor: see DefaultImportDivisor, which 0 selects.
+	// ImportDivisor is the divisor described at DefaultImportDivisor, which 0 selects.
 	ImportDivisor uint64
-	// Last names the endpoint that has to answer; empty: any.
+	// Last is the endpoint that has to answer; empty means any.
 	Last string
 }
 
-// Member is one endpoint's part in a group: it computes the prompt's tokens from
-// Start on, with all tokens before them imported.
+// Member is one endpoint's part in a group: it computes the prompt's tokens from Start on,
+// after importing all tokens before them.
 type Member struct {
 	Endpoint string
 	Start    uint64
 	Tokens   uint64
-	Reserve  uint64 // memory that it needs for that
+	Reserve  uint64 // memory that it needs for that, in tokens
 }
 
-// Plan is a group's members in the order of their spans. The last one computes
-// its span as part of the run and answers.
+// Plan is a group's members in the order of their spans. The last member computes its span
+// as part of the run and generates the answer.
 type Plan []Member
 
-// Plan chooses the fewest endpoints that can hold the prompt together, best
-// first, and cuts the prompt so that the largest part is as small as possible.
-// What leaves the members some room goes before what fills them, and what fits
-// at once before what has to wait for other groups. It returns nil when all
-// endpoints together cannot hold the prompt.
+// Plan chooses the fewest endpoints that can hold the prompt together, in order of
+// preference, and splits the prompt so that the largest part is as small as possible.
+// Plans that leave the members some memory are preferred to plans that fill them, and
+// plans that fit immediately to plans that have to wait for other groups. It returns nil
+// if all endpoints together cannot hold the prompt.
 func (n Need) Plan(view []Room) Plan {
 	if n.ImportDivisor == 0 {
 		n.ImportDivisor = DefaultImportDivisor
 	}
-	for _, size := range []func(Room) uint64{Room.easy, Room.now, Room.whole} {
-		if p := n.within(view, size); p != nil {
+	for _, size := range []func(Room) uint64{Room.preferred, Room.available, Room.maximum} {
+		if p := n.planWith(view, size); p != nil {
 			return p
 		}
 	}
 	return nil
 }
 
-// room is an endpoint with the memory that is counted on.
-type room struct {
+// candidate is an endpoint with the memory that a plan may use of it.
+type candidate struct {
 	Room
 	tokens uint64
 }
 
-// within plans with the memory that size gives of each endpoint.
-func (n Need) within(view []Room, size func(Room) uint64) Plan {
-	var rooms []room
+// planWith plans with the memory that size returns for each endpoint.
+func (n Need) planWith(view []Room, size func(Room) uint64) Plan {
+	var candidates []candidate
 	for _, r := range view {
 		if tokens := size(r); tokens > 0 {
-			rooms = append(rooms, room{r, tokens})
+			candidates = append(candidates, candidate{r, tokens})
 		}
 	}
-	slices.SortFunc(rooms, func(a, b room) int { return n.prefer(a, b) })
-	if n.Last != "" && (len(rooms) == 0 || rooms[0].Endpoint != n.Last) {
+	slices.SortFunc(candidates, func(a, b candidate) int { return n.compareCandidates(a, b) })
+	if n.Last != "" && (len(candidates) == 0 || candidates[0].Endpoint != n.Last) {
 		return nil
 	}
-	for k := 2; k <= min(len(rooms), MaxMembers); k++ {
-		if p := n.cut(n.ordered(rooms[:k])); p != nil {
+	for k := 2; k <= min(len(candidates), MaxMembers); k++ {
+		if p := n.split(n.spanOrder(candidates[:k])); p != nil {
 			return p
 		}
 	}
 	return nil
 }
 
-// prefer orders endpoints by how much they are wanted in the group.
-func (n Need) prefer(a, b room) int {
-	last := func(r room) int { return order(n.Last != "" && r.Endpoint == n.Last) }
-	bucket := func(r room) uint64 { return r.now() * bucketParts / max(r.Limit, 1) }
+// compareCandidates orders endpoints by how preferable they are as members.
+func (n Need) compareCandidates(a, b candidate) int {
+	last := func(r candidate) int { return trueFirst(n.Last != "" && r.Endpoint == n.Last) }
+	bucket := func(r candidate) uint64 { return r.available() * availabilityBuckets / max(r.Limit, 1) }
 	return cmp.Or(
 		cmp.Compare(last(a), last(b)),
-		cmp.Compare(order(!a.Avoid), order(!b.Avoid)),
-		cmp.Compare(order(a.Near), order(b.Near)),
+		cmp.Compare(trueFirst(!a.Avoid), trueFirst(!b.Avoid)),
+		cmp.Compare(trueFirst(a.Near), trueFirst(b.Near)),
 		cmp.Compare(bucket(b), bucket(a)),
 		cmp.Compare(a.Wait, b.Wait),
 		cmp.Compare(a.Endpoint, b.Endpoint),
 	)
 }
 
-// order sorts true before false.
-func order(b bool) int {
+// trueFirst returns a sort key that orders true before false.
+func trueFirst(b bool) int {
 	if b {
 		return 0
 	}
 	return 1
 }
 
-// ordered puts the chosen endpoints into the order of their spans: those with
-// the most free memory first, so that the others have time to empty.
-func (n Need) ordered(chosen []room) []room {
+// spanOrder returns the chosen endpoints in the order of their spans: those with the most
+// free memory first, so that running work at the others has time to end.
+func (n Need) spanOrder(chosen []candidate) []candidate {
 	out := slices.Clone(chosen)
-	slices.SortFunc(out, func(a, b room) int {
-		last := func(r room) int { return 1 - order(n.Last != "" && r.Endpoint == n.Last) }
+	slices.SortFunc(out, func(a, b candidate) int {
+		last := func(r candidate) int { return 1 - trueFirst(n.Last != "" && r.Endpoint == n.Last) }
 		return cmp.Or(
 			cmp.Compare(last(a), last(b)),
 			cmp.Compare(b.Free, a.Free),
@@ -148,21 +149,21 @@
 	return out
 }
 
-// cut finds the smallest bound on each member's memory with which the prompt
-// still fits, and cuts the prompt by it.
-func (n Need) cut(rooms []room) Plan {
+// split finds the smallest bound on each member's memory with which the prompt still fits,
+// and splits the prompt accordingly.
+func (n Need) split(candidates []candidate) Plan {
 	var largest uint64
-	for _, r := range rooms {
+	for _, r := range candidates {
 		largest = max(largest, r.tokens)
 	}
-	best := n.fill(rooms, largest)
+	best := n.assign(candidates, largest)
 	if best == nil {
 		return nil
 	}
 	low, high := uint64(0), largest
 	for high-low > prefix.BlockTokens {
 		middle := (low + high) / 2
-		if p := n.fill(rooms, middle); p != nil {
+		if p := n.assign(candidates, middle); p != nil {
 			best, high = p, middle
 		} else {
 			low = middle
@@ -171,22 +172,22 @@
 	return best
 }
 
-// fill gives each endpoint in turn as much of the prompt as fits within the
-// bound. The last must get the rest, of which there must be some.
-func (n Need) fill(rooms []room, bound uint64) Plan {
+// assign gives each endpoint in turn as much of the prompt as fits within the bound. The
+// last one must get the rest, which must not be empty.
+func (n Need) assign(candidates []candidate, bound uint64) Plan {
 	var p Plan
 	var start uint64
-	for i, r := range rooms {
+	for i, r := range candidates {
 		size := min(r.tokens, bound)
 		imported := (start + n.ImportDivisor - 1) / n.ImportDivisor
-		if i == len(rooms)-1 {
+		if i == len(candidates)-1 {
 			m := n.member(r.Endpoint, start, n.Prompt-start, imported+n.Answer)
 			if m.Reserve > size {
 				return nil
 			}
 			return append(p, m)
 		}
-		span := spanWithin(size, imported)
+		span := maxSpan(size, imported)
 		if span == 0 || start+span >= n.Prompt {
 			return nil
 		}
@@ -196,17 +197,18 @@
 	return nil
 }
 
-// spanWithin returns the longest span of whole blocks that fits beside what is
-// imported, with the margin.
-func spanWithin(size, imported uint64) uint64 {
-	plain := size * marginParts / (marginParts + 1)
-	if plain <= imported {
+// maxSpan returns the longest span of whole blocks that fits beside the imported tokens,
+// with the margin.
+func maxSpan(size, imported uint64) uint64 {
+	usable := size * marginDivisor / (marginDivisor + 1)
+	if usable <= imported {
 		return 0
 	}
-	return (plain - imported) / prefix.BlockTokens * prefix.BlockTokens
+	return (usable - imported) / prefix.BlockTokens * prefix.BlockTokens
 }
 
-func (n Need) member(endpoint string, start, span, beside uint64) Member {
-	need := span + beside
-	return Member{Endpoint: endpoint, Start: start, Tokens: span, Reserve: need + need/marginParts}
+// member returns a member whose reservation includes the margin.
+func (n Need) member(endpoint string, start, span, extra uint64) Member {
+	need := span + extra
+	return Member{Endpoint: endpoint, Start: start, Tokens: span, Reserve: need + need/marginDivisor}
 }
