--- a/routing/baseline.go
+++ b/routing/baseline.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// RoundRobin returns the baseline that takes the usable endpoints in turn. It
-// counts its calls and is safe for concurrent use.
+// RoundRobin returns a baseline policy that selects the eligible endpoints in
+// turn. It is safe for concurrent use.
 func RoundRobin() Policy {
 	return &roundRobin{}
 }
@@ -14,14 +14,14 @@
 
 // Choose implements Policy.
 func (p *roundRobin) Choose(req Request, view []Candidate, _ func(n int) int, trace bool) Decision {
-	kept, d := sift(&req, view, trace, nil)
+	kept, d := applyFilters(&req, view, trace, nil)
 	if kept == 0 {
 		return d
 	}
 	turn := int(p.calls.Add(1)-1) % kept
 	d.Index = -1
 	seen := 0
-	sift(&req, view, false, func(i int) {
+	applyFilters(&req, view, false, func(i int) {
 		if seen == turn {
 			d.Index = i
 		}
@@ -31,8 +31,8 @@
 	return d
 }
 
-// LeastLoad returns the baseline that takes the usable endpoint with the
-// fewest requests in its last report, at random among equals.
+// LeastLoad returns a baseline policy that selects the eligible endpoint with
+// the fewest requests in its last report. Ties are broken at random.
 func LeastLoad() Policy {
 	return leastLoad{}
 }
@@ -41,16 +41,16 @@
 
 // Choose implements Policy.
 func (leastLoad) Choose(req Request, view []Candidate, r func(n int) int, trace bool) Decision {
-	least, equals := 0, 0
+	least, ties := 0, 0
 	index := -1
-	_, d := sift(&req, view, trace, func(i int) {
+	_, d := applyFilters(&req, view, trace, func(i int) {
 		load := view[i].Queued + view[i].Running
 		switch {
 		case index < 0 || load < least:
-			index, least, equals = i, load, 1
+			index, least, ties = i, load, 1
 		case load == least:
-			equals++
-			if r(equals) == 0 {
+			ties++
+			if r(ties) == 0 {
 				index = i
 			}
 		}
@@ -61,19 +61,20 @@
 	return d
 }
 
-// sift applies the filters, calls keep for each candidate left, and returns
-// their number and the decision for when there are none.
-func sift(req *Request, view []Candidate, trace bool, keep func(i int)) (int, Decision) {
+// applyFilters calls keep for each candidate that passes the filters. It
+// returns the number of these candidates and the decision to return if there
+// are none.
+func applyFilters(req *Request, view []Candidate, trace bool, keep func(i int)) (int, Decision) {
 	d := Decision{Index: -1, Reason: FilterNone}
 	j := job{req: req, class: ClassOf(req.PromptTokens)}
-	kept, deepest := 0, passed
+	kept, furthest := 0, passed
 	for i := range view {
 		j.cand = &view[i]
-		f := rejectedBy(&j, DefaultFreshFor)
+		f := rejectedBy(&j, DefaultMaxSilence)
 		score := Score{Endpoint: view[i].Endpoint, Kept: f == passed}
 		if f != passed {
 			score.Filtered = f.String()
-			deepest = max(deepest, f)
+			furthest = max(furthest, f)
 		} else {
 			kept++
 			if keep != nil {
@@ -84,6 +85,6 @@
 			d.Scores = append(d.Scores, score)
 		}
 	}
-	d.Reason = deepest.String()
+	d.Reason = furthest.String()
 	return kept, d
 }
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/micarudder/micarudder/prefix"
 )
 
-// benchPrefix is the chain of a prompt of 64 blocks.
+// benchPrefix is the hash chain of a prompt of 64 blocks.
 var benchPrefix = func() []uint64 {
 	chain := make([]uint64, prefix.MaxBlocks)
 	for i := range chain {
@@ -21,13 +21,13 @@
 	return chain
 }()
 
-// fleet returns n endpoints of one data centre, a third of them in the lane,
-// each with a wait of up to the given time.
+// fleet returns n endpoints of one data centre, a third of them in the long
+// lane, with random queueing delays of up to wait.
 func fleet(n int, wait time.Duration) []Candidate {
 	rnd := rand.New(rand.NewPCG(1, uint64(n)))
 	view := make([]Candidate, n)
 	for i := range view {
-		c := idle(fmt.Sprintf("engine-%04d", i))
+		c := idleEndpoint(fmt.Sprintf("engine-%04d", i))
 		c.LongLane = i%3 == 0
 		c.Running = rnd.IntN(8)
 		c.Cost = DefaultCost
@@ -35,7 +35,7 @@
 			c.Wait[k] = time.Duration(rnd.Int64N(int64(wait) + 1))
 		}
 		held := affinity.New(450_000)
-		held.Sent(benchPrefix[:2]) // what all prompts share
+		held.Sent(benchPrefix[:2]) // shared by all prompts
 		if i%10 == 0 {
 			held.Sent(benchPrefix[:rnd.IntN(len(benchPrefix))])
 		}
@@ -67,7 +67,8 @@
 	}
 }
 
-// TestAllocations checks that a decision's memory does not grow with the view.
+// TestAllocations checks that the number of allocations of a decision does not
+// depend on the number of candidates.
 func TestAllocations(t *testing.T) {
 	req := Request{Model: "caption", PromptTokens: 120_000, MaxTokens: 200, Prefix: benchPrefix}
 	allocations := func(n int) float64 {
--- a/routing/cost.go
+++ b/routing/cost.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// DefaultCost stands in for an endpoint that has not learned its cost yet.
+// DefaultCost is used for an endpoint whose cost has not been learned yet.
 var DefaultCost = Cost{
 	PrefillPerToken:  50 * time.Microsecond,
 	PrefillPerToken2: 0.0002,
 	DecodePerToken:   20 * time.Millisecond,
 }
 
-// ChunkTokens is the number of prompt tokens that engines are assumed to take
-// into one step, between two output tokens.
+// ChunkTokens is the number of prompt tokens that engines are assumed to
+// prefill in one step, between two output tokens (chunked prefill).
 const ChunkTokens = 1024
 
-// Known reports whether the cost has been learned or set.
+// Known reports whether the prefill cost has been learned or configured.
 func (c Cost) Known() bool { return c.PrefillPerToken > 0 || c.PrefillPerToken2 > 0 }
 
-// OrDefault returns the cost, with DefaultCost's values for what is unknown.
+// OrDefault returns the cost with unknown values taken from DefaultCost.
 func (c Cost) OrDefault() Cost {
 	if !c.Known() {
 		c.PrefillPerToken = DefaultCost.PrefillPerToken
@@ -29,7 +29,8 @@
 }
 
 // Prefill predicts the time to prefill a prompt whose first cached tokens are
-// held already. The quadratic part counts attention to the cached tokens too.
+// in the prefix cache. The quadratic term includes attention to the cached
+// tokens.
 func (c Cost) Prefill(prompt, cached uint64) time.Duration {
 	cached = min(cached, prompt)
 	linear := float64(c.PrefillPerToken) * float64(prompt-cached)
--- a/routing/filter.go
+++ b/routing/filter.go
@@ -8,8 +8,8 @@
 
 const blockTokens = prefix.BlockTokens
 
-// Names of the filters, as they stand in Score.Filtered, and in
-// Decision.Reason when nothing is left.
+// Names of the filters. They appear in Score.Filtered, and in Decision.Reason
+// when no candidate is eligible.
 const (
 	FilterNone      = "no endpoints"
 	FilterServes    = "does not serve"
@@ -22,16 +22,17 @@
 	FilterLane      = "outside the long lane"
 )
 
-// Reasons of a decision that found an endpoint.
+// Reasons of a decision that selected an endpoint.
 const (
 	ReasonBest     = "best"
 	ReasonNoLane   = "no endpoint in the long lane"
 	ReasonLaneLate = "the long lane is too late"
 )
 
-// filterID numbers the filters that are never relaxed, in the order in which
-// they are applied; passed means that none rejects. The names of the furthest
-// one explain a decision that found nothing.
+// filterID identifies a filter that is never relaxed. The values follow the
+// order in which the filters are applied; passed means that none rejects the
+// candidate. The name of the last filter that rejected any candidate explains a
+// decision that found no endpoint.
 type filterID int
 
 const (
@@ -45,17 +46,17 @@
 	byExcluded
 )
 
-// String returns the filter's name.
+// String returns the name of the filter.
 func (f filterID) String() string {
 	return [...]string{FilterNone, FilterServes, FilterConnected, FilterLeaving, FilterMemory, FilterResting, FilterBreaker, FilterExcluded}[f]
 }
 
 // rejectedBy returns the first filter that rejects the job's candidate.
-func rejectedBy(j *job, freshFor time.Duration) filterID {
+func rejectedBy(j *job, maxSilence time.Duration) filterID {
 	switch {
 	case doesNotServe(j):
 		return byServes
-	case notConnected(j, freshFor):
+	case notConnected(j, maxSilence):
 		return byConnected
 	case leaving(j):
 		return byLeaving
--- a/routing/filter_alive.go
+++ b/routing/filter_alive.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// notConnected rejects endpoints whose agent is neither connected nor was
-// heard within freshFor.
-func notConnected(j *job, freshFor time.Duration) bool {
+// notConnected rejects endpoints whose agent is not connected and has sent
+// nothing within maxSilence.
+func notConnected(j *job, maxSilence time.Duration) bool {
 	if j.cand.Connected {
 		return false
 	}
-	return j.cand.Silent <= 0 || j.cand.Silent > freshFor
+	return j.cand.Silent <= 0 || j.cand.Silent > maxSilence
 }
 
-// leaving rejects endpoints that take no new work.
+// leaving rejects endpoints that take no new work because they are leaving.
 func leaving(j *job) bool { return j.cand.Leaving }
--- a/routing/filter_lane.go
+++ b/routing/filter_lane.go
@@ -1,8 +1,8 @@
 package routing
 
-// outsideLane rejects endpoints outside the lane for work that is long there,
-// counted by the tokens that the endpoint does not hold yet. Short work passes
-// everywhere.
+// outsideLane rejects endpoints outside the long lane if the request is long
+// work for them, judged by the tokens that are not in the endpoint's cache.
+// Short work may run on any endpoint.
 func outsideLane(j *job) bool {
 	return j.long && !j.cand.LongLane
 }
--- a/routing/filter_serves.go
+++ b/routing/filter_serves.go
@@ -1,6 +1,7 @@
 package routing
 
-// doesNotServe rejects endpoints without the request's model or service.
+// doesNotServe rejects endpoints that do not serve the requested model or
+// service.
 func doesNotServe(j *job) bool {
 	if j.req.Model == "" {
 		return j.cand.Service != j.req.Service
--- a/routing/lanes.go
+++ b/routing/lanes.go
@@ -8,22 +8,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// laneClass is the shortest class that counts as long work: that which belongs
-// into the lane.
+// laneClass is the shortest class that counts as long work, which is routed to
+// the long lane.
 const laneClass = ClassMedium
 
-// laneMaxShare bounds the lane's share of a model's endpoints in a data centre.
+// laneMaxShare bounds the fraction of a model's endpoints in a data centre that
+// the lane may take.
 const laneMaxShare = 0.67
 
-// Lanes returns the endpoints that take long work: for each model in each data
-// centre a part of its endpoints that follows longShare, the share of all work
-// (in predicted time, 0 to 1) that is long. At least one endpoint is in the
-// lane and, where there are two, at least one is not. Endpoints are ranked by
-// rendezvous hashing, so that every gateway with the same view comes to the
-// same lane and one endpoint more or less moves at most one place.
+// Lanes returns the endpoints of the long lane, those that take long work. For
+// each model in each data centre it selects a fraction of the model's endpoints
+// that follows longShare, the fraction (0 to 1) of all work, in predicted time,
+// that is long. The lane has at least one endpoint, and where there are two or
+// more endpoints it leaves out at least one. Endpoints are ranked by a hash of
+// their name, so that all gateways with the same view compute the same lane,
+// and adding or removing one endpoint changes at most one other member.
 func Lanes(view []Candidate, longShare float64) map[string]bool {
-	type place struct{ dataCentre, model string }
-	groups := make(map[place][]string)
+	type groupKey struct{ dataCentre, model string }
+	groups := make(map[groupKey][]string)
 	for i := range view {
 		c := &view[i]
 		if c.Leaving || !c.Connected && c.Silent <= 0 {
@@ -31,8 +33,8 @@
 		}
 		for model, serves := range c.Models {
 			if serves {
-				at := place{c.DataCentre, model}
-				groups[at] = append(groups[at], c.Endpoint)
+				key := groupKey{c.DataCentre, model}
+				groups[key] = append(groups[key], c.Endpoint)
 			}
 		}
 	}
@@ -46,16 +48,17 @@
 	return lane
 }
 
-// laneSize returns how many of n endpoints take long work.
+// laneSize returns how many of n endpoints belong to the lane.
 func laneSize(n int, longShare float64) int {
 	if math.IsNaN(longShare) {
 		longShare = 0
 	}
 	want := int(math.Ceil(float64(n) * min(1, max(0, longShare))))
-	most := max(1, int(float64(n)*laneMaxShare))
-	return min(max(1, want), most)
+	limit := max(1, int(float64(n)*laneMaxShare))
+	return min(max(1, want), limit)
 }
 
+// byHash compares endpoint names by their hash.
 func byHash(a, b string) int {
 	if c := cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)); c != 0 {
 		return c
--- a/routing/lanes_test.go
+++ b/routing/lanes_test.go
@@ -24,8 +24,8 @@
 }
 
 // TestLanesProperties checks that a lane does not depend on the order of the
-// view, lies within its bounds, and that one endpoint that leaves moves at
-// most one other place.
+// candidates, that its size is within the bounds, and that an endpoint that
+// leaves adds at most one other endpoint to the lane.
 func TestLanesProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -33,12 +33,12 @@
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
 		view := make([]Candidate, n)
 		for i := range view {
-			view[i] = idle(fmt.Sprint("engine-", i))
+			view[i] = idleEndpoint(fmt.Sprint("engine-", i))
 		}
 		lane := Lanes(view, share)
 		is.True(len(lane) >= 1 && len(lane) < n)
-		gone := rapid.IntRange(0, n-1).Draw(t, "gone")
-		view[gone].Leaving = true
+		leaving := rapid.IntRange(0, n-1).Draw(t, "leaving")
+		view[leaving].Leaving = true
 		slices.Reverse(view)
 		after := Lanes(view, share)
 		moved := 0
@@ -48,7 +48,7 @@
 			}
 		}
 		is.True(moved <= 1)
-		is.True(!after[fmt.Sprint("engine-", gone)])
+		is.True(!after[fmt.Sprint("engine-", leaving)])
 	})
 }
 
@@ -56,17 +56,17 @@
 	is := is.New(t)
 	var s LongShare
 	now := time.Unix(1_000, 0)
-	is.Equal(s.Value(now), firstLongShare)
+	is.Equal(s.Value(now), initialLongShare)
 	for range 100 {
 		s.Add(ClassShort, 100*ms, now)
 	}
 	first := s.Value(now)
 	is.True(first < 0.2)
-	s.Add(ClassLong, time.Second, now) // not a step yet
+	s.Add(ClassLong, time.Second, now) // below the hysteresis
 	is.Equal(s.Value(now), first)
 	for range 10 {
 		s.Add(ClassHuge, 10*time.Second, now)
 	}
 	is.True(s.Value(now) > 0.8)
-	is.True(s.Value(now.Add(time.Hour)) < 0.4) // without work back to the first
+	is.True(s.Value(now.Add(time.Hour)) < 0.4) // decays to the initial share without work
 }
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// noiseBits is the size of the table of noise, as a power of two.
+	// noiseBits is the base-2 logarithm of the size of the noise table.
 	noiseBits = 10
-	// maxAge bounds the age of a report that counts as uncertainty: a quiet
-	// endpoint has nothing to report.
-	maxAge = 250 * time.Millisecond
+	// maxReportAge caps the report age that counts as uncertainty: an endpoint
+	// whose load does not change has nothing to report.
+	maxReportAge = 250 * time.Millisecond
 )
 
-// gumbel holds quantiles of the standard Gumbel distribution. Taking the
-// least score minus such noise draws candidates with probabilities that fall
-// exponentially with their score: gateways with the same view spread over what
-// is about equally good.
-var gumbel = func() (t [1 << noiseBits]float64) {
+// gumbelQuantiles holds quantiles of the standard Gumbel distribution.
+// Subtracting Gumbel noise from each score and taking the minimum selects
+// candidates with probabilities that decrease exponentially with their score
+// (the Gumbel-max trick). Gateways with the same view therefore spread their
+// requests over endpoints with about equal scores.
+var gumbelQuantiles = func() (t [1 << noiseBits]float64) {
 	for i := range t {
 		u := (float64(i) + 0.5) / float64(len(t))
 		t[i] = -math.Log(-math.Log(u))
@@ -25,52 +26,56 @@
 	return t
 }()
 
-// noise is a small generator (splitmix64): one random number of the caller's
-// seeds it for the whole scan.
-type noise uint64
+// noiseSource is a splitmix64 generator. One random number from the caller
+// seeds it for all candidates of a decision.
+type noiseSource uint64
 
-// next returns the noise of the next candidate.
-func (n *noise) next() float64 {
+// next returns the noise for the next candidate.
+func (n *noiseSource) next() float64 {
 	*n += 0x9e3779b97f4a7c15
 	z := uint64(*n)
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
 	z = (z ^ (z >> 27)) * 0x94d049bb133111eb
-	return gumbel[(z^(z>>31))>>(64-noiseBits)]
+	return gumbelQuantiles[(z^(z>>31))>>(64-noiseBits)]
 }
 
-// spreadSamples is the number of candidates from which the scale of the noise
-// is taken.
-const spreadSamples = 16
+// noiseScaleSamples is the approximate number of candidates from which the
+// noise scale is estimated.
+const noiseScaleSamples = 16
 
-// spread returns the scale of the noise in nanoseconds: a part of what the
-// request itself takes, and a part of the reports' mean age, in which other
-// gateways may have sent work. Every so many candidates stand for all.
-func (c *Config) spread(req *Request, view []Candidate) float64 {
-	var age, own, n float64
-	step := len(view)/spreadSamples + 1
+// noiseScale returns the scale of the noise in nanoseconds: a fraction of the
+// request's mean prefill time plus a fraction of the mean age of the reports,
+// because other gateways may have sent work since these were made. The means
+// are taken over evenly spaced candidates.
+func (c *Config) noiseScale(req *Request, view []Candidate) float64 {
+	var age, prefill, n float64
+	step := len(view)/noiseScaleSamples + 1
 	for i := 0; i < len(view); i += step {
-		age += float64(min(view[i].Age, maxAge))
-		own += float64(view[i].Cost.OrDefault().Prefill(req.PromptTokens, 0))
+		age += float64(min(view[i].Age, maxReportAge))
+		prefill += float64(view[i].Cost.OrDefault().Prefill(req.PromptTokens, 0))
 		n++
 	}
-	return (c.SpreadWork*own + c.SpreadAge*age) / n
+	return (c.NoisePrefillShare*prefill + c.NoiseAgeShare*age) / n
 }
 
-// best keeps the candidate with the least drawn score. Its size does not grow
-// with the view.
-type best struct {
-	found bool
-	index int
-	drawn float64
-	score float64       // without the draw
-	work  time.Duration // prefill there
+// bestCandidate tracks the candidate with the lowest noisy score. Its size does
+// not depend on the number of candidates.
+type bestCandidate struct {
+	found      bool
+	index      int
+	noisyScore float64
+	score      float64       // without the noise
+	prefill    time.Duration // predicted prefill time on the candidate
 }
 
-func (b *best) add(index int, score, spread float64, work time.Duration) {
-	if !b.excludes(score + spread) {
-		*b = best{true, index, score + spread, score, work}
+// offer replaces the best candidate if the noisy score of the given one is
+// lower.
+func (b *bestCandidate) offer(index int, score, noise float64, prefill time.Duration) {
+	if !b.beats(score + noise) {
+		*b = bestCandidate{true, index, score + noise, score, prefill}
 	}
 }
 
-// excludes reports whether a candidate with at least this drawn score loses.
-func (b *best) excludes(drawn float64) bool { return b.found && drawn >= b.drawn }
+// beats reports whether the best candidate beats or equals the given noisy
+// score.
+func (b *bestCandidate) beats(noisyScore float64) bool { return b.found && noisyScore >= b.noisyScore }
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -5,63 +5,69 @@
 	"time"
 )
 
-// Config holds the default policy's settings; the zero value of a field
-// selects its default.
+// Config holds the parameters of the default policy. A zero field selects its
+// default.
 type Config struct {
-	// FreshFor is how long after the last word of an agent a gateway without
-	// a connection to it still sends work there.
-	FreshFor time.Duration
-	// DistancePenalty is added for an endpoint in another data centre.
+	// MaxSilence bounds the time since the last message from an agent within
+	// which a gateway without a connection to that agent still sends work to
+	// its endpoint.
+	MaxSilence time.Duration
+	// DistancePenalty is added to the score of an endpoint in another data
+	// centre.
 	DistancePenalty time.Duration
-	// LanePenalty is the part of what long work could cost a short request
-	// that is added for an endpoint in the lane for long work.
-	LanePenalty float64
-	// HarmPenalty is the part of what a request's prefill costs the running
-	// ones that is added to its own score.
-	HarmPenalty float64
-	// SpillAfter is the wait, in lengths of its own prefill, that a long
-	// request takes for the lane over an endpoint outside it.
-	SpillAfter float64
-	// BatchSlowdown is the share by which each running request slows decode.
+	// LaneWeight is the fraction of the largest delay that long work could
+	// cause to a short request that is added to the score of an endpoint in the
+	// long lane.
+	LaneWeight float64
+	// ImposedInterferenceWeight is the fraction of the delay that a request's
+	// prefill causes to the running requests that is added to its score.
+	ImposedInterferenceWeight float64
+	// SpillFactor is how much later the long lane may be than an endpoint
+	// outside it before a long request leaves the lane, as a multiple of the
+	// request's own prefill time.
+	SpillFactor float64
+	// BatchSlowdown is the fraction by which each running request slows decode.
 	BatchSlowdown float64
-	// DecodeHorizon bounds the answer tokens that count in the score.
+	// DecodeHorizon bounds the number of answer tokens that count in the score.
 	DecodeHorizon uint64
-	// SpreadWork is the part of the request's own prefill, and SpreadAge the
-	// part of the reports' mean age, within which scores count as about equal.
-	SpreadWork float64
-	SpreadAge  float64
-	// NoLanes lets long work go anywhere.
+	// NoisePrefillShare and NoiseAgeShare set the scale of the noise added to
+	// scores, the difference within which scores count as about equal: a
+	// fraction of the request's own prefill time and a fraction of the mean age
+	// of the reports.
+	NoisePrefillShare float64
+	NoiseAgeShare     float64
+	// NoLanes allows long work on any endpoint.
 	NoLanes bool
 }
 
-// Defaults of Config.
+// Default values of the fields of Config.
 const (
-	DefaultFreshFor        = 1500 * time.Millisecond
-	DefaultDistancePenalty = 2 * time.Millisecond
-	DefaultLanePenalty     = 0.5
-	DefaultHarmPenalty     = 0.5
-	DefaultSpillAfter      = 5
-	DefaultBatchSlowdown   = 0.01
-	DefaultDecodeHorizon   = 12
-	DefaultSpreadWork      = 0.02
-	DefaultSpreadAge       = 0.1
+	DefaultMaxSilence                = 1500 * time.Millisecond
+	DefaultDistancePenalty           = 2 * time.Millisecond
+	DefaultLaneWeight                = 0.5
+	DefaultImposedInterferenceWeight = 0.5
+	DefaultSpillFactor               = 5
+	DefaultBatchSlowdown             = 0.01
+	DefaultDecodeHorizon             = 12
+	DefaultNoisePrefillShare         = 0.02
+	DefaultNoiseAgeShare             = 0.1
 )
 
 func (c Config) withDefaults() Config {
-	if c.FreshFor == 0 {
-		c.FreshFor = DefaultFreshFor
+	if c.MaxSilence == 0 {
+		c.MaxSilence = DefaultMaxSilence
 	}
 	if c.DistancePenalty == 0 {
 		c.DistancePenalty = DefaultDistancePenalty
 	}
-	if c.LanePenalty == 0 {
-		c.LanePenalty = DefaultLanePenalty
+	if c.LaneWeight == 0 {
+		c.LaneWeight = DefaultLaneWeight
 	}
-	if c.HarmPenalty == 0 {
-		c.HarmPenalty = DefaultHarmPenalty
+	if c.ImposedInterferenceWeight == 0 {
+		c.ImposedInterferenceWeight = DefaultImposedInterferenceWeight
 	}
-	if c.SpillAfter == 0 {
-		c.SpillAfter = DefaultSpillAfter
+	if c.SpillFactor == 0 {
+		c.SpillFactor = DefaultSpillFactor
 	}
 	if c.BatchSlowdown == 0 {
 		c.BatchSlowdown = DefaultBatchSlowdown
@@ -69,53 +75,54 @@
 	if c.DecodeHorizon == 0 {
 		c.DecodeHorizon = DefaultDecodeHorizon
 	}
-	if c.SpreadWork == 0 {
-		c.SpreadWork = DefaultSpreadWork
+	if c.NoisePrefillShare == 0 {
+		c.NoisePrefillShare = DefaultNoisePrefillShare
 	}
-	if c.SpreadAge == 0 {
-		c.SpreadAge = DefaultSpreadAge
+	if c.NoiseAgeShare == 0 {
+		c.NoiseAgeShare = DefaultNoiseAgeShare
 	}
 	return c
 }
 
-// Default returns the product's policy: filter, score, pick.
+// Default returns the filter, score and pick policy with its default
+// parameters.
 func Default() Policy { return New(Config{}) }
 
-// NoLanes returns the default policy without the lane for long work.
+// NoLanes returns the default policy without a lane for long work.
 func NoLanes() Policy { return New(Config{NoLanes: true}) }
 
-// New returns the filter, score and pick policy with the given settings. The
-// policy keeps no state and is safe for concurrent use.
+// New returns the filter, score and pick policy with the given parameters. The
+// policy is stateless and safe for concurrent use.
 func New(cfg Config) Policy {
 	cfg = cfg.withDefaults()
 	if cfg.NoLanes {
-		cfg.LanePenalty = 0
+		cfg.LaneWeight = 0
 	}
 	return &policy{cfg}
 }
 
 type policy struct{ cfg Config }
 
-// job is one request at one candidate.
+// job is the evaluation of one request on one candidate.
 type job struct {
-	req   *Request
-	class Class
-	cand  *Candidate
-	slow  float64 // factor by which the candidate exceeds its own predictions
+	req      *Request
+	class    Class
+	cand     *Candidate
+	slowdown float64 // ratio of the candidate's actual to its predicted run time
 
 	cost     Cost
-	uncached uint64        // prompt tokens to prefill there
-	prefill  time.Duration // predicted for them
-	chunk    float64       // prefill that one step carries, nanoseconds
-	long     bool          // work for the lane, counted by the uncached tokens
+	uncached uint64        // prompt tokens that the candidate has to prefill
+	prefill  time.Duration // predicted time for the uncached tokens
+	chunk    float64       // prefill time of one chunk, in nanoseconds
+	long     bool          // the uncached tokens make the request long work
 }
 
-// at turns the job to a candidate.
-func (j *job) at(c *Candidate) {
+// setCandidate sets the candidate to evaluate.
+func (j *job) setCandidate(c *Candidate) {
 	j.cand = c
-	j.slow = 1
+	j.slowdown = 1
 	if c.Slowness > 0 {
-		j.slow = c.Slowness
+		j.slowdown = c.Slowness
 	}
 }
 
@@ -124,97 +131,100 @@
 	if len(view) == 0 {
 		return Decision{Index: -1, Reason: FilterNone}
 	}
-	c := choice{cfg: &p.cfg, view: view, noise: noise(r(math.MaxInt32))}
+	c := choice{cfg: &p.cfg, view: view, noise: noiseSource(r(math.MaxInt32))}
 	c.job.req = &req
 	c.job.class = ClassOf(req.PromptTokens)
-	c.scale = p.cfg.spread(&req, view)
+	c.noiseScale = p.cfg.noiseScale(&req, view)
 	if trace {
 		c.scores = make([]Score, len(view))
 	}
 	for i := range view {
-		c.consider(i)
+		c.evaluate(i)
 	}
 	return c.decide()
 }
 
-// choice is the state of one call of Choose.
+// choice holds the state of one call of Choose.
 type choice struct {
-	cfg     *Config
-	view    []Candidate
-	noise   noise
-	scale   float64 // of the noise
-	job     job
-	lane    best     // of the candidates that pass every filter
-	outside best     // of the candidates that only the lane filter removed
-	deepest filterID // furthest filter that rejected a candidate
-	scores  []Score  // only when tracing
+	cfg        *Config
+	view       []Candidate
+	noise      noiseSource
+	noiseScale float64 // in nanoseconds
+	job        job
+	inLane     bestCandidate // among the candidates that pass every filter
+	offLane    bestCandidate // among the candidates rejected by the lane filter only
+	furthest   filterID      // last filter in their order that rejected a candidate
+	scores     []Score       // only set when tracing
 }
 
-// consider filters and scores one candidate. Without a trace it passes over
-// one that is already worse than the lane's best by what is known of it; long
-// work leaves the lane only for what is better.
-func (c *choice) consider(at int) {
+// evaluate filters and scores one candidate. Unless tracing, it skips a
+// candidate whose lower bound, the base score, does not beat the best one in
+// the lane: such a candidate cannot win outside the lane either, because long
+// work leaves the lane only for a better score.
+func (c *choice) evaluate(index int) {
 	j := &c.job
-	j.at(&c.view[at])
-	spread := -c.scale * c.noise.next()
-	known := c.cfg.known(j)
-	if c.scores == nil && c.lane.excludes(known+spread) {
+	j.setCandidate(&c.view[index])
+	noise := -c.noiseScale * c.noise.next()
+	base := c.cfg.baseScore(j)
+	if c.scores == nil && c.inLane.beats(base+noise) {
 		return
 	}
-	if f := rejectedBy(j, c.cfg.FreshFor); f != passed {
-		c.deepest = max(c.deepest, f)
-		c.trace(at, Score{Filtered: f.String()})
+	if f := rejectedBy(j, c.cfg.MaxSilence); f != passed {
+		c.furthest = max(c.furthest, f)
+		c.record(index, Score{Filtered: f.String()})
 		return
 	}
 	j.estimate()
-	score := known + c.cfg.work(j)
-	into, s := &c.lane, Score{Kept: true}
+	score := base + c.cfg.requestScore(j)
+	target, s := &c.inLane, Score{Kept: true}
 	if !c.cfg.NoLanes && outsideLane(j) {
-		into, s = &c.outside, Score{Filtered: FilterLane}
+		target, s = &c.offLane, Score{Filtered: FilterLane}
 	}
-	into.add(at, score, spread, j.prefill)
+	target.offer(index, score, noise, j.prefill)
 	if c.scores != nil {
-		s.Total = (score + spread) / float64(time.Millisecond)
-		s.Parts = c.cfg.parts(j, spread)
-		c.trace(at, s)
+		s.Total = (score + noise) / float64(time.Millisecond)
+		s.Parts = c.cfg.parts(j, noise)
+		c.record(index, s)
 	}
 }
 
-func (c *choice) trace(at int, s Score) {
+// record stores the score of a candidate when tracing.
+func (c *choice) record(index int, s Score) {
 	if c.scores == nil {
 		return
 	}
-	s.Endpoint = c.view[at].Endpoint
-	c.scores[at] = s
+	s.Endpoint = c.view[index].Endpoint
+	c.scores[index] = s
 }
 
-// decide takes the best candidate in the lane, or the best of the others when
-// none is in the lane or the lane is too late.
+// decide returns the best candidate in the lane. It returns the best one
+// outside the lane if the lane has none or would answer too late.
 func (c *choice) decide() Decision {
-	from, reason := &c.lane, ReasonBest
-	if !c.lane.found {
-		from, reason = &c.outside, ReasonNoLane
-	} else if c.outside.found && c.spills() {
-		from, reason = &c.outside, ReasonLaneLate
+	chosen, reason := &c.inLane, ReasonBest
+	if !c.inLane.found {
+		chosen, reason = &c.offLane, ReasonNoLane
+	} else if c.offLane.found && c.spills() {
+		chosen, reason = &c.offLane, ReasonLaneLate
 	}
-	if !from.found {
-		return Decision{Index: -1, Reason: c.deepest.String(), Scores: c.scores}
+	if !chosen.found {
+		return Decision{Index: -1, Reason: c.furthest.String(), Scores: c.scores}
 	}
-	return Decision{Index: from.index, Reason: reason, Scores: c.scores}
+	return Decision{Index: chosen.index, Reason: reason, Scores: c.scores}
 }
 
-// spills reports whether the lane is later than the others by more than the
-// request's own length allows, or too late for its deadline.
+// spills reports whether a long request leaves the lane: because the lane is
+// later than the other endpoints by more than SpillFactor times the request's
+// prefill time, or because only the other endpoints can meet the deadline.
 func (c *choice) spills() bool {
-	over := c.lane.score - c.outside.score
-	if over > c.cfg.SpillAfter*float64(c.lane.work) {
+	excess := c.inLane.score - c.offLane.score
+	if excess > c.cfg.SpillFactor*float64(c.inLane.prefill) {
 		return true
 	}
-	late := float64(c.job.req.Remaining)
-	return late > 0 && c.lane.score > late && c.outside.score <= late
+	remaining := float64(c.job.req.Remaining)
+	return remaining > 0 && c.inLane.score > remaining && c.offLane.score <= remaining
 }
 
-// estimate fills in what depends on the candidate's prefix cache.
+// estimate sets the fields that depend on the candidate's prefix cache.
 func (j *job) estimate() {
 	var cached uint64
 	if j.cand.Cached != nil && len(j.req.Prefix) > 0 {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,5 +1,6 @@
-// Package routing chooses the endpoint for one request: filter, score, pick.
-// It is pure: the view, the time and the random numbers are arguments.
+// Package routing selects the endpoint for a request in three stages: filter,
+// score and pick. It has no side effects and reads no clock: the candidates,
+// the ages of their reports and the random numbers are arguments.
 package routing
 
 import (
@@ -7,15 +8,15 @@
 	"time"
 )
 
-// Class is a length class of prompts.
+// Class groups prompts by length.
 type Class int
 
-// The length classes of the brief, by prompt tokens.
+// The length classes, by the number of prompt tokens.
 const (
-	ClassShort  Class = iota // to 4 k
-	ClassMedium              // to 32 k
-	ClassLong                // to 128 k
-	ClassHuge                // to 1 M
+	ClassShort  Class = iota // up to 4 k
+	ClassMedium              // up to 32 k
+	ClassLong                // up to 128 k
+	ClassHuge                // up to 1 M
 	NumClasses  = 4
 )
 
@@ -31,12 +32,12 @@
 	return ClassHuge
 }
 
-// String returns the class's upper bound.
+// String returns the upper bound of the class.
 func (c Class) String() string {
 	return [...]string{"4k", "32k", "128k", "1M"}[c]
 }
 
-// Request is what routing needs to know of a request.
+// Request holds the properties of a request that routing depends on.
 type Request struct {
 	ID           string
 	Workspace    string
@@ -44,20 +45,20 @@
 	Service      string
 	PromptTokens uint64
 	MaxTokens    uint64
-	Prefix       []uint64 // chained block hashes
-	Remaining    time.Duration
-	DataCentre   string          // of the gateway
+	Prefix       []uint64        // chained hashes of the prompt's blocks
+	Remaining    time.Duration   // until the deadline; 0 means no deadline
+	DataCentre   string          // data centre of the gateway
 	Excluded     map[string]bool // endpoints that failed or refused this request
 }
 
-// Cost holds an endpoint's learned cost of work.
+// Cost holds the learned cost coefficients of an endpoint.
 type Cost struct {
 	PrefillPerToken  time.Duration
 	PrefillPerToken2 float64 // microseconds per token squared
 	DecodePerToken   time.Duration
 }
 
-// Candidate is one endpoint as a gateway knows it.
+// Candidate is the state of one endpoint as known to a gateway.
 type Candidate struct {
 	Endpoint    string
 	Host        string
@@ -67,52 +68,56 @@
 	Connected   bool
 	Leaving     bool
 	BreakerOpen bool
-	// Resting is set while the endpoint wants no new work, as its agent has said.
+	// Resting is set during the back-off period that the endpoint's agent has
+	// requested, in which the endpoint accepts no new work.
 	Resting  bool
-	LongLane bool // this endpoint is in the lane for long work
+	LongLane bool // the endpoint belongs to the lane, the endpoints that take long work
 
 	Queued       int
 	Running      int
 	MemoryTokens uint64
 	FreeTokens   uint64
 	QueuedTokens uint64                    // prompt tokens queued or prefilling
-	LongTokens   uint64                    // those of long work
-	Wait         [NumClasses]time.Duration // predicted by the agent, by class
+	LongTokens   uint64                    // the part of QueuedTokens that is long work
+	Wait         [NumClasses]time.Duration // queueing delay predicted by the agent, by class
 	Cost         Cost
-	Pending      time.Duration // work sent since the last report, predicted
-	PendingCount int
-	// PendingLong is the part of Pending that is long work; short work passes it.
+	Pending      time.Duration // predicted work sent since the last report
+	PendingCount int           // requests sent since the last report
+	// PendingLong is the part of Pending that is long work. Short requests
+	// overtake it.
 	PendingLong time.Duration
-	// Age is the time since the agent took the load above.
+	// Age is the age of the load values above.
 	Age time.Duration
-	// Silent is the time since the agent was last heard; 0 means never. It
-	// counts only when not connected.
+	// Silent is the time since the last message from the agent; 0 means that
+	// none was received. It is ignored while the agent is connected.
 	Silent time.Duration
-	// Slowness is the time runs took over what was predicted, as the gateway
-	// measured it itself; 0 counts as 1.
+	// Slowness is the ratio of actual to predicted run time, as measured by the
+	// gateway; 0 means 1.
 	Slowness float64
 
-	// Cached returns how many leading blocks the endpoint is believed to hold.
+	// Cached returns the number of leading blocks of the prefix that the
+	// endpoint is assumed to have in its cache.
 	Cached func(prefix []uint64) int
 }
 
-// Score is one candidate's record in a decision.
+// Score records how one candidate was evaluated.
 type Score struct {
 	Endpoint string
-	Kept     bool
-	Filtered string             // name of the filter that removed it
-	Total    float64            // milliseconds; the least is chosen
-	Parts    map[string]float64 // milliseconds
+	Kept     bool               // the candidate passed every filter
+	Filtered string             // name of the filter that rejected the candidate
+	Total    float64            // in milliseconds; the lowest total wins
+	Parts    map[string]float64 // in milliseconds
 }
 
-// Decision is the outcome of one choice. Index is -1 when nothing is left.
+// Decision is the result of a selection. Index is -1 if no candidate is
+// eligible.
 type Decision struct {
 	Index  int
 	Reason string
-	Scores []Score // only when tracing
+	Scores []Score // only set when tracing
 }
 
-// Policy chooses an endpoint. r returns a random number in [0, n).
+// Policy selects an endpoint. r returns a random number in [0, n).
 type Policy interface {
 	Choose(req Request, view []Candidate, r func(n int) int, trace bool) Decision
 }
--- a/routing/score.go
+++ b/routing/score.go
@@ -2,47 +2,48 @@
 
 import "time"
 
-// Names of the parts of a score, as they stand in Score.Parts.
+// Names of the parts of a score, the keys of Score.Parts.
 const (
-	PartWait     = "wait"
-	PartPending  = "pending"
-	PartDistance = "distance"
-	PartPrefill  = "prefill"
-	PartDecode   = "decode"
-	PartBeside   = "beside long work"
-	PartLane     = "lane"
-	PartHarm     = "harm"
-	PartSpread   = "spread" // random, less than zero for a lucky draw
+	PartWait                = "wait"
+	PartPending             = "pending"
+	PartDistance            = "distance"
+	PartPrefill             = "prefill"
+	PartDecode              = "decode"
+	PartInterference        = "beside long work"
+	PartLane                = "lane"
+	PartImposedInterference = "harm"
+	PartNoise               = "spread" // random noise, may be negative
 )
 
-// known is the part of a score that needs neither filters nor the prefix
-// cache, in nanoseconds. No part of a score is negative, so it bounds the whole score
-// from below.
-func (c *Config) known(j *job) float64 {
+// baseScore returns the part of a score, in nanoseconds, that can be computed
+// without the filters and the prefix cache. As no part of a score is negative
+// except the noise, it is a lower bound of the score without noise.
+func (c *Config) baseScore(j *job) float64 {
 	return waitScore(j) + pendingScore(j) + distanceScore(j, c.DistancePenalty)
 }
 
-// work is the rest of a score: what the request itself takes there.
-func (c *Config) work(j *job) float64 {
+// requestScore returns the rest of a score, the cost of the request itself on
+// the candidate.
+func (c *Config) requestScore(j *job) float64 {
 	return prefillScore(j) +
 		decodeScore(j, c.BatchSlowdown, c.DecodeHorizon) +
-		besideScore(j, c.DecodeHorizon) +
-		laneScore(j, c.LanePenalty, c.DecodeHorizon) +
-		harmScore(j, c.HarmPenalty)
+		interferenceScore(j, c.DecodeHorizon) +
+		laneScore(j, c.LaneWeight, c.DecodeHorizon) +
+		imposedInterferenceScore(j, c.ImposedInterferenceWeight)
 }
 
-// parts returns a drawn score's parts in milliseconds.
-func (c *Config) parts(j *job, spread float64) map[string]float64 {
+// parts returns the parts of a noisy score in milliseconds.
+func (c *Config) parts(j *job, noise float64) map[string]float64 {
 	m := map[string]float64{
-		PartWait:     waitScore(j),
-		PartPending:  pendingScore(j),
-		PartDistance: distanceScore(j, c.DistancePenalty),
-		PartPrefill:  prefillScore(j),
-		PartDecode:   decodeScore(j, c.BatchSlowdown, c.DecodeHorizon),
-		PartBeside:   besideScore(j, c.DecodeHorizon),
-		PartLane:     laneScore(j, c.LanePenalty, c.DecodeHorizon),
-		PartHarm:     harmScore(j, c.HarmPenalty),
-		PartSpread:   spread,
+		PartWait:                waitScore(j),
+		PartPending:             pendingScore(j),
+		PartDistance:            distanceScore(j, c.DistancePenalty),
+		PartPrefill:             prefillScore(j),
+		PartDecode:              decodeScore(j, c.BatchSlowdown, c.DecodeHorizon),
+		PartInterference:        interferenceScore(j, c.DecodeHorizon),
+		PartLane:                laneScore(j, c.LaneWeight, c.DecodeHorizon),
+		PartImposedInterference: imposedInterferenceScore(j, c.ImposedInterferenceWeight),
+		PartNoise:               noise,
 	}
 	for name := range m {
 		m[name] /= float64(time.Millisecond)
--- a/routing/score_beside.go
+++ b/routing/score_beside.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// besideScore is what the request's decode loses beside prefill that it
-// passes: each of its steps carries a chunk of that, until either is over.
-func besideScore(j *job, horizon uint64) float64 {
-	passed := j.passed()
-	if passed <= 0 {
+// interferenceScore returns the delay of the request's decode by the prefill
+// that the request overtakes: each decode step also carries a chunk of that
+// prefill until one of the two ends.
+func interferenceScore(j *job, horizon uint64) float64 {
+	overtaken := j.overtakenPrefill()
+	if overtaken <= 0 {
 		return 0
 	}
-	return min(j.chunks(horizon), float64(passed)) * j.slow
+	return min(j.chunkDelay(horizon), float64(overtaken)) * j.slowdown
 }
 
-// passed is the prefill at the candidate that the request does not wait for.
-func (j *job) passed() time.Duration {
+// overtakenPrefill returns the prefill time of the candidate's work that the
+// request does not wait for.
+func (j *job) overtakenPrefill() time.Duration {
 	if j.class >= ClassLong {
 		return 0
 	}
@@ -25,32 +27,34 @@
 	return max(0, backlog) + j.cand.PendingLong
 }
 
-// laneScore is what a short request expects to lose in the lane, where long
-// work may arrive while it decodes: a share of the most that could be.
-func laneScore(j *job, share float64, horizon uint64) float64 {
-	if share <= 0 || !j.cand.LongLane || j.class >= laneClass {
+// laneScore returns the expected delay of a short request on an endpoint of the
+// long lane, where long work may arrive during its decode: a fraction of the
+// largest possible delay.
+func laneScore(j *job, weight float64, horizon uint64) float64 {
+	if weight <= 0 || !j.cand.LongLane || j.class >= laneClass {
 		return 0
 	}
-	return share * j.chunks(horizon)
+	return weight * j.chunkDelay(horizon)
 }
 
-// remainingTokens is the number of tokens that a running request has left on
-// average, as far as this request could slow them.
-const remainingTokens = 32
+// meanRemainingTokens is the mean number of tokens left to decode in a running
+// request that this request could delay.
+const meanRemainingTokens = 32
 
-// harmScore is a share of what the running requests lose to this one's
-// prefill: each of their steps carries a chunk of it, until either is over.
-func harmScore(j *job, share float64) float64 {
+// imposedInterferenceScore returns a fraction of the delay that this request's
+// prefill causes to the running requests: each of their decode steps also
+// carries a chunk of the prefill until one of the two ends.
+func imposedInterferenceScore(j *job, weight float64) float64 {
 	running := j.cand.Running + j.cand.PendingCount
 	if running == 0 {
 		return 0
 	}
-	each := min(float64(j.prefill), remainingTokens*j.chunk)
-	return share * each * float64(running) * j.slow
+	perRun := min(float64(j.prefill), meanRemainingTokens*j.chunk)
+	return weight * perRun * float64(running) * j.slowdown
 }
 
-// chunks is the time that chunks of other work add to the request's answer if
-// every step carries one.
-func (j *job) chunks(horizon uint64) float64 {
+// chunkDelay returns the delay of the request's answer, up to the horizon, if
+// every decode step also carries a prefill chunk of other work.
+func (j *job) chunkDelay(horizon uint64) float64 {
 	return float64(min(j.req.MaxTokens, horizon)) * j.chunk
 }
--- a/routing/score_place.go
+++ b/routing/score_place.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// distanceScore is a fixed penalty for another data centre.
+// distanceScore returns a fixed penalty for a candidate in another data centre.
 func distanceScore(j *job, penalty time.Duration) float64 {
 	if j.cand.DataCentre == j.req.DataCentre {
 		return 0
