--- a/placement/assign.go
+++ b/placement/assign.go
@@ -9,9 +9,10 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// Assign says what every live engine should hold. Endpoints are chosen by
-// rendezvous hashing over model and endpoint names: a version or an adapter
-// change moves nothing, and an endpoint that comes or goes moves little else.
+// Assign returns the models that every live engine should hold. Endpoints are
+// chosen by rendezvous hashing of model and endpoint names, so a change of a
+// version or an adapter moves no model, and an endpoint that joins or leaves
+// moves few models of other endpoints.
 func Assign(doc *rudderv1.Document, live map[string]bool) Assigned {
 	out := make(Assigned)
 	for _, dc := range DataCentres(doc) {
@@ -20,14 +21,14 @@
 	return out
 }
 
-// AssignIn is Assign for one data centre.
+// AssignIn is like Assign but limited to one data centre.
 func AssignIn(doc *rudderv1.Document, dataCentre string, live map[string]bool) Assigned {
 	out := make(Assigned)
 	assignIn(out, doc, dataCentre, live)
 	return out
 }
 
-// DataCentres returns the names of the document's data centres in order.
+// DataCentres returns the sorted names of the document's data centres.
 func DataCentres(doc *rudderv1.Document) []string {
 	var out []string
 	for _, e := range doc.GetEndpoints() {
@@ -37,25 +38,26 @@
 	return slices.Compact(out)
 }
 
-// demand is one model's need in one data centre.
+// demand is the number of replicas of a model that are still to be assigned in
+// one data centre.
 type demand struct {
 	model *rudderv1.Model
 	need  int
 }
 
-// allocation is the state of assigning one data centre.
+// allocation holds the state of the assignment in one data centre.
 type allocation struct {
 	engines []*rudderv1.Endpoint
 	demands []*demand
-	free    map[string]int
-	holds   map[string][]*demand // by endpoint
+	free    map[string]int       // free slots, by endpoint
+	holds   map[string][]*demand // assigned models, by endpoint
 }
 
 func newAllocation(doc *rudderv1.Document, dc string, live map[string]bool) *allocation {
 	a := &allocation{free: make(map[string]int), holds: make(map[string][]*demand)}
 	leaving := leavingHosts(doc)
 	for _, e := range doc.GetEndpoints() {
-		if e.DataCentre == dc && live[e.Name] && isEngine(e, leaving) {
+		if e.DataCentre == dc && live[e.Name] && isPlaceable(e, leaving) {
 			a.engines = append(a.engines, e)
 			a.free[e.Name] = Slots(e)
 		}
@@ -69,19 +71,20 @@
 	return a
 }
 
+// assignIn adds the assignments of one data centre to out.
 func assignIn(out Assigned, doc *rudderv1.Document, dc string, live map[string]bool) {
 	a := newAllocation(doc, dc, live)
-	pairs := a.rank()
-	// Every model gets its floor before any gets more.
+	candidates := a.rank()
+	// Every model gets its guaranteed replicas before any model gets more.
 	for _, d := range a.demands {
-		d.need = least(d.model, dc)
+		d.need = guaranteedReplicas(d.model, dc)
 	}
-	pairs = a.choose(pairs)
+	candidates = a.assignGreedily(candidates)
 	a.repair()
 	for _, d := range a.demands {
-		d.need += int(d.model.Replicas[dc]) - least(d.model, dc)
+		d.need += int(d.model.Replicas[dc]) - guaranteedReplicas(d.model, dc)
 	}
-	a.choose(pairs)
+	a.assignGreedily(candidates)
 	a.repair()
 	for _, e := range a.engines {
 		for _, d := range a.holds[e.Name] {
@@ -91,64 +94,72 @@
 	}
 }
 
-// least is what a model gets before others get more: its floor, at least one.
-func least(m *rudderv1.Model, dc string) int {
+// guaranteedReplicas returns the number of replicas that a model gets before
+// any model gets more: its floor, but at least one.
+func guaranteedReplicas(m *rudderv1.Model, dc string) int {
 	return int(max(1, min(m.Floor, m.Replicas[dc])))
 }
 
-// pair is a possible choice; higher scores win.
-type pair struct {
+// candidate is a possible assignment of a model to an endpoint. Higher scores
+// are preferred.
+type candidate struct {
 	score    uint64
 	demand   *demand
 	endpoint *rudderv1.Endpoint
 }
 
-func (a *allocation) rank() []pair {
-	pairs := make([]pair, 0, len(a.demands)*len(a.engines))
+// rank returns all candidates, sorted by descending score.
+func (a *allocation) rank() []candidate {
+	candidates := make([]candidate, 0, len(a.demands)*len(a.engines))
 	for _, d := range a.demands {
 		for _, e := range a.engines {
-			pairs = append(pairs, pair{score(d.model.Name, e.Name), d, e})
+			candidates = append(candidates, candidate{score(d.model.Name, e.Name), d, e})
 		}
 	}
-	slices.SortFunc(pairs, func(x, y pair) int {
+	slices.SortFunc(candidates, func(x, y candidate) int {
 		return cmp.Or(
 			cmp.Compare(y.score, x.score),
 			cmp.Compare(x.demand.model.Name, y.demand.model.Name),
 			cmp.Compare(x.endpoint.Name, y.endpoint.Name),
 		)
 	})
-	return pairs
+	return candidates
 }
 
+// score returns the rendezvous hash of a model and an endpoint.
 func score(model, endpoint string) uint64 {
 	return xxhash.Sum64String(model + "\x00" + endpoint)
 }
 
-// choose takes pairs from the best down while both sides have room, and
-// returns those it did not take.
-func (a *allocation) choose(pairs []pair) []pair {
-	var rest []pair
-	for _, p := range pairs {
-		if p.demand.need == 0 || a.free[p.endpoint.Name] == 0 || slices.Contains(a.holds[p.endpoint.Name], p.demand) {
-			rest = append(rest, p)
+// assignGreedily assigns candidates in descending order of score as long as the
+// model needs replicas and the endpoint has a free slot. It returns the
+// candidates that were not assigned.
+func (a *allocation) assignGreedily(candidates []candidate) []candidate {
+	var remaining []candidate
+	for _, c := range candidates {
+		if c.demand.need == 0 || a.free[c.endpoint.Name] == 0 || slices.Contains(a.holds[c.endpoint.Name], c.demand) {
+			remaining = append(remaining, c)
 			continue
 		}
-		a.put(p.demand, p.endpoint.Name)
-		p.demand.need--
+		a.assign(c.demand, c.endpoint.Name)
+		c.demand.need--
 	}
-	return rest
+	return remaining
 }
 
-func (a *allocation) put(d *demand, endpoint string) {
+// assign gives a slot of the endpoint to a model.
+func (a *allocation) assign(d *demand, endpoint string) {
 	a.free[endpoint]--
 	a.holds[endpoint] = append(a.holds[endpoint], d)
 }
 
-func (a *allocation) take(d *demand, endpoint string) {
+// unassign frees the endpoint's slot that a model was given.
+func (a *allocation) unassign(d *demand, endpoint string) {
 	a.free[endpoint]++
 	a.holds[endpoint] = slices.DeleteFunc(a.holds[endpoint], func(x *demand) bool { return x == d })
 }
 
+// assignment returns the assignment of a model with its adapters.
 func assignment(m *rudderv1.Model) Assignment {
 	a := Assignment{Model: m.Name, Version: m.Version, Weights: m.Weights}
 	for _, x := range m.Adapters {
--- a/placement/cost_test.go
+++ b/placement/cost_test.go
@@ -8,9 +8,10 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// zone returns one data centre of the size that the fleet is planned to
-// reach: 181 engines, of which the given number are spare, and 20 models.
-func zone(spare int) *rudderv1.Document {
+// largeDataCentre returns a document with one data centre of the size that the
+// fleet is planned to reach: 181 engines, of which the given number is spare,
+// and 20 models.
+func largeDataCentre(spare int) *rudderv1.Document {
 	const engines, models = 181, 20
 	d := new(rudderv1.Document)
 	for i := range engines {
@@ -35,12 +36,13 @@
 	return live
 }
 
-// TestMovesWhenAnEndpointGoes bounds the movement in a data centre with few
-// spare engines, over every endpoint that can go.
-func TestMovesWhenAnEndpointGoes(t *testing.T) {
-	const mostMean, most = 4.0, 8
+// TestReassignmentsOnEndpointLoss bounds how many other endpoints get a new
+// assignment when one endpoint is lost, for every endpoint of a data centre with
+// few or many spare engines.
+func TestReassignmentsOnEndpointLoss(t *testing.T) {
+	const maxMean, maxWorst = 4.0, 8
 	for _, spare := range []int{1, 36} {
-		d := zone(spare)
+		d := largeDataCentre(spare)
 		live := allLive(d)
 		before := AssignIn(d, dc, live)
 		total, worst := 0, 0
@@ -53,13 +55,14 @@
 		}
 		mean := float64(total) / float64(len(d.Endpoints))
 		t.Logf("%d spare of %d: %.1f other endpoints change on average, %d at most", spare, len(d.Endpoints), mean, worst)
-		if mean > mostMean || worst > most {
-			t.Errorf("%d spare: more than %.0f on average or %d at most", spare, mostMean, most)
+		if mean > maxMean || worst > maxWorst {
+			t.Errorf("%d spare: more than %.0f on average or %d at most", spare, maxMean, maxWorst)
 		}
 	}
 }
 
-// changed counts the endpoints besides gone whose assignment differs.
+// changed returns the number of endpoints other than gone whose assignment
+// differs.
 func changed(before, after Assigned, gone string) int {
 	n := 0
 	for name := range before {
@@ -76,7 +79,7 @@
 }
 
 func BenchmarkAssignZone(b *testing.B) {
-	d := zone(9)
+	d := largeDataCentre(9)
 	live := allLive(d)
 	for b.Loop() {
 		AssignIn(d, dc, live)
@@ -84,7 +87,7 @@
 }
 
 func BenchmarkNextZone(b *testing.B) {
-	d := zone(9)
+	d := largeDataCentre(9)
 	live := allLive(d)
 	view := make(View)
 	assigned := AssignIn(d, dc, live)
--- a/placement/grants.go
+++ b/placement/grants.go
@@ -6,8 +6,9 @@
 	"github.com/micarudder/micarudder/engine"
 )
 
-// Grant is one order that a placer permitted, decided on the agent's report
-// that counted Holds, until ExpiresMS on the agent's clock.
+// Grant is an order that a placer has permitted. The decision was based on the
+// agent's report with the counter Holds, and the permit is valid until ExpiresMS
+// on the agent's clock.
 type Grant struct {
 	Order       engine.Order
 	Incarnation string
@@ -15,20 +16,21 @@
 	ExpiresMS   int64
 }
 
-// Grants holds the permitted orders of which the agents' reports say nothing
-// yet, by endpoint.
+// Grants holds the permitted orders whose outcome is not covered by an agent's
+// report yet, by endpoint.
 type Grants map[string]Grant
 
-// Settle drops a grant once a report tells what became of it: the agent took
-// it or changed otherwise, restarted, or let it lapse.
+// Settle removes the grant of an endpoint once a report covers its outcome: the
+// agent has accepted the order or its state has changed in another way, it has
+// restarted, or the permit has expired.
 func (g Grants) Settle(endpoint, incarnation string, holds uint64, clockMS int64) {
-	old, ok := g[endpoint]
-	if ok && (old.Incarnation != incarnation || old.Holds != holds || clockMS > old.ExpiresMS) {
+	grant, ok := g[endpoint]
+	if ok && (grant.Incarnation != incarnation || grant.Holds != holds || clockMS > grant.ExpiresMS) {
 		delete(g, endpoint)
 	}
 }
 
-// Apply changes a view as if every grant had been taken.
+// Apply changes the view as if the agents had accepted every grant.
 func (g Grants) Apply(v View) {
 	for name, grant := range g {
 		if h, ok := v[name]; ok {
@@ -37,8 +39,9 @@
 	}
 }
 
-// Under returns the endpoint's state while it works on an order: what the
-// order takes away is gone, what it brings is not there yet.
+// Under returns the endpoint's state while it executes an order: a model that
+// the order unloads is already removed, and a model that it loads is still
+// loading.
 func (h Held) Under(o engine.Order) Held {
 	h.Busy = true
 	h.Models = slices.Clone(h.Models)
--- a/placement/grants_test.go
+++ b/placement/grants_test.go
@@ -9,7 +9,7 @@
 	"github.com/micarudder/micarudder/engine"
 )
 
-func TestGrantsCountUntilAReportTells(t *testing.T) {
+func TestGrantsApplyUntilReported(t *testing.T) {
 	load := engine.Order{Kind: engine.OrderLoadModel, Model: "m", Version: "2"}
 	cases := []struct {
 		name        string
@@ -18,10 +18,10 @@
 		clock       int64
 		kept        bool
 	}{
-		{"nothing new", "i", 3, 1000, true},
-		{"taken", "i", 4, 900, false},
+		{"same report", "i", 3, 1000, true},
+		{"accepted", "i", 4, 900, false},
 		{"restarted", "j", 3, 900, false},
-		{"lapsed", "i", 3, 1001, false},
+		{"expired", "i", 3, 1001, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -41,33 +41,33 @@
 	h := Held{Models: []engine.Model{{Name: "m", Version: "1"}}}
 	is.Equal(len(h.Under(engine.Order{Kind: engine.OrderUnloadModel, Model: "m", Version: "1"}).Models), 0)
 	is.True(h.Under(engine.Order{Kind: engine.OrderLoadAdapter}).Fetching)
-	is.Equal(len(h.Models), 1) // the original stays
+	is.Equal(len(h.Models), 1) // the original is unchanged
 }
 
 func TestPresenceDampsFlapping(t *testing.T) {
 	is := is.New(t)
 	p, now := NewPresence(), time.Unix(1000, 0)
-	there := func(is bool, lasting time.Duration) bool {
-		p.Observe("e", is, now)
+	observe := func(present bool, lasting time.Duration) bool {
+		p.Observe("e", present, now)
 		now = now.Add(lasting)
-		return p.Observe("e", is, now)
+		return p.Observe("e", present, now)
 	}
-	is.True(there(true, time.Second))
-	is.True(there(false, LostAfter-1))
-	is.True(there(true, time.Second)) // a short absence changes nothing
-	is.True(!there(false, LostAfter))
-	is.True(!there(true, ReturnAfter-1))
-	is.True(there(true, ReturnAfter))
-	is.True(!there(false, LostAfter))
-	is.True(!there(true, 2*ReturnAfter-1)) // twice as long after the second loss
-	is.True(there(true, 2*ReturnAfter))
-	is.True(there(true, ForgiveAfter))
-	is.True(!there(false, LostAfter))
-	is.True(there(true, ReturnAfter)) // forgiven
+	is.True(observe(true, time.Second))
+	is.True(observe(false, LostAfter-1))
+	is.True(observe(true, time.Second)) // a short absence is ignored
+	is.True(!observe(false, LostAfter))
+	is.True(!observe(true, ReturnAfter-1))
+	is.True(observe(true, ReturnAfter))
+	is.True(!observe(false, LostAfter))
+	is.True(!observe(true, 2*ReturnAfter-1)) // the delay doubles after the second loss
+	is.True(observe(true, 2*ReturnAfter))
+	is.True(observe(true, LossResetAfter))
+	is.True(!observe(false, LostAfter))
+	is.True(observe(true, ReturnAfter)) // the loss count was reset
 	for range 20 {
-		there(false, LostAfter)
-		there(true, ReturnMax)
+		observe(false, LostAfter)
+		observe(true, MaxReturnAfter)
 	}
-	is.True(!there(false, LostAfter))
-	is.True(there(true, ReturnMax))
+	is.True(!observe(false, LostAfter))
+	is.True(observe(true, MaxReturnAfter))
 }
--- a/placement/next.go
+++ b/placement/next.go
@@ -8,33 +8,33 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// Blocked is an unload that is held back.
+// Blocked is an unload that is not permitted yet.
 type Blocked struct {
 	DataCentre string
 	Endpoint   string
 	Model      string
-	Waits      bool // until the model's replacements serve; otherwise its floor forbids the unload
+	Waits      bool // for the replacements to serve; if false, the model's floor forbids the unload
 }
 
 // Next returns the orders that may be given now in one data centre, at most
-// one for each endpoint, and the unloads that are held back. It bounds
-// the endpoints in change and the loads from the weight store; work in
-// progress counts against both bounds.
+// one for each endpoint, and the unloads that are blocked. It bounds the number
+// of endpoints that change at once and the number of concurrent loads from the
+// weight store; changes and loads in progress count against these bounds.
 func Next(doc *rudderv1.Document, dataCentre string, assigned Assigned, view View) ([]Step, []Blocked) {
 	b := newBatch(doc, dataCentre, assigned, view)
-	// Endpoints that already lost capacity go first, so that a change that is
-	// under way ends before the next one begins.
+	// Endpoints that have already given up capacity come first, so that a change
+	// in progress is completed before the next one starts.
 	for _, e := range b.byUrgency() {
-		b.complete(e)
+		b.orderMissing(e)
 	}
 	for _, e := range b.engines {
-		b.vacate(e)
+		b.unloadSurplus(e)
 	}
 	slices.SortFunc(b.steps, func(x, y Step) int { return cmp.Compare(x.Endpoint, y.Endpoint) })
 	return b.steps, b.blocked
 }
 
-// batch is the state of one call of Next.
+// batch holds the state of one call of Next.
 type batch struct {
 	doc      *rudderv1.Document
 	dc       string
@@ -42,13 +42,13 @@
 	view     View
 	engines  []*rudderv1.Endpoint
 
-	serving  map[string]int // endpoints that serve a model, after the steps so far
-	wanted   map[string]int // endpoints that should hold a model
-	moving   map[string]bool
-	ordered  map[string]bool
-	loads    int
-	maxLoads int
-	maxMoves int
+	serving     map[string]int // endpoints that serve a model after the steps so far, by model
+	wanted      map[string]int // endpoints that should hold a model, by model
+	changing    map[string]bool
+	hasOrder    map[string]bool
+	activeLoads int
+	maxLoads    int
+	maxChanges  int
 
 	steps   []Step
 	blocked []Blocked
@@ -58,18 +58,18 @@
 	b := &batch{
 		doc: doc, dc: dc, assigned: assigned, view: view,
 		serving: make(map[string]int), wanted: make(map[string]int),
-		moving: make(map[string]bool), ordered: make(map[string]bool),
+		changing: make(map[string]bool), hasOrder: make(map[string]bool),
 	}
 	leaving := leavingHosts(doc)
 	declared := 0
 	for _, e := range doc.GetEndpoints() {
-		if e.DataCentre != dc || !isEngine(e, leaving) {
+		if e.DataCentre != dc || !isPlaceable(e, leaving) {
 			continue
 		}
 		declared++
 		if view[e.Name].Serving {
 			b.engines = append(b.engines, e)
-			b.count(e)
+			b.countEndpoint(e)
 		}
 	}
 	slices.SortFunc(b.engines, func(x, y *rudderv1.Endpoint) int { return cmp.Compare(x.Name, y.Name) })
@@ -77,12 +77,12 @@
 	if b.maxLoads == 0 {
 		b.maxLoads = DefaultConcurrentLoads
 	}
-	b.maxMoves = MaxMoves(doc, declared)
+	b.maxChanges = MaxConcurrentChanges(doc, declared)
 	return b
 }
 
-// MaxMoves returns how many of n engines may be in change at once.
-func MaxMoves(doc *rudderv1.Document, n int) int {
+// MaxConcurrentChanges returns how many of n engines may change at once.
+func MaxConcurrentChanges(doc *rudderv1.Document, n int) int {
 	percent := int(doc.GetPlacement().GetMovingPercent())
 	if percent == 0 {
 		percent = DefaultMovingPercent
@@ -90,8 +90,8 @@
 	return max(1, n*percent/100)
 }
 
-// count takes one endpoint's present state into the totals.
-func (b *batch) count(e *rudderv1.Endpoint) {
+// countEndpoint adds the present state of one endpoint to the totals.
+func (b *batch) countEndpoint(e *rudderv1.Endpoint) {
 	held := b.view[e.Name]
 	for name := range servedBy(held) {
 		b.serving[name]++
@@ -101,18 +101,19 @@
 	}
 	loading := slices.ContainsFunc(held.Models, func(m engine.Model) bool { return m.Loading })
 	if loading || held.Fetching {
-		b.loads++
+		b.activeLoads++
 	}
 	if loading || held.Busy {
-		b.ordered[e.Name] = true
-		b.moving[e.Name] = true
+		b.hasOrder[e.Name] = true
+		b.changing[e.Name] = true
 	}
 	if len(b.missing(e)) > 0 && len(held.Models) < Slots(e) {
-		b.moving[e.Name] = true
+		b.changing[e.Name] = true
 	}
 }
 
-// servedBy returns the models that an endpoint answers for, whatever version.
+// servedBy returns the names of the models that an endpoint serves, in any
+// version.
 func servedBy(h Held) map[string]bool {
 	out := make(map[string]bool)
 	for _, m := range h.Models {
@@ -123,10 +124,11 @@
 	return out
 }
 
-// byUrgency orders the engines by how badly what they lack is needed: models
-// that nobody serves, then models below their floor, then the rest.
+// byUrgency sorts the engines by how urgently their missing models are needed:
+// engines that lack a model that no endpoint serves come first, then those that
+// lack a model below its floor, then the rest.
 func (b *batch) byUrgency() []*rudderv1.Endpoint {
-	const unserved, short, rest = 0, 1, 2
+	const unserved, belowFloor, rest = 0, 1, 2
 	rank := make(map[string]int, len(b.engines))
 	for _, e := range b.engines {
 		rank[e.Name] = rest
@@ -135,7 +137,7 @@
 			case n == 0:
 				rank[e.Name] = unserved
 			case n < Floor(b.doc, a.Model, b.dc):
-				rank[e.Name] = min(rank[e.Name], short)
+				rank[e.Name] = min(rank[e.Name], belowFloor)
 			}
 		}
 	}
@@ -144,70 +146,77 @@
 	return out
 }
 
-// inFlight counts the endpoints with an order in progress or in this batch.
-func (b *batch) inFlight() int { return len(b.ordered) }
+// ordersInFlight returns the number of endpoints with an order in progress or in
+// this batch.
+func (b *batch) ordersInFlight() int { return len(b.hasOrder) }
 
-func (b *batch) step(e *rudderv1.Endpoint, o engine.Order) {
+// addOrder adds an order for an endpoint to the batch.
+func (b *batch) addOrder(e *rudderv1.Endpoint, o engine.Order) {
 	o.Fence = Fence(b.doc.GetGeneration(), 0)
 	b.steps = append(b.steps, Step{DataCentre: b.dc, Endpoint: e.Name, Order: o})
-	b.ordered[e.Name] = true
-	b.moving[e.Name] = true
+	b.hasOrder[e.Name] = true
+	b.changing[e.Name] = true
 }
 
-// complete orders what an endpoint lacks and has room for.
-func (b *batch) complete(e *rudderv1.Endpoint) {
-	if b.ordered[e.Name] || b.inFlight() >= b.maxMoves {
+// orderMissing adds the next order that brings an endpoint closer to its
+// assignment without unloading a model: a change of role, the load of a missing
+// model if a slot is free, or a change of adapters.
+func (b *batch) orderMissing(e *rudderv1.Endpoint) {
+	if b.hasOrder[e.Name] || b.ordersInFlight() >= b.maxChanges {
 		return
 	}
 	held := b.view[e.Name]
 	if e.Role != "" && held.Role != e.Role {
-		b.step(e, engine.Order{Kind: engine.OrderSetRole, Role: e.Role})
+		b.addOrder(e, engine.Order{Kind: engine.OrderSetRole, Role: e.Role})
 		return
 	}
 	missing := b.missing(e)
 	if len(missing) > 0 && len(held.Models) < Slots(e) {
 		a := missing[0]
-		b.load(e, engine.Order{Kind: engine.OrderLoadModel, Model: a.Model, Version: a.Version, Weights: a.Weights})
+		b.orderLoad(e, engine.Order{Kind: engine.OrderLoadModel, Model: a.Model, Version: a.Version, Weights: a.Weights})
 		return
 	}
-	b.adapters(e, held)
+	b.orderAdapterChange(e, held)
 }
 
-func (b *batch) load(e *rudderv1.Endpoint, o engine.Order) {
-	if b.loads >= b.maxLoads {
+// orderLoad adds a load order if the bound on concurrent loads allows it.
+func (b *batch) orderLoad(e *rudderv1.Endpoint, o engine.Order) {
+	if b.activeLoads >= b.maxLoads {
 		return
 	}
-	b.loads++
-	b.step(e, o)
+	b.activeLoads++
+	b.addOrder(e, o)
 }
 
-// adapters orders the first difference in adapters: loads before unloads.
-func (b *batch) adapters(e *rudderv1.Endpoint, held Held) {
+// orderAdapterChange adds an order for the first difference in adapters. For
+// each model, loads come before unloads.
+func (b *batch) orderAdapterChange(e *rudderv1.Endpoint, held Held) {
 	for _, a := range b.assigned[e.Name] {
-		m, ok := find(held.Models, a)
+		m, ok := findLoaded(held.Models, a)
 		if !ok {
 			continue
 		}
 		for _, x := range a.Adapters {
 			if !slices.Contains(m.Adapters, x.ID) {
-				b.load(e, engine.Order{Kind: engine.OrderLoadAdapter, Model: a.Model, Version: a.Version, Adapter: x.ID, Weights: x.Weights})
+				b.orderLoad(e, engine.Order{Kind: engine.OrderLoadAdapter, Model: a.Model, Version: a.Version, Adapter: x.ID, Weights: x.Weights})
 				return
 			}
 		}
 		for _, id := range slices.Sorted(slices.Values(m.Adapters)) {
-			if !a.has(id) {
-				b.step(e, engine.Order{Kind: engine.OrderUnloadAdapter, Model: a.Model, Version: a.Version, Adapter: id})
+			if !a.hasAdapter(id) {
+				b.addOrder(e, engine.Order{Kind: engine.OrderUnloadAdapter, Model: a.Model, Version: a.Version, Adapter: id})
 				return
 			}
 		}
 	}
 }
 
-func (a Assignment) has(adapter string) bool {
+func (a Assignment) hasAdapter(adapter string) bool {
 	return slices.ContainsFunc(a.Adapters, func(x Adapter) bool { return x.ID == adapter })
 }
 
-func find(models []engine.Model, a Assignment) (engine.Model, bool) {
+// findLoaded returns the loaded model of the assigned name and version.
+func findLoaded(models []engine.Model, a Assignment) (engine.Model, bool) {
 	for _, m := range models {
 		if m.Name == a.Model && m.Version == a.Version && !m.Loading {
 			return m, true
@@ -216,7 +225,8 @@
 	return engine.Model{}, false
 }
 
-// missing returns the assignments that the endpoint neither holds nor loads.
+// missing returns the assignments whose model the endpoint neither holds nor is
+// loading.
 func (b *batch) missing(e *rudderv1.Endpoint) []Assignment {
 	var out []Assignment
 	for _, a := range b.assigned[e.Name] {
@@ -228,8 +238,8 @@
 	return out
 }
 
-// surplus returns the held models that are not assigned: those of no assigned
-// name first, then old versions.
+// surplus returns the held models that are not assigned: first those whose name
+// is not assigned, then other versions of assigned models.
 func (b *batch) surplus(e *rudderv1.Endpoint) []engine.Model {
 	var other, old []engine.Model
 	for _, m := range b.view[e.Name].Models {
@@ -249,53 +259,59 @@
 	return append(other, old...)
 }
 
-// vacate goes through the endpoint's surplus models. What may be unloaded is
-// set aside at once, also when the endpoint cannot take the order yet: the
-// choice then depends on the endpoints' order alone, and agents that decide by
-// themselves from views of different age never spend the same reserve twice.
-func (b *batch) vacate(e *rudderv1.Endpoint) {
+// unloadSurplus orders the unload of surplus models of the endpoint. An unload
+// that the floor permits is subtracted from the serving count even if the
+// endpoint cannot take the order yet. The permitted unloads then depend only on
+// the order in which endpoints are considered, so that agents that decide
+// independently from views of different ages do not use the same spare replica
+// twice.
+func (b *batch) unloadSurplus(e *rudderv1.Endpoint) {
 	surplus := b.surplus(e)
-	full := len(b.assigned[e.Name])+len(surplus) > Slots(e) // the room is needed
+	// A surplus model occupies a slot that an assigned model needs.
+	slotNeeded := len(b.assigned[e.Name])+len(surplus) > Slots(e)
 	for _, m := range surplus {
-		if !b.mayUnload(e, m, full) {
-			b.blocked = append(b.blocked, Blocked{b.dc, e.Name, m.Name, !full})
+		if !b.mayUnload(e, m, slotNeeded) {
+			b.blocked = append(b.blocked, Blocked{b.dc, e.Name, m.Name, !slotNeeded})
 			continue
 		}
 		if b.lastCopy(e, m) {
 			b.serving[m.Name]--
 		}
 		if b.mayOrderUnload(e) {
-			b.step(e, engine.Order{Kind: engine.OrderUnloadModel, Model: m.Name, Version: m.Version})
+			b.addOrder(e, engine.Order{Kind: engine.OrderUnloadModel, Model: m.Name, Version: m.Version})
 		}
 	}
 }
 
-// mayOrderUnload holds the bounds on endpoints in change, and keeps a model
-// while the endpoint still has room for what it lacks.
+// mayOrderUnload reports whether an unload order can be given now. It enforces
+// the bounds on changing endpoints, and defers the unload while the endpoint
+// has a free slot for a missing model.
 func (b *batch) mayOrderUnload(e *rudderv1.Endpoint) bool {
-	if b.ordered[e.Name] || b.inFlight() >= b.maxMoves {
+	if b.hasOrder[e.Name] || b.ordersInFlight() >= b.maxChanges {
 		return false
 	}
-	if !b.moving[e.Name] && len(b.moving) >= b.maxMoves {
+	if !b.changing[e.Name] && len(b.changing) >= b.maxChanges {
 		return false
 	}
 	return len(b.missing(e)) == 0 || len(b.view[e.Name].Models) >= Slots(e)
 }
 
-// mayUnload keeps the floor when the room is needed, and otherwise waits until
-// the replacements serve.
-func (b *batch) mayUnload(e *rudderv1.Endpoint, m engine.Model, needed bool) bool {
+// mayUnload reports whether the unload of m leaves enough endpoints that serve
+// the model. If the slot is needed, this is the model's floor; otherwise the
+// unload also waits until all replacements serve.
+func (b *batch) mayUnload(e *rudderv1.Endpoint, m engine.Model, slotNeeded bool) bool {
 	if !b.lastCopy(e, m) {
 		return true
 	}
-	keep := Floor(b.doc, m.Name, b.dc)
-	if !needed {
-		keep = max(keep, b.wanted[m.Name])
+	minServing := Floor(b.doc, m.Name, b.dc)
+	if !slotNeeded {
+		minServing = max(minServing, b.wanted[m.Name])
 	}
-	return b.serving[m.Name]-1 >= keep
+	return b.serving[m.Name]-1 >= minServing
 }
 
-// lastCopy tells whether unloading m takes the model's name off the endpoint.
+// lastCopy reports whether m is the only loaded version of its model on the
+// endpoint, so that the endpoint stops serving the model without it.
 func (b *batch) lastCopy(e *rudderv1.Endpoint, m engine.Model) bool {
 	copies := 0
 	for _, x := range b.view[e.Name].Models {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,11 +1,11 @@
-// Package placement decides which endpoint holds which model and in what order
-// endpoints get there. It is pure: the accepted document, the live endpoints
-// and what they hold are arguments, and the same arguments give the same
-// answer in every process.
+// Package placement decides which endpoint holds which models and in which
+// order the endpoints get there. It has no side effects: the accepted document,
+// the live endpoints and the models that they hold are arguments, and the same
+// arguments give the same result in every process.
 //
-// Assign says what each endpoint should hold. Next compares that with what
-// the endpoints of one data centre hold and returns the orders that may be
-// given now, so that no model falls below its floor.
+// Assign computes the models that each endpoint should hold. Next compares
+// these with the models that the endpoints of one data centre hold and returns
+// the orders that may be given now, so that no model falls below its floor.
 package placement
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// The bounds used where a document gives none.
+// Defaults for the bounds that a document does not set.
 const (
 	DefaultConcurrentLoads = 4
 	DefaultMovingPercent   = 10
@@ -24,7 +24,7 @@
 	Model    string
 	Version  string
 	Weights  string
-	Adapters []Adapter // ordered by ID
+	Adapters []Adapter // sorted by ID
 }
 
 // Adapter is one adapter of an assigned model.
@@ -33,28 +33,30 @@
 	Weights string
 }
 
-// AdapterID names an adapter with its version, as endpoints report it.
+// AdapterID returns the identifier of an adapter version, as endpoints report
+// it.
 func AdapterID(name, version string) string { return name + "@" + version }
 
-// Assigned holds the assignments by endpoint; each list is ordered by model.
+// Assigned maps endpoint names to their assignments, each list sorted by model.
 type Assigned map[string][]Assignment
 
-// Held is what one endpoint holds according to its agent.
+// Held is the state of one endpoint as reported by its agent.
 type Held struct {
 	Models  []engine.Model
 	Role    string
-	Serving bool // connected and not leaving: callers reach its models
+	Serving bool // connected and not leaving, so that its models can be used
 	Busy    bool // an order is in progress
-	// Fetching tells that the order in progress reads an adapter's weights; a
-	// model that loads says so itself.
+	// Fetching is set while the order in progress reads the weights of an
+	// adapter. For the weights of a model, see engine.Model.Loading.
 	Fetching bool
 }
 
-// View holds what is known of the endpoints, by name. An endpoint that is not
-// in it is unreachable: it counts for nothing and gets no order.
+// View maps endpoint names to the state of the endpoints. An endpoint that is
+// not in the view is unreachable: it does not count as serving and gets no
+// order.
 type View map[string]Held
 
-// Live returns the endpoints of the view that serve.
+// Live returns, for each endpoint of the view, whether it serves.
 func (v View) Live() map[string]bool {
 	live := make(map[string]bool, len(v))
 	for name, h := range v {
@@ -63,40 +65,43 @@
 	return live
 }
 
-// Step is one order that may be given now. ID and From of the order are left
-// to the agent that gives it; Fence is the lowest number of the generation.
-// An agent lets the runs of a model end before it gives an unload order.
+// Step is one order that may be given now. The agent that gives the order sets
+// its ID and From; Fence is the lowest fencing number of the generation. An
+// agent waits for the runs of a model to end before it gives an unload order.
 type Step struct {
 	DataCentre string
 	Endpoint   string
 	Order      engine.Order
 }
 
-// fenceBits is the room for orders within one generation.
+// fenceBits is the number of low-order bits of a fencing number that count the
+// orders within one generation.
 const fenceBits = 20
 
-// Fence returns the fencing number for the next order under a generation,
-// above every number that the endpoint has seen. Both arguments only grow, so
-// a holder that was paused comes back with a number that is too low.
+// Fence returns the fencing number for the next order of a generation, which is
+// higher than seen, the highest number that the endpoint has seen. Both
+// arguments only increase, so the number of a sender that was paused is too low
+// when it resumes.
 func Fence(generation, seen uint64) uint64 {
 	return max(generation<<fenceBits, seen+1)
 }
 
-// BelowFloor is the name under which a plan may be forced to take a model in
-// one data centre below its floor.
+// BelowFloor returns the name by which an operator forces a plan that takes a
+// model in one data centre below its floor.
 func BelowFloor(model, dataCentre string) string {
 	return "below-floor:" + model + "@" + dataCentre
 }
 
-// Floor returns how many endpoints must serve the model in the data centre
-// while endpoints change. A forced document allows one fewer.
+// Floor returns the number of endpoints in the data centre that must keep
+// serving the model while endpoints change. If the document forces BelowFloor
+// for the model, the floor is one lower.
 func Floor(doc *rudderv1.Document, model, dataCentre string) int {
 	for _, m := range doc.GetModels() {
 		if m.Name != model {
 			continue
 		}
 		floor := int(min(m.Floor, m.Replicas[dataCentre]))
-		if floor > 0 && forced(doc, BelowFloor(model, dataCentre)) {
+		if floor > 0 && isForced(doc, BelowFloor(model, dataCentre)) {
 			floor--
 		}
 		return floor
@@ -104,7 +109,7 @@
 	return 0
 }
 
-func forced(doc *rudderv1.Document, name string) bool {
+func isForced(doc *rudderv1.Document, name string) bool {
 	for _, f := range doc.GetForced() {
 		if f == name {
 			return true
@@ -113,11 +118,12 @@
 	return false
 }
 
-// Slots returns how many models the endpoint holds at once.
+// Slots returns the number of models that the endpoint can hold at once.
 func Slots(e *rudderv1.Endpoint) int { return int(max(e.GetMaxModels(), 1)) }
 
-// isEngine tells whether the document wants models on the endpoint.
-func isEngine(e *rudderv1.Endpoint, leaving map[string]bool) bool {
+// isPlaceable reports whether models may be assigned to the endpoint: it is a
+// model engine, and neither it nor its host is leaving.
+func isPlaceable(e *rudderv1.Endpoint, leaving map[string]bool) bool {
 	return e.Service == "" && !e.Leaving && !leaving[e.Host]
 }
 
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -16,7 +16,7 @@
 
 const dc = "a"
 
-// drawDocument returns a document of one data centre.
+// drawDocument returns a random document with one data centre.
 func drawDocument(t *rapid.T) *rudderv1.Document {
 	d := &rudderv1.Document{
 		Generation: 5,
@@ -43,7 +43,8 @@
 	return d
 }
 
-// drawView returns endpoints that hold anything at all, within their slots.
+// drawView returns a view of endpoints that hold random models, as many as their
+// slots allow.
 func drawView(t *rapid.T, d *rudderv1.Document) View {
 	v := make(View)
 	for _, e := range d.Endpoints {
@@ -56,6 +57,7 @@
 	return v
 }
 
+// servingCounts returns the number of endpoints that serve each model.
 func servingCounts(d *rudderv1.Document, v View) map[string]int {
 	out := make(map[string]int)
 	for _, e := range d.Endpoints {
@@ -66,9 +68,8 @@
 	return out
 }
 
-// begin returns what an endpoint holds while the order is carried out, finish
-// what it holds after it.
-func begin(h Held, o engine.Order) Held {
+// startOrder returns the state of an endpoint while it executes the order.
+func startOrder(h Held, o engine.Order) Held {
 	h.Busy = true
 	h.Models = slices.Clone(h.Models)
 	switch o.Kind {
@@ -80,7 +81,8 @@
 	return h
 }
 
-func finish(h Held, o engine.Order) Held {
+// finishOrder returns the state of an endpoint after it has executed the order.
+func finishOrder(h Held, o engine.Order) Held {
 	h.Busy = false
 	h.Models = slices.Clone(h.Models)
 	for i := range h.Models {
@@ -102,8 +104,9 @@
 	return h
 }
 
-// TestAssignKeepsLimits: slots and replicas are never exceeded, and where all
-// endpoints have the same room and the floors fit, every floor is met.
+// TestAssignKeepsLimits checks that slots and replicas are never exceeded and
+// that, if all endpoints have equally many slots, every floor is met where the
+// floors fit and every replica is assigned where the replicas fit.
 func TestAssignKeepsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawDocument(t)
@@ -135,19 +138,20 @@
 			room += Slots(e)
 		}
 		for _, m := range d.Models {
-			floors += least(m, dc)
+			floors += guaranteedReplicas(m, dc)
 			wanted += int(m.Replicas[dc])
 		}
 		for _, m := range d.Models {
 			n, want := got[m.Name], int(m.Replicas[dc])
-			if n > want || uniform && floors <= room && n < least(m, dc) || uniform && wanted <= room && n != want {
+			if n > want || uniform && floors <= room && n < guaranteedReplicas(m, dc) || uniform && wanted <= room && n != want {
 				t.Fatalf("%s has %d of %d replicas, floor %d; room %d, floors %d, wanted %d", m.Name, n, want, m.Floor, room, floors, wanted)
 			}
 		}
 	})
 }
 
-// TestSameInputSameOutput: the order of the document's lists does not matter.
+// TestSameInputSameOutput checks that the order of the document's lists does not
+// affect the result.
 func TestSameInputSameOutput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawDocument(t)
@@ -165,8 +169,9 @@
 	})
 }
 
-// TestAssignMovesLittle: with room for every model, an endpoint that goes
-// changes others only by what it held itself, and a version moves nothing.
+// TestAssignMovesLittle checks that, with slots for every model, the loss of an
+// endpoint takes no model from another endpoint and adds to the others at most
+// the models that the lost one held.
 func TestAssignMovesLittle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawDocument(t)
@@ -192,13 +197,13 @@
 			moved += len(after[e.Name]) - len(before[e.Name])
 		}
 		if moved > len(before[gone]) {
-			t.Fatalf("%d moved, %s held %d", moved, gone, len(before[gone]))
+			t.Fatalf("%d models moved, but %s held only %d", moved, gone, len(before[gone]))
 		}
 	})
 }
 
-// check holds one batch against the bounds.
-func check(t *rapid.T, d *rudderv1.Document, v View, steps []Step) {
+// checkBatch checks the orders of one batch against the bounds.
+func checkBatch(t *rapid.T, d *rudderv1.Document, v View, steps []Step) {
 	t.Helper()
 	after := make(View)
 	inFlight, loads := 0, 0
@@ -215,74 +220,76 @@
 	seen := make(map[string]bool)
 	for _, s := range steps {
 		if seen[s.Endpoint] || v[s.Endpoint].Busy || !v[s.Endpoint].Serving {
-			t.Fatalf("order for %s, which is busy, away or has one", s.Endpoint)
+			t.Fatalf("order for %s, which is busy, not serving or already has an order", s.Endpoint)
 		}
 		seen[s.Endpoint] = true
-		after[s.Endpoint] = begin(v[s.Endpoint], s.Order)
+		after[s.Endpoint] = startOrder(v[s.Endpoint], s.Order)
 		inFlight++
 		if s.Order.Kind == engine.OrderLoadModel || s.Order.Kind == engine.OrderLoadAdapter {
 			loads++
 		}
 	}
-	if len(steps) > 0 && inFlight > MaxMoves(d, len(d.Endpoints)) {
-		t.Fatalf("%d endpoints in change", inFlight)
+	if len(steps) > 0 && inFlight > MaxConcurrentChanges(d, len(d.Endpoints)) {
+		t.Fatalf("%d endpoints change at once", inFlight)
 	}
-	max := int(d.Placement.ConcurrentLoads)
-	if max == 0 {
-		max = DefaultConcurrentLoads
+	maxLoads := int(d.Placement.ConcurrentLoads)
+	if maxLoads == 0 {
+		maxLoads = DefaultConcurrentLoads
 	}
-	if len(steps) > 0 && loads > max && slices.ContainsFunc(steps, func(s Step) bool { return s.Order.Kind == engine.OrderLoadModel }) {
-		t.Fatalf("%d loads", loads)
+	if len(steps) > 0 && loads > maxLoads && slices.ContainsFunc(steps, func(s Step) bool { return s.Order.Kind == engine.OrderLoadModel }) {
+		t.Fatalf("%d concurrent loads", loads)
 	}
-	was, is := servingCounts(d, v), servingCounts(d, after)
+	before, now := servingCounts(d, v), servingCounts(d, after)
 	for _, m := range d.Models {
-		if is[m.Name] < min(was[m.Name], Floor(d, m.Name, dc)) {
-			t.Fatalf("%s: %d serving after %d, floor %d", m.Name, is[m.Name], was[m.Name], Floor(d, m.Name, dc))
+		if now[m.Name] < min(before[m.Name], Floor(d, m.Name, dc)) {
+			t.Fatalf("%s: %d serving after %d, floor %d", m.Name, now[m.Name], before[m.Name], Floor(d, m.Name, dc))
 		}
 	}
 }
 
-// TestNextConverges: from anything the endpoints hold, orders that take
-// arbitrarily long end at the assignment or at a floor, within all bounds.
+// TestNextConverges checks that, from any initial state of the endpoints and
+// with orders that take arbitrarily long, the orders lead to the assignment or
+// stop at a floor, and never exceed the bounds.
 func TestNextConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawDocument(t)
 		v := drawView(t, d)
 		assigned := Assign(d, v.Live())
-		open := make(map[string]engine.Order)
+		inProgress := make(map[string]engine.Order)
 		for round := 0; ; round++ {
 			if round > 500 {
-				t.Fatalf("does not end")
+				t.Fatalf("no convergence after 500 rounds")
 			}
 			steps, blocked := Next(d, dc, assigned, v)
-			check(t, d, v, steps)
+			checkBatch(t, d, v, steps)
 			for _, s := range steps {
-				open[s.Endpoint] = s.Order
-				v[s.Endpoint] = begin(v[s.Endpoint], s.Order)
+				inProgress[s.Endpoint] = s.Order
+				v[s.Endpoint] = startOrder(v[s.Endpoint], s.Order)
 			}
-			if len(open) == 0 {
+			if len(inProgress) == 0 {
 				if len(blocked) == 0 {
 					requireReached(t, d, assigned, v)
 				} else if !slices.ContainsFunc(blocked, func(b Blocked) bool { return !b.Waits }) {
-					t.Fatalf("all of %v wait, and no floor is to blame", blocked)
+					t.Fatalf("all of %v wait for replacements and none for a floor", blocked)
 				}
 				return
 			}
-			names := make([]string, 0, len(open))
-			for name := range open {
+			names := make([]string, 0, len(inProgress))
+			for name := range inProgress {
 				names = append(names, name)
 			}
 			slices.Sort(names)
 			for i, name := range names {
 				if i == 0 || rapid.Bool().Draw(t, "done") {
-					v[name] = finish(v[name], open[name])
-					delete(open, name)
+					v[name] = finishOrder(v[name], inProgress[name])
+					delete(inProgress, name)
 				}
 			}
 		}
 	})
 }
 
+// requireReached checks that every serving endpoint holds its assignment.
 func requireReached(t *rapid.T, d *rudderv1.Document, assigned Assigned, v View) {
 	t.Helper()
 	for _, e := range d.Endpoints {
@@ -310,47 +317,48 @@
 	}
 }
 
-// TestNextWithStaleViews: agents that decide alone, each from its own lagging
-// view of the others, keep every floor as long as none is lost.
+// TestNextWithStaleViews checks that agents that decide independently, each from
+// its own delayed view of the others, keep every floor as long as no endpoint is
+// lost.
 func TestNextWithStaleViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawDocument(t)
-		truth := drawView(t, d)
-		for name, h := range truth {
+		actual := drawView(t, d)
+		for name, h := range actual {
 			h.Serving = true
-			truth[name] = h
+			actual[name] = h
 		}
-		assigned := Assign(d, truth.Live())
+		assigned := Assign(d, actual.Live())
 		views := make(map[string]View)
 		for _, e := range d.Endpoints {
 			views[e.Name] = make(View)
-			for name, h := range truth {
+			for name, h := range actual {
 				views[e.Name][name] = h
 			}
 		}
-		lowest := servingCounts(d, truth)
-		open := make(map[string]engine.Order)
+		lowest := servingCounts(d, actual)
+		inProgress := make(map[string]engine.Order)
 		for range 60 {
 			e := rapid.SampledFrom(d.Endpoints).Draw(t, "acts").Name
-			if o, ok := open[e]; ok {
-				truth[e] = finish(truth[e], o)
-				delete(open, e)
+			if o, ok := inProgress[e]; ok {
+				actual[e] = finishOrder(actual[e], o)
+				delete(inProgress, e)
 			}
-			views[e][e] = truth[e]
+			views[e][e] = actual[e]
 			for _, other := range d.Endpoints {
 				if rapid.Bool().Draw(t, "hears") {
-					views[e][other.Name] = truth[other.Name]
+					views[e][other.Name] = actual[other.Name]
 				}
 			}
 			steps, _ := Next(d, dc, assigned, views[e])
 			for _, s := range steps {
 				if s.Endpoint == e {
-					open[e] = s.Order
-					truth[e] = begin(truth[e], s.Order)
-					views[e][e] = truth[e]
+					inProgress[e] = s.Order
+					actual[e] = startOrder(actual[e], s.Order)
+					views[e][e] = actual[e]
 				}
 			}
-			now := servingCounts(d, truth)
+			now := servingCounts(d, actual)
 			for _, m := range d.Models {
 				if now[m.Name] < min(lowest[m.Name], Floor(d, m.Name, dc)) {
 					t.Fatalf("%s: %d serving, floor %d", m.Name, now[m.Name], Floor(d, m.Name, dc))
@@ -364,8 +372,9 @@
 	is := is.New(t)
 	is.Equal(Fence(3, 0), uint64(3<<fenceBits))
 	is.Equal(Fence(3, 3<<fenceBits), uint64(3<<fenceBits+1))
-	is.Equal(Fence(3, 4<<fenceBits), uint64(4<<fenceBits+1)) // never below what was seen
-	// A holder that read the number before it was paused is too low afterwards.
+	is.Equal(Fence(3, 4<<fenceBits), uint64(4<<fenceBits+1)) // always above the highest number seen
+	// The number of a sender that read seen before it was paused is too low when
+	// it resumes.
 	paused := Fence(3, 7)
 	successor := Fence(3, paused)
 	is.True(paused < Fence(3, successor))
--- a/placement/presence.go
+++ b/placement/presence.go
@@ -3,51 +3,52 @@
 import "time"
 
 const (
-	// LostAfter is how long an endpoint has to be away before others take over
-	// what it should hold.
+	// LostAfter is how long an endpoint has to be absent before its models are
+	// assigned to other endpoints.
 	LostAfter = 30 * time.Second
-	// ReturnAfter is how long an endpoint that was lost has to be there before
-	// it counts again. It doubles with each loss, up to ReturnMax.
-	ReturnAfter = 10 * time.Second
-	ReturnMax   = 5 * time.Minute
-	// ForgiveAfter is how long an endpoint has to stay before its losses are
-	// forgotten.
-	ForgiveAfter = 10 * time.Minute
+	// ReturnAfter is how long a lost endpoint has to be present before it counts
+	// as live again. It doubles with each loss, up to MaxReturnAfter.
+	ReturnAfter    = 10 * time.Second
+	MaxReturnAfter = 5 * time.Minute
+	// LossResetAfter is how long a live endpoint has to be present before its
+	// loss count is reset.
+	LossResetAfter = 10 * time.Minute
 )
 
-// Presence damps the coming and going of endpoints, so that one that flaps
-// does not move the models of others each time. It is not safe for concurrent
-// use.
+// Presence damps flapping endpoints: an endpoint that appears and disappears
+// repeatedly does not change the assignment of models each time. It is not safe
+// for concurrent use.
 type Presence struct{ seen map[string]*presence }
 
-// presence is what is remembered of one endpoint.
+// presence is the observed state of one endpoint.
 type presence struct {
-	there  bool
-	since  time.Time // of there
-	live   bool
-	losses int
+	present bool
+	since   time.Time // time of the last change of present
+	live    bool
+	losses  int
 }
 
-// NewPresence returns a memory without endpoints.
+// NewPresence returns a Presence without endpoints.
 func NewPresence() *Presence { return &Presence{make(map[string]*presence)} }
 
-// Observe records whether an endpoint is there at now and returns whether it
-// counts as live. An endpoint seen for the first time counts as live: whoever
-// has just started knows nobody yet.
-func (p *Presence) Observe(name string, there bool, now time.Time) bool {
-	e, ok := p.seen[name]
+// Observe records whether an endpoint is present at the time now and returns
+// whether it counts as live. An endpoint that is observed for the first time
+// counts as live, because a process that has just started has not heard from
+// any endpoint yet.
+func (p *Presence) Observe(name string, present bool, now time.Time) bool {
+	s, ok := p.seen[name]
 	if !ok {
-		e = &presence{there: there, since: now, live: true}
-		p.seen[name] = e
+		s = &presence{present: present, since: now, live: true}
+		p.seen[name] = s
 	}
-	if e.there != there {
-		e.there, e.since = there, now
+	if s.present != present {
+		s.present, s.since = present, now
 	}
-	e.judge(now)
-	return e.live
+	s.update(now)
+	return s.live
 }
 
-// Forget drops the endpoints that are not declared any more.
+// Forget removes the endpoints that are no longer declared.
 func (p *Presence) Forget(declared map[string]bool) {
 	for name := range p.seen {
 		if !declared[name] {
@@ -56,23 +57,27 @@
 	}
 }
 
-func (e *presence) judge(now time.Time) {
-	lasted := now.Sub(e.since)
+// update changes the live state according to how long the endpoint has been
+// present or absent.
+func (e *presence) update(now time.Time) {
+	elapsed := now.Sub(e.since)
 	switch {
-	case e.live && !e.there && lasted >= LostAfter:
+	case e.live && !e.present && elapsed >= LostAfter:
 		e.live = false
 		e.losses++
-	case !e.live && e.there && lasted >= e.returnAfter():
+	case !e.live && e.present && elapsed >= e.returnAfter():
 		e.live = true
-	case e.live && e.there && lasted >= ForgiveAfter:
+	case e.live && e.present && elapsed >= LossResetAfter:
 		e.losses = 0
 	}
 }
 
+// returnAfter returns ReturnAfter, doubled for each loss after the first, but at
+// most MaxReturnAfter.
 func (e *presence) returnAfter() time.Duration {
 	wait := ReturnAfter
 	for range e.losses - 1 {
-		wait = min(2*wait, ReturnMax)
+		wait = min(2*wait, MaxReturnAfter)
 	}
 	return wait
 }
