--- a/lifecycle/assembler_test.go
+++ b/lifecycle/assembler_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestAssemblerNeverJoinsWrongly: whatever frames of one answer come, late,
-// twice or mixed with another attempt's, what is delivered is a beginning of
-// the answer, and the end is accepted only for all of it.
-func TestAssemblerNeverJoinsWrongly(t *testing.T) {
+// TestAssemblerDeliversPrefix checks that, for any sequence of late, duplicate
+// and other attempts' frames, the delivered bytes are a prefix of the answer and
+// the end is accepted only when the answer is complete.
+func TestAssemblerDeliversPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		answer := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "answer")
 		var a Assembler
@@ -35,18 +35,19 @@
 				t.Fatalf("delivered %q of %q", got, answer)
 			}
 		}
-		mine, err := a.End(1, uint64(len(answer)), xxhash.Sum64(answer))
-		if !mine || (err == nil) != (len(got) == len(answer)) {
-			t.Fatalf("end after %d of %d bytes: %v %v", len(got), len(answer), mine, err)
+		accepted, err := a.End(1, uint64(len(answer)), xxhash.Sum64(answer))
+		if !accepted || (err == nil) != (len(got) == len(answer)) {
+			t.Fatalf("end after %d of %d bytes: %v %v", len(got), len(answer), accepted, err)
 		}
 		if mine, _ := a.End(2, 0, 0); mine {
-			t.Fatal("the end of another attempt was taken")
+			t.Fatal("the end of another attempt was accepted")
 		}
 	})
 }
 
-// TestAssemblerFindsDamage: a changed byte is found at the end.
-func TestAssemblerFindsDamage(t *testing.T) {
+// TestAssemblerDetectsCorruption checks that the checksum at the end detects a
+// changed byte.
+func TestAssemblerDetectsCorruption(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		answer := rapid.SliceOfN(rapid.Byte(), 1, 100).Draw(t, "answer")
 		bad := bytes.Clone(answer)
@@ -57,13 +58,13 @@
 			t.Fatal(err)
 		}
 		if _, err := a.End(1, uint64(len(answer)), xxhash.Sum64(answer)); err == nil {
-			t.Fatal("damage was not found")
+			t.Fatal("a corrupted answer was accepted")
 		}
 	})
 }
 
-// TestAssemblerContinues: a later attempt goes on after the delivered text; a
-// restart begins at offset 0.
+// TestAssemblerContinues checks that a later attempt continues after the
+// delivered text and that a restart begins at offset 0.
 func TestAssemblerContinues(t *testing.T) {
 	is := is.New(t)
 	var a Assembler
--- a/lifecycle/dispatch.go
+++ b/lifecycle/dispatch.go
@@ -2,103 +2,113 @@
 
 import "github.com/micarudder/micarudder/result"
 
-// MaxAttempts bounds the orders of one request, the first included.
+// MaxAttempts bounds the orders sent for one request, including the first.
 const MaxAttempts = 4
 
-// Dispatch decides, after each attempt of a request, whether to order it
-// again, to go on from what was delivered, or to answer the caller. It keeps
-// the evidence of all attempts, so that the last refusal does not hide an
-// earlier attempt that may have run.
+// Dispatch decides after each attempt of a request whether to send another
+// order, to resume after the delivered part of the answer, or to answer the
+// caller. It records the outcomes of all attempts, so that a final refusal does
+// not hide an earlier attempt that may have run.
 type Dispatch struct {
-	Repeatable bool
-	Named      bool   // the caller holds a name (ticket or key) and may present it elsewhere
-	Resumable  bool   // another endpoint can go on after a delivered part
-	Delivered  uint64 // answer bytes that reached the caller
-	Attempts   int    // orders sent so far
+	Repeatable bool // the request is idempotent
+	// Named is set if the caller has a name for the request, a ticket or an
+	// idempotency key, and may present it to other gateways too.
+	Named     bool
+	Resumable bool   // another endpoint can continue a partly delivered answer
+	Delivered uint64 // answer bytes delivered to the caller
+	Attempts  int    // orders sent so far
 
-	earlier result.Outcome // the worst outcome of attempts that another one followed
+	// earlier is the strongest claim of execution among the attempts that were
+	// followed by another one.
+	earlier result.Outcome
 }
 
-// Ending is how one attempt ended, with the evidence for its outcome.
+// Ending describes how an attempt ended, with the evidence for its outcome.
 type Ending struct {
 	Code    result.Code
 	Outcome result.Outcome
-	// Sealed: the agent has refused this id for the rest of its incarnation.
+	// Sealed reports that the agent refuses this ID for the rest of its
+	// incarnation.
 	Sealed bool
-	// Attached: the run belongs to an earlier presentation of the name.
+	// Attached reports that the run was started by an earlier request with the
+	// same name.
 	Attached bool
 }
 
-// Step is what the gateway does next.
+// Step is the next action of the gateway.
 type Step int
 
-// The steps after an ended attempt.
+// The steps after an attempt has ended.
 const (
-	StepAnswer    Step = iota // give the caller the ending
-	StepAgain                 // order again, with the configuration learned
-	StepReattach              // give the same order to the same agent: it runs it at most once
-	StepElsewhere             // order from another endpoint, from offset 0
-	StepContinue              // order from another endpoint, after the delivered text
-	StepRestart               // order from another endpoint; the delivered text is void
-	StepVoid                  // ask the agent to seal the id, then answer
+	StepAnswer    Step = iota // answer the caller with the ending
+	StepAgain                 // send the order again with the configuration learned meanwhile
+	StepReattach              // send the same order to the same agent, which runs it at most once
+	StepElsewhere             // send the order to another endpoint, from offset 0
+	StepContinue              // send the order to another endpoint, resuming after the delivered text
+	StepRestart               // send the order to another endpoint; the delivered text is invalid
+	StepVoid                  // ask the agent to seal the ID, then answer
 )
 
-// String returns the step's name.
+// String returns the name of the step.
 func (s Step) String() string {
 	return [...]string{"answer", "again", "reattach", "elsewhere", "continue", "restart", "void"}[s]
 }
 
-// orders reports whether the step sends another order.
-func (s Step) orders() bool { return s != StepAnswer && s != StepVoid }
+// sendsOrder reports whether the step sends another order.
+func (s Step) sendsOrder() bool { return s != StepAnswer && s != StepVoid }
 
-// Next decides. budget reports whether the workspace may spend another retry.
+// Next returns the step that follows an attempt. budget reports whether the
+// retry budget of the workspace permits another retry.
 func (d *Dispatch) Next(e Ending, budget func() bool) Step {
-	e = d.evident(e)
+	e = d.applyEvidence(e)
 	step := d.decide(e, budget)
-	if step.orders() {
-		d.earlier = worse(d.earlier, e.Outcome)
+	if step.sendsOrder() {
+		d.earlier = moreExecuted(d.earlier, e.Outcome)
 	}
 	return step
 }
 
-// Lost reports whether an earlier attempt may have run. An order that may be
-// the second of its id must be sealed when it is refused.
-func (d *Dispatch) Lost() bool { return weight(d.earlier) > weight(result.NotRun) }
+// Lost reports whether an earlier attempt may have run. If so, the next order
+// may be the second one with this ID, and the agent must seal the ID if it
+// refuses that order.
+func (d *Dispatch) Lost() bool { return executionRank(d.earlier) > executionRank(result.NotRun) }
 
-// Claim returns what the caller may be told about execution when e is the
-// request's last ending. "Not run" needs evidence for every attempt. A name
-// can be presented through several gateways at once, so for a named request
-// the only evidence is the agent's seal, and for a repeatable one, which may
-// be ordered from another agent under the same name, there is none.
+// Claim returns the outcome that the caller may be told if e is the last ending
+// of the request. "Not run" requires evidence for every attempt. A name can be
+// presented to several gateways at once, so the only evidence for a named
+// request is the seal of the agent. A named repeatable request may be sent to
+// another agent under the same name, so for it there is no evidence at all.
 func (d *Dispatch) Claim(e Ending) result.Outcome {
-	e = d.evident(e)
+	e = d.applyEvidence(e)
 	if e.Outcome == result.NotRun && d.Named && (d.Repeatable || !e.Sealed) {
 		e.Outcome = result.MayHaveRun
 	}
 	if e.Outcome == result.NotRun && e.Sealed && !d.Repeatable {
-		return result.NotRun // every order of this id went to the agent that sealed it
+		return result.NotRun // every order with this ID went to the agent that sealed it
 	}
-	return worse(d.earlier, e.Outcome)
+	return moreExecuted(d.earlier, e.Outcome)
 }
 
-// evident narrows an ending: an id that only this gateway knows cannot have
-// run in an incarnation that is gone, for it was never ordered from it.
-func (d *Dispatch) evident(e Ending) Ending {
+// applyEvidence makes the outcome of an ending more precise: an ID that only
+// this gateway knows cannot have run in an earlier incarnation of the agent,
+// because it was never sent to that incarnation.
+func (d *Dispatch) applyEvidence(e Ending) Ending {
 	if e.Code == result.IncarnationGone && !d.Named {
 		e.Outcome = result.NotRun
 	}
 	return e
 }
 
-// worse returns the outcome that says more execution.
-func worse(a, b result.Outcome) result.Outcome {
-	if weight(a) > weight(b) {
+// moreExecuted returns the outcome with the stronger claim of execution.
+func moreExecuted(a, b result.Outcome) result.Outcome {
+	if executionRank(a) > executionRank(b) {
 		return a
 	}
 	return b
 }
 
-func weight(o result.Outcome) int {
+// executionRank orders outcomes by how strongly they claim execution.
+func executionRank(o result.Outcome) int {
 	switch o {
 	case result.Ran:
 		return 3
@@ -118,64 +128,69 @@
 	case result.NotRun:
 		return d.afterRefusal(e, budget)
 	default:
-		return d.afterLoss(e)
+		return d.afterUnknown(e)
 	}
 }
 
-// afterLoss: unrepeatable work can only be looked for where it was ordered.
-func (d *Dispatch) afterLoss(e Ending) Step {
+// afterUnknown returns the step after an attempt that may have run. The run of a
+// request that is not repeatable can only be queried at the agent that received
+// the order.
+func (d *Dispatch) afterUnknown(e Ending) Step {
 	if d.Repeatable {
-		// An admitted request is not dropped for want of a retry budget; the
-		// number of its attempts bounds what it can cost.
-		return d.retry(e, unbounded)
+		// An admitted request does not fail because the retry budget is used up;
+		// MaxAttempts bounds its cost.
+		return d.retryRepeatable(e, unlimitedBudget)
 	}
-	if d.again() && (e.Code == result.AgentLost || e.Code == result.OrderUnanswered) {
+	if d.attemptsLeft() && (e.Code == result.AgentLost || e.Code == result.OrderUnanswered) {
 		return StepReattach
 	}
 	return StepAnswer
 }
 
-// unbounded is the budget of what must not be dropped.
-func unbounded() bool { return true }
+// unlimitedBudget is the retry budget of requests that must not be dropped.
+func unlimitedBudget() bool { return true }
 
-// afterRun: the endpoint ended the answer. Another attempt serves a repeatable
-// request whose answer is damaged, or was given up before this caller came.
+// afterRun returns the step after an attempt that ran to its end. A repeatable
+// request is retried if its answer is damaged, or if the run belongs to an
+// earlier request with the same name and was abandoned.
 func (d *Dispatch) afterRun(e Ending, budget func() bool) Step {
-	if e.Code == result.AnswerDamaged || e.Attached && givenUp(e.Code) {
-		return d.retry(e, budget)
+	if e.Code == result.AnswerDamaged || e.Attached && abandoned(e.Code) {
+		return d.retryRepeatable(e, budget)
 	}
 	return StepAnswer
 }
 
+// afterRefusal returns the step after an attempt that did not run.
 func (d *Dispatch) afterRefusal(e Ending, budget func() bool) Step {
 	switch {
-	case e.Code == result.OldGeneration && d.again():
+	case e.Code == result.OldGeneration && d.attemptsLeft():
 		return StepAgain
 	case d.pinned() && !e.Sealed:
 		return StepVoid
 	case d.pinned(), !d.Repeatable && d.Lost():
 		return StepAnswer
 	case e.Code == result.Draining:
-		return d.move(e, unbounded) // a planned stop drops nothing
-	case retryElsewhere(e.Code), e.Attached && givenUp(e.Code):
-		return d.move(e, budget)
+		return d.switchEndpoint(e, unlimitedBudget) // a planned shutdown must not drop requests
+	case retryableElsewhere(e.Code), e.Attached && abandoned(e.Code):
+		return d.switchEndpoint(e, budget)
 	default:
 		return StepAnswer
 	}
 }
 
-// retry orders repeatable work once more.
-func (d *Dispatch) retry(e Ending, budget func() bool) Step {
+// retryRepeatable retries a repeatable request on another endpoint.
+func (d *Dispatch) retryRepeatable(e Ending, budget func() bool) Step {
 	if !d.Repeatable {
 		return StepAnswer
 	}
-	return d.move(e, budget)
+	return d.switchEndpoint(e, budget)
 }
 
-// move orders from another endpoint if a retry is left.
-func (d *Dispatch) move(e Ending, budget func() bool) Step {
+// switchEndpoint sends the order to another endpoint if attempts and budget
+// permit a retry.
+func (d *Dispatch) switchEndpoint(e Ending, budget func() bool) Step {
 	switch {
-	case !d.again() || !budget():
+	case !d.attemptsLeft() || !budget():
 		return StepAnswer
 	case d.Delivered == 0:
 		return StepElsewhere
@@ -186,13 +201,15 @@
 	}
 }
 
-// pinned reports whether the name leads to one agent only.
+// pinned reports whether all orders under the name go to the same agent.
 func (d *Dispatch) pinned() bool { return d.Named && !d.Repeatable }
 
-func (d *Dispatch) again() bool { return d.Attempts < MaxAttempts }
+// attemptsLeft reports whether the request may be ordered again.
+func (d *Dispatch) attemptsLeft() bool { return d.Attempts < MaxAttempts }
 
-// givenUp reports whether a run ended for want of a caller or of time.
-func givenUp(c result.Code) bool {
+// abandoned reports whether a run ended because its caller left or its time ran
+// out.
+func abandoned(c result.Code) bool {
 	switch c {
 	case result.Canceled, result.DeadlineInAnswer, result.AnswerDropped:
 		return true
@@ -201,8 +218,9 @@
 	}
 }
 
-// retryElsewhere reports whether another endpoint may accept what one refused.
-func retryElsewhere(c result.Code) bool {
+// retryableElsewhere reports whether another endpoint may accept a request that
+// one endpoint refused with this code.
+func retryableElsewhere(c result.Code) bool {
 	switch c {
 	case result.Overloaded, result.DeadlineTooNear, result.Draining, result.RecordsFull,
 		result.EndpointRefused, result.Starting, result.MemoryHeld, result.OrderExpired, result.OldGeneration,
--- a/lifecycle/dispatch_test.go
+++ b/lifecycle/dispatch_test.go
@@ -19,9 +19,10 @@
 	}
 }
 
-// TestDispatchRunsOnce: an unrepeatable request is ordered from a second agent
-// only while every earlier order certainly did not run and nobody else can
-// present its name; and "not run" is said only with evidence for every order.
+// TestDispatchRunsOnce checks that an unrepeatable request is sent to another
+// agent only if no earlier order can have run and the caller has no name for it
+// to present elsewhere, and that "not run" is claimed only with evidence for
+// every order.
 func TestDispatchRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := Dispatch{Repeatable: rapid.Bool().Draw(t, "repeatable"), Named: rapid.Bool().Draw(t, "named"), Resumable: rapid.Bool().Draw(t, "resumable")}
@@ -31,14 +32,14 @@
 			e := drawEnding(t)
 			d.Delivered = rapid.Uint64Range(0, 1).Draw(t, "delivered")
 			step := d.Next(e, func() bool { return true })
-			unsure := e.Outcome != result.NotRun && (e.Code != result.IncarnationGone || d.Named)
-			if !step.orders() {
-				checkClaim(t, &d, e, lost, unsure)
+			mayHaveRun := e.Outcome != result.NotRun && (e.Code != result.IncarnationGone || d.Named)
+			if !step.sendsOrder() {
+				checkClaim(t, &d, e, lost, mayHaveRun)
 				return
 			}
-			lost = lost || unsure
-			moved := step == StepElsewhere || step == StepContinue || step == StepRestart
-			if moved && !d.Repeatable && (lost || d.Named) {
+			lost = lost || mayHaveRun
+			switched := step == StepElsewhere || step == StepContinue || step == StepRestart
+			if switched && !d.Repeatable && (lost || d.Named) {
 				t.Fatalf("%v of unrepeatable work after %+v", step, e)
 			}
 			if d.Attempts >= MaxAttempts {
@@ -48,42 +49,42 @@
 	})
 }
 
-func checkClaim(t *rapid.T, d *Dispatch, e Ending, lost, unsure bool) {
+func checkClaim(t *rapid.T, d *Dispatch, e Ending, lost, mayHaveRun bool) {
 	if d.Claim(e) != result.NotRun {
 		return
 	}
 	sealed := e.Sealed && !d.Repeatable
-	if unsure || lost && !sealed || d.Named && !sealed {
+	if mayHaveRun || lost && !sealed || d.Named && !sealed {
 		t.Fatalf("\"not run\" after %+v, lost %v, named %v, repeatable %v", e, lost, d.Named, d.Repeatable)
 	}
 }
 
-// TestDispatchSteps gives the step after each kind of ending.
+// TestDispatchSteps checks the step after each kind of ending.
 func TestDispatchSteps(t *testing.T) {
-	free, once, named := Dispatch{Repeatable: true, Resumable: true}, Dispatch{}, Dispatch{Named: true}
-	half := Dispatch{Repeatable: true, Resumable: true, Delivered: 8}
-	call := Dispatch{Repeatable: true, Delivered: 8}
+	repeatable, unrepeatable, named := Dispatch{Repeatable: true, Resumable: true}, Dispatch{}, Dispatch{Named: true}
+	partlyDelivered := Dispatch{Repeatable: true, Resumable: true, Delivered: 8}
+	serviceCall := Dispatch{Repeatable: true, Delivered: 8}
 	cases := []struct {
 		name string
 		d    Dispatch
 		e    Ending
 		want Step
 	}{
-		{"whole", free, Ending{Code: result.OK, Outcome: result.Ran}, StepAnswer},
-		{"full", free, Ending{Code: result.Overloaded, Outcome: result.NotRun}, StepElsewhere},
-		{"full, once", once, Ending{Code: result.Overloaded, Outcome: result.NotRun}, StepElsewhere},
-		{"full, named", named, Ending{Code: result.Overloaded, Outcome: result.NotRun}, StepVoid},
-		{"full, sealed", named, Ending{Code: result.Overloaded, Outcome: result.NotRun, Sealed: true}, StepAnswer},
-		{"voided", free, Ending{Code: result.TicketVoided, Outcome: result.NotRun, Sealed: true}, StepAnswer},
-		{"lost", free, Ending{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepElsewhere},
-		{"lost, once", once, Ending{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepReattach},
-		{"endpoint lost, once", once, Ending{Code: result.EndpointLost, Outcome: result.MayHaveRun}, StepAnswer},
-		{"lost in the answer", half, Ending{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepContinue},
-		{"lost in a call's answer", call, Ending{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepRestart},
-		{"damaged", half, Ending{Code: result.AnswerDamaged, Outcome: result.Ran}, StepRestart},
-		{"given up before", free, Ending{Code: result.Canceled, Outcome: result.Ran, Attached: true}, StepElsewhere},
+		{"complete answer", repeatable, Ending{Code: result.OK, Outcome: result.Ran}, StepAnswer},
+		{"overloaded", repeatable, Ending{Code: result.Overloaded, Outcome: result.NotRun}, StepElsewhere},
+		{"overloaded, unrepeatable", unrepeatable, Ending{Code: result.Overloaded, Outcome: result.NotRun}, StepElsewhere},
+		{"overloaded, named", named, Ending{Code: result.Overloaded, Outcome: result.NotRun}, StepVoid},
+		{"overloaded, sealed", named, Ending{Code: result.Overloaded, Outcome: result.NotRun, Sealed: true}, StepAnswer},
+		{"voided", repeatable, Ending{Code: result.TicketVoided, Outcome: result.NotRun, Sealed: true}, StepAnswer},
+		{"agent lost", repeatable, Ending{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepElsewhere},
+		{"agent lost, unrepeatable", unrepeatable, Ending{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepReattach},
+		{"endpoint lost, unrepeatable", unrepeatable, Ending{Code: result.EndpointLost, Outcome: result.MayHaveRun}, StepAnswer},
+		{"agent lost during the answer", partlyDelivered, Ending{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepContinue},
+		{"agent lost during the answer of a service call", serviceCall, Ending{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepRestart},
+		{"damaged answer", partlyDelivered, Ending{Code: result.AnswerDamaged, Outcome: result.Ran}, StepRestart},
+		{"canceled by an earlier caller", repeatable, Ending{Code: result.Canceled, Outcome: result.Ran, Attached: true}, StepElsewhere},
 		{"old configuration", named, Ending{Code: result.OldGeneration, Outcome: result.NotRun}, StepAgain},
-		{"stale ticket of its own", once, Ending{Code: result.IncarnationGone, Outcome: result.MayHaveRun}, StepElsewhere},
+		{"stale ID known to this gateway only", unrepeatable, Ending{Code: result.IncarnationGone, Outcome: result.MayHaveRun}, StepElsewhere},
 		{"stale ticket", named, Ending{Code: result.IncarnationGone, Outcome: result.MayHaveRun}, StepAnswer},
 	}
 	for _, c := range cases {
@@ -93,16 +94,17 @@
 	}
 }
 
-// TestLaterRefusal: a refusal does not hide an earlier attempt that may have run.
-func TestLaterRefusal(t *testing.T) {
+// TestRefusalKeepsEarlierOutcome checks that a refusal does not hide an earlier
+// attempt that may have run.
+func TestRefusalKeepsEarlierOutcome(t *testing.T) {
 	is := is.New(t)
 	d := Dispatch{Repeatable: true, Resumable: true, Attempts: 1}
 	is.Equal(d.Next(Ending{Code: result.AgentLost, Outcome: result.MayHaveRun}, func() bool { return true }), StepElsewhere)
 	is.Equal(d.Claim(Ending{Code: result.Overloaded, Outcome: result.NotRun}), result.MayHaveRun)
 }
 
-// TestDrainingNeedsNoBudget: work that a stopping agent gives back goes on
-// elsewhere, though the workspace has no retries left.
+// TestDrainingNeedsNoBudget checks that a request refused by a draining agent is
+// retried on another endpoint even if the workspace's retry budget is used up.
 func TestDrainingNeedsNoBudget(t *testing.T) {
 	none := func() bool { return false }
 	cases := []struct {
@@ -112,7 +114,7 @@
 		want       Step
 	}{
 		{result.Draining, true, 1, StepElsewhere},
-		{result.Draining, false, 1, StepElsewhere}, // nobody else knows its id
+		{result.Draining, false, 1, StepElsewhere}, // only this gateway knows its ID
 		{result.Draining, true, MaxAttempts, StepAnswer},
 		{result.Overloaded, true, 1, StepAnswer},
 	}
--- a/lifecycle/run.go
+++ b/lifecycle/run.go
@@ -1,7 +1,7 @@
-// Package lifecycle holds the state machines of a request: Run is the agent's
-// record of one execution, Dispatch the gateway's view of one request over
-// all its attempts, and Assembler puts an answer together from frames. All
-// are pure: events come in with the time, and nothing else happens.
+// Package lifecycle contains the state machines of a request: Run is the agent's
+// record of one execution, Dispatch the gateway's record of a request over all
+// its attempts, and Assembler reassembles an answer from frames. They have no
+// side effects and read no clock; the caller supplies the events.
 package lifecycle
 
 import (
@@ -15,75 +15,75 @@
 
 // The states of a run. Finished, Refused and Unknown are final.
 const (
-	Queued    State = iota // admitted, not yet sent to the endpoint
+	Queued    State = iota // admitted, not sent to the endpoint yet
 	Ordered                // sent to the endpoint, no answer yet
-	Streaming              // the endpoint has begun to answer
-	Finished               // the endpoint ended the answer, well or badly
-	Refused                // certainly not run, and never will be under this id
-	Unknown                // the endpoint was lost or the time ran out: may have run
+	Streaming              // the endpoint has started to answer
+	Finished               // the run ended after an answer began, successfully or not
+	Refused                // did not run and will not run under this ID
+	Unknown                // may have run: endpoint lost, or expired or canceled before an answer
 )
 
-// String returns the state's name.
+// String returns the name of the state.
 func (s State) String() string {
 	return [...]string{"queued", "ordered", "streaming", "finished", "refused", "unknown"}[s]
 }
 
-// Final reports whether the state can still change.
+// Final reports whether the state is final and cannot change any more.
 func (s State) Final() bool { return s >= Finished }
 
-// EventKind names what happened to a run.
+// EventKind is the kind of an event of a run.
 type EventKind int
 
 // The events of a run.
 const (
 	EvDispatch EventKind = iota // the agent is about to send the order
-	EvRefused                   // the endpoint, or the agent, certainly did not run it
-	EvAnswer                    // the first part of the answer came
+	EvRefused                   // the endpoint or the agent refused it; it did not run
+	EvAnswer                    // the first part of the answer was received
 	EvEnd                       // the endpoint ended the answer
 	EvLost                      // the endpoint was lost
 	EvExpire                    // the deadline passed
-	EvVoid                      // somebody asks that it never run
-	EvCancel                    // the caller gave it up
+	EvVoid                      // the ID was voided: the run must never start
+	EvCancel                    // the caller canceled the request
 )
 
-// String returns the event's name.
+// String returns the name of the event kind.
 func (k EventKind) String() string {
 	return [...]string{"dispatch", "refused", "answer", "end", "lost", "expire", "void", "cancel"}[k]
 }
 
-// Event is one thing that happened to a run. Code refines EvRefused and EvEnd.
+// Event is an event of a run. Code is the result code of EvRefused and EvEnd.
 type Event struct {
 	Kind EventKind
 	Code result.Code
 }
 
-// Action is what the caller of Apply must do.
+// Action is what the caller of Apply has to do.
 type Action int
 
-// The actions that follow a transition.
+// The actions after an event.
 const (
 	ActNone   Action = iota
 	ActOrder         // send the order to the endpoint now
 	ActStop          // cancel the run at the endpoint and free its memory
-	ActIgnore        // the event came too late or twice: drop it
+	ActIgnore        // nothing: the event was late or a duplicate
 )
 
-// Run is one execution's state with the evidence for it.
+// Run is the state of one execution and, when final, its result.
 type Run struct {
 	State   State
 	Code    result.Code    // set when final
 	Outcome result.Outcome // set when final
 }
 
-// transition is one cell of the table.
+// transition is one cell of the transition table.
 type transition struct {
 	next    State
-	code    result.Code // 0: take the event's code
+	code    result.Code // 0 means the code of the event
 	outcome result.Outcome
 	action  Action
 }
 
-// transitions lists every legal step; a missing cell is ignored.
+// transitions lists every valid transition. Events without one are ignored.
 var transitions = map[State]map[EventKind]transition{
 	Queued: {
 		EvDispatch: {next: Ordered, action: ActOrder},
@@ -108,7 +108,8 @@
 	},
 }
 
-// Apply makes the run's next step. Final states ignore every event.
+// Apply applies an event to the run and returns the action to take. Events in a
+// final state are ignored.
 func (r *Run) Apply(ev Event) Action {
 	t, ok := transitions[r.State][ev.Kind]
 	if !ok {
--- a/lifecycle/run_test.go
+++ b/lifecycle/run_test.go
@@ -10,27 +10,28 @@
 
 var events = []EventKind{EvDispatch, EvRefused, EvAnswer, EvEnd, EvLost, EvExpire, EvVoid, EvCancel}
 
-// TestRunKeepsItsWord: in any order of events the endpoint gets one order at
-// most, a final state stays, and the outcome follows from what was seen.
-func TestRunKeepsItsWord(t *testing.T) {
+// TestRunInvariants checks that, in any sequence of events, at most one order is
+// sent to the endpoint, a final state does not change, and the outcome is
+// consistent with the events.
+func TestRunInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Run
 		var final Run
 		orders, answered, refused := 0, false, false
 		for _, k := range rapid.SliceOfN(rapid.SampledFrom(events), 1, 12).Draw(t, "events") {
-			was := r.State
+			before := r.State
 			action := r.Apply(Event{Kind: k, Code: result.EndpointRefused})
 			if action == ActOrder {
 				orders++
 			}
-			if action == ActIgnore && r.State != was {
+			if action == ActIgnore && r.State != before {
 				t.Fatalf("%v was ignored and changed the state", k)
 			}
 			if action != ActIgnore {
 				answered = answered || k == EvAnswer || k == EvEnd
 				refused = refused || k == EvRefused
 			}
-			if was.Final() && r != final {
+			if before.Final() && r != final {
 				t.Fatalf("%v changed the final state %v", k, &final)
 			}
 			if r.State.Final() {
@@ -43,7 +44,7 @@
 
 func checkRun(t *rapid.T, r Run, orders int, answered, refused bool) {
 	if orders > 1 {
-		t.Fatalf("%d orders", orders)
+		t.Fatalf("%d orders were sent", orders)
 	}
 	if !r.State.Final() {
 		return
