--- a/orders/complete.go
+++ b/orders/complete.go
@@ -9,8 +9,8 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// Complete checks a permitted order against the accepted document and what the
-// endpoint holds, and adds the weights that the document names.
+// Complete checks a permitted order against the accepted document and the models
+// that the endpoint holds, and sets the order's weights from the document.
 func Complete(o engine.Order, doc *rudderv1.Document, endpoint string, held []engine.Model) (engine.Order, *result.Err) {
 	e := findEndpoint(doc, endpoint)
 	if e == nil || e.Service != "" || e.Leaving {
@@ -22,12 +22,12 @@
 	case engine.OrderLoadAdapter:
 		return loadAdapter(o, doc, held)
 	case engine.OrderUnloadModel:
-		return o, require(find(held, o) != nil, "the endpoint does not hold the model")
+		return o, refuseUnless(find(held, o) != nil, "the endpoint does not hold the model")
 	case engine.OrderUnloadAdapter:
 		m := find(held, o)
-		return o, require(m != nil && slices.Contains(m.Adapters, o.Adapter), "the endpoint does not hold the adapter")
+		return o, refuseUnless(m != nil && slices.Contains(m.Adapters, o.Adapter), "the endpoint does not hold the adapter")
 	case engine.OrderSetRole:
-		return o, require(o.Role == e.Role, "the document gives the endpoint another role")
+		return o, refuseUnless(o.Role == e.Role, "the document gives the endpoint another role")
 	default:
 		return o, result.New(result.NotAllowed, "unknown kind of order")
 	}
@@ -48,8 +48,8 @@
 }
 
 func loadAdapter(o engine.Order, doc *rudderv1.Document, held []engine.Model) (engine.Order, *result.Err) {
-	m, at := findModel(doc, o.Model), find(held, o)
-	if m == nil || m.Version != o.Version || at == nil || slices.Contains(at.Adapters, o.Adapter) {
+	m, loaded := findModel(doc, o.Model), find(held, o)
+	if m == nil || m.Version != o.Version || loaded == nil || slices.Contains(loaded.Adapters, o.Adapter) {
 		return o, result.New(result.NotAllowed, "the endpoint lacks the model or holds the adapter")
 	}
 	for _, a := range m.Adapters {
@@ -61,14 +61,16 @@
 	return o, result.New(result.NotAllowed, "the document has no such adapter")
 }
 
-func require(ok bool, problem string) *result.Err {
+// refuseUnless returns nil if ok, and otherwise an error with the code
+// NotAllowed.
+func refuseUnless(ok bool, problem string) *result.Err {
 	if ok {
 		return nil
 	}
 	return result.New(result.NotAllowed, problem)
 }
 
-// find returns the held model that the order names, loaded or loading.
+// find returns the held model that the order names, loaded or loading, or nil.
 func find(held []engine.Model, o engine.Order) *engine.Model {
 	for i, m := range held {
 		if m.Name == o.Model && m.Version == o.Version {
--- a/orders/names.go
+++ b/orders/names.go
@@ -7,14 +7,14 @@
 	"github.com/micarudder/micarudder/engine"
 )
 
-// Serves tells whether a request for the name can run on the loaded model:
-// its own name, NAME@VERSION, or one of its adapters, with or without its
-// version.
+// Serves reports whether a request for the name can run on the model: the name
+// is the model's own, NAME@VERSION, or that of one of its adapters, with or
+// without version. A model that is still loading serves no name.
 func Serves(m engine.Model, name string) bool {
 	return !m.Loading && slices.Contains(Names(m), name)
 }
 
-// Names returns every name under which requests reach a loaded model.
+// Names returns every name by which requests can address a loaded model.
 func Names(m engine.Model) []string {
 	out := []string{m.Name, m.Name + "@" + m.Version}
 	for _, id := range m.Adapters {
@@ -26,19 +26,21 @@
 	return out
 }
 
-// Copies returns the exact names of what a loaded model can run: itself as
-// NAME@VERSION, and each adapter together with that.
+// Copies returns the exact names of the variants that a loaded model serves: the
+// model itself as NAME@VERSION, and each adapter as ADAPTER@VERSION on
+// NAME@VERSION.
 func Copies(m engine.Model) []string {
-	whole := m.Name + "@" + m.Version
-	out := []string{whole}
+	exact := m.Name + "@" + m.Version
+	out := []string{exact}
 	for _, id := range m.Adapters {
-		out = append(out, id+" on "+whole)
+		out = append(out, id+" on "+exact)
 	}
 	return out
 }
 
-// Copy returns the exact name of what a request for the name runs on, or "".
-// Of several the one loaded last is meant.
+// Copy returns the exact name of the variant, as returned by Copies, on which a
+// request for the name runs, or "" if there is none. If several match, it is
+// the one loaded last.
 func Copy(models []engine.Model, name string) string {
 	for _, m := range slices.Backward(models) {
 		if m.Loading {
@@ -48,7 +50,7 @@
 			return m.Name + "@" + m.Version
 		}
 		for _, id := range slices.Backward(m.Adapters) {
-			if plain, _, _ := strings.Cut(id, "@"); name == id || name == plain {
+			if unversioned, _, _ := strings.Cut(id, "@"); name == id || name == unversioned {
 				return id + " on " + m.Name + "@" + m.Version
 			}
 		}
@@ -56,8 +58,8 @@
 	return ""
 }
 
-// Without returns the models as they serve while the order takes something
-// away: without the model or adapter that it unloads.
+// Without returns the models that remain available while the order is executed:
+// without the model or adapter that it unloads.
 func Without(models []engine.Model, o engine.Order) []engine.Model {
 	out := make([]engine.Model, 0, len(models))
 	for _, m := range models {
@@ -73,7 +75,8 @@
 	return out
 }
 
-// Takes tells whether a run under the name needs what the order takes away.
+// Takes reports whether a run under the name needs the model or adapter that the
+// order unloads.
 func Takes(models []engine.Model, o engine.Order, name string) bool {
 	if o.Kind != engine.OrderUnloadModel && o.Kind != engine.OrderUnloadAdapter {
 		return false
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -1,12 +1,13 @@
-// Package orders decides when an agent gives its endpoint an order. It is
-// pure: times, clocks, states and random numbers are arguments.
+// Package orders decides when an agent sends an order to its endpoint. It has no
+// side effects: times, clocks, states and random numbers are arguments.
 //
-// A placer permits an order (Permit); the agent accepts it or says why not,
-// waits for the runs that need what the order takes away, asks the endpoint
-// for its state, gives the order and finds out how it ended. One order is in
-// progress at a time. Whatever the endpoint does with fencing numbers, an
-// order is dropped when its generation is over, when its permit is not of the
-// agent's latest report, and when the agent was paused since it last looked.
+// A placer permits an order (Permit). The agent accepts or refuses it, waits for
+// the runs that need the model or adapter to be unloaded, queries the state of
+// the endpoint, sends the order and determines its result. One order is in
+// progress at a time. Whether or not the endpoint checks fencing numbers, an
+// order is dropped if its generation is no longer current, if its permit is not
+// based on the agent's latest report, or if the agent was paused since its last
+// check.
 package orders
 
 import (
@@ -19,90 +20,93 @@
 )
 
 const (
-	// MaxPause is the longest time between two looks at a waiting order; after
-	// a longer one the agent was paused and drops the order.
+	// MaxPause is the longest time between two checks of a waiting order. After a
+	// longer one the agent must have been paused, and it drops the order.
 	MaxPause = 2 * time.Second
-	// MaxAge is the longest time between asking the endpoint for its state and
-	// giving the order decided on it.
-	MaxAge = time.Second
-	// SettleTime is how long an endpoint has to be seen without an order before
-	// one of unknown fate counts as not carried out: it may still lie unread in
-	// the endpoint's socket.
+	// MaxStateAge bounds the time between querying the state of the endpoint and
+	// sending an order based on that state.
+	MaxStateAge = time.Second
+	// SettleTime is how long an endpoint has to report no order in progress
+	// before an order with unknown result counts as not executed: until then it
+	// may still be unread in the endpoint's socket.
 	SettleTime = 2 * time.Second
 )
 
-// Permit allows one order. The order names kind, model, version, adapter or
-// role only; the agent adds the rest.
+// Permit allows one order. The order contains only the kind and the model,
+// version, adapter or role; the agent sets the other fields.
 type Permit struct {
 	Incarnation string
 	Generation  uint64
-	Holds       uint64 // of the report that it was decided on
+	Holds       uint64 // counter of the report that the decision is based on
 	ExpiresMS   int64  // on the agent's clock
 	Order       engine.Order
 }
 
-// Situation is what the agent knows when it decides.
+// Situation is the state of the agent on which a decision is based.
 type Situation struct {
 	Incarnation string
 	ClockMS     int64 // the agent's clock
 	State       rudderv1.AgentState
 	Document    *rudderv1.Document
 	Endpoint    string
-	Models      []engine.Model // as the endpoint last said
+	Models      []engine.Model // as last reported by the endpoint
 }
 
 func (s *Situation) generation() uint64 { return s.Document.GetGeneration() }
 
-// Book keeps the agent's orders: the one in progress and what failed. It is
-// not safe for concurrent use.
+// Book tracks the agent's orders: the one in progress and those that failed. It
+// is not safe for concurrent use.
 type Book struct {
-	phase      rudderv1.OrderPhase
-	order      engine.Order
-	generation uint64
-	looked     time.Time // when the order in progress was last looked at
-	idle       time.Time // since when the endpoint was seen without an order
-	holds      uint64
-	fence      uint64 // highest number given or seen
-	detail     string
-	failures   map[string]*failure
+	phase       rudderv1.OrderPhase
+	order       engine.Order
+	generation  uint64
+	lastChecked time.Time // time of the last check of the order in progress
+	idleSince   time.Time // start of the period in which the endpoint reports no order in progress
+	holds       uint64
+	fence       uint64 // highest fencing number sent or seen
+	detail      string
+	failures    map[string]*failure
 }
 
-// NewBook returns the book of a new incarnation. It begins in the phase Found:
-// an earlier incarnation may have left an order at the endpoint.
+// NewBook returns the book of a new incarnation. It starts in the phase Found,
+// because the endpoint may still execute an order of an earlier incarnation.
 func NewBook() *Book {
 	return &Book{phase: rudderv1.OrderPhase_ORDER_PHASE_FOUND, holds: 1, failures: make(map[string]*failure)}
 }
 
-// Holds counts the changes of what the endpoint holds and of the order in
-// progress. A permit is good for one count only.
+// Holds returns a counter that increases with each change of the models that
+// the endpoint holds and of the order in progress. A permit is valid for one
+// value of the counter only.
 func (b *Book) Holds() uint64 { return b.holds }
 
-// Changed counts a change of what the endpoint holds.
+// Changed records a change of the models that the endpoint holds.
 func (b *Book) Changed() { b.holds++ }
 
-// Phase returns the phase of the order in progress, or 0.
+// Phase returns the phase of the order in progress, or 0 if there is none.
 func (b *Book) Phase() rudderv1.OrderPhase { return b.phase }
 
 // Order returns the order in progress; it is empty in the phase Found.
 func (b *Book) Order() engine.Order { return b.order }
 
-// Accept takes the permit's order, or says why not.
+// Accept makes the permit's order the order in progress, or returns the reason
+// for refusing it.
 func (b *Book) Accept(p Permit, s Situation, now time.Time) *result.Err {
-	if err := b.check(p, s, now); err != nil {
+	if err := b.checkPermit(p, s, now); err != nil {
 		return err
 	}
 	o, err := Complete(p.Order, s.Document, s.Endpoint, s.Models)
 	if err != nil {
 		return err
 	}
-	b.set(rudderv1.OrderPhase_ORDER_PHASE_WAITING)
-	b.order, b.generation, b.looked, b.detail = o, p.Generation, now, ""
+	b.setPhase(rudderv1.OrderPhase_ORDER_PHASE_WAITING)
+	b.order, b.generation, b.lastChecked, b.detail = o, p.Generation, now, ""
 	return nil
 }
 
-// check refuses what is late, out of turn or decided on something else than
-// the agent's present state.
-func (b *Book) check(p Permit, s Situation, now time.Time) *result.Err {
+// checkPermit refuses a permit that is late, that arrives while another order is
+// in progress, that is not based on the agent's present state, or whose order
+// failed recently.
+func (b *Book) checkPermit(p Permit, s Situation, now time.Time) *result.Err {
 	switch {
 	case s.State == rudderv1.AgentState_AGENT_STATE_LEAVING:
 		return result.New(result.Draining, "")
@@ -121,32 +125,32 @@
 	case s.ClockMS > p.ExpiresMS:
 		return result.New(result.OrderExpired, "")
 	}
-	if left := b.retryIn(p.Order, now); left > 0 {
+	if wait := b.retryIn(p.Order, now); wait > 0 {
 		err := result.New(result.BreakerOpen, "failed before")
-		err.RetryAfter = left.Milliseconds()
+		err.RetryAfter = wait.Milliseconds()
 		return err
 	}
 	return nil
 }
 
-// Action is what the agent does next about a waiting order.
+// Action is the agent's next action for a waiting order.
 type Action int
 
 // The actions.
 const (
 	Wait Action = iota
 	Drop
-	Ask // the endpoint for its state, then call Give
+	Ask // query the state of the endpoint, then call Give
 )
 
-// Look decides about a waiting order. runs is the number of runs that need
-// what it takes away.
+// Look returns the next action for a waiting order. runs is the number of runs
+// that need the model or adapter that the order unloads.
 func (b *Book) Look(s Situation, runs int, now time.Time) Action {
 	if b.phase != rudderv1.OrderPhase_ORDER_PHASE_WAITING {
 		return Wait
 	}
-	paused := elapsed(b.looked, now) > MaxPause
-	b.looked = now
+	paused := elapsed(b.lastChecked, now) > MaxPause
+	b.lastChecked = now
 	switch {
 	case paused, s.generation() != b.generation, s.State != rudderv1.AgentState_AGENT_STATE_SERVING:
 		return Drop
@@ -157,11 +161,11 @@
 	}
 }
 
-// Give decides right before the order is sent. st is the endpoint's state,
-// asked for at the time asked. It returns the order to send, or false when the
-// order has to be dropped.
+// Give makes the final decision before the order is sent. st is the endpoint's
+// state, queried at the time asked. It returns the order to send, or false if
+// the order has to be dropped.
 func (b *Book) Give(id, from string, st engine.State, s Situation, runs int, asked, now time.Time) (engine.Order, bool) {
-	if b.Look(s, runs, now) != Ask || elapsed(asked, now) > MaxAge || st.OrderBusy {
+	if b.Look(s, runs, now) != Ask || elapsed(asked, now) > MaxStateAge || st.OrderBusy {
 		return engine.Order{}, false
 	}
 	if _, err := Complete(b.order, s.Document, s.Endpoint, st.Models); err != nil {
@@ -169,72 +173,76 @@
 	}
 	b.fence = placement.Fence(b.generation, max(b.fence, st.Fence))
 	b.order.ID, b.order.From, b.order.Fence = id, from, b.fence
-	b.set(rudderv1.OrderPhase_ORDER_PHASE_GIVEN)
+	b.setPhase(rudderv1.OrderPhase_ORDER_PHASE_GIVEN)
 	return b.order, true
 }
 
-// Lost records that the answer to the order did not come.
+// Lost records that no answer to the order was received.
 func (b *Book) Lost(detail string) {
-	b.set(rudderv1.OrderPhase_ORDER_PHASE_UNKNOWN)
-	b.idle, b.detail = time.Time{}, detail
+	b.setPhase(rudderv1.OrderPhase_ORDER_PHASE_UNKNOWN)
+	b.idleSince, b.detail = time.Time{}, detail
 }
 
-// Ending is what is known of an order's end.
+// Ending is the result of an order.
 type Ending int
 
-// The endings.
+// The possible results.
 const (
 	Open Ending = iota // not known yet
 	Done
 	NotDone
 )
 
-// Settle judges an order of unknown fate, or one found at the start, by the
-// endpoint's state at now.
+// Settle determines the result of an order whose answer was lost, or that was
+// found when the agent started, from the endpoint's state at the time now.
 func (b *Book) Settle(st engine.State, now time.Time) Ending {
 	switch {
 	case st.OrderBusy:
-		b.idle = time.Time{}
+		b.idleSince = time.Time{}
 		return Open
 	case b.order.ID != "" && st.OrderID == b.order.ID:
 		return Done
-	case b.idle.IsZero():
-		b.idle = now
+	case b.idleSince.IsZero():
+		b.idleSince = now
 		return Open
-	case now.Sub(b.idle) < SettleTime:
+	case now.Sub(b.idleSince) < SettleTime:
 		return Open
 	default:
 		return NotDone
 	}
 }
 
-// Close ends the order in progress without a failure: it was carried out,
-// dropped, or found and over.
+// Close ends the order in progress without recording a failure: the order was
+// executed or dropped, or it was found at the start and is no longer in
+// progress.
 func (b *Book) Close(done bool) {
 	if done {
-		delete(b.failures, key(b.order))
+		delete(b.failures, orderKey(b.order))
 	}
-	b.end()
+	b.reset()
 }
 
-// Fail ends the order in progress as failed. Jitter is random in [0, 1).
+// Fail ends the order in progress and records its failure. jitter is a random
+// number in [0, 1).
 func (b *Book) Fail(detail string, jitter float64, now time.Time) {
-	b.fail(detail, jitter, now)
-	b.end()
+	b.recordFailure(detail, jitter, now)
+	b.reset()
 }
 
-func (b *Book) end() {
-	b.set(0)
-	b.order, b.idle, b.detail = engine.Order{}, time.Time{}, ""
+// reset removes the order in progress.
+func (b *Book) reset() {
+	b.setPhase(0)
+	b.order, b.idleSince, b.detail = engine.Order{}, time.Time{}, ""
 }
 
-func (b *Book) set(p rudderv1.OrderPhase) {
+// setPhase changes the phase and increases the counter that Holds returns.
+func (b *Book) setPhase(p rudderv1.OrderPhase) {
 	b.phase = p
 	b.holds++
 }
 
-// elapsed returns the longer of the times that the monotonic and the wall
-// clock show: the first stands still while a machine is suspended.
+// elapsed returns the longer of the elapsed times on the monotonic and on the
+// wall clock: the monotonic clock stops while the machine is suspended.
 func elapsed(since, now time.Time) time.Duration {
 	return max(now.Sub(since), now.Round(0).Sub(since.Round(0)))
 }
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// idleBook returns a book that has found the endpoint without an order.
+// idleBook returns a book without an order in progress.
 func idleBook() *Book {
 	b := NewBook()
 	b.Close(false)
@@ -44,7 +44,7 @@
 	return Permit{Incarnation: "i", Generation: generation, Holds: b.holds, ExpiresMS: 1000, Order: o}
 }
 
-func TestLookDropsWhatIsOver(t *testing.T) {
+func TestLookDropsStaleOrders(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*Situation)
@@ -53,7 +53,7 @@
 		want   Action
 	}{
 		{"nothing changed", func(*Situation) {}, time.Second, 0, Ask},
-		{"runs", func(*Situation) {}, time.Second, 1, Wait},
+		{"runs in progress", func(*Situation) {}, time.Second, 1, Wait},
 		{"paused", func(*Situation) {}, MaxPause + 1, 0, Drop},
 		{"paused with runs", func(*Situation) {}, MaxPause + 1, 1, Drop},
 		{"new generation", func(s *Situation) { s.Document.Generation++ }, 0, 1, Drop},
@@ -71,27 +71,27 @@
 	}
 }
 
-func TestGiveChecksOnceMore(t *testing.T) {
+func TestGiveChecksAgain(t *testing.T) {
 	idle := engine.State{Models: situation(5).Models, Fence: 9 << 20}
 	cases := []struct {
-		name  string
-		st    engine.State
-		asked time.Duration
-		runs  int
-		ok    bool
+		name        string
+		st          engine.State
+		askedOffset time.Duration
+		runs        int
+		ok          bool
 	}{
 		{"as accepted", idle, 0, 0, true},
-		{"asked long ago", idle, -MaxAge - 1, 0, false},
+		{"state too old", idle, -MaxStateAge - 1, 0, false},
 		{"busy", engine.State{Models: idle.Models, OrderBusy: true}, 0, 0, false},
-		{"gone already", engine.State{}, 0, 0, false},
-		{"a run came", idle, 0, 1, false},
+		{"model already unloaded", engine.State{}, 0, 0, false},
+		{"new run", idle, 0, 1, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			b, s := idleBook(), situation(5)
 			is.True(b.Accept(b.permit(unload, 5), s, start) == nil)
-			o, ok := b.Give("id", "e", c.st, s, c.runs, start.Add(c.asked), start)
+			o, ok := b.Give("id", "e", c.st, s, c.runs, start.Add(c.askedOffset), start)
 			is.Equal(ok, c.ok)
 			if ok {
 				is.Equal(o.Fence, uint64(9<<20+1))
@@ -109,7 +109,7 @@
 	is.Equal(o.Weights, "m-2")
 	b.Lost("")
 	is.Equal(b.Settle(engine.State{}, start), Open)
-	is.Equal(b.Settle(engine.State{OrderBusy: true}, start.Add(time.Second)), Open) // it lay unread
+	is.Equal(b.Settle(engine.State{OrderBusy: true}, start.Add(time.Second)), Open) // it was still unread in the socket
 	is.Equal(b.Settle(engine.State{}, start.Add(2*time.Second)), Open)
 	is.Equal(b.Settle(engine.State{OrderID: "id"}, start.Add(3*time.Second)), Done)
 	is.Equal(b.Settle(engine.State{}, start.Add(4*time.Second)), NotDone)
@@ -133,34 +133,34 @@
 	is.True(b.Status(0, now) == nil)
 }
 
-// TestOldOrderNeverAfterNewOne draws permits of different generations in any
-// order, pauses and documents that arrive late: what is given has growing
-// fencing numbers and never a generation below the agent's.
+// TestOldOrderNeverAfterNewOne checks that, for permits of different generations
+// in any order, pauses and late documents, the orders sent have increasing
+// fencing numbers and never belong to a generation below the agent's.
 func TestOldOrderNeverAfterNewOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := idleBook(), start
-		have, last := uint64(1), uint64(0)
-		var kept []Permit
+		current, last := uint64(1), uint64(0)
+		var permits []Permit
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				kept = append(kept, b.permit(unload, rapid.Uint64Range(1, have).Draw(t, "generation")))
+				permits = append(permits, b.permit(unload, rapid.Uint64Range(1, current).Draw(t, "generation")))
 			case 1:
-				if len(kept) > 0 {
-					_ = b.Accept(rapid.SampledFrom(kept).Draw(t, "permit"), situation(have), now)
+				if len(permits) > 0 {
+					_ = b.Accept(rapid.SampledFrom(permits).Draw(t, "permit"), situation(current), now)
 				}
 			case 2:
-				have++
+				current++
 			case 3:
 				now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "pause")) * time.Millisecond)
 			case 4:
-				o, ok := b.Give("id", "e", engine.State{Models: situation(have).Models}, situation(have), 0, now, now)
+				o, ok := b.Give("id", "e", engine.State{Models: situation(current).Models}, situation(current), 0, now, now)
 				if !ok {
 					b.Close(false)
 					continue
 				}
-				if o.Fence <= last || o.Fence>>20 < have {
-					t.Fatalf("fence %d after %d under generation %d", o.Fence, last, have)
+				if o.Fence <= last || o.Fence>>20 < current {
+					t.Fatalf("fence %d after %d under generation %d", o.Fence, last, current)
 				}
 				last = o.Fence
 				b.Close(true)
--- a/orders/retry.go
+++ b/orders/retry.go
@@ -8,88 +8,93 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// The pauses before an order that failed may be permitted again.
+// The back-off before a failed order may be permitted again.
 const (
-	retryFirst = time.Second
-	retryMax   = 2 * time.Minute
-	// retryForget is how long after its retry time a failure is forgotten.
-	retryForget = 10 * time.Minute
+	initialBackoff = time.Second
+	maxBackoff     = 2 * time.Minute
+	// failureRetention is how long a failure is kept after its retry time.
+	failureRetention = 10 * time.Minute
 )
 
-// failure counts how often an order failed in a row.
+// failure counts the consecutive failures of an order.
 type failure struct {
-	order  engine.Order
-	count  uint32
-	until  time.Time
-	detail string
+	order   engine.Order
+	count   uint32
+	retryAt time.Time
+	detail  string
 }
 
-// key names what an order asks for.
-func key(o engine.Order) string {
+// orderKey returns a key of the properties that identify what an order does.
+func orderKey(o engine.Order) string {
 	return strings.Join([]string{string(o.Kind), o.Model, o.Version, o.Adapter, o.Role}, "\x00")
 }
 
-// fail records a failure. The pause doubles with each one and is drawn from
-// its upper half, so that endpoints that failed together do not retry together.
-func (b *Book) fail(detail string, jitter float64, now time.Time) {
-	b.forget(now)
-	f, ok := b.failures[key(b.order)]
+// recordFailure records a failure of the order in progress. The back-off doubles
+// with each consecutive failure, up to maxBackoff. Jitter places the retry in its
+// upper half, so that endpoints that failed at the same time do not retry at the
+// same time.
+func (b *Book) recordFailure(detail string, jitter float64, now time.Time) {
+	b.dropExpiredFailures(now)
+	f, ok := b.failures[orderKey(b.order)]
 	if !ok {
 		f = &failure{order: b.order}
-		b.failures[key(b.order)] = f
+		b.failures[orderKey(b.order)] = f
 	}
-	pause := retryMax
+	backoff := maxBackoff
 	if f.count < 16 {
-		pause = min(retryMax, retryFirst<<f.count)
+		backoff = min(maxBackoff, initialBackoff<<f.count)
 	}
 	f.count++
 	f.detail = detail
-	f.until = now.Add(pause/2 + time.Duration(jitter*float64(pause/2)))
+	f.retryAt = now.Add(backoff/2 + time.Duration(jitter*float64(backoff/2)))
 }
 
-// forget drops failures long past, so that the book stays small.
-func (b *Book) forget(now time.Time) {
+// dropExpiredFailures removes old failures to bound the size of the book.
+func (b *Book) dropExpiredFailures(now time.Time) {
 	for k, f := range b.failures {
-		if now.Sub(f.until) > retryForget {
+		if now.Sub(f.retryAt) > failureRetention {
 			delete(b.failures, k)
 		}
 	}
 }
 
+// retryIn returns the remaining back-off of an order, or 0 if it may be permitted.
 func (b *Book) retryIn(o engine.Order, now time.Time) time.Duration {
-	f, ok := b.failures[key(o)]
+	f, ok := b.failures[orderKey(o)]
 	if !ok {
 		return 0
 	}
-	return max(0, f.until.Sub(now))
+	return max(0, f.retryAt.Sub(now))
 }
 
-// Status describes the order in progress, or else the latest failure that is
-// not yet mended; nil when there is neither. runs is what it waits for.
+// Status returns the status of the order in progress or, if there is none, of the
+// failed order with the latest retry time; nil if there is neither. runs is the
+// number of runs that the order in progress waits for.
 func (b *Book) Status(runs int, now time.Time) *rudderv1.OrderStatus {
 	if b.phase != 0 {
-		st := describe(b.order)
+		st := orderStatus(b.order)
 		st.Phase, st.Detail, st.Runs = b.phase, b.detail, uint32(runs)
-		if f, ok := b.failures[key(b.order)]; ok {
+		if f, ok := b.failures[orderKey(b.order)]; ok {
 			st.Failures = f.count
 		}
 		return st
 	}
-	var last *failure
+	var latest *failure
 	for _, f := range b.failures {
-		if last == nil || f.until.After(last.until) {
-			last = f
+		if latest == nil || f.retryAt.After(latest.retryAt) {
+			latest = f
 		}
 	}
-	if last == nil {
+	if latest == nil {
 		return nil
 	}
-	st := describe(last.order)
-	st.Phase, st.Detail, st.Failures = rudderv1.OrderPhase_ORDER_PHASE_FAILED, last.detail, last.count
-	st.RetryInMs = max(0, last.until.Sub(now)).Milliseconds()
+	st := orderStatus(latest.order)
+	st.Phase, st.Detail, st.Failures = rudderv1.OrderPhase_ORDER_PHASE_FAILED, latest.detail, latest.count
+	st.RetryInMs = max(0, latest.retryAt.Sub(now)).Milliseconds()
 	return st
 }
 
-func describe(o engine.Order) *rudderv1.OrderStatus {
+// orderStatus returns a status that identifies the order.
+func orderStatus(o engine.Order) *rudderv1.OrderStatus {
 	return &rudderv1.OrderStatus{Kind: string(o.Kind), Model: o.Model, Version: o.Version, Adapter: o.Adapter, Role: o.Role}
 }
