--- a/placement/cost_test.go
+++ b/placement/cost_test.go
@@ -78,7 +78,7 @@
 	return n
 }
 
-func BenchmarkAssignZone(b *testing.B) {
+func BenchmarkAssignLargeDataCentre(b *testing.B) {
 	d := largeDataCentre(9)
 	live := allLive(d)
 	for b.Loop() {
@@ -86,7 +86,7 @@
 	}
 }
 
-func BenchmarkNextZone(b *testing.B) {
+func BenchmarkNextLargeDataCentre(b *testing.B) {
 	d := largeDataCentre(9)
 	live := allLive(d)
 	view := make(View)
--- a/routing/baseline.go
+++ b/routing/baseline.go
@@ -66,11 +66,11 @@
 // are none.
 func applyFilters(req *Request, view []Candidate, trace bool, keep func(i int)) (int, Decision) {
 	d := Decision{Index: -1, Reason: FilterNone}
-	j := job{req: req, class: ClassOf(req.PromptTokens)}
+	e := evaluation{req: req, class: ClassOf(req.PromptTokens)}
 	kept, furthest := 0, passed
 	for i := range view {
-		j.cand = &view[i]
-		f := rejectedBy(&j, DefaultMaxSilence)
+		e.cand = &view[i]
+		f := rejectedBy(&e, DefaultMaxSilence)
 		score := Score{Endpoint: view[i].Endpoint, Kept: f == passed}
 		if f != passed {
 			score.Filtered = f.String()
--- a/routing/filter.go
+++ b/routing/filter.go
@@ -51,22 +51,22 @@
 	return [...]string{FilterNone, FilterServes, FilterConnected, FilterLeaving, FilterMemory, FilterResting, FilterBreaker, FilterExcluded}[f]
 }
 
-// rejectedBy returns the first filter that rejects the job's candidate.
-func rejectedBy(j *job, maxSilence time.Duration) filterID {
+// rejectedBy returns the first filter that rejects the evaluation's candidate.
+func rejectedBy(e *evaluation, maxSilence time.Duration) filterID {
 	switch {
-	case doesNotServe(j):
+	case doesNotServe(e):
 		return byServes
-	case notConnected(j, maxSilence):
+	case notConnected(e, maxSilence):
 		return byConnected
-	case leaving(j):
+	case leaving(e):
 		return byLeaving
-	case memoryTooSmall(j):
+	case memoryTooSmall(e):
 		return byMemory
-	case j.cand.Resting:
+	case e.cand.Resting:
 		return byResting
-	case breakerOpen(j):
+	case breakerOpen(e):
 		return byBreaker
-	case excluded(j):
+	case excluded(e):
 		return byExcluded
 	}
 	return passed
--- a/routing/filter_alive.go
+++ b/routing/filter_alive.go
@@ -4,12 +4,12 @@
 
 // notConnected rejects endpoints whose agent is not connected and has sent
 // nothing within maxSilence.
-func notConnected(j *job, maxSilence time.Duration) bool {
-	if j.cand.Connected {
+func notConnected(e *evaluation, maxSilence time.Duration) bool {
+	if e.cand.Connected {
 		return false
 	}
-	return j.cand.Silent <= 0 || j.cand.Silent > maxSilence
+	return e.cand.Silence <= 0 || e.cand.Silence > maxSilence
 }
 
 // leaving rejects endpoints that take no new work because they are leaving.
-func leaving(j *job) bool { return j.cand.Leaving }
+func leaving(e *evaluation) bool { return e.cand.Leaving }
--- a/routing/filter_memory.go
+++ b/routing/filter_memory.go
@@ -2,7 +2,7 @@
 
 // memoryTooSmall rejects endpoints that could not hold the prompt and its
 // answer even when idle. Endpoints of unknown memory size are accepted.
-func memoryTooSmall(j *job) bool {
-	need := j.req.PromptTokens + j.req.MaxTokens
-	return j.cand.MemoryTokens > 0 && need > j.cand.MemoryTokens
+func memoryTooSmall(e *evaluation) bool {
+	need := e.req.PromptTokens + e.req.MaxTokens
+	return e.cand.MemoryTokens > 0 && need > e.cand.MemoryTokens
 }
--- a/routing/filter_serves.go
+++ b/routing/filter_serves.go
@@ -2,9 +2,9 @@
 
 // doesNotServe rejects endpoints that do not serve the requested model or
 // service.
-func doesNotServe(j *job) bool {
-	if j.req.Model == "" {
-		return j.cand.Service != j.req.Service
+func doesNotServe(e *evaluation) bool {
+	if e.req.Model == "" {
+		return e.cand.Service != e.req.Service
 	}
-	return !j.cand.Models[j.req.Model]
+	return !e.cand.Models[e.req.Model]
 }
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -103,8 +103,9 @@
 
 type policy struct{ cfg Config }
 
-// job is the evaluation of one request on one candidate.
-type job struct {
+// evaluation holds the values that the filters and the score of one request on
+// one candidate are based on.
+type evaluation struct {
 	req      *Request
 	class    Class
 	cand     *Candidate
@@ -118,11 +119,11 @@
 }
 
 // setCandidate sets the candidate to evaluate.
-func (j *job) setCandidate(c *Candidate) {
-	j.cand = c
-	j.slowdown = 1
+func (e *evaluation) setCandidate(c *Candidate) {
+	e.cand = c
+	e.slowdown = 1
 	if c.Slowness > 0 {
-		j.slowdown = c.Slowness
+		e.slowdown = c.Slowness
 	}
 }
 
@@ -131,9 +132,9 @@
 	if len(view) == 0 {
 		return Decision{Index: -1, Reason: FilterNone}
 	}
-	c := choice{cfg: &p.cfg, view: view, noise: noiseSource(r(math.MaxInt32))}
-	c.job.req = &req
-	c.job.class = ClassOf(req.PromptTokens)
+	c := selection{cfg: &p.cfg, view: view, noise: noiseSource(r(math.MaxInt32))}
+	c.eval.req = &req
+	c.eval.class = ClassOf(req.PromptTokens)
 	c.noiseScale = p.cfg.noiseScale(&req, view)
 	if trace {
 		c.scores = make([]Score, len(view))
@@ -144,13 +145,13 @@
 	return c.decide()
 }
 
-// choice holds the state of one call of Choose.
-type choice struct {
+// selection holds the state of one call of Choose.
+type selection struct {
 	cfg        *Config
 	view       []Candidate
 	noise      noiseSource
 	noiseScale float64 // in nanoseconds
-	job        job
+	eval       evaluation
 	inLane     bestCandidate // among the candidates that pass every filter
 	offLane    bestCandidate // among the candidates rejected by the lane filter only
 	furthest   filterID      // last filter in their order that rejected a candidate
@@ -158,38 +159,38 @@
 }
 
 // evaluate filters and scores one candidate. Unless tracing, it skips a
-// candidate whose lower bound, the base score, does not beat the best one in
-// the lane: such a candidate cannot win outside the lane either, because long
-// work leaves the lane only for a better score.
-func (c *choice) evaluate(index int) {
-	j := &c.job
-	j.setCandidate(&c.view[index])
+// candidate whose lower bound, the base score with noise, is not better than the
+// best candidate in the lane. Such a candidate cannot win outside the lane
+// either, because long work leaves the lane only for a better score.
+func (c *selection) evaluate(index int) {
+	e := &c.eval
+	e.setCandidate(&c.view[index])
 	noise := -c.noiseScale * c.noise.next()
-	base := c.cfg.baseScore(j)
+	base := c.cfg.baseScore(e)
 	if c.scores == nil && c.inLane.beats(base+noise) {
 		return
 	}
-	if f := rejectedBy(j, c.cfg.MaxSilence); f != passed {
+	if f := rejectedBy(e, c.cfg.MaxSilence); f != passed {
 		c.furthest = max(c.furthest, f)
 		c.record(index, Score{Filtered: f.String()})
 		return
 	}
-	j.estimate()
-	score := base + c.cfg.requestScore(j)
+	e.estimate()
+	score := base + c.cfg.requestScore(e)
 	target, s := &c.inLane, Score{Kept: true}
-	if !c.cfg.NoLanes && outsideLane(j) {
+	if !c.cfg.NoLanes && outsideLane(e) {
 		target, s = &c.offLane, Score{Filtered: FilterLane}
 	}
-	target.offer(index, score, noise, j.prefill)
+	target.offer(index, score, noise, e.prefill)
 	if c.scores != nil {
 		s.Total = (score + noise) / float64(time.Millisecond)
-		s.Parts = c.cfg.parts(j, noise)
+		s.Parts = c.cfg.parts(e, noise)
 		c.record(index, s)
 	}
 }
 
 // record stores the score of a candidate when tracing.
-func (c *choice) record(index int, s Score) {
+func (c *selection) record(index int, s Score) {
 	if c.scores == nil {
 		return
 	}
@@ -199,7 +200,7 @@
 
 // decide returns the best candidate in the lane. It returns the best one
 // outside the lane if the lane has none or would answer too late.
-func (c *choice) decide() Decision {
+func (c *selection) decide() Decision {
 	chosen, reason := &c.inLane, ReasonBest
 	if !c.inLane.found {
 		chosen, reason = &c.offLane, ReasonNoLane
@@ -212,28 +213,29 @@
 	return Decision{Index: chosen.index, Reason: reason, Scores: c.scores}
 }
 
-// spills reports whether a long request leaves the lane: because the lane is
-// later than the other endpoints by more than SpillFactor times the request's
-// prefill time, or because only the other endpoints can meet the deadline.
-func (c *choice) spills() bool {
+// spills reports whether a long request leaves the lane: because the best
+// candidate in the lane is later than the best one outside it by more than
+// SpillFactor times the request's prefill time, or because only the one outside
+// can meet the deadline.
+func (c *selection) spills() bool {
 	excess := c.inLane.score - c.offLane.score
 	if excess > c.cfg.SpillFactor*float64(c.inLane.prefill) {
 		return true
 	}
-	remaining := float64(c.job.req.Remaining)
+	remaining := float64(c.eval.req.Remaining)
 	return remaining > 0 && c.inLane.score > remaining && c.offLane.score <= remaining
 }
 
 // estimate sets the fields that depend on the candidate's prefix cache.
-func (j *job) estimate() {
+func (e *evaluation) estimate() {
 	var cached uint64
-	if j.cand.Cached != nil && len(j.req.Prefix) > 0 {
-		cached = uint64(j.cand.Cached(j.req.Prefix)) * blockTokens
-	}
-	cached = min(cached, j.req.PromptTokens)
-	j.cost = j.cand.Cost.OrDefault()
-	j.uncached = j.req.PromptTokens - cached
-	j.prefill = j.cost.Prefill(j.req.PromptTokens, cached)
-	j.chunk = float64(j.cost.Prefill(ChunkTokens, 0))
-	j.long = ClassOf(j.uncached) >= laneClass
+	if e.cand.Cached != nil && len(e.req.Prefix) > 0 {
+		cached = uint64(e.cand.Cached(e.req.Prefix)) * blockTokens
+	}
+	cached = min(cached, e.req.PromptTokens)
+	e.cost = e.cand.Cost.OrDefault()
+	e.uncached = e.req.PromptTokens - cached
+	e.prefill = e.cost.Prefill(e.req.PromptTokens, cached)
+	e.chunk = float64(e.cost.Prefill(ChunkTokens, 0))
+	e.long = ClassOf(e.uncached) >= laneClass
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -78,19 +78,19 @@
 	MemoryTokens uint64
 	FreeTokens   uint64
 	QueuedTokens uint64                    // prompt tokens queued or prefilling
-	LongTokens   uint64                    // the part of QueuedTokens that is long work
+	LongTokens   uint64                    // prompt tokens of long work queued or prefilling
 	Wait         [NumClasses]time.Duration // queueing delay predicted by the agent, by class
 	Cost         Cost
 	Pending      time.Duration // predicted work sent since the last report
-	PendingCount int           // requests sent since the last report
-	// PendingLong is the part of Pending that is long work. Short requests
-	// overtake it.
+	PendingCount int           // number of requests in Pending
+	// PendingLong is the part of Pending that is long work. Requests shorter
+	// than ClassLong overtake it.
 	PendingLong time.Duration
 	// Age is the age of the load values above.
 	Age time.Duration
-	// Silent is the time since the last message from the agent; 0 means that
+	// Silence is the time since the last message from the agent; 0 means that
 	// none was received. It is ignored while the agent is connected.
-	Silent time.Duration
+	Silence time.Duration
 	// Slowness is the ratio of actual to predicted run time, as measured by the
 	// gateway; 0 means 1.
 	Slowness float64
--- a/routing/score.go
+++ b/routing/score.go
@@ -18,31 +18,31 @@
 // baseScore returns the part of a score, in nanoseconds, that can be computed
 // without the filters and the prefix cache. As no part of a score is negative
 // except the noise, it is a lower bound of the score without noise.
-func (c *Config) baseScore(j *job) float64 {
-	return waitScore(j) + pendingScore(j) + distanceScore(j, c.DistancePenalty)
+func (c *Config) baseScore(e *evaluation) float64 {
+	return waitScore(e) + pendingScore(e) + distanceScore(e, c.DistancePenalty)
 }
 
 // requestScore returns the rest of a score, the cost of the request itself on
 // the candidate.
-func (c *Config) requestScore(j *job) float64 {
-	return prefillScore(j) +
-		decodeScore(j, c.BatchSlowdown, c.DecodeHorizon) +
-		interferenceScore(j, c.DecodeHorizon) +
-		laneScore(j, c.LaneWeight, c.DecodeHorizon) +
-		imposedInterferenceScore(j, c.ImposedInterferenceWeight)
+func (c *Config) requestScore(e *evaluation) float64 {
+	return prefillScore(e) +
+		decodeScore(e, c.BatchSlowdown, c.DecodeHorizon) +
+		interferenceScore(e, c.DecodeHorizon) +
+		laneScore(e, c.LaneWeight, c.DecodeHorizon) +
+		imposedInterferenceScore(e, c.ImposedInterferenceWeight)
 }
 
 // parts returns the parts of a noisy score in milliseconds.
-func (c *Config) parts(j *job, noise float64) map[string]float64 {
+func (c *Config) parts(e *evaluation, noise float64) map[string]float64 {
 	m := map[string]float64{
-		PartWait:                waitScore(j),
-		PartPending:             pendingScore(j),
-		PartDistance:            distanceScore(j, c.DistancePenalty),
-		PartPrefill:             prefillScore(j),
-		PartDecode:              decodeScore(j, c.BatchSlowdown, c.DecodeHorizon),
-		PartInterference:        interferenceScore(j, c.DecodeHorizon),
-		PartLane:                laneScore(j, c.LaneWeight, c.DecodeHorizon),
-		PartImposedInterference: imposedInterferenceScore(j, c.ImposedInterferenceWeight),
+		PartWait:                waitScore(e),
+		PartPending:             pendingScore(e),
+		PartDistance:            distanceScore(e, c.DistancePenalty),
+		PartPrefill:             prefillScore(e),
+		PartDecode:              decodeScore(e, c.BatchSlowdown, c.DecodeHorizon),
+		PartInterference:        interferenceScore(e, c.DecodeHorizon),
+		PartLane:                laneScore(e, c.LaneWeight, c.DecodeHorizon),
+		PartImposedInterference: imposedInterferenceScore(e, c.ImposedInterferenceWeight),
 		PartNoise:               noise,
 	}
 	for name := range m {
--- a/routing/score_place.go
+++ b/routing/score_place.go
@@ -3,8 +3,8 @@
 import "time"
 
 // distanceScore returns a fixed penalty for a candidate in another data centre.
-func distanceScore(j *job, penalty time.Duration) float64 {
-	if j.cand.DataCentre == j.req.DataCentre {
+func distanceScore(e *evaluation, penalty time.Duration) float64 {
+	if e.cand.DataCentre == e.req.DataCentre {
 		return 0
 	}
 	return float64(penalty)
--- a/routing/score_work.go
+++ b/routing/score_work.go
@@ -1,15 +1,15 @@
 package routing
 
 // prefillScore returns the predicted prefill time of the uncached tokens.
-func prefillScore(j *job) float64 {
-	return float64(j.prefill) * j.slowdown
+func prefillScore(e *evaluation) float64 {
+	return float64(e.prefill) * e.slowdown
 }
 
 // decodeScore returns the predicted decode time of the answer's first tokens,
 // up to the horizon. Each request in the running batch slows it by the fraction
 // perRunning.
-func decodeScore(j *job, perRunning float64, horizon uint64) float64 {
-	tokens := min(j.req.MaxTokens, horizon)
-	batch := float64(j.cand.Running + j.cand.PendingCount)
-	return float64(j.cost.Decode(tokens)) * (1 + perRunning*batch) * j.slowdown
+func decodeScore(e *evaluation, perRunning float64, horizon uint64) float64 {
+	tokens := min(e.req.MaxTokens, horizon)
+	batch := float64(e.cand.Running + e.cand.PendingCount)
+	return float64(e.cost.Decode(tokens)) * (1 + perRunning*batch) * e.slowdown
 }
