--- a/routing/filter_alive.go
+++ b/routing/filter_alive.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// notConnected rejects endpoints whose agent is neither connected nor was
-// heard within freshFor.
-func notConnected(j *job, freshFor time.Duration) bool {
-	if j.cand.Connected {
+// notConnected rejects endpoints whose agent is not connected and has sent
+// nothing within maxSilence.
+func notConnected(e *evaluation, maxSilence time.Duration) bool {
+	if e.cand.Connected {
 		return false
 	}
-	return j.cand.Silent <= 0 || j.cand.Silent > freshFor
+	return e.cand.Silence <= 0 || e.cand.Silence > maxSilence
 }
 
-// leaving rejects endpoints that take no new work.
-func leaving(j *job) bool { return j.cand.Leaving }
+// leaving rejects endpoints that take no new work because they are leaving.
+func leaving(e *evaluation) bool { return e.cand.Leaving }
--- a/routing/filter_failed.go
+++ b/routing/filter_failed.go
@@ -1,9 +1,9 @@
 package routing
 
-// breakerOpen rejects endpoints that fail at present.
-func breakerOpen(j *job) bool { return j.cand.BreakerOpen }
+// breakerOpen rejects endpoints whose circuit breaker is open.
+func breakerOpen(e *evaluation) bool { return e.cand.BreakerOpen }
 
-// excluded rejects endpoints that failed or refused this very request.
-func excluded(j *job) bool {
-	return len(j.req.Excluded) > 0 && j.req.Excluded[j.cand.Endpoint]
+// excluded rejects endpoints that already failed or refused this request.
+func excluded(e *evaluation) bool {
+	return len(e.req.Excluded) > 0 && e.req.Excluded[e.cand.Endpoint]
 }
--- a/routing/score_beside.go
+++ b/routing/score_beside.go
@@ -2,55 +2,59 @@
 
 import "time"
 
-// besideScore is what the request's decode loses beside prefill that it
-// passes: each of its steps carries a chunk of that, until either is over.
-func besideScore(j *job, horizon uint64) float64 {
-	passed := j.passed()
-	if passed <= 0 {
+// interferenceScore returns the delay of the request's decode by the prefill
+// that the request overtakes: each decode step also carries a chunk of that
+// prefill until one of the two ends.
+func interferenceScore(e *evaluation, horizon uint64) float64 {
+	overtaken := e.overtakenPrefill()
+	if overtaken <= 0 {
 		return 0
 	}
-	return min(j.chunks(horizon), float64(passed)) * j.slow
+	return min(e.chunkDelay(horizon), float64(overtaken)) * e.slowdown
 }
 
-// passed is the prefill at the candidate that the request does not wait for.
-func (j *job) passed() time.Duration {
-	if j.class >= ClassLong {
+// overtakenPrefill returns the prefill time of the candidate's work that the
+// request does not wait for.
+func (e *evaluation) overtakenPrefill() time.Duration {
+	if e.class >= ClassLong {
 		return 0
 	}
-	tokens := max(j.cand.QueuedTokens, j.cand.LongTokens)
+	tokens := max(e.cand.QueuedTokens, e.cand.LongTokens)
 	if tokens == 0 {
-		return j.cand.PendingLong
+		return e.cand.PendingLong
 	}
-	backlog := j.cost.Prefill(tokens, 0) - j.cand.Wait[j.class]
-	return max(0, backlog) + j.cand.PendingLong
+	backlog := e.cost.Prefill(tokens, 0) - e.cand.Wait[e.class]
+	return max(0, backlog) + e.cand.PendingLong
 }
 
-// laneScore is what a short request expects to lose in the lane, where long
-// work may arrive while it decodes: a share of the most that could be.
-func laneScore(j *job, share float64, horizon uint64) float64 {
-	if share <= 0 || !j.cand.LongLane || j.class >= laneClass {
+// laneScore returns the expected delay of a short request on an endpoint of the
+// long lane, where long work may arrive during its decode: a fraction of the
+// largest possible delay.
+func laneScore(e *evaluation, weight float64, horizon uint64) float64 {
+	if weight <= 0 || !e.cand.LongLane || e.class >= laneClass {
 		return 0
 	}
-	return share * j.chunks(horizon)
+	return weight * e.chunkDelay(horizon)
 }
 
-// remainingTokens is the number of tokens that a running request has left on
-// average, as far as this request could slow them.
-const remainingTokens = 32
+// meanRemainingTokens is the mean number of tokens left to decode in a running
+// request that this request could delay.
+const meanRemainingTokens = 32
 
-// harmScore is a share of what the running requests lose to this one's
-// prefill: each of their steps carries a chunk of it, until either is over.
-func harmScore(j *job, share float64) float64 {
-	running := j.cand.Running + j.cand.PendingCount
+// imposedInterferenceScore returns a fraction of the delay that this request's
+// prefill causes to the running requests: each of their decode steps also
+// carries a chunk of the prefill until one of the two ends.
+func imposedInterferenceScore(e *evaluation, weight float64) float64 {
+	running := e.cand.Running + e.cand.PendingCount
 	if running == 0 {
 		return 0
 	}
-	each := min(float64(j.prefill), remainingTokens*j.chunk)
-	return share * each * float64(running) * j.slow
+	perRun := min(float64(e.prefill), meanRemainingTokens*e.chunk)
+	return weight * perRun * float64(running) * e.slowdown
 }
 
-// chunks is the time that chunks of other work add to the request's answer if
-// every step carries one.
-func (j *job) chunks(horizon uint64) float64 {
-	return float64(min(j.req.MaxTokens, horizon)) * j.chunk
+// chunkDelay returns the delay of the request's answer, up to the horizon, if
+// every decode step also carries a prefill chunk of other work.
+func (e *evaluation) chunkDelay(horizon uint64) float64 {
+	return float64(min(e.req.MaxTokens, horizon)) * e.chunk
 }
