--- a/membership/event.go
+++ b/membership/event.go
@@ -6,50 +6,51 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// Event is one piece of evidence.
+// Event is one observation about agents, hosts or the gateway's own connections.
 type Event interface{ apply(v *View, now time.Time) }
 
-// Declaration is what the accepted document says of one endpoint.
+// Declaration is the accepted document's entry for one endpoint.
 type Declaration struct {
 	Endpoint string
 	Host     string
 	Service  string // empty for a model engine
-	Leaving  bool   // of the endpoint or of its host
+	Leaving  bool   // the endpoint or its host is declared as leaving
 }
 
-// Declared replaces the set of endpoints.
+// Declared replaces the set of endpoints by the declared one.
 type Declared struct{ Endpoints []Declaration }
 
-// Reported is an agent's word about itself. It proves the connection, too. An
-// empty incarnation says that all but the clock is as last reported.
+// Reported is an agent's report of its own state. It also shows that the agent
+// is connected. An empty incarnation marks a heartbeat: everything except the
+// clock is as last reported.
 type Reported struct {
 	Endpoint    string
 	Incarnation string
-	AgentMS     int64 // the agent's clock: a report that is not later than the last is ignored
+	AgentMS     int64 // the agent's clock: a report older than the last one is ignored
 	State       rudderv1.AgentState
-	Models      []string // models that are ready
+	Models      []string // models that are ready to serve
 }
 
-// Refused says that an agent refused an order because it is leaving.
+// Refused reports that an agent refused an order because it is leaving.
 type Refused struct{ Endpoint string }
 
-// Lost says that the connection to an agent broke or could not be made.
+// Lost reports that the connection to an agent broke or could not be opened.
 type Lost struct{ Endpoint string }
 
-// ListedHost is one entry of the platform's list.
+// ListedHost is one entry of the platform's list of hosts.
 type ListedHost struct {
 	Name    string
 	Leaving bool
 }
 
-// Listed is a whole list of hosts as the platform gave it. An empty list is
-// not believed: a platform without a single host does not answer.
+// Listed is a complete list of hosts as read from the platform. An empty list is
+// ignored, because a platform without a single host does not answer.
 type Listed struct{ Hosts []ListedHost }
 
-// Outside says that a peer gateway or the platform was heard.
+// Outside reports that a message from a peer gateway or the platform arrived.
 type Outside struct{}
 
-// Apply takes one piece of evidence.
+// Apply updates the view with one event.
 func (v *View) Apply(ev Event, now time.Time) { ev.apply(v, now) }
 
 func (ev Declared) apply(v *View, now time.Time) {
@@ -63,7 +64,7 @@
 		m.decl = d
 		v.members[d.Endpoint] = m
 	}
-	v.noteSilence(now)
+	v.updateNoAgentSince(now)
 }
 
 func (ev Reported) apply(v *View, now time.Time) {
@@ -75,61 +76,62 @@
 		return
 	}
 	if ev.Incarnation != m.incarnation {
-		m.restarted(ev, v.cfg.Flap, now)
+		m.noteRestart(ev, v.cfg.Flap, now)
 	}
 	if m.state == rudderv1.AgentState_AGENT_STATE_SERVING && ev.State == rudderv1.AgentState_AGENT_STATE_ENDPOINT_LOST {
-		m.flap.charge(v.cfg.Flap, now)
+		m.flap.addPenalty(v.cfg.Flap, now)
 	}
-	m.agentMS, m.state, m.heard, m.connected = ev.AgentMS, ev.State, now, true
+	m.agentClockMS, m.state, m.lastReport, m.connected = ev.AgentMS, ev.State, now, true
 	m.pools = ev.Models
 	if m.decl.Service != "" {
 		m.pools = []string{m.decl.Service}
 	}
-	v.silence = time.Time{}
+	v.noAgentSince = time.Time{}
 }
 
-// outdated reports whether a report is older than what is known: of an
-// incarnation that was replaced, or late.
+// outdated reports whether a report comes from the previous incarnation, or is
+// older than the last report of the current one.
 func (m *member) outdated(ev Reported) bool {
 	if ev.Incarnation != m.incarnation {
 		return ev.Incarnation == m.previous
 	}
-	return ev.AgentMS < m.agentMS
+	return ev.AgentMS < m.agentClockMS
 }
 
-// restarted notes a new incarnation. One that nobody announced counts as a
-// loss, unless the lost connection was counted already.
-func (m *member) restarted(ev Reported, cfg FlapConfig, now time.Time) {
-	if m.incarnation != "" && m.connected && !m.saidLeaving() {
-		m.flap.charge(cfg, now)
+// noteRestart records a new incarnation. A restart that the agent did not
+// announce counts as a loss, unless the lost connection was counted already.
+func (m *member) noteRestart(ev Reported, cfg FlapConfig, now time.Time) {
+	if m.incarnation != "" && m.connected && !m.reportedLeaving() {
+		m.flap.addPenalty(cfg, now)
 	}
-	m.previous, m.incarnation, m.firstHeard = m.incarnation, ev.Incarnation, now
+	m.previous, m.incarnation, m.firstReport = m.incarnation, ev.Incarnation, now
 }
 
-func (m *member) saidLeaving() bool { return m.state == rudderv1.AgentState_AGENT_STATE_LEAVING }
+func (m *member) reportedLeaving() bool { return m.state == rudderv1.AgentState_AGENT_STATE_LEAVING }
 
 func (ev Lost) apply(v *View, now time.Time) {
 	m, ok := v.members[ev.Endpoint]
 	if !ok || !m.connected {
 		return
 	}
-	m.connected, m.lostAt = false, now
-	if !m.saidLeaving() {
-		m.flap.charge(v.cfg.Flap, now)
+	m.connected, m.disconnectedAt = false, now
+	if !m.reportedLeaving() {
+		m.flap.addPenalty(v.cfg.Flap, now)
 	}
-	v.noteSilence(now)
+	v.updateNoAgentSince(now)
 }
 
-// noteSilence records the moment from which no agent is connected.
-func (v *View) noteSilence(now time.Time) {
+// updateNoAgentSince sets noAgentSince to now if no agent is connected and it is
+// not set yet, and clears it if one is connected.
+func (v *View) updateNoAgentSince(now time.Time) {
 	for _, m := range v.members {
 		if m.connected {
-			v.silence = time.Time{}
+			v.noAgentSince = time.Time{}
 			return
 		}
 	}
-	if v.silence.IsZero() {
-		v.silence = now
+	if v.noAgentSince.IsZero() {
+		v.noAgentSince = now
 	}
 }
 
@@ -140,7 +142,7 @@
 }
 
 func (ev Listed) apply(v *View, now time.Time) {
-	v.outside = now
+	v.lastOtherContact = now
 	if len(ev.Hosts) == 0 {
 		return
 	}
@@ -155,4 +157,4 @@
 	v.hosts, v.listed = hosts, true
 }
 
-func (Outside) apply(v *View, now time.Time) { v.outside = now }
+func (Outside) apply(v *View, now time.Time) { v.lastOtherContact = now }
--- a/membership/heirs.go
+++ b/membership/heirs.go
@@ -2,58 +2,62 @@
 
 import "time"
 
-// maxHeirs bounds the incarnations whose successor is known.
-const maxHeirs = 4096
-
-// Heirs knows which agent answers for an incarnation that stopped. It is not
-// safe for concurrent use.
-type Heirs struct{ of map[string]heir }
-
-type heir struct {
-	address string
-	holds   bool // the agent at address said so itself
-	heard   time.Time
+// maxOwners limits the number of entries in Heirs; beyond it the least recently
+// updated one is dropped.
+const maxOwners = 4096
+
+// Heirs records which agent holds the run records of an incarnation that stopped.
+// It is not safe for concurrent use.
+type Heirs struct{ byIncarnation map[string]owner }
+
+// owner is the agent that holds the run records of one incarnation.
+type owner struct {
+	address   string
+	confirmed bool // reported by the agent at address itself
+	updated   time.Time
 }
 
-// NewHeirs returns an empty Heirs.
-func NewHeirs() *Heirs { return &Heirs{of: make(map[string]heir)} }
+// NewHeirs returns an empty table.
+func NewHeirs() *Heirs { return &Heirs{byIncarnation: make(map[string]owner)} }
 
-// Holds records an agent's word that it answers for the incarnations.
+// Holds records that the agent at address reports holding the records of the
+// incarnations.
 func (h *Heirs) Holds(address string, incarnations []string, now time.Time) {
 	for _, inc := range incarnations {
-		h.set(inc, heir{address, true, now})
+		h.set(inc, owner{address, true, now})
 	}
 }
 
-// Passed records the word of a leaving agent that another one answers for the
-// incarnations. What a third agent says that it holds itself outranks that:
-// the words of agents that stop together may come in any order.
+// Passed records that the leaving agent at from reports having handed the records
+// of the incarnations to the agent at to. Entries that a third agent has
+// confirmed take precedence, because the reports of agents that stop together may
+// arrive in any order.
 func (h *Heirs) Passed(from, to string, incarnations []string, now time.Time) {
 	for _, inc := range incarnations {
-		if x, ok := h.of[inc]; ok && x.holds && x.address != from {
+		if o, ok := h.byIncarnation[inc]; ok && o.confirmed && o.address != from {
 			continue
 		}
-		h.set(inc, heir{to, false, now})
+		h.set(inc, owner{to, false, now})
 	}
 }
 
-func (h *Heirs) set(incarnation string, x heir) {
-	if _, ok := h.of[incarnation]; !ok && len(h.of) >= maxHeirs {
+func (h *Heirs) set(incarnation string, o owner) {
+	if _, ok := h.byIncarnation[incarnation]; !ok && len(h.byIncarnation) >= maxOwners {
 		h.dropOldest()
 	}
-	h.of[incarnation] = x
+	h.byIncarnation[incarnation] = o
 }
 
-// Address returns the address of the agent that answers for an incarnation;
-// empty when its own does.
-func (h *Heirs) Address(incarnation string) string { return h.of[incarnation].address }
+// Address returns the address of the agent that holds an incarnation's records,
+// or "" if the incarnation's own agent does.
+func (h *Heirs) Address(incarnation string) string { return h.byIncarnation[incarnation].address }
 
 func (h *Heirs) dropOldest() {
 	oldest, at := "", time.Time{}
-	for inc, x := range h.of {
-		if oldest == "" || x.heard.Before(at) {
-			oldest, at = inc, x.heard
+	for inc, o := range h.byIncarnation {
+		if oldest == "" || o.updated.Before(at) {
+			oldest, at = inc, o.updated
 		}
 	}
-	delete(h.of, oldest)
+	delete(h.byIncarnation, oldest)
 }
--- a/membership/successor.go
+++ b/membership/successor.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Peer is an endpoint with the address of its agent.
+// Peer is an endpoint together with the address of its agent.
 type Peer struct {
 	Endpoint   string
 	Host       string
@@ -16,10 +16,10 @@
 	Leaving    bool
 }
 
-// Successors returns the agents that can take over the records of a leaving
-// one, best first: of its own data centre before others, on another host
-// before its own, and among equals by a hash that spreads the incarnations of
-// a stopped rack over the fleet. The same input gives the same order.
+// Successors returns the agents that can take over the run records of a leaving
+// agent, in order of preference: its own data centre before others, other hosts
+// before its own, and then by a hash that spreads the incarnations of a stopped
+// rack over the fleet. The result does not depend on the order of peers.
 func Successors(self Peer, incarnation string, peers []Peer) []Peer {
 	out := make([]Peer, 0, len(peers))
 	for _, p := range peers {
@@ -37,15 +37,16 @@
 	return out
 }
 
+// distance ranks a candidate; lower is better.
 func distance(self, p Peer) int {
-	far := 0
+	d := 0
 	if p.DataCentre != self.DataCentre {
-		far += 2
+		d += 2
 	}
 	if p.Host == self.Host {
-		far++
+		d++
 	}
-	return far
+	return d
 }
 
 func weight(incarnation string, p Peer) uint64 {
--- a/membership/successor_test.go
+++ b/membership/successor_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func names(peers []Peer) string {
+func endpointNames(peers []Peer) string {
 	out := ""
 	for _, p := range peers {
 		out += p.Endpoint + " "
@@ -27,12 +27,12 @@
 		{Endpoint: "near", Host: "h2", DataCentre: "d1", Address: "4"},
 		{Endpoint: "leaving", Host: "h3", DataCentre: "d1", Address: "5", Leaving: true},
 	}
-	is.Equal(names(Successors(self, "i", peers)), "near same-host far ")
+	is.Equal(endpointNames(Successors(self, "i", peers)), "near same-host far ")
 	is.Equal(len(Successors(self, "i", peers[:1])), 0)
 }
 
-// TestSuccessorsProperties: the order of the input does not matter, nobody
-// succeeds itself or a leaving peer, and a rack's incarnations are spread.
+// TestSuccessorsProperties checks that the order of the input does not matter and
+// that neither the agent itself nor a leaving peer is a successor.
 func TestSuccessorsProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var peers []Peer
@@ -44,8 +44,8 @@
 		}
 		self := Peer{Endpoint: "e0", Host: "h0", DataCentre: "x", Address: "0"}
 		got := Successors(self, "i", peers)
-		if names(got) != names(Successors(self, "i", rapid.Permutation(peers).Draw(t, "order"))) {
-			t.Fatal("order matters")
+		if endpointNames(got) != endpointNames(Successors(self, "i", rapid.Permutation(peers).Draw(t, "order"))) {
+			t.Fatal("the result depends on the order of the peers")
 		}
 		for _, p := range got {
 			if p.Leaving || p.Endpoint == self.Endpoint {
@@ -71,23 +71,23 @@
 	is.True(len(first) > 15)
 }
 
-func TestHeirsAreBounded(t *testing.T) {
+func TestRecordOwnersAreBounded(t *testing.T) {
 	is := is.New(t)
 	h := NewHeirs()
 	now := time.Unix(0, 0)
-	for i := range maxHeirs + 10 {
+	for i := range maxOwners + 10 {
 		h.Holds("addr", []string{fmt.Sprint(i)}, now.Add(time.Duration(i)*time.Second))
 	}
 	is.Equal(h.Address("0"), "")
 	is.Equal(h.Address("10"), "addr")
-	is.Equal(len(h.of), maxHeirs)
+	is.Equal(len(h.byIncarnation), maxOwners)
 }
 
-// TestHeirsInAnyOrder: a stops in favour of b, which stops in favour of c. The
-// last word of each may come in any order; once c has spoken it is known.
-func TestHeirsInAnyOrder(t *testing.T) {
+// TestRecordOwnersInAnyOrder lets a hand its records to b and b hand them to c. The
+// last reports of the three may arrive in any order; in the end c is the owner.
+func TestRecordOwnersInAnyOrder(t *testing.T) {
 	now := time.Unix(0, 0)
-	words := []func(h *Heirs){
+	updates := []func(h *Heirs){
 		func(h *Heirs) { h.Passed("a", "b", []string{"ia"}, now) },
 		func(h *Heirs) { h.Passed("b", "c", []string{"ib", "ia"}, now) },
 		func(h *Heirs) { h.Holds("c", []string{"ia", "ib"}, now) },
@@ -95,14 +95,14 @@
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 		h := NewHeirs()
 		for _, i := range order {
-			words[i](h)
+			updates[i](h)
 		}
 		is.New(t).Equal(h.Address("ia")+h.Address("ib"), "cc")
 	}
 }
 
-// TestHeirsMoveOn: the holder itself may pass its records on.
-func TestHeirsMoveOn(t *testing.T) {
+// TestRecordOwnerHandsOver checks that a confirmed owner can hand its records over.
+func TestRecordOwnerHandsOver(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	h := NewHeirs()
--- a/membership/verdict.go
+++ b/membership/verdict.go
@@ -6,25 +6,25 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// Verdicts returns the verdict of each named endpoint. A last resort is
-// promoted when no other endpoint serves one of its pools: a service, or a
-// model.
+// Verdicts returns the verdict on each of the named endpoints. A LastResort
+// endpoint is promoted if no Normal one among them serves one of its pools (a
+// service or a model).
 func (v *View) Verdicts(endpoints []string, now time.Time) []Verdict {
 	out := make([]Verdict, len(endpoints))
-	last := false
+	anyLastResort := false
 	for i, name := range endpoints {
 		if m, ok := v.members[name]; ok {
-			out[i] = v.judge(m, now)
-			last = last || out[i].Use == LastResort
+			out[i] = v.evaluate(m, now)
+			anyLastResort = anyLastResort || out[i].Use == LastResort
 		}
 	}
-	if last {
+	if anyLastResort {
 		v.promote(endpoints, out)
 	}
 	return out
 }
 
-// promote marks the last resorts of pools that nothing better serves.
+// promote marks the LastResort endpoints that have a pool without Normal ones.
 func (v *View) promote(endpoints []string, out []Verdict) {
 	served := make(map[string]bool)
 	for i, name := range endpoints {
@@ -37,12 +37,12 @@
 	}
 	for i, name := range endpoints {
 		if out[i].Use == LastResort {
-			out[i].Promoted = needed(v.members[name], served)
+			out[i].Promoted = hasUnservedPool(v.members[name], served)
 		}
 	}
 }
 
-func needed(m *member, served map[string]bool) bool {
+func hasUnservedPool(m *member, served map[string]bool) bool {
 	for _, p := range m.pools {
 		if !served[p] {
 			return true
@@ -51,28 +51,29 @@
 	return false
 }
 
-// judge ranks the evidence about one endpoint.
-func (v *View) judge(m *member, now time.Time) Verdict {
+// evaluate returns the verdict on one endpoint, by its strongest evidence.
+func (v *View) evaluate(m *member, now time.Time) Verdict {
 	switch {
 	case m.decl.Leaving:
 		return Verdict{State: Leaving, Evidence: ByDeclaration}
 	case m.incarnation == "":
 		return Verdict{State: Unheard}
-	case m.saidLeaving():
+	case m.reportedLeaving():
 		return Verdict{State: Leaving, Evidence: ByAgent}
 	case v.listedLeaving(m, now):
 		return Verdict{State: Leaving, Evidence: ByList}
 	case !m.connected:
-		return v.judgeLost(m, now)
-	case now.Sub(m.heard) > v.cfg.StaleAfter:
+		return v.evaluateDisconnected(m, now)
+	case now.Sub(m.lastReport) > v.cfg.StaleAfter:
 		return Verdict{State: Silent, Use: LastResort, Evidence: ByConnection}
 	default:
-		return v.judgeHeard(m, now)
+		return v.evaluateConnected(m, now)
 	}
 }
 
-// judgeHeard takes a connected agent's word.
-func (v *View) judgeHeard(m *member, now time.Time) Verdict {
+// evaluateConnected returns the verdict on an endpoint whose agent is connected,
+// by the agent's last report.
+func (v *View) evaluateConnected(m *member, now time.Time) Verdict {
 	switch m.state {
 	case rudderv1.AgentState_AGENT_STATE_SERVING:
 		if m.flap.decay(v.cfg.Flap, now) {
@@ -86,10 +87,10 @@
 	}
 }
 
-// judgeLost decides about an agent whose connection was lost. An order to it
-// either cannot leave or reaches an agent that decides by itself, so trying is
-// safe; it is only slow.
-func (v *View) judgeLost(m *member, now time.Time) Verdict {
+// evaluateDisconnected returns the verdict on an endpoint whose agent lost its
+// connection. An order to such an agent either cannot be sent or reaches an agent
+// that decides for itself, so trying is safe, only slow.
+func (v *View) evaluateDisconnected(m *member, now time.Time) Verdict {
 	if m.state != rudderv1.AgentState_AGENT_STATE_SERVING {
 		return Verdict{State: Gone, Evidence: ByConnection}
 	}
@@ -97,39 +98,40 @@
 		return Verdict{State: Gone, Evidence: ByList}
 	}
 	grace := v.cfg.Grace
-	if !v.silence.IsZero() {
-		grace = v.cfg.SilenceGrace
+	if !v.noAgentSince.IsZero() {
+		grace = v.cfg.NoAgentGrace
 	}
-	if now.Sub(m.lostAt) > grace {
+	if now.Sub(m.disconnectedAt) > grace {
 		return Verdict{State: Gone, Evidence: ByConnection}
 	}
 	return Verdict{State: Silent, Use: LastResort, Evidence: ByConnection}
 }
 
-// listedLeaving reports whether the platform's list takes the endpoint's host
-// away. An incarnation that began after the list first said so may stand on a
-// host that came back: it is believed for as long as the list can be late.
+// listedLeaving reports whether the platform lists the endpoint's host as leaving.
+// If the agent restarted after the host was first listed so, the host may have come
+// back, so the list is disregarded for ListLag.
 func (v *View) listedLeaving(m *member, now time.Time) bool {
 	l, ok := v.hosts[m.decl.Host]
 	if !ok || !l.leaving {
 		return false
 	}
-	if m.firstHeard.After(l.since) && m.previous != "" {
-		return now.Sub(m.firstHeard) > v.cfg.ListLag
+	if m.firstReport.After(l.since) && m.previous != "" {
+		return now.Sub(m.firstReport) > v.cfg.ListLag
 	}
 	return true
 }
 
-// CutOff reports whether this process itself is cut off: it had agents, none
-// is connected, and since then neither a peer nor the platform was heard.
-// Mere silence of all agents, with others in hearing, is a loss of agents.
+// CutOff reports whether this process itself is cut off: at least one agent has
+// reported before, none has been connected for CutOffAfter, and since then no
+// message came from a peer or the platform. If one came, the agents are lost and
+// this process is not cut off.
 func (v *View) CutOff(now time.Time) bool {
-	if v.silence.IsZero() || now.Sub(v.silence) < v.cfg.CutOffAfter {
+	if v.noAgentSince.IsZero() || now.Sub(v.noAgentSince) < v.cfg.CutOffAfter {
 		return false
 	}
-	had := false
+	hadAgents := false
 	for _, m := range v.members {
-		had = had || m.incarnation != ""
+		hadAgents = hadAgents || m.incarnation != ""
 	}
-	return had && !v.outside.After(v.silence)
+	return hadAgents && !v.lastOtherContact.After(v.noAgentSince)
 }
