--- a/peers/codec.go
+++ b/peers/codec.go
@@ -8,19 +8,20 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// A word is written as an array of its fields, which halves its size, so their number and
-// order is the format. The library takes arrays of just the number of fields that it knows;
-// processes of two releases that run side by side heard nothing of each other. Here a shorter
-// array leaves the last fields as they are, the rest of a longer one is skipped, and fields
-// that are new are left off while they are empty, so that the release before can read the word.
+// A Word is encoded as an array of its fields, which halves its size, so the number and order
+// of the fields are the format. The msgpack library decodes only arrays with exactly the number
+// of fields of the struct; with it, processes of two releases that ran side by side could not
+// read each other's datagrams. Therefore decode leaves the last fields unset if the array is
+// shorter and ignores the rest of a longer one, and encode omits empty fields at the end, so
+// that the previous release can read the datagram.
 
-// firstFields is the number of fields that every release has.
-const firstFields = 17
+// minFields is the number of fields that every release sends.
+const minFields = 17
 
-// wordFields are the indexes of the fields that are sent.
-var wordFields = sentFields()
+// sentFieldIndexes are the indexes of the fields of Word that are sent.
+var sentFieldIndexes = fieldsToSend()
 
-func sentFields() []int {
+func fieldsToSend() []int {
 	var out []int
 	t := reflect.TypeFor[Word]()
 	for i := range t.NumField() {
@@ -31,11 +32,11 @@
 	return out
 }
 
-// encode writes one datagram.
+// encode returns the datagram for w.
 func encode(w *Word) ([]byte, error) {
 	v := reflect.ValueOf(w).Elem()
-	n := len(wordFields)
-	for n > firstFields && v.Field(wordFields[n-1]).IsZero() {
+	n := len(sentFieldIndexes)
+	for n > minFields && v.Field(sentFieldIndexes[n-1]).IsZero() {
 		n--
 	}
 	var b bytes.Buffer
@@ -44,7 +45,7 @@
 	if err := e.EncodeArrayLen(n); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	for _, i := range wordFields[:n] {
+	for _, i := range sentFieldIndexes[:n] {
 		if err := e.EncodeValue(v.Field(i)); err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -52,7 +53,7 @@
 	return b.Bytes(), nil
 }
 
-// decode reads one datagram.
+// decode parses a datagram.
 func decode(p []byte) (Word, error) {
 	var w Word
 	v := reflect.ValueOf(&w).Elem()
@@ -61,7 +62,7 @@
 	if err != nil {
 		return w, trace.Wrap(err)
 	}
-	for _, i := range wordFields[:max(0, min(n, len(wordFields)))] {
+	for _, i := range sentFieldIndexes[:max(0, min(n, len(sentFieldIndexes)))] {
 		if err := d.DecodeValue(v.Field(i)); err != nil {
 			return w, trace.Wrap(err)
 		}
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -1,7 +1,7 @@
-// Package peers carries what gateways tell each other: datagrams with the load
-// that each has in flight. A word holds its sender's load at the endpoints where it
-// changed lately, and several times a second the whole of it, so that
-// a lost or repeated datagram does no harm. Who is told what is the sender's business.
+// Package peers implements the UDP protocol between gateways. Each datagram (a Word)
+// carries the load that its sender has in flight at endpoints: only what changed, or,
+// several times a second, all of it, so that lost or duplicated datagrams do no harm.
+// The caller chooses what to send to which gateway.
 package peers
 
 import (
@@ -21,115 +21,118 @@
 )
 
 const (
-	// maxWord is the largest datagram that is read.
-	maxWord = 60 << 10
-	// memberLife is how long an address that sent a word is answered when no
-	// list names it.
-	memberLife = 10 * time.Second
+	// maxDatagram is the size of the largest datagram that is read, in bytes.
+	maxDatagram = 60 << 10
+	// memberTTL is how long a gateway that is missing from the list of SetMembers remains a
+	// member after its last datagram.
+	memberTTL = 10 * time.Second
 )
 
-// Word is one datagram. Its fields are sent in this order: new ones come last.
+// Word is the content of one datagram. Its fields are sent in this order, so new ones
+// must be added at the end.
 type Word struct {
 	From     string // name of the sender
-	Life     uint64 // random number of the sender's process
-	Sequence uint64 // rises within a life
-	Version  uint64 // configuration in force there
+	Life     uint64 // random number that identifies the sender's process
+	Sequence uint64 // increases with each datagram of the process
+	Version  uint64 // version of the configuration in force at the sender
 	Leaving  bool
-	// Loads is the sender's load by endpoint id, at all endpoints that are the
-	// receiver's business: the whole of it, or only what changed since the last
-	// whole one where Partial is set.
+	// Loads is the sender's load by endpoint id, at all endpoints that concern the
+	// receiver. If Partial is set, it holds only what changed since the last
+	// complete one.
 	Loads map[string]balance.Load
 
-	// Clock is the sender's monotonic time when it sent the word, in
-	// nanoseconds since an instant of its own. Heard gives it back: the newest
-	// Clock that the sender has heard of each peer. A peer can so date what the
-	// word says by its own clock, whatever the way took.
+	// Clock is the sender's monotonic clock when it sent the datagram, in nanoseconds
+	// since an epoch of its own. Heard echoes, for each peer, the newest Clock that the
+	// sender has received from it. The peer can so bound the send time of the datagram by
+	// its own clock, whatever the network delay; see SaidAfter.
 	Clock int64
 	Heard map[string]int64
-	// Echo asks Send to fill in Heard; it is not sent.
+	// Echo tells Send to fill in Heard; it is not sent.
 	Echo bool `msgpack:"-"`
-	// ProofAgeMs is how long ago the read was sent that proved Version to be the
-	// newest; negative: there is no proof.
+	// ProofAgeMs is the time since the sending of the store read that proved Version
+	// to be the newest; negative if there is no proof.
 	ProofAgeMs int64
 	// Endpoints identifies the list of endpoints that the sender read last, and
-	// EndpointsAgeMs how long ago; 0: none was read.
+	// EndpointsAgeMs is the time since that read. Endpoints is 0 if none was read.
 	Endpoints      uint64
 	EndpointsAgeMs int64
-	// NoStore is set by a gateway that cannot reach the store.
+	// NoStore is set if the sender cannot reach the store.
 	NoStore bool
-	// Waiting tells of the first long prompt that waits for endpoints, by
+	// Waiting describes the first long prompt that waits for endpoints, by
 	// service; see balance.Turns.
 	Waiting map[string]balance.Claim
 	Partial bool // see Loads
-	// DataCentre is where the sender stands.
+	// DataCentre is the sender's data centre.
 	DataCentre string
-	// Digests tell of the load in other cells than the receiver's.
+	// Digests hold the load in cells other than the receiver's.
 	Digests []Digest
-	// Signs is all that the sender has to tell of endpoints' health, in each word for its
-	// own cell.
+	// Signs holds everything that the sender has to report about the health of endpoints;
+	// it is set in every datagram to the sender's own cell.
 	Signs map[string]health.Sign
-	// Crashes tells of requests that were on endpoints that crashed.
+	// Crashes reports requests that were on endpoints when these crashed.
 	Crashes []quarantine.Report
-	// StoreEra is the newest era of the store that the sender knows; 0: none. A higher one than
-	// before means that the store came back from an older copy.
+	// StoreEra is the newest era of the store that the sender knows, or 0. An era higher than
+	// the one known before means that the store was restored from an older copy.
 	StoreEra uint64
-	// Limits tells how many requests a second endpoints of the sender's cell take.
+	// Limits holds the request rates that endpoints of the sender's cell accept.
 	Limits map[string]ratelimit.Notice
-	// Coordinator identifies the gateway that grants sends to these, see ratelimit.Votes; 0: the sender
-	// knows of no limit, or cannot do it itself.
+	// Coordinator identifies the gateway that grants sends to the endpoints in Limits; see
+	// ratelimit.Votes. It is 0 if the sender knows of no limit or cannot coordinate itself.
 	Coordinator uint64
-	// Leaves tells of endpoints of the sender's cell or of others that leave, with the life that does, see availability.Leaves.
+	// Leaves holds, by id, endpoints of any cell that are leaving, with the start of the process
+	// that is leaving; see availability.Leaves.
 	Leaves map[string]int64
 }
 
-// Digest is the load of the endpoints that one cell offers to others.
+// Digest is the load at the endpoints that one cell offers to others.
 type Digest struct {
-	DataCentre string // where the gateway stands that made it
-	AgeMs      int64  // since it was made
-	Gateways   int    // that the cell has
-	// Loads holds the load of the endpoints that the cell offers to others, without
-	// what the receiver's cell has there itself.
+	DataCentre string // data centre of the gateway that made the digest
+	AgeMs      int64  // time since the digest was made
+	Gateways   int    // number of gateways in the cell
+	// Loads holds the load at the endpoints that the cell offers to others, without
+	// the load of the receiver's own cell there.
 	Loads map[string]balance.Load
-	// Short is set when the cell has no endpoints to spare.
+	// Short is set if the cell has no endpoints to spare.
 	Short bool
 }
 
-// Member is a gateway that words may be sent to.
+// Member is a gateway that datagrams may be sent to.
 type Member struct {
 	Address    netip.AddrPort
-	Name       string // empty: not known yet
-	DataCentre string // empty: not known yet
+	Name       string // empty if not known yet
+	DataCentre string // empty if not known yet
 }
 
-// heardMember is a member that sent a word, and when.
-type heardMember struct {
+// recentMember is a member that sent a datagram, and when the last one arrived.
+type recentMember struct {
 	Member
-	at time.Time
+	received time.Time
 }
 
-// Mesh sends and receives words. Its methods may be called concurrently.
+// Mesh exchanges datagrams with the other gateways. Its methods may be called
+// concurrently.
 type Mesh struct {
-	socket *net.UDPConn
-	name   string
-	life   uint64
+	socket      *net.UDPConn
+	name        string
+	incarnation uint64
 
-	mu       sync.Mutex
-	sequence uint64
-	listed   []Member
-	heard    map[netip.AddrPort]heardMember
-	last     map[string]position
-	epoch    time.Time // of Word.Clock
+	mu           sync.Mutex
+	sequence     uint64
+	listed       []Member
+	recent       map[netip.AddrPort]recentMember
+	lastReceived map[string]receipt
+	epoch        time.Time // zero point of the clock sent in datagrams
 }
 
-// position is how far a sender's words were read.
-type position struct {
-	life, sequence uint64
-	clock          int64
-	at             time.Time
-	from           netip.AddrPort
+// receipt describes the newest datagram received from a sender.
+type receipt struct {
+	incarnation, sequence uint64
+	clock                 int64
+	at                    time.Time
+	from                  netip.AddrPort
 }
 
-// Listen opens the mesh's socket.
+// Listen opens the UDP socket of the named gateway.
 func Listen(name, address string) (*Mesh, error) {
 	at, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -140,56 +143,58 @@
 		return nil, trace.Wrap(err)
 	}
 	return &Mesh{
-		socket: socket, name: name, life: rand.Uint64(),
-		heard: make(map[netip.AddrPort]heardMember), last: make(map[string]position), epoch: time.Now(),
+		socket: socket, name: name, incarnation: rand.Uint64(),
+		recent: make(map[netip.AddrPort]recentMember), lastReceived: make(map[string]receipt), epoch: time.Now(),
 	}, nil
 }
 
-// Close ends the mesh; Receive returns.
+// Close closes the socket; Receive then returns.
 func (m *Mesh) Close() error { return m.socket.Close() }
 
-// Address returns where this gateway's mesh listens.
+// Address returns the address on which this gateway receives datagrams.
 func (m *Mesh) Address() netip.AddrPort {
 	a, _ := netip.ParseAddrPort(m.socket.LocalAddr().String())
 	return a
 }
 
-// SetMembers replaces the listed members; those that were heard lately count besides.
+// SetMembers replaces the list of members. Gateways that sent a datagram within
+// memberTTL and are not leaving are members in any case.
 func (m *Mesh) SetMembers(members []Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.listed = members
 }
 
-// Members returns the other gateways that are listed or were heard lately.
+// Members returns the other gateways that are listed, or that sent a datagram within
+// memberTTL and are not leaving. What a gateway says about itself replaces its list entry.
 func (m *Mesh) Members(now time.Time) []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	self := m.Address()
-	out := make([]Member, 0, len(m.listed)+len(m.heard))
-	for a, h := range m.heard {
-		if now.Sub(h.at) > memberLife {
-			delete(m.heard, a)
+	out := make([]Member, 0, len(m.listed)+len(m.recent))
+	for a, h := range m.recent {
+		if now.Sub(h.received) > memberTTL {
+			delete(m.recent, a)
 			continue
 		}
 		out = append(out, h.Member)
 	}
 	for _, l := range m.listed {
-		if _, heard := m.heard[l.Address]; !heard && l.Address != self {
+		if _, isRecent := m.recent[l.Address]; !isRecent && l.Address != self {
 			out = append(out, l)
 		}
 	}
 	return out
 }
 
-// Send sends the word, whose sender fields are filled in, to each of the addresses.
+// Send fills in the sender's fields of w and sends it to each of the addresses.
 func (m *Mesh) Send(w Word, to []netip.AddrPort, now time.Time) error {
 	m.mu.Lock()
 	m.sequence++
-	w.From, w.Life, w.Sequence = m.name, m.life, m.sequence
+	w.From, w.Life, w.Sequence = m.name, m.incarnation, m.sequence
 	w.Clock = int64(now.Sub(m.epoch))
 	if w.Echo {
-		w.Heard = m.clocks(to, now)
+		w.Heard = m.clockEchoes(to, now)
 	}
 	m.mu.Unlock()
 	p, err := encode(&w)
@@ -204,12 +209,13 @@
 	return err
 }
 
-// clocks returns the newest clock of each receiver that was heard lately.
-func (m *Mesh) clocks(to []netip.AddrPort, now time.Time) map[string]int64 {
+// clockEchoes returns the newest Clock of each receiver from which a datagram arrived
+// within memberTTL. The caller holds mu.
+func (m *Mesh) clockEchoes(to []netip.AddrPort, now time.Time) map[string]int64 {
 	out := make(map[string]int64, len(to))
-	for name, p := range m.last {
-		if now.Sub(p.at) > memberLife {
-			delete(m.last, name)
+	for name, p := range m.lastReceived {
+		if now.Sub(p.at) > memberTTL {
+			delete(m.lastReceived, name)
 			continue
 		}
 		if slices.Contains(to, p.from) {
@@ -219,8 +225,8 @@
 	return out
 }
 
-// SaidAfter returns a time of this process's clock that was before w was sent;
-// ok is false when the sender had not heard this process.
+// SaidAfter returns a time, by this process's clock, before which w cannot have been
+// sent. ok is false if w echoes no valid clock of this process.
 func (m *Mesh) SaidAfter(w Word) (at time.Time, ok bool) {
 	clock, ok := w.Heard[m.name]
 	if !ok || clock < 0 {
@@ -230,11 +236,12 @@
 	return at, !at.After(time.Now())
 }
 
-// Receive calls take for each word of another gateway, in the order of its
-// sending, until the mesh is closed. It returns how many datagrams could not be
-// read.
-func (m *Mesh) Receive(take func(w Word, from netip.AddrPort)) (malformed int) {
-	buf := make([]byte, maxWord)
+// Receive calls handle for each datagram of another gateway until the mesh is closed.
+// The datagrams of one sender are handled in the order of sending; one that arrives
+// after a later one is dropped. Receive returns the number of datagrams that could
+// not be decoded.
+func (m *Mesh) Receive(handle func(w Word, from netip.AddrPort)) (malformed int) {
+	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := m.socket.ReadFromUDPAddrPort(buf)
 		if err != nil {
@@ -245,25 +252,26 @@
 			malformed++
 			continue
 		}
-		if w.From != m.name && m.newer(w, from) {
-			take(w, from)
+		if w.From != m.name && m.accept(w, from) {
+			handle(w, from)
 		}
 	}
 }
 
-// newer notes a word and reports whether it was not overtaken by a later one.
-func (m *Mesh) newer(w Word, from netip.AddrPort) bool {
+// accept records the receipt of a datagram. It returns false if the same or a later
+// one of the same process was received before.
+func (m *Mesh) accept(w Word, from netip.AddrPort) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if last, ok := m.last[w.From]; ok && last.life == w.Life && last.sequence >= w.Sequence {
+	if last, ok := m.lastReceived[w.From]; ok && last.incarnation == w.Life && last.sequence >= w.Sequence {
 		return false
 	}
 	now := time.Now()
-	m.last[w.From] = position{w.Life, w.Sequence, w.Clock, now, from}
+	m.lastReceived[w.From] = receipt{w.Life, w.Sequence, w.Clock, now, from}
 	if w.Leaving {
-		delete(m.heard, from)
+		delete(m.recent, from)
 	} else {
-		m.heard[from] = heardMember{Member{from, w.From, w.DataCentre}, now}
+		m.recent[from] = recentMember{Member{from, w.From, w.DataCentre}, now}
 	}
 	return true
 }
