--- a/cell/cell.go
+++ b/cell/cell.go
@@ -1,7 +1,8 @@
-// Package cell groups data centres into cells. Gateways of a cell tell each other
-// every choice at once and take turns; of other cells they know digests. Grouping is
-// pure: gateways with the same list of endpoints come to the same cells without a
-// message about it.
+// Package cell groups data centres into cells. The gateways of a cell send each other
+// every choice of an endpoint at once and take turns with long prompts (see
+// balance.Turns); from other cells they receive digests. Grouping depends on nothing but
+// the list of endpoints, so gateways with the same list form the same cells without
+// exchanging messages about it.
 package cell
 
 import (
@@ -11,20 +12,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// minEndpoints is how many endpoints a cell has at least, if the fleet has them: the
-// longest prompts are read on 16 at once, and half as many are left for the others. An
-// estimate; other sizes were not tried.
+// minEndpoints is the minimum number of endpoints in a cell, if the fleet has as many:
+// the longest prompts are read on 16 endpoints at once, which leaves half as many for
+// other requests.
 const minEndpoints = 24
 
-// Map says to which cell a data centre belongs. A cell has the name of its first data
-// centre. The zero Map has one cell, without a name, that holds everything.
+// Map assigns data centres to cells. A cell is named after its first data centre, in
+// the order of names. The zero Map has a single cell with an empty name, which holds
+// all data centres.
 type Map struct {
-	starts []string // the first data centre of each cell, in order
+	firstDataCentres []string // the first data centre of each cell, in order
 }
 
-// Group returns the cells of data centres that have so many endpoints each. Data centres
-// are taken in the order of their names, and a cell is full once it has minEndpoints; those
-// left over join the last full one.
+// Group divides data centres into cells, given the number of endpoints in each. It takes
+// the data centres in the order of their names and closes a cell once it has minEndpoints;
+// the data centres left over join the last full cell.
 func Group(endpoints map[string]int) Map {
 	var m Map
 	size := 0
@@ -33,62 +35,64 @@
 			continue
 		}
 		if size == 0 {
-			m.starts = append(m.starts, name)
+			m.firstDataCentres = append(m.firstDataCentres, name)
 		}
 		size += endpoints[name]
 		if size >= minEndpoints {
 			size = 0
 		}
 	}
-	if size > 0 && len(m.starts) > 1 {
-		m.starts = m.starts[:len(m.starts)-1]
+	if size > 0 && len(m.firstDataCentres) > 1 {
+		m.firstDataCentres = m.firstDataCentres[:len(m.firstDataCentres)-1]
 	}
 	return m
 }
 
-// Of returns the cell of a data centre, also of one without endpoints.
+// Of returns the cell of a data centre. A data centre without endpoints belongs to the
+// cell that precedes it in the order of names, or to the first one.
 func (m Map) Of(dataCentre string) string {
-	if len(m.starts) == 0 {
+	if len(m.firstDataCentres) == 0 {
 		return ""
 	}
-	n, found := slices.BinarySearch(m.starts, dataCentre)
+	n, found := slices.BinarySearch(m.firstDataCentres, dataCentre)
 	if found {
-		return m.starts[n]
+		return m.firstDataCentres[n]
 	}
-	return m.starts[max(0, n-1)]
+	return m.firstDataCentres[max(0, n-1)]
 }
 
-// Cells returns the names of all cells in order.
-func (m Map) Cells() []string { return m.starts }
+// Cells returns the sorted names of all cells.
+func (m Map) Cells() []string { return m.firstDataCentres }
 
-// sharedPart is which part of a cell's endpoints other cells may use, as a divisor. The
-// other part is left to the cell, whose gateways take it first.
-const sharedPart = 2
+// sharedDivisor determines the part of a cell's endpoints that other cells may use: one in
+// sharedDivisor. The rest is reserved for the cell itself, whose gateways use it first.
+const sharedDivisor = 2
 
-// Shared reports whether other cells may use an endpoint.
+// Shared reports whether another cell may use an endpoint.
 func (m Map) Shared(endpoint string) bool {
-	return len(m.starts) > 1 && xxhash.Sum64String(endpoint)%sharedPart == 0
+	return len(m.firstDataCentres) > 1 && xxhash.Sum64String(endpoint)%sharedDivisor == 0
 }
 
-// SharedWith returns the cell that may use an endpoint of another cell: each one is shared
-// with one cell at most, so that cells which know little of each other do not meet on one.
-// Those that are short are served before others. ok is false where it is shared with none.
-func (m Map) SharedWith(endpoint, home string, short map[string]bool) (other string, ok bool) {
+// SharedWith returns the other cell that may use an endpoint of cell home. An endpoint is
+// shared with at most one cell, because cells that exchange only digests would otherwise
+// choose the same endpoint at the same time. Cells in noSpare, which have no endpoints to
+// spare, take precedence over the others. ok is false if the endpoint is not shared.
+func (m Map) SharedWith(endpoint, home string, noSpare map[string]bool) (other string, ok bool) {
 	if !m.Shared(endpoint) {
 		return "", false
 	}
-	var others, first []string
-	for _, c := range m.starts {
+	var others, preferred []string
+	for _, c := range m.firstDataCentres {
 		if c == home {
 			continue
 		}
 		others = append(others, c)
-		if short[c] {
-			first = append(first, c)
+		if noSpare[c] {
+			preferred = append(preferred, c)
 		}
 	}
-	if len(first) > 0 {
-		others = first
+	if len(preferred) > 0 {
+		others = preferred
 	}
-	return others[xxhash.Sum64String(endpoint)/sharedPart%uint64(len(others))], true
+	return others[xxhash.Sum64String(endpoint)/sharedDivisor%uint64(len(others))], true
 }
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -22,7 +22,7 @@
 			map[string]int{"a": 30, "b": 30, "c": 24}, map[string]string{"a": "a", "b": "b", "c": "c"}},
 		"small ones go together": {
 			map[string]int{"a": 15, "b": 15, "c": 15, "d": 15}, map[string]string{"a": "a", "b": "a", "c": "c", "d": "c"}},
-		"a rest joins the last one": {
+		"a remainder joins the last one": {
 			map[string]int{"a": 20, "b": 20, "c": 20}, map[string]string{"a": "a", "b": "a", "c": "a"}},
 		"one that lost its endpoints joins a neighbour": {
 			map[string]int{"a": 30, "b": 3, "c": 30}, map[string]string{"a": "a", "b": "b", "c": "b"}},
@@ -33,15 +33,15 @@
 			is := is.New(t)
 			m := Group(c.endpoints)
 			for dataCentre, want := range c.want {
-				is.Equal(m.Of(dataCentre), want) // the cell of a data centre
+				is.Equal(m.Of(dataCentre), want) // the cell of the data centre
 			}
 		})
 	}
 }
 
-// FuzzGroup: whatever data centres there are, each belongs to one cell, a cell has
-// enough endpoints if the fleet has, and the loss of one endpoint moves no data centre
-// but its own with its last one, and where a cell was just large enough.
+// FuzzGroup checks that each data centre belongs to one cell and that every cell has
+// minEndpoints if the fleet has. The loss of one endpoint may regroup data centres only
+// if it was the last one of its data centre, or a cell had exactly minEndpoints.
 func FuzzGroup(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed)
@@ -66,38 +66,38 @@
 				t.Fatalf("cell %s of %v has %d endpoints", c, fleet, n)
 			}
 			if !slices.Contains(m.Cells(), c) && len(fleet) > 0 {
-				t.Fatalf("%s is no cell of %v", c, fleet)
+				t.Fatalf("%s is not a cell of %v", c, fleet)
 			}
 		}
-		if prefixJustFull(fleet) {
+		if anyCellExactlyFull(fleet) {
 			return
 		}
 		for dataCentre, n := range fleet {
 			if n <= 1 {
-				continue // one that has none left goes to the cell before it
+				continue // a data centre without endpoints joins the cell before it
 			}
 			fewer := maps.Clone(fleet)
 			fewer[dataCentre]--
-			checkSamePairs(t, fleet, m, Group(fewer))
+			checkSameGrouping(t, fleet, m, Group(fewer))
 		}
 	})
 }
 
-// checkSamePairs checks that the same data centres are together in both.
-func checkSamePairs(t *testing.T, fleet map[string]int, before, after Map) {
+// checkSameGrouping checks that both maps put the same pairs of data centres into one cell.
+func checkSameGrouping(t *testing.T, fleet map[string]int, before, after Map) {
 	t.Helper()
 	for a := range fleet {
 		for b := range fleet {
 			if (before.Of(a) == before.Of(b)) != (after.Of(a) == after.Of(b)) {
-				t.Fatalf("%v without one endpoint parts or joins %s and %s", fleet, a, b)
+				t.Fatalf("the loss of one endpoint of %v separates or joins %s and %s", fleet, a, b)
 			}
 		}
 	}
 }
 
-// prefixJustFull reports whether a cell is full to the endpoint, so that one fewer
-// makes it go on.
-func prefixJustFull(fleet map[string]int) bool {
+// anyCellExactlyFull reports whether a cell has exactly minEndpoints when it is closed, so
+// that with one endpoint fewer it takes in the next data centre.
+func anyCellExactlyFull(fleet map[string]int) bool {
 	size := 0
 	for _, name := range slices.Sorted(maps.Keys(fleet)) {
 		size += fleet[name]
@@ -111,15 +111,15 @@
 	return false
 }
 
-// TestSharedWith: about half of the endpoints of a cell are shared, with each other cell about
-// as many, and never to their own; while one is short, all of them are shared with it.
+// TestSharedWith checks that about half of a cell's endpoints are shared, about evenly with
+// the other cells and never with their own, and all with the one cell that has none to spare.
 func TestSharedWith(t *testing.T) {
 	is := is.New(t)
 	m := Group(map[string]int{"a": 30, "b": 30, "c": 30})
-	count := func(short map[string]bool) map[string]int {
+	count := func(noSpare map[string]bool) map[string]int {
 		count := make(map[string]int)
 		for i := range 1000 {
-			if other, ok := m.SharedWith(fmt.Sprint("e", i), "b", short); ok {
+			if other, ok := m.SharedWith(fmt.Sprint("e", i), "b", noSpare); ok {
 				count[other]++
 			}
 		}
