--- a/generation/gauges.go
+++ b/generation/gauges.go
@@ -6,8 +6,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Gauges registers the metrics that show a keeper to operators; process is
-// "gateway" or "agent".
+// Gauges registers the metrics of a keeper; process is "gateway" or "agent".
 func Gauges(set *metrics.Set, process string, k *Keeper) {
 	gauge := func(name string, f func() float64) {
 		set.NewGauge(fmt.Sprintf("rudder_%s_generation%s", process, name), f)
@@ -19,6 +18,6 @@
 		}
 		return float64(k.Since().UnixMicro()) / 1e6
 	})
-	gauge("_stale_offers", func() float64 { return float64(k.Stale()) })
-	gauge("_diverged_offers", func() float64 { return float64(k.Diverged()) })
+	gauge("_stale_offers", func() float64 { return float64(k.StaleOffers()) })
+	gauge("_diverged_offers", func() float64 { return float64(k.DivergedOffers()) })
 }
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -1,6 +1,6 @@
-// Package generation keeps the highest accepted configuration a process has
-// seen. A keeper never goes back: an older document, from wherever it comes,
-// is ignored and counted.
+// Package generation holds the accepted document with the highest generation that
+// a process has received. The generation never decreases: an older document is
+// ignored and counted, whatever its source.
 package generation
 
 import (
@@ -11,36 +11,37 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// Keeper holds one process's accepted document. It is safe for concurrent use;
-// the documents it returns must not be changed.
+// Keeper holds the accepted document of one process. It is safe for concurrent
+// use. Callers must not change the documents that it returns.
 type Keeper struct {
 	mu       sync.Mutex
 	doc      *rudderv1.Document
-	since    time.Time     // when the document came into force here
+	since    time.Time     // when the document came into force in this process
 	changed  chan struct{} // closed and replaced when the document advances
-	stale    int           // offers that were older than the document
-	diverged int           // offers of the same generation with other content
+	stale    int           // number of offered documents with a lower generation
+	diverged int           // number of offered documents with the same generation and another plan id
 
-	past past
+	cache deltaCache
 }
 
-// NewKeeper returns a keeper at generation 0.
+// NewKeeper returns a keeper with an empty document of generation 0.
 func NewKeeper() *Keeper {
 	return &Keeper{doc: &rudderv1.Document{}, changed: make(chan struct{})}
 }
 
-// Verdict says what an offered document meant.
+// Verdict is the result of an offer.
 type Verdict int
 
-// The verdicts on an offered document.
+// The results of an offer.
 const (
-	Same    Verdict = iota // the generation the keeper holds already
-	Newer                  // accepted
-	Older                  // ignored
-	Diverge                // same generation, other content: ignored, an operator must look
+	Same    Verdict = iota // the document that is held already, or no document
+	Newer                  // higher generation: accepted
+	Older                  // lower generation: ignored
+	Diverge                // same generation, other plan and so other content: ignored, an operator must look into it
 )
 
-// Offer hands the keeper a document.
+// Offer compares doc with the current document and replaces that if doc has a
+// higher generation.
 func (k *Keeper) Offer(doc *rudderv1.Document) Verdict {
 	if doc == nil {
 		return Same
@@ -62,16 +63,17 @@
 	}
 }
 
-// advance puts a newer document into force; the caller holds mu.
+// advance replaces the current document by a newer one. The caller holds mu.
 func (k *Keeper) advance(doc *rudderv1.Document) {
-	k.past.add(k.doc)
+	k.cache.remember(k.doc)
 	k.doc = doc
 	k.since = time.Now()
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
-// Document returns the current document, its generation 0 before the first.
+// Document returns the current document. Before the first accepted one, its
+// generation is 0.
 func (k *Keeper) Document() *rudderv1.Document {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -81,40 +83,41 @@
 // Generation returns the current generation.
 func (k *Keeper) Generation() uint64 { return k.Document().GetGeneration() }
 
-// Since returns when the current document came into force in this process;
-// zero before the first.
+// Since returns when the current document came into force in this process, or the
+// zero time before the first one.
 func (k *Keeper) Since() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.since
 }
 
-// Changed returns a channel that is closed when the document advances past
-// the one that Document returned before.
+// Changed returns a channel that is closed when the current document is replaced.
+// A caller that gets the channel before it calls Document misses no change.
 func (k *Keeper) Changed() <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.changed
 }
 
-// Stale returns how many older documents were offered.
-func (k *Keeper) Stale() int {
+// StaleOffers returns the number of offered documents with a lower generation than
+// the current one.
+func (k *Keeper) StaleOffers() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.stale
 }
 
-// Diverged returns how many documents were offered that have the current
-// generation and another content.
-func (k *Keeper) Diverged() int {
+// DivergedOffers returns the number of offered documents with the current generation
+// and another plan id.
+func (k *Keeper) DivergedOffers() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.diverged
 }
 
-// Decode reads a document as stored in the platform's service. Fields of a
-// newer release are kept and written back by Encode.
+// Decode decodes a document as stored in the platform's service. Fields unknown to
+// this release are preserved, and Encode writes them again.
 func Decode(b []byte) (*rudderv1.Document, error) { return document.Decode(b) }
 
-// Encode returns the stored form of a document.
+// Encode returns the encoding of a document for the platform's service.
 func Encode(doc *rudderv1.Document) ([]byte, error) { return document.Encode(doc) }
--- a/generation/generation_test.go
+++ b/generation/generation_test.go
@@ -23,13 +23,13 @@
 
 func TestVerdicts(t *testing.T) {
 	cases := []struct {
-		name string
-		o    *rudderv1.OfferRequest
-		want Verdict
-		err  error
+		name  string
+		offer *rudderv1.OfferRequest
+		want  Verdict
+		err   error
 	}{
 		{"nothing", nil, Same, nil},
-		{"a question", &rudderv1.OfferRequest{Have: 9}, Same, nil},
+		{"no document", &rudderv1.OfferRequest{Have: 9}, Same, nil},
 		{"the same", &rudderv1.OfferRequest{Document: doc(5, "p5", 1)}, Same, nil},
 		{"newer", &rudderv1.OfferRequest{Document: doc(6, "p6", 0)}, Newer, nil},
 		{"much newer", &rudderv1.OfferRequest{Document: doc(90, "p90", 0)}, Newer, nil},
@@ -37,7 +37,7 @@
 		{"other content", &rudderv1.OfferRequest{Document: doc(5, "q5", 0)}, Diverge, nil},
 		{"delta", &rudderv1.OfferRequest{Delta: document.Diff(doc(5, "p5", 1), doc(6, "p6", 2))}, Newer, nil},
 		{"delta from another base", &rudderv1.OfferRequest{Delta: document.Diff(doc(4, "p4", 1), doc(6, "p6", 2))}, Same, document.ErrBase},
-		{"delta from the base's twin", &rudderv1.OfferRequest{Delta: document.Diff(doc(5, "q5", 1), doc(6, "p6", 2))}, Same, document.ErrBase},
+		{"delta from a base of the same generation with another plan", &rudderv1.OfferRequest{Delta: document.Diff(doc(5, "q5", 1), doc(6, "p6", 2))}, Same, document.ErrBase},
 		{"delta to the same", &rudderv1.OfferRequest{Delta: document.Diff(doc(4, "p4", 1), doc(5, "p5", 1))}, Same, nil},
 		{"delta to an older one", &rudderv1.OfferRequest{Delta: document.Diff(doc(3, "p3", 1), doc(4, "p4", 1))}, Older, nil},
 		{"delta to other content", &rudderv1.OfferRequest{Delta: document.Diff(doc(4, "p4", 1), doc(5, "q5", 1))}, Diverge, nil},
@@ -48,7 +48,7 @@
 			is := is.New(t)
 			k := NewKeeper()
 			is.Equal(k.Offer(doc(5, "p5", 1)), Newer)
-			got, err := k.Take(c.o)
+			got, err := k.Take(c.offer)
 			is.Equal(got, c.want)
 			is.True(errors.Is(err, c.err))
 			is.Equal(k.Generation() > 5, c.want == Newer)
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestUpdate: whatever generation a receiver has, the update leads it to the
-// current document, and it is never longer than the whole document.
+// TestUpdate checks that an update brings a receiver of any generation to the current
+// document and is never longer than the complete document.
 func TestUpdate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sender, receivers := NewKeeper(), []*Keeper{NewKeeper()}
@@ -71,7 +71,7 @@
 		for _, r := range receivers {
 			u := sender.Update(r.Generation())
 			if proto.Size(u) > proto.Size(&rudderv1.OfferRequest{Document: sender.Document()}) {
-				t.Fatalf("from %d: longer than the whole document", r.Generation())
+				t.Fatalf("from %d: the update is longer than the complete document", r.Generation())
 			}
 			if _, err := r.Take(u); err != nil || !proto.Equal(r.Document(), sender.Document()) {
 				t.Fatalf("from %d: %v", r.Generation(), err)
@@ -89,7 +89,7 @@
 	for have := range uint64(12) {
 		u := k.Update(have)
 		is.Equal(u == nil, have >= 10)
-		is.Equal(u.GetDelta() != nil, have < 10 && have >= 10-Remembered)
-		is.Equal(u.GetDocument() != nil, have < 10-Remembered)
+		is.Equal(u.GetDelta() != nil, have < 10 && have >= 10-MaxDeltaBases)
+		is.Equal(u.GetDocument() != nil, have < 10-MaxDeltaBases)
 	}
 }
--- a/generation/update.go
+++ b/generation/update.go
@@ -9,28 +9,28 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// Remembered is the number of documents before the current one from which a
-// keeper can make a delta.
-const Remembered = 4
+// MaxDeltaBases is the number of previous documents from which a keeper can
+// compute a delta to the current one.
+const MaxDeltaBases = 4
 
-// Update returns what brings a process at generation have up to the current
-// document: a delta when its document is remembered and the delta is the
-// shorter form, the whole document otherwise. It returns nil when the process
-// is not behind. The returned message is shared and must not be changed.
+// Update returns an offer that brings a process with generation have to the current
+// document: a delta if the document of that generation is kept and the delta is
+// shorter, else the complete document. It returns nil if have is not older. The
+// returned message is shared and must not be changed.
 func (k *Keeper) Update(have uint64) *rudderv1.OfferRequest {
 	doc := k.Document()
 	if have >= doc.Generation {
 		return nil
 	}
-	if d := k.past.delta(have, doc); d != nil {
+	if d := k.cache.delta(have, doc); d != nil {
 		return &rudderv1.OfferRequest{Delta: d}
 	}
 	return &rudderv1.OfferRequest{Document: doc}
 }
 
-// Take hands the keeper what another process offers in either form. The error
-// is document.ErrBase when a newer document cannot be made from the delta; the
-// sender must then give the whole one.
+// Take applies an offer of another process, be it a document or a delta. The error
+// is document.ErrBase if the delta leads to a newer document but cannot be applied to
+// the current one; the sender must then offer the complete document.
 func (k *Keeper) Take(o *rudderv1.OfferRequest) (Verdict, error) {
 	if o.GetDelta() == nil {
 		return k.Offer(o.GetDocument()), nil
@@ -38,7 +38,7 @@
 	next := o.Delta.GetChanged()
 	current := k.Document()
 	if next.GetGeneration() <= current.Generation {
-		return k.Offer(next), nil // never accepted: generations only rise
+		return k.Offer(next), nil // not accepted, because the generation does not increase
 	}
 	doc, err := document.Apply(current, o.Delta)
 	if err != nil {
@@ -47,7 +47,8 @@
 	return k.Offer(doc), nil
 }
 
-// Offered returns the generation that an offer brings, or that its sender has.
+// Offered returns the generation of the offered document, or of the sender's own
+// one if the offer has none.
 func Offered(o *rudderv1.OfferRequest) uint64 {
 	switch {
 	case o.GetDocument() != nil:
@@ -59,22 +60,23 @@
 	}
 }
 
-// past keeps the latest earlier documents in their encoded form, which takes
-// a fraction of the memory, and the deltas made from them.
-type past struct {
+// deltaCache keeps the latest previous documents in encoded form, which takes a
+// fraction of the memory, and the deltas computed from them.
+type deltaCache struct {
 	mu     sync.Mutex
-	docs   []earlier // newest first, at most Remembered
+	bases  []encodedDocument // newest first, at most MaxDeltaBases
 	target *rudderv1.Document
-	deltas map[uint64]*rudderv1.DocumentDelta // to target, by base; nil: the whole is shorter
+	deltas map[uint64]*rudderv1.DocumentDelta // to target, by generation of the base; nil if there is none that is shorter than target
 }
 
-type earlier struct {
+// encodedDocument is a previous document in encoded form.
+type encodedDocument struct {
 	generation uint64
 	raw        []byte
 }
 
-// add remembers a document that is being replaced.
-func (p *past) add(doc *rudderv1.Document) {
+// remember adds a document that is being replaced to the bases.
+func (c *deltaCache) remember(doc *rudderv1.Document) {
 	if doc.Generation == 0 {
 		return
 	}
@@ -82,28 +84,29 @@
 	if err != nil {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.docs = append([]earlier{{doc.Generation, raw}}, p.docs[:min(len(p.docs), Remembered-1)]...)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.bases = append([]encodedDocument{{doc.Generation, raw}}, c.bases[:min(len(c.bases), MaxDeltaBases-1)]...)
 }
 
-// delta returns what leads from generation have to doc, or nil.
-func (p *past) delta(have uint64, doc *rudderv1.Document) *rudderv1.DocumentDelta {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.target != doc {
-		p.target, p.deltas = doc, make(map[uint64]*rudderv1.DocumentDelta)
+// delta returns the delta from generation have to doc, computed at most once per
+// target and base; nil if there is none that is shorter than doc.
+func (c *deltaCache) delta(have uint64, doc *rudderv1.Document) *rudderv1.DocumentDelta {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.target != doc {
+		c.target, c.deltas = doc, make(map[uint64]*rudderv1.DocumentDelta)
 	}
-	d, made := p.deltas[have]
-	if !made {
-		d = p.make(have, doc)
-		p.deltas[have] = d
+	d, cached := c.deltas[have]
+	if !cached {
+		d = c.compute(have, doc)
+		c.deltas[have] = d
 	}
 	return d
 }
 
-func (p *past) make(have uint64, doc *rudderv1.Document) *rudderv1.DocumentDelta {
-	for _, e := range p.docs {
+func (c *deltaCache) compute(have uint64, doc *rudderv1.Document) *rudderv1.DocumentDelta {
+	for _, e := range c.bases {
 		if e.generation != have {
 			continue
 		}
