--- a/ticket/fuzz_test.go
+++ b/ticket/fuzz_test.go
@@ -9,7 +9,7 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// FuzzParse: no text but a signed one is a ticket, and none breaks the reader.
+// FuzzParse checks that Parse accepts only a signed ticket and panics on no input.
 func FuzzParse(f *testing.F) {
 	s, err := NewSigner(Key{ID: 1, Secret: []byte("0123456789abcdef")})
 	if err != nil {
@@ -27,7 +27,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := s.Parse(text)
 		if err == nil && !proto.Equal(c, claims) {
-			t.Fatalf("%q was taken for a ticket of %v", text, c)
+			t.Fatalf("%q was accepted as a ticket with the claims %v", text, c)
 		}
 	})
 }
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -1,6 +1,6 @@
-// Package ticket signs and reads tickets: opaque names that lead any gateway
-// back to one run at one agent incarnation. A ticket is the base64url form of
-// a key id, the encoded rudder.v1.TicketClaims and an HMAC-SHA256 over both.
+// Package ticket signs and verifies tickets: opaque tokens by which any gateway can
+// find a run of one agent incarnation again. A ticket is the unpadded base64url
+// encoding of a key id, the encoded rudder.v1.TicketClaims and an HMAC-SHA256 over both.
 package ticket
 
 import (
@@ -15,43 +15,44 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// ErrBad is returned for a ticket that is malformed or not signed by a known key.
-var ErrBad = errors.New("ticket: malformed or not signed by a known key")
+// ErrInvalid is returned by Parse for a ticket that is malformed or not signed by a
+// known key.
+var ErrInvalid = errors.New("ticket: malformed or not signed by a known key")
 
 const (
 	macLen = sha256.Size
-	// MaxLen bounds the length of a ticket in its text form, in bytes.
+	// MaxLen is the maximum length of an encoded ticket, in bytes.
 	MaxLen = 1024
 )
 
-// Key is one signing key. ID is a single byte so that keys can be rotated:
-// add the new key everywhere as a second one, make it the first, then drop
-// the old one after the longest ticket lifetime.
+// Key is a signing key. ID is a single byte that is part of each ticket, so that keys
+// can be rotated: add the new key as the second one in all processes, then make it the
+// first, and remove the old one after the longest ticket lifetime.
 type Key struct {
 	ID     byte
 	Secret []byte
 }
 
-// Signer makes and checks tickets. The first key signs; all keys verify. It is
-// safe for concurrent use, Rotate included.
+// Signer signs and verifies tickets. It signs with the first key and verifies with
+// all of them. Its methods, including Rotate, are safe for concurrent use.
 type Signer struct{ keys atomic.Pointer[[]Key] }
 
-// NewSigner returns a signer; at least one key is needed.
+// NewSigner returns a signer with the given keys. It fails if there are none.
 func NewSigner(keys ...Key) (*Signer, error) {
 	s := new(Signer)
 	return s, s.Rotate(keys...)
 }
 
-// Rotate replaces the keys; at least one is needed.
+// Rotate replaces the keys. It fails if there are none.
 func (s *Signer) Rotate(keys ...Key) error {
 	if len(keys) == 0 {
-		return errors.New("ticket: no keys")
+		return errors.New("ticket: at least one key is required")
 	}
 	s.keys.Store(&keys)
 	return nil
 }
 
-// Sign returns the ticket for the claims.
+// Sign returns a ticket with the claims, signed with the first key.
 func (s *Signer) Sign(c *rudderv1.TicketClaims) (string, error) {
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(c)
 	if err != nil {
@@ -62,14 +63,14 @@
 	return base64.RawURLEncoding.EncodeToString(append(raw, mac(k, raw)...)), nil
 }
 
-// Parse checks the ticket and returns its claims.
+// Parse verifies the ticket and returns its claims.
 func (s *Signer) Parse(t string) (*rudderv1.TicketClaims, error) {
 	if len(t) > MaxLen {
-		return nil, ErrBad
+		return nil, ErrInvalid
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(t)
 	if err != nil || len(raw) <= macLen+1 {
-		return nil, ErrBad
+		return nil, ErrInvalid
 	}
 	signed, sum := raw[:len(raw)-macLen], raw[len(raw)-macLen:]
 	for _, k := range *s.keys.Load() {
@@ -78,11 +79,11 @@
 		}
 		c := new(rudderv1.TicketClaims)
 		if proto.Unmarshal(signed[1:], c) != nil {
-			return nil, ErrBad
+			return nil, ErrInvalid
 		}
 		return c, nil
 	}
-	return nil, ErrBad
+	return nil, ErrInvalid
 }
 
 func mac(k Key, b []byte) []byte {
