--- a/declaration/cross.go
+++ b/declaration/cross.go
@@ -12,34 +12,35 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// cross checks the rules that reach over more than one section.
-func (r *reader) cross() {
-	r.attachAdapters()
-	r.checkModels()
-	r.checkWorkspaces()
-	r.checkEndpoints()
+// checkAcrossSections checks the rules that involve more than one section.
+func (p *parser) checkAcrossSections() {
+	p.attachAdapters()
+	p.checkModels()
+	p.checkWorkspaces()
+	p.checkEndpoints()
 }
 
-func (r *reader) attachAdapters() {
-	for _, s := range r.adapters {
+func (p *parser) attachAdapters() {
+	for _, s := range p.adapters {
 		model, name, _ := strings.Cut(s.name, "/")
-		i := slices.IndexFunc(r.doc.Models, func(m *rudderv1.Model) bool { return m.Name == model })
+		i := slices.IndexFunc(p.doc.Models, func(m *rudderv1.Model) bool { return m.Name == model })
 		if i < 0 {
-			s.add("", "belongs to the undeclared model "+quote(model), r.declared("model"))
+			s.report("", "belongs to the undeclared model "+quote(model), p.declaredNames("model"))
 			continue
 		}
-		if other := r.named(name); other != "" {
-			s.add("", "has the name of "+other+", and requests name adapters without their model", "")
+		if other := p.requestNameOwner(name); other != "" {
+			s.report("", "has the same name as "+other+", and requests name adapters without their model", "")
 			continue
 		}
-		m := r.doc.Models[i]
+		m := p.doc.Models[i]
 		m.Adapters = append(m.Adapters, &rudderv1.Adapter{Name: name, Version: s.values["version"], Weights: s.values["weights"]})
 	}
 }
 
-// named returns what a request under the name would reach already, or "".
-func (r *reader) named(name string) string {
-	for _, m := range r.doc.Models {
+// requestNameOwner returns the section of the model or adapter that requests with this
+// model name already select, or "" if the name is free.
+func (p *parser) requestNameOwner(name string) string {
+	for _, m := range p.doc.Models {
 		if m.Name == name {
 			return "[model " + name + "]"
 		}
@@ -52,52 +53,53 @@
 	return ""
 }
 
-// declared lists the names of one kind for the "allowed" part of a mistake.
-func (r *reader) declared(kind string) string {
-	const most = 10
+// declaredNames lists the declared names of one kind, for Mistake.Allowed.
+func (p *parser) declaredNames(kind string) string {
+	const maxListed = 10
 	var names []string
-	for _, s := range r.seen {
+	for _, s := range p.sections {
 		if s.kind == kind {
 			names = append(names, s.name)
 		}
 	}
 	slices.Sort(names)
-	if len(names) > most {
-		return strings.Join(names[:most], ", ") + " and " + itoa(len(names)-most) + " more"
+	if len(names) > maxListed {
+		return strings.Join(names[:maxListed], ", ") + " and " + itoa(len(names)-maxListed) + " more"
 	}
 	return strings.Join(names, ", ")
 }
 
-func (r *reader) checkModels() {
-	memory := make(map[string][]uint64) // of the engines by data centre, largest first
-	for _, e := range r.doc.Endpoints {
+func (p *parser) checkModels() {
+	memoryByDataCentre := make(map[string][]uint64) // memory of each engine, largest first
+	for _, e := range p.doc.Endpoints {
 		if e.Service == "" && !e.Leaving {
-			memory[e.DataCentre] = append(memory[e.DataCentre], e.MemoryTokens)
+			memoryByDataCentre[e.DataCentre] = append(memoryByDataCentre[e.DataCentre], e.MemoryTokens)
 		}
 	}
-	for _, list := range memory {
-		slices.SortFunc(list, func(a, b uint64) int { return cmp.Compare(b, a) })
+	for _, engines := range memoryByDataCentre {
+		slices.SortFunc(engines, func(a, b uint64) int { return cmp.Compare(b, a) })
 	}
-	for _, m := range r.doc.Models {
-		s := r.find("model", m.Name)
+	for _, m := range p.doc.Models {
+		s := p.findSection("model", m.Name)
 		for _, dc := range slices.Sorted(maps.Keys(m.Replicas)) {
 			n := m.Replicas[dc]
 			if m.Floor > n {
-				s.add("floor", itoa(int(m.Floor))+" is above the "+itoa(int(n))+" replicas in "+dc, "at most the replicas of each data centre")
+				s.report("floor", itoa(int(m.Floor))+" is above the "+itoa(int(n))+" replicas in "+dc, "at most the replicas of each data centre")
 			}
-			if int(n) > len(memory[dc]) {
-				s.add("replicas", itoa(int(n))+" replicas in "+dc+" are more than its engines", "at most "+itoa(len(memory[dc])))
+			if int(n) > len(memoryByDataCentre[dc]) {
+				s.report("replicas", itoa(int(n))+" replicas in "+dc+" exceed the number of engines there", "at most "+itoa(len(memoryByDataCentre[dc])))
 			}
 		}
-		if room := longest(m, memory); room > 0 && m.MaxTokens > room {
-			s.add("max-tokens", formatQuantity(m.MaxTokens, tokenUnits)+" do not fit its replicas together",
-				"at most "+formatQuantity(room, tokenUnits))
+		if capacity := replicaCapacity(m, memoryByDataCentre); capacity > 0 && m.MaxTokens > capacity {
+			s.report("max-tokens", formatQuantity(m.MaxTokens, tokenUnits)+" exceed the total memory of its replicas",
+				"at most "+formatQuantity(capacity, tokenUnits))
 		}
 	}
 }
 
-// longest returns the most tokens that the model's replicas can hold together.
-func longest(m *rudderv1.Model, memory map[string][]uint64) uint64 {
+// replicaCapacity returns the maximum number of tokens that the model's replicas can
+// hold together, which is reached on the engines with the most memory.
+func replicaCapacity(m *rudderv1.Model, memory map[string][]uint64) uint64 {
 	var sum uint64
 	for dc, n := range m.Replicas {
 		for _, tokens := range memory[dc][:min(int(n), len(memory[dc]))] {
@@ -107,59 +109,60 @@
 	return sum
 }
 
-func (r *reader) checkWorkspaces() {
-	owner := make(map[string]string)
-	for _, w := range r.doc.Workspaces {
-		s := r.find("workspace", w.Name)
+func (p *parser) checkWorkspaces() {
+	workspaceByDigest := make(map[string]string)
+	for _, w := range p.doc.Workspaces {
+		s := p.findSection("workspace", w.Name)
 		for _, d := range w.KeyDigests {
-			if first := owner[d]; first != "" {
-				s.add("key-digests", "repeats a digest of workspace "+quote(first), "each digest in one workspace")
+			if first := workspaceByDigest[d]; first != "" {
+				s.report("key-digests", "repeats a digest of workspace "+quote(first), "each digest in one workspace")
 				continue
 			}
-			owner[d] = w.Name
+			workspaceByDigest[d] = w.Name
 		}
-		r.refer(s, "models", "model", w.Models)
-		r.refer(s, "services", "service", w.Services)
-		if len(w.Models)+len(w.Services) == 0 && !s.given("models") && !s.given("services") {
-			s.add("models", "is missing, and so is services", "at least one model or service")
+		p.checkDeclared(s, "models", "model", w.Models)
+		p.checkDeclared(s, "services", "service", w.Services)
+		if len(w.Models)+len(w.Services) == 0 && !s.isPresent("models") && !s.isPresent("services") {
+			s.report("models", "is missing, and so is services", "at least one model or service")
 		}
 	}
 }
 
-func (s *section) given(key string) bool { return s.keys[key] != 0 }
+// isPresent reports whether the section has the key, even with an invalid value.
+func (s *section) isPresent(key string) bool { return s.keyLines[key] != 0 }
 
-// refer reports the names in a key that are not declared.
-func (r *reader) refer(s *section, key, kind string, names []string) {
+// checkDeclared reports the names in the value of a key that are not declared.
+func (p *parser) checkDeclared(s *section, key, kind string, names []string) {
 	for _, n := range names {
-		if n != "" && r.find(kind, n) == nil {
-			s.add(key, "names the undeclared "+kind+" "+quote(n), r.declared(kind))
+		if n != "" && p.findSection(kind, n) == nil {
+			s.report(key, "names the undeclared "+kind+" "+quote(n), p.declaredNames(kind))
 		}
 	}
 }
 
-func (r *reader) checkEndpoints() {
-	hosts := make(map[string]*rudderv1.Host, len(r.doc.Hosts))
-	for _, h := range r.doc.Hosts {
+func (p *parser) checkEndpoints() {
+	hosts := make(map[string]*rudderv1.Host, len(p.doc.Hosts))
+	for _, h := range p.doc.Hosts {
 		hosts[h.Name] = h
 	}
-	agents := make(map[string]string)
-	for _, e := range r.doc.Endpoints {
-		s := r.find("endpoint", e.Name)
-		r.refer(s, "host", "host", []string{e.Host})
-		r.refer(s, "service", "service", []string{e.Service})
+	endpointByAddress := make(map[string]string)
+	for _, e := range p.doc.Endpoints {
+		s := p.findSection("endpoint", e.Name)
+		p.checkDeclared(s, "host", "host", []string{e.Host})
+		p.checkDeclared(s, "service", "service", []string{e.Service})
 		h := hosts[e.Host]
 		if h != nil && h.DataCentre != "" && e.DataCentre != "" && h.DataCentre != e.DataCentre {
-			s.add("data-centre", quote(e.DataCentre)+" is not where host "+quote(h.Name)+" stands", h.DataCentre)
+			s.report("data-centre", quote(e.DataCentre)+" is not the data centre that host "+quote(h.Name)+" is in", h.DataCentre)
 		}
-		if first := agents[e.AgentAddress]; first != "" && e.AgentAddress != "" {
-			s.add("agent", "repeats the address of endpoint "+quote(first), "one address for each agent")
+		if first := endpointByAddress[e.AgentAddress]; first != "" && e.AgentAddress != "" {
+			s.report("agent", "repeats the address of endpoint "+quote(first), "one address for each agent")
 			continue
 		}
-		agents[e.AgentAddress] = e.Name
+		endpointByAddress[e.AgentAddress] = e.Name
 	}
 }
 
-// find returns the section that declares something, nil when there is none.
-func (r *reader) find(kind, name string) *section {
-	return r.seen[title(kind, name)]
+// findSection returns the section with this kind and name, or nil if there is none.
+func (p *parser) findSection(kind, name string) *section {
+	return p.sections[title(kind, name)]
 }
--- a/declaration/declaration.go
+++ b/declaration/declaration.go
@@ -1,7 +1,7 @@
-// Package declaration reads the operators' declarations, INI files kept under
-// version control, into one rudder.v1.Document, and writes a Document back in
-// a canonical form. It reports every mistake with its file, line, section and
-// key. It does no I/O: files come in as bytes.
+// Package declaration parses the operators' declarations, which are INI files
+// under version control, into one rudder.v1.Document, and writes a Document as
+// declarations in canonical form. It reports every mistake with its file, line,
+// section and key. It does no I/O; callers pass in the contents of the files.
 package declaration
 
 import (
@@ -18,14 +18,14 @@
 	Data []byte
 }
 
-// Mistake is one thing wrong with the declarations.
+// Mistake is one error in the declarations.
 type Mistake struct {
 	File    string `json:"file"`
-	Line    int    `json:"line"` // counted from 1; 0 when no line is to blame
+	Line    int    `json:"line"` // counted from 1; 0 if the mistake belongs to no line
 	Section string `json:"section"`
 	Key     string `json:"key,omitempty"`
 	Problem string `json:"problem"`
-	Allowed string `json:"allowed,omitempty"` // what would be accepted
+	Allowed string `json:"allowed,omitempty"` // the values that are accepted
 }
 
 // Error implements error.
@@ -45,10 +45,10 @@
 	return b.String()
 }
 
-// Mistakes are all mistakes of one reading, ordered by file and line.
+// Mistakes are all mistakes found by one call of Parse, ordered by file and line.
 type Mistakes []*Mistake
 
-// Error implements error; each mistake stands on a line of its own.
+// Error implements error, with one line for each mistake.
 func (ms Mistakes) Error() string {
 	lines := make([]string, len(ms))
 	for i, m := range ms {
@@ -57,30 +57,30 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads the files as one set of declarations. The document has no
-// generation and no plan id, and its lists are ordered by name. A non-nil
-// error is of type Mistakes.
+// Parse parses the files as one set of declarations. The document has neither a
+// generation nor a plan id, and its lists are sorted by name. A non-nil error is
+// of type Mistakes.
 func Parse(files ...File) (*rudderv1.Document, error) {
-	r := newReader()
+	p := newParser()
 	for _, f := range files {
-		r.read(f)
+		p.parseFile(f)
 	}
-	r.cross()
-	if len(r.mistakes) > 0 {
-		r.order(files)
-		return nil, r.mistakes
+	p.checkAcrossSections()
+	if len(p.mistakes) > 0 {
+		p.sortMistakes(files)
+		return nil, p.mistakes
 	}
-	sortDocument(r.doc)
-	return r.doc, nil
+	sortDocument(p.doc)
+	return p.doc, nil
 }
 
-func (r *reader) order(files []File) {
+func (p *parser) sortMistakes(files []File) {
 	rank := make(map[string]int, len(files))
 	for i, f := range files {
 		rank[f.Name] = i
 	}
-	sort.SliceStable(r.mistakes, func(i, j int) bool {
-		a, b := r.mistakes[i], r.mistakes[j]
+	sort.SliceStable(p.mistakes, func(i, j int) bool {
+		a, b := p.mistakes[i], p.mistakes[j]
 		if a.File != b.File {
 			return rank[a.File] < rank[b.File]
 		}
@@ -88,9 +88,9 @@
 	})
 }
 
-type named interface{ GetName() string }
+type hasName interface{ GetName() string }
 
-func sortByName[T named](list []T) {
+func sortByName[T hasName](list []T) {
 	sort.SliceStable(list, func(i, j int) bool { return list[i].GetName() < list[j].GetName() })
 }
 
--- a/declaration/declaration_test.go
+++ b/declaration/declaration_test.go
@@ -13,7 +13,7 @@
 
 const digestA = "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
 
-// valid is a small set of declarations; cases replace one line of it.
+// valid is a small set of valid declarations. Each case of TestMistakes changes a part.
 const valid = `[model m]
 version = 1
 weights = m/1
@@ -52,37 +52,37 @@
 		{"rate not a number", "50/s", "NaN/s", `request-rate: "NaN/s" is not a quantity`},
 		{"missing", "version = 1\n", "", "d.ini:1: [model m] version: is missing"},
 		{"empty", "version = 1", "version =", "d.ini:2: [model m] version: is empty"},
-		{"unknown key", "floor = 1", "floor = 1\nflour = 2", "d.ini:8: [model m] flour: is no key of this section; allowed: version, weights, weight-size, max-tokens, replicas, floor"},
+		{"unknown key", "floor = 1", "floor = 1\nflour = 2", "d.ini:8: [model m] flour: is not a key of this section; allowed: version, weights, weight-size, max-tokens, replicas, floor"},
 		{"key twice", "floor = 1", "floor = 1\nfloor = 1", "d.ini:8: [model m] floor: is given more than once"},
-		{"unknown kind", "[service s]", "[servce s]", "d.ini:11: [servce s] is no known kind of section; allowed: [model NAME]"},
+		{"unknown kind", "[service s]", "[servce s]", "d.ini:11: [servce s] is not a known kind of section; allowed: [model NAME]"},
 		{"section twice", "[service s]", "[service s]\n[service s]", "d.ini:12: [service s] is declared more than once; first at d.ini:11"},
 		{"bad name", "[service s]", "[service S]", `[service S] "S" is not a name`},
 		{"no name", "[service s]", "[service]", `[service] "" is not a name`},
-		{"open header", "[service s]", "[service s", "d.ini:11: [service s] is no section header; allowed: [KIND NAME]"},
-		{"no key", "floor = 1", "floor = 1\nfloor", "d.ini:8: [model m] is neither a section, a key nor a comment"},
-		{"outside", "[model m]", "stray = 1\n[model m]", "d.ini:1: stray: stands outside any section"},
+		{"header without closing bracket", "[service s]", "[service s", "d.ini:11: [service s] is not a section header; allowed: [KIND NAME]"},
+		{"no key", "floor = 1", "floor = 1\nfloor", "d.ini:8: [model m] is neither a section header, a key nor a comment"},
+		{"outside", "[model m]", "stray = 1\n[model m]", "d.ini:1: stray: is outside any section"},
 		{"quoted", "weights = m/1", `weights = "m/1"`, "d.ini:3: [model m] weights: is quoted"},
 		{"weights", "weights = m/1", `weights = m 1`, `weights: "m 1" is not a name in the weight store`},
 		{"floor above", "floor = 1", "floor = 2", "d.ini:7: [model m] floor: 2 is above the 1 replicas in a"},
-		{"replicas above engines", "a:1", "a:2", "d.ini:6: [model m] replicas: 2 replicas in a are more than its engines; allowed: at most 1"},
-		{"prompts without room", "400 ktokens", "451 ktokens", "d.ini:5: [model m] max-tokens: 451 ktokens do not fit its replicas together; allowed: at most 450 ktokens"},
-		{"replicas nowhere", "a:1", "b:1", "replicas: 1 replicas in b are more than its engines; allowed: at most 0"},
-		{"replicas shape", "a:1", "a=1", `replicas: "a=1" is not a number of replicas in a data centre`},
+		{"replicas above engines", "a:1", "a:2", "d.ini:6: [model m] replicas: 2 replicas in a exceed the number of engines there; allowed: at most 1"},
+		{"prompts beyond the memory of the replicas", "400 ktokens", "451 ktokens", "d.ini:5: [model m] max-tokens: 451 ktokens exceed the total memory of its replicas; allowed: at most 450 ktokens"},
+		{"replicas without engines", "a:1", "b:1", "replicas: 1 replicas in b exceed the number of engines there; allowed: at most 0"},
+		{"replicas without colon", "a:1", "a=1", `replicas: "a=1" is not a number of replicas in a data centre`},
 		{"replicas twice", "a:1", "a:1, a:2", `replicas: names "a" twice`},
 		{"undeclared model", "models = m", "models = n", `d.ini:16: [workspace w] models: names the undeclared model "n"; allowed: m`},
 		{"undeclared service", "services = s", "services = t", `d.ini:17: [workspace w] services: names the undeclared service "t"; allowed: s`},
 		{"undeclared adapter model", "[adapter m/x]", "[adapter n/x]", `d.ini:8: [adapter n/x] belongs to the undeclared model "n"; allowed: m`},
-		{"adapter named as its model", "[adapter m/x]", "[adapter m/m]", "d.ini:8: [adapter m/m] has the name of [model m], and requests name adapters without their model"},
-		{"two adapters of one name", "[service s]", "[model n]\nversion = 1\nweights = n\nweight-size = 1 GiB\nmax-tokens = 1 ktokens\nfloor = 0\n[adapter n/x]\nversion = 1\n[service s]", "d.ini:17: [adapter n/x] has the name of [adapter m/x]"},
+		{"adapter named as its model", "[adapter m/x]", "[adapter m/m]", "d.ini:8: [adapter m/m] has the same name as [model m], and requests name adapters without their model"},
+		{"two adapters of one name", "[service s]", "[model n]\nversion = 1\nweights = n\nweight-size = 1 GiB\nmax-tokens = 1 ktokens\nfloor = 0\n[adapter n/x]\nversion = 1\n[service s]", "d.ini:17: [adapter n/x] has the same name as [adapter m/x]"},
 		{"nothing to use", "models = m\nservices = s", "", "d.ini:13: [workspace w] models: is missing, and so is services"},
 		{"digest", digestA, "AA", `d.ini:14: [workspace w] key-digests: "AA" is not a digest`},
 		{"digest upper", digestA, strings.ToUpper(digestA), "is not a digest"},
 		{"digest twice", "[host h]", "[workspace v]\nkey-digests = " + digestA + "\nmodels = m\n[host h]", `d.ini:19: [workspace v] key-digests: repeats a digest of workspace "w"`},
 		{"list twice", "models = m", "models = m, m", `models: names "m" twice`},
-		{"list hole", "models = m", "models = m,,", "models: has an empty element"},
+		{"empty list element", "models = m", "models = m,,", "models: has an empty element"},
 		{"method", "GET, PUT", "GET, TAKE", `repeatable-methods: "TAKE" is not known; allowed: GET, HEAD`},
 		{"undeclared host", "host = h", "host = i", `d.ini:21: [endpoint e] host: names the undeclared host "i"; allowed: h`},
-		{"other data centre", "data-centre = a\nagent", "data-centre = b\nagent", `d.ini:22: [endpoint e] data-centre: "b" is not where host "h" stands; allowed: a`},
+		{"other data centre", "data-centre = a\nagent", "data-centre = b\nagent", `d.ini:22: [endpoint e] data-centre: "b" is not the data centre that host "h" is in; allowed: a`},
 		{"agent name", "10.0.0.1:7200", "agent.example:7200", `d.ini:23: [endpoint e] agent: "agent.example:7200" is not an address`},
 		{"agent twice", "[endpoint e]", "[endpoint d]\nhost=h\ndata-centre=a\nmemory=1 tokens\nagent=10.0.0.1:7200\n[endpoint e]", `[endpoint e] agent: repeats the address of endpoint "d"`},
 		{"engine without memory", "memory = 450 ktokens\n", "", "d.ini:20: [endpoint e] memory: is missing"},
@@ -90,17 +90,17 @@
 		{"check", "checks = fencing", "checks = fences", `checks: "fences" is not known; allowed: fencing, callers`},
 		{"flag", "[endpoint e]", "leaving = yes\n[endpoint e]", `d.ini:20: [host h] leaving: "yes" is not known; allowed: true, false`},
 		{"percent", "[host h]", "[placement]\nmoving = 5\n[host h]", `[placement] moving: "5" is not a percentage`},
-		{"count", "[host h]", "[placement]\nconcurrent-loads = 0\n[host h]", `concurrent-loads: "0" is out of range or no whole number; allowed: a whole number from 1`},
+		{"count", "[host h]", "[placement]\nconcurrent-loads = 0\n[host h]", `concurrent-loads: "0" is out of range or not a whole number; allowed: a whole number from 1`},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			text := strings.Replace(valid, c.old, c.new, 1)
-			is.True(text != valid) // the case changes something
+			is.True(text != valid) // the replaced part is in the text
 			_, err := Parse(File{"d.ini", []byte(text)})
 			is.True(err != nil)
 			if !strings.Contains(err.Error(), c.want) {
-				t.Fatalf("got:\n%v\nwant in it:\n%s", err, c.want)
+				t.Fatalf("got:\n%v\nwant it to contain:\n%s", err, c.want)
 			}
 		})
 	}
@@ -155,7 +155,7 @@
 	}
 }
 
-// TestKeysAreDocumented: docs/ops/plans.md has a row for every key.
+// TestKeysAreDocumented checks that docs/ops/plans.md has a table row for every key.
 func TestKeysAreDocumented(t *testing.T) {
 	is := is.New(t)
 	doc, err := os.ReadFile("../docs/ops/plans.md")
--- a/declaration/fuzz_test.go
+++ b/declaration/fuzz_test.go
@@ -7,8 +7,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// FuzzParse: no input panics, every mistake names its file, and what is
-// accepted survives rendering unchanged.
+// FuzzParse checks that no input causes a panic, that every mistake has a file, a line
+// and a problem, and that an accepted document is the same after Render and Parse.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		"", valid, "[", "[]", "=", "[model m]\n=", "[a\n]b", "[model m]\nversion=\\\nx", "[model m] ; c\nversion = 1 ; c\n",
@@ -22,17 +22,17 @@
 		if err != nil {
 			for _, m := range err.(Mistakes) {
 				if m.File != "f.ini" || m.Line < 1 || m.Problem == "" {
-					t.Fatalf("incomplete mistake %+v", m)
+					t.Fatalf("file, line or problem missing in %+v", m)
 				}
 			}
 			return
 		}
 		again, err := Parse(File{"f.ini", Render(d)})
 		if err != nil {
-			t.Fatalf("canonical form refused: %v\n%s", err, Render(d))
+			t.Fatalf("canonical form does not parse: %v\n%s", err, Render(d))
 		}
 		if !proto.Equal(d, again) {
-			t.Fatalf("canonical form differs:\n%s\n%s", Render(d), Render(again))
+			t.Fatalf("document changed by rendering and parsing:\n%s\n%s", Render(d), Render(again))
 		}
 	})
 }
--- a/declaration/lines.go
+++ b/declaration/lines.go
@@ -6,70 +6,70 @@
 	"gopkg.in/ini.v1"
 )
 
-// block is one section of a file as text, with the lines its keys stand on.
-type block struct {
-	header string
-	line   int
-	text   strings.Builder
-	keys   map[string]int // line of each key
+// rawSection is the text of one section of a file, with the line numbers of its keys.
+type rawSection struct {
+	header   string
+	line     int
+	text     strings.Builder
+	keyLines map[string]int // line of each key
 }
 
-// splitLines divides a file into its sections and reports the lines that are
-// no comment, header or key. What is left is sure to be understood by ini.v1,
-// which knows no line numbers.
-func (r *reader) splitLines(f File) []*block {
-	var blocks []*block
-	var cur *block
+// splitSections splits a file into its sections and reports lines that are neither a
+// comment, a section header nor a key. The text of the sections holds only lines that
+// ini.v1 can parse, because ini.v1 does not report line numbers.
+func (p *parser) splitSections(f File) []*rawSection {
+	var sections []*rawSection
+	var cur *rawSection
 	text := strings.TrimPrefix(string(f.Data), "\ufeff")
 	for i, raw := range strings.Split(text, "\n") {
 		line := strings.TrimSpace(raw)
 		switch {
 		case line == "" || line[0] == '#' || line[0] == ';':
 		case line[0] == '[':
-			cur = r.header(f.Name, i+1, line)
-			blocks = append(blocks, cur)
+			cur = p.parseHeader(f.Name, i+1, line)
+			sections = append(sections, cur)
 		default:
-			r.keyLine(f.Name, i+1, line, cur)
+			p.parseKeyLine(f.Name, i+1, line, cur)
 		}
 	}
-	return blocks
+	return sections
 }
 
-func (r *reader) header(file string, line int, text string) *block {
-	b := &block{line: line, keys: make(map[string]int)}
+func (p *parser) parseHeader(file string, line int, text string) *rawSection {
+	s := &rawSection{line: line, keyLines: make(map[string]int)}
 	name, rest, closed := strings.Cut(text[1:], "]")
-	b.header = strings.Join(strings.Fields(name), " ")
+	s.header = strings.Join(strings.Fields(name), " ")
 	rest = strings.TrimSpace(rest)
 	if !closed || rest != "" && rest[0] != '#' && rest[0] != ';' {
-		r.add(file, line, b.header, "", "is no section header", "[KIND NAME]")
+		p.report(file, line, s.header, "", "is not a section header", "[KIND NAME]")
 	}
-	return b
+	return s
 }
 
-func (r *reader) keyLine(file string, line int, text string, cur *block) {
+func (p *parser) parseKeyLine(file string, line int, text string, cur *rawSection) {
 	key, value, ok := strings.Cut(text, "=")
 	key, value = strings.TrimSpace(key), strings.TrimSpace(value)
 	switch {
 	case !ok || !isKey(key):
-		r.add(file, line, headerOf(cur), "", "is neither a section, a key nor a comment", "key = value")
+		p.report(file, line, headerOf(cur), "", "is neither a section header, a key nor a comment", "key = value")
 	case cur == nil:
-		r.add(file, line, "", key, "stands outside any section", "")
-	case cur.keys[key] != 0:
-		r.add(file, line, cur.header, key, "is given more than once", "")
+		p.report(file, line, "", key, "is outside any section", "")
+	case cur.keyLines[key] != 0:
+		p.report(file, line, cur.header, key, "is given more than once", "")
 	case strings.HasPrefix(value, "`") || strings.HasPrefix(value, `"`) || strings.HasPrefix(value, "'"):
-		r.add(file, line, cur.header, key, "is quoted", "a value without quotes on one line")
-		cur.keys[key] = line
+		p.report(file, line, cur.header, key, "is quoted", "a value without quotes on one line")
+		cur.keyLines[key] = line
 	default:
-		cur.keys[key] = line
+		cur.keyLines[key] = line
 		cur.text.WriteString(text + "\n")
 	}
 }
 
-func headerOf(b *block) string {
-	if b == nil {
+func headerOf(s *rawSection) string {
+	if s == nil {
 		return ""
 	}
-	return b.header
+	return s.header
 }
 
 func isKey(s string) bool {
@@ -81,14 +81,14 @@
 	return s != ""
 }
 
-// values parses the keys of one section.
-func (b *block) values() (map[string]string, error) {
+// values parses the text of the section and returns the values by key.
+func (s *rawSection) values() (map[string]string, error) {
 	opts := ini.LoadOptions{
 		KeyValueDelimiters:       "=",
 		IgnoreContinuation:       true,
 		SpaceBeforeInlineComment: true,
 	}
-	f, err := ini.LoadSources(opts, []byte(b.text.String()))
+	f, err := ini.LoadSources(opts, []byte(s.text.String()))
 	if err != nil {
 		return nil, err
 	}
--- a/declaration/reader.go
+++ b/declaration/reader.go
@@ -6,9 +6,9 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-const kindRule = "[model NAME], [adapter MODEL/NAME], [service NAME], [workspace NAME], [host NAME], [endpoint NAME], [placement]"
+const sectionSyntax = "[model NAME], [adapter MODEL/NAME], [service NAME], [workspace NAME], [host NAME], [endpoint NAME], [placement]"
 
-// Defaults of keys that may be left out.
+// The defaults of optional keys, and the limits of numbers.
 const (
 	DefaultPriority = 4
 	DefaultWeight   = 1
@@ -16,57 +16,58 @@
 	maxPriority     = 9
 	maxWeight       = 1000
 	maxReplicas     = 10_000
-	maxSlots        = 64
+	maxModels       = 64
 	maxInFlight     = 1_000_000
 )
 
-type reader struct {
+// parser collects the declarations of all files and the mistakes in them.
+type parser struct {
 	doc      *rudderv1.Document
 	mistakes Mistakes
-	seen     map[string]*section // by title
+	sections map[string]*section // by title
 	adapters []*section
 }
 
-func newReader() *reader {
-	return &reader{doc: new(rudderv1.Document), seen: make(map[string]*section)}
+func newParser() *parser {
+	return &parser{doc: new(rudderv1.Document), sections: make(map[string]*section)}
 }
 
-func (r *reader) add(file string, line int, sec, key, problem, allowed string) {
-	r.mistakes = append(r.mistakes, &Mistake{file, line, sec, key, problem, allowed})
+func (p *parser) report(file string, line int, sec, key, problem, allowed string) {
+	p.mistakes = append(p.mistakes, &Mistake{file, line, sec, key, problem, allowed})
 }
 
-func (r *reader) read(f File) {
-	for _, b := range r.splitLines(f) {
-		values, err := b.values()
+func (p *parser) parseFile(f File) {
+	for _, raw := range p.splitSections(f) {
+		values, err := raw.values()
 		if err != nil {
-			r.add(f.Name, b.line, b.header, "", err.Error(), "")
+			p.report(f.Name, raw.line, raw.header, "", err.Error(), "")
 			continue
 		}
-		kind, name, _ := strings.Cut(b.header, " ")
-		s := &section{r: r, file: f.Name, line: b.line, kind: kind, name: name, keys: b.keys, values: values}
-		r.section(s)
+		kind, name, _ := strings.Cut(raw.header, " ")
+		s := &section{p: p, file: f.Name, line: raw.line, kind: kind, name: name, keyLines: raw.keyLines, values: values}
+		p.parseSection(s)
 	}
 }
 
-func (r *reader) section(s *section) {
+func (p *parser) parseSection(s *section) {
 	build, ok := map[string]func(*section){
-		"model": r.model, "adapter": r.adapter, "service": r.service, "workspace": r.workspace,
-		"host": r.host, "endpoint": r.endpoint, "placement": r.placement,
+		"model": p.model, "adapter": p.adapter, "service": p.service, "workspace": p.workspace,
+		"host": p.host, "endpoint": p.endpoint, "placement": p.placement,
 	}[s.kind]
 	if !ok {
-		s.add("", "is no known kind of section", kindRule)
+		s.report("", "is not a known kind of section", sectionSyntax)
 		return
 	}
-	if first := r.seen[s.title()]; first != nil {
-		s.add("", "is declared more than once; first at "+first.file+":"+itoa(first.line), "")
+	if first := p.sections[s.title()]; first != nil {
+		s.report("", "is declared more than once; first at "+first.file+":"+itoa(first.line), "")
 		return
 	}
-	r.seen[s.title()] = s
+	p.sections[s.title()] = s
 	if !s.validName() {
-		s.add("", quote(s.name)+" is not a name for this kind of section", kindRule+" with "+nameRule)
+		s.report("", quote(s.name)+" is not a name for this kind of section", sectionSyntax+" with "+nameSyntax)
 	}
 	build(s)
-	s.finish()
+	s.reportUnknownKeys()
 }
 
 func (s *section) validName() bool {
@@ -81,11 +82,11 @@
 	}
 }
 
-func (r *reader) model(s *section) {
-	r.doc.Models = append(r.doc.Models, &rudderv1.Model{
+func (p *parser) model(s *section) {
+	p.doc.Models = append(p.doc.Models, &rudderv1.Model{
 		Name:        s.name,
 		Version:     s.ident("version", true),
-		Weights:     s.path("weights"),
+		Weights:     s.weightName("weights"),
 		WeightBytes: s.quantity("weight-size", true, sizeUnits),
 		MaxTokens:   s.quantity("max-tokens", true, tokenUnits),
 		Replicas:    s.replicas("replicas"),
@@ -93,53 +94,55 @@
 	})
 }
 
-// adapter is attached to its model once all files are read.
-func (r *reader) adapter(s *section) {
-	r.adapters = append(r.adapters, s)
+// adapter checks the section of an adapter. attachAdapters adds the adapter to its
+// model once all files are parsed.
+func (p *parser) adapter(s *section) {
+	p.adapters = append(p.adapters, s)
 	s.ident("version", true)
-	s.path("weights")
+	s.weightName("weights")
 }
 
-func (r *reader) service(s *section) {
-	r.doc.Services = append(r.doc.Services, &rudderv1.Service{
+func (p *parser) service(s *section) {
+	p.doc.Services = append(p.doc.Services, &rudderv1.Service{
 		Name: s.name,
 		RepeatableMethods: s.choices("repeatable-methods",
 			"GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH"),
 	})
 }
 
-func (r *reader) workspace(s *section) {
+func (p *parser) workspace(s *section) {
 	w := &rudderv1.Workspace{
 		Name:              s.name,
 		KeyDigests:        s.digests("key-digests"),
 		Priority:          DefaultPriority,
 		Weight:            DefaultWeight,
-		RequestsPerSecond: s.rate("request-rate", callUnits),
+		RequestsPerSecond: s.rate("request-rate", requestUnits),
 		TokensPerSecond:   s.rate("token-rate", tokenUnits),
 		MaxInFlight:       s.count("max-in-flight", false, 1, maxInFlight),
 		Models:            s.idents("models", false),
 		Services:          s.idents("services", false),
 	}
-	if n := s.count("priority", false, 0, maxPriority); s.has("priority") {
+	if n := s.count("priority", false, 0, maxPriority); s.hasValue("priority") {
 		w.Priority = n
 	}
-	if n := s.count("weight", false, 1, maxWeight); s.has("weight") {
+	if n := s.count("weight", false, 1, maxWeight); s.hasValue("weight") {
 		w.Weight = n
 	}
-	r.doc.Workspaces = append(r.doc.Workspaces, w)
+	p.doc.Workspaces = append(p.doc.Workspaces, w)
 }
 
-func (s *section) has(key string) bool { return s.values[key] != "" }
+// hasValue reports whether the key has a value that is not empty.
+func (s *section) hasValue(key string) bool { return s.values[key] != "" }
 
-func (r *reader) host(s *section) {
-	r.doc.Hosts = append(r.doc.Hosts, &rudderv1.Host{
+func (p *parser) host(s *section) {
+	p.doc.Hosts = append(p.doc.Hosts, &rudderv1.Host{
 		Name:       s.name,
 		DataCentre: s.ident("data-centre", true),
 		Leaving:    s.flag("leaving"),
 	})
 }
 
-func (r *reader) endpoint(s *section) {
+func (p *parser) endpoint(s *section) {
 	e := &rudderv1.Endpoint{
 		Name:         s.name,
 		Host:         s.ident("host", true),
@@ -152,28 +155,28 @@
 		e.ChecksFencing = e.ChecksFencing || c == "fencing"
 		e.ChecksCallers = e.ChecksCallers || c == "callers"
 	}
-	r.engine(s, e)
-	r.doc.Endpoints = append(r.doc.Endpoints, e)
+	p.engine(s, e)
+	p.doc.Endpoints = append(p.doc.Endpoints, e)
 }
 
-// engine reads the keys that only a model engine has.
-func (r *reader) engine(s *section, e *rudderv1.Endpoint) {
+// engine reads the keys that are allowed only for model engines.
+func (p *parser) engine(s *section, e *rudderv1.Endpoint) {
 	memory := s.quantity("memory", e.Service == "", tokenUnits)
 	role := s.choice("role", DefaultRole, "mixed", "prefill", "decode")
-	slots := s.count("max-models", false, 1, maxSlots)
+	models := s.count("max-models", false, 1, maxModels)
 	if e.Service == "" {
-		e.MemoryTokens, e.Role, e.MaxModels = memory, role, max(slots, 1)
+		e.MemoryTokens, e.Role, e.MaxModels = memory, role, max(models, 1)
 		return
 	}
 	for _, key := range []string{"memory", "role", "max-models"} {
-		if s.has(key) {
-			s.add(key, "is only for model engines, and this endpoint has a service", "")
+		if s.hasValue(key) {
+			s.report(key, "is only for model engines, and this endpoint has a service", "")
 		}
 	}
 }
 
-func (r *reader) placement(s *section) {
-	r.doc.Placement = &rudderv1.Placement{
+func (p *parser) placement(s *section) {
+	p.doc.Placement = &rudderv1.Placement{
 		ConcurrentLoads: s.count("concurrent-loads", false, 1, maxReplicas),
 		MovingPercent:   s.percent("moving"),
 	}
--- a/declaration/render.go
+++ b/declaration/render.go
@@ -13,9 +13,9 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// Render writes the document's declarations in canonical form: sections
-// ordered by kind and name, every key in a fixed place. Parsing the output
-// gives the same document without its generation, plan id and history.
+// Render returns the declarations of a document in canonical form: sections are
+// ordered by kind and name, and keys have a fixed order. Parsing the output gives
+// the same document without its generation, plan id and history.
 func Render(d *rudderv1.Document) []byte {
 	d = proto.CloneOf(d)
 	sortDocument(d)
--- a/declaration/section.go
+++ b/declaration/section.go
@@ -9,79 +9,83 @@
 	"strings"
 )
 
-// section is one section of a file with typed access to its keys. A getter
-// records a mistake and returns the zero value when a key is wrong.
+// section is one section of a file, with typed accessors for its keys. If a value is
+// wrong, the accessor reports a mistake; the accessors for single names, numbers and
+// addresses then return the zero value.
 type section struct {
-	r      *reader
-	file   string
-	line   int
-	kind   string
-	name   string
-	keys   map[string]int
-	values map[string]string
-	used   []string // keys that the kind knows, in the order they were asked for
+	p         *parser
+	file      string
+	line      int
+	kind      string
+	name      string
+	keyLines  map[string]int
+	values    map[string]string
+	knownKeys []string // keys that this kind of section allows, in the order of access
 }
 
 func (s *section) title() string { return title(s.kind, s.name) }
 
 func title(kind, name string) string { return strings.TrimSpace(kind + " " + name) }
 
-// add records a mistake at the key's line, or at the header's when it is missing.
-func (s *section) add(key, problem, allowed string) {
+// report records a mistake on the line of the key, or of the header if the section
+// does not have the key.
+func (s *section) report(key, problem, allowed string) {
 	line := s.line
-	if l, ok := s.keys[key]; ok {
+	if l, ok := s.keyLines[key]; ok {
 		line = l
 	}
-	s.r.add(s.file, line, s.title(), key, problem, allowed)
+	s.p.report(s.file, line, s.title(), key, problem, allowed)
 }
 
-// get returns the text of a key; ok is false when it is absent.
-func (s *section) get(key string, required bool, allowed string) (string, bool) {
-	s.used = append(s.used, key)
+// lookup returns the value of a key, or false if the key is missing or its value is
+// empty. It reports an empty value, and a missing key if it is required. A quoted value
+// is not in values and has been reported by parseKeyLine.
+func (s *section) lookup(key string, required bool, allowed string) (string, bool) {
+	s.knownKeys = append(s.knownKeys, key)
 	v, ok := s.values[key]
 	if !ok {
-		if _, quoted := s.keys[key]; required && !quoted {
-			s.add(key, "is missing", allowed)
+		if _, quoted := s.keyLines[key]; required && !quoted {
+			s.report(key, "is missing", allowed)
 		}
 		return "", false
 	}
 	if v == "" {
-		s.add(key, "is empty", allowed)
+		s.report(key, "is empty", allowed)
 		return "", false
 	}
 	return v, true
 }
 
-// finish reports the keys that nobody asked for.
-func (s *section) finish() {
-	for key := range s.keys {
-		if !slices.Contains(s.used, key) {
-			s.add(key, "is no key of this section", strings.Join(s.used, ", "))
+// reportUnknownKeys reports the keys that this kind of section does not allow.
+func (s *section) reportUnknownKeys() {
+	for key := range s.keyLines {
+		if !slices.Contains(s.knownKeys, key) {
+			s.report(key, "is not a key of this section", strings.Join(s.knownKeys, ", "))
 		}
 	}
 }
 
-// path reads a name in the weight store.
-func (s *section) path(key string) string {
-	v, ok := s.get(key, true, pathRule)
-	if ok && !isPath(v) {
-		s.add(key, quote(v)+" is not a name in the weight store", pathRule)
+// weightName reads a name in the weight store.
+func (s *section) weightName(key string) string {
+	v, ok := s.lookup(key, true, weightNameSyntax)
+	if ok && !isWeightName(v) {
+		s.report(key, quote(v)+" is not a name in the weight store", weightNameSyntax)
 		return ""
 	}
 	return v
 }
 
 func (s *section) ident(key string, required bool) string {
-	v, ok := s.get(key, required, nameRule)
+	v, ok := s.lookup(key, required, nameSyntax)
 	if ok && !isName(v) {
-		s.add(key, quote(v)+" is not a name", nameRule)
+		s.report(key, quote(v)+" is not a name", nameSyntax)
 		return ""
 	}
 	return v
 }
 
 func (s *section) list(key string, required bool, allowed string) []string {
-	v, ok := s.get(key, required, allowed)
+	v, ok := s.lookup(key, required, allowed)
 	if !ok {
 		return nil
 	}
@@ -90,9 +94,9 @@
 		part = strings.TrimSpace(part)
 		switch {
 		case part == "":
-			s.add(key, "has an empty element", allowed)
+			s.report(key, "has an empty element", allowed)
 		case slices.Contains(out, part):
-			s.add(key, "names "+quote(part)+" twice", allowed)
+			s.report(key, "names "+quote(part)+" twice", allowed)
 		default:
 			out = append(out, part)
 		}
@@ -104,7 +108,7 @@
 	out := s.list(key, required, "names, separated by commas")
 	for _, n := range out {
 		if !isName(n) {
-			s.add(key, quote(n)+" is not a name", nameRule)
+			s.report(key, quote(n)+" is not a name", nameSyntax)
 		}
 	}
 	slices.Sort(out)
@@ -115,19 +119,19 @@
 	out := s.list(key, false, strings.Join(allowed, ", "))
 	for _, c := range out {
 		if !slices.Contains(allowed, c) {
-			s.add(key, quote(c)+" is not known", strings.Join(allowed, ", "))
+			s.report(key, quote(c)+" is not known", strings.Join(allowed, ", "))
 		}
 	}
 	return out
 }
 
 func (s *section) choice(key, def string, allowed ...string) string {
-	v, ok := s.get(key, false, strings.Join(allowed, ", "))
+	v, ok := s.lookup(key, false, strings.Join(allowed, ", "))
 	if !ok {
 		return def
 	}
 	if !slices.Contains(allowed, v) {
-		s.add(key, quote(v)+" is not known", strings.Join(allowed, ", "))
+		s.report(key, quote(v)+" is not known", strings.Join(allowed, ", "))
 	}
 	return v
 }
@@ -138,54 +142,54 @@
 
 func (s *section) count(key string, required bool, lo, hi uint32) uint32 {
 	allowed := "a whole number from " + strconv.Itoa(int(lo)) + " to " + strconv.FormatUint(uint64(hi), 10)
-	v, ok := s.get(key, required, allowed)
+	v, ok := s.lookup(key, required, allowed)
 	if !ok {
 		return 0
 	}
 	n, err := strconv.ParseUint(v, 10, 32)
 	if err != nil || uint32(n) < lo || uint32(n) > hi {
-		s.add(key, quote(v)+" is out of range or no whole number", allowed)
+		s.report(key, quote(v)+" is out of range or not a whole number", allowed)
 		return 0
 	}
 	return uint32(n)
 }
 
 func (s *section) quantity(key string, required bool, units []unit) uint64 {
-	allowed := unitRule(units)
-	v, ok := s.get(key, required, allowed)
+	allowed := quantitySyntax(units)
+	v, ok := s.lookup(key, required, allowed)
 	if !ok {
 		return 0
 	}
 	n, err := parseQuantity(v, units)
 	if err != nil {
-		s.add(key, quote(v)+" "+err.Error(), allowed)
+		s.report(key, quote(v)+" "+err.Error(), allowed)
 	}
 	return n
 }
 
 func (s *section) rate(key string, units []unit) float64 {
-	allowed := rateRule(units)
-	v, ok := s.get(key, false, allowed)
+	allowed := rateSyntax(units)
+	v, ok := s.lookup(key, false, allowed)
 	if !ok {
 		return 0
 	}
 	n, err := parseRate(v, units)
 	if err != nil {
-		s.add(key, quote(v)+" "+err.Error(), allowed)
+		s.report(key, quote(v)+" "+err.Error(), allowed)
 	}
 	return n
 }
 
 func (s *section) percent(key string) uint32 {
 	const allowed = "a whole percentage from 1% to 100%"
-	v, ok := s.get(key, false, allowed)
+	v, ok := s.lookup(key, false, allowed)
 	if !ok {
 		return 0
 	}
-	num, unit := strings.CutSuffix(v, "%")
+	num, hasPercent := strings.CutSuffix(v, "%")
 	n, err := strconv.ParseUint(strings.TrimSpace(num), 10, 32)
-	if !unit || err != nil || n < 1 || n > 100 {
-		s.add(key, quote(v)+" is not a percentage", allowed)
+	if !hasPercent || err != nil || n < 1 || n > 100 {
+		s.report(key, quote(v)+" is not a percentage", allowed)
 		return 0
 	}
 	return uint32(n)
@@ -193,19 +197,19 @@
 
 func (s *section) address(key string) string {
 	const allowed = "an IP number with a port, such as 10.0.0.1:7100"
-	v, ok := s.get(key, true, allowed)
+	v, ok := s.lookup(key, true, allowed)
 	if !ok {
 		return ""
 	}
 	a, err := netip.ParseAddrPort(v)
 	if err != nil || a.Port() == 0 {
-		s.add(key, quote(v)+" is not an address", allowed)
+		s.report(key, quote(v)+" is not an address", allowed)
 		return ""
 	}
 	return a.String()
 }
 
-// replicas reads "ZONE:N, ZONE:N".
+// replicas reads numbers of replicas by data centre, such as "a:2, b:1".
 func (s *section) replicas(key string) map[string]uint32 {
 	const allowed = "DATA-CENTRE:NUMBER, separated by commas"
 	out := make(map[string]uint32)
@@ -215,9 +219,9 @@
 		dc = strings.TrimSpace(dc)
 		switch {
 		case !isName(dc) || err != nil || n == 0 || n > math.MaxUint16:
-			s.add(key, quote(part)+" is not a number of replicas in a data centre", allowed)
+			s.report(key, quote(part)+" is not a number of replicas in a data centre", allowed)
 		case out[dc] != 0:
-			s.add(key, "names "+quote(dc)+" twice", allowed)
+			s.report(key, "names "+quote(dc)+" twice", allowed)
 		default:
 			out[dc] = uint32(n)
 		}
@@ -225,14 +229,14 @@
 	return out
 }
 
-// digests reads hex SHA-256 digests of bearer keys.
+// digests reads SHA-256 digests of bearer keys in hexadecimal form.
 func (s *section) digests(key string) []string {
 	const allowed = "SHA-256 digests of bearer keys, 64 lower-case hex digits each, separated by commas"
 	var out []string
 	for _, d := range s.list(key, true, allowed) {
 		b, err := hex.DecodeString(d)
 		if err != nil || len(b) != 32 || d != strings.ToLower(d) {
-			s.add(key, quote(d)+" is not a digest", allowed)
+			s.report(key, quote(d)+" is not a digest", allowed)
 			continue
 		}
 		out = append(out, d)
--- a/declaration/unit.go
+++ b/declaration/unit.go
@@ -7,17 +7,18 @@
 	"strings"
 )
 
-// unit is one accepted suffix of a quantity.
+// unit is a suffix of a quantity and the factor that it stands for.
 type unit struct {
 	suffix string
 	factor uint64
 }
 
-// The units, longest suffix of a family first where one ends in another.
+// The units of each kind, largest first. A suffix that ends in another one must come
+// before it, as splitUnit takes the first that fits.
 var (
-	sizeUnits  = []unit{{"TiB", 1 << 40}, {"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
-	tokenUnits = []unit{{"Mtokens", 1e6}, {"ktokens", 1e3}, {"tokens", 1}}
-	callUnits  = []unit{{"", 1}}
+	sizeUnits    = []unit{{"TiB", 1 << 40}, {"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
+	tokenUnits   = []unit{{"Mtokens", 1e6}, {"ktokens", 1e3}, {"tokens", 1}}
+	requestUnits = []unit{{"", 1}}
 )
 
 var (
@@ -25,7 +26,7 @@
 	errQuantity = errors.New("is not a quantity")
 )
 
-const maxQuantity = 1 << 53 // exact in a float64
+const maxQuantity = 1 << 53 // up to here, integers are exact in a float64
 
 func suffixes(units []unit) string {
 	var names []string
@@ -35,19 +36,19 @@
 	return strings.Join(names, ", ")
 }
 
-func unitRule(units []unit) string {
+func quantitySyntax(units []unit) string {
 	return "a whole number with a unit of " + suffixes(units)
 }
 
-func rateRule(units []unit) string {
+func rateSyntax(units []unit) string {
 	if units[0].suffix == "" {
 		return "a number per second or minute, such as 50/s or 90/min"
 	}
 	return "a number with a unit of " + suffixes(units) + " per second or minute, such as 20 ktokens/s"
 }
 
-// cutUnit splits "20 ktokens" into 20 and the unit.
-func cutUnit(s string, units []unit) (string, unit, error) {
+// splitUnit splits a quantity such as "20 ktokens" into its number and its unit.
+func splitUnit(s string, units []unit) (string, unit, error) {
 	for _, u := range units {
 		num, ok := strings.CutSuffix(s, u.suffix)
 		if ok {
@@ -58,7 +59,7 @@
 }
 
 func parseQuantity(s string, units []unit) (uint64, error) {
-	num, u, err := cutUnit(s, units)
+	num, u, err := splitUnit(s, units)
 	if err != nil {
 		return 0, err
 	}
@@ -75,7 +76,7 @@
 	if !ok || seconds == 0 {
 		return 0, errUnit
 	}
-	num, u, err := cutUnit(strings.TrimSpace(amount), units)
+	num, u, err := splitUnit(strings.TrimSpace(amount), units)
 	if err != nil {
 		return 0, err
 	}
@@ -86,7 +87,7 @@
 	return n * float64(u.factor) / seconds, nil
 }
 
-// formatQuantity writes n with the largest unit that divides it.
+// formatQuantity formats n in the largest unit that divides it.
 func formatQuantity(n uint64, units []unit) string {
 	for _, u := range units {
 		if n%u.factor == 0 {
@@ -104,32 +105,32 @@
 	return num + " " + suffix + "/s"
 }
 
-const nameRule = "lower-case letters, digits, dots, dashes and underscores, at most 63"
+const nameSyntax = "lower-case letters, digits, dots, dashes and underscores, at most 63"
 
 const maxName = 63
 
 func isName(s string) bool {
 	for i, c := range s {
-		letter := c >= 'a' && c <= 'z' || c >= '0' && c <= '9'
-		if !letter && (i == 0 || !strings.ContainsRune("._-", c)) {
+		alphanumeric := c >= 'a' && c <= 'z' || c >= '0' && c <= '9'
+		if !alphanumeric && (i == 0 || !strings.ContainsRune("._-", c)) {
 			return false
 		}
 	}
 	return s != "" && len(s) <= maxName
 }
 
-const pathRule = "letters, digits and any of . _ - / : @ +, at most 255"
+const weightNameSyntax = "letters, digits and any of . _ - / : @ +, at most 255"
 
-const maxPath = 255
+const maxWeightName = 255
 
-func isPath(s string) bool {
+func isWeightName(s string) bool {
 	for _, c := range s {
-		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
-		if !letter && !strings.ContainsRune("._-/:@+", c) {
+		alphanumeric := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+		if !alphanumeric && !strings.ContainsRune("._-/:@+", c) {
 			return false
 		}
 	}
-	return s != "" && len(s) <= maxPath
+	return s != "" && len(s) <= maxWeightName
 }
 
 func quote(s string) string { return strconv.Quote(s) }
