--- a/cell/cell.go
+++ b/cell/cell.go
@@ -26,7 +26,7 @@
 
 // Group divides data centres into cells, given the number of endpoints in each. It takes
 // the data centres in the order of their names and closes a cell once it has minEndpoints;
-// the data centres left over join the last full cell.
+// the data centres left over join the last full cell, if there is one.
 func Group(endpoints map[string]int) Map {
 	var m Map
 	size := 0
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -31,11 +31,11 @@
 // Word is the content of one datagram. Its fields are sent in this order, so new ones
 // must be added at the end.
 type Word struct {
-	From     string // name of the sender
-	Life     uint64 // random number that identifies the sender's process
-	Sequence uint64 // increases with each datagram of the process
-	Version  uint64 // version of the configuration in force at the sender
-	Leaving  bool
+	From        string // name of the sender
+	Incarnation uint64 // random number that identifies the sender's process
+	Sequence    uint64 // increases with each datagram of the process
+	Version     uint64 // version of the configuration in force at the sender
+	Leaving     bool
 	// Loads is the sender's load by endpoint id, at all endpoints that concern the
 	// receiver. If Partial is set, it holds only what changed since the last
 	// complete one.
@@ -172,12 +172,12 @@
 	defer m.mu.Unlock()
 	self := m.Address()
 	out := make([]Member, 0, len(m.listed)+len(m.recent))
-	for a, h := range m.recent {
-		if now.Sub(h.received) > memberTTL {
+	for a, r := range m.recent {
+		if now.Sub(r.received) > memberTTL {
 			delete(m.recent, a)
 			continue
 		}
-		out = append(out, h.Member)
+		out = append(out, r.Member)
 	}
 	for _, l := range m.listed {
 		if _, isRecent := m.recent[l.Address]; !isRecent && l.Address != self {
@@ -191,7 +191,7 @@
 func (m *Mesh) Send(w Word, to []netip.AddrPort, now time.Time) error {
 	m.mu.Lock()
 	m.sequence++
-	w.From, w.Life, w.Sequence = m.name, m.incarnation, m.sequence
+	w.From, w.Incarnation, w.Sequence = m.name, m.incarnation, m.sequence
 	w.Clock = int64(now.Sub(m.epoch))
 	if w.Echo {
 		w.Heard = m.clockEchoes(to, now)
@@ -213,13 +213,13 @@
 // within memberTTL. The caller holds mu.
 func (m *Mesh) clockEchoes(to []netip.AddrPort, now time.Time) map[string]int64 {
 	out := make(map[string]int64, len(to))
-	for name, p := range m.lastReceived {
-		if now.Sub(p.at) > memberTTL {
+	for name, r := range m.lastReceived {
+		if now.Sub(r.at) > memberTTL {
 			delete(m.lastReceived, name)
 			continue
 		}
-		if slices.Contains(to, p.from) {
-			out[name] = p.clock
+		if slices.Contains(to, r.from) {
+			out[name] = r.clock
 		}
 	}
 	return out
@@ -263,11 +263,11 @@
 func (m *Mesh) accept(w Word, from netip.AddrPort) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if last, ok := m.lastReceived[w.From]; ok && last.incarnation == w.Life && last.sequence >= w.Sequence {
+	if last, ok := m.lastReceived[w.From]; ok && last.incarnation == w.Incarnation && last.sequence >= w.Sequence {
 		return false
 	}
 	now := time.Now()
-	m.lastReceived[w.From] = receipt{w.Life, w.Sequence, w.Clock, now, from}
+	m.lastReceived[w.From] = receipt{w.Incarnation, w.Sequence, w.Clock, now, from}
 	if w.Leaving {
 		delete(m.recent, from)
 	} else {
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -54,19 +54,19 @@
 	other := netip.MustParseAddrPort("127.0.0.1:1")
 	m.SetMembers([]Member{{Address: self, Name: "a"}, {Address: other}, {Address: netip.MustParseAddrPort("127.0.0.1:2"), Name: "c"}})
 	is.Equal(len(m.Members(time.Now())), 2)
-	is.True(m.accept(Word{From: "b", Life: 1, Sequence: 1, DataCentre: "dc"}, other))
+	is.True(m.accept(Word{From: "b", Incarnation: 1, Sequence: 1, DataCentre: "dc"}, other))
 	members := m.Members(time.Now())
 	is.Equal(len(members), 2)
 	is.True(slices.Contains(members, Member{Address: other, Name: "b", DataCentre: "dc"}))
 }
 
-func TestReorderedMessages(t *testing.T) {
+func TestReorderedDatagrams(t *testing.T) {
 	is := is.New(t)
 	m, at := listen(t, "a")
-	is.True(m.accept(Word{From: "b", Life: 1, Sequence: 5}, at))
-	is.True(!m.accept(Word{From: "b", Life: 1, Sequence: 5}, at))
-	is.True(!m.accept(Word{From: "b", Life: 1, Sequence: 4}, at))
-	is.True(m.accept(Word{From: "b", Life: 2, Sequence: 1}, at)) // a new process
+	is.True(m.accept(Word{From: "b", Incarnation: 1, Sequence: 5}, at))
+	is.True(!m.accept(Word{From: "b", Incarnation: 1, Sequence: 5}, at))
+	is.True(!m.accept(Word{From: "b", Incarnation: 1, Sequence: 4}, at))
+	is.True(m.accept(Word{From: "b", Incarnation: 2, Sequence: 1}, at)) // a new process
 }
 
 // TestAdjacentReleases checks that a datagram of the previous release and one of a later
