--- a/admission/admission.go
+++ b/admission/admission.go
@@ -70,9 +70,9 @@
 	Load(now time.Time) Totals
 }
 
-// PollEvery is the interval at which Next is called while items wait and no other event
+// PollInterval is the interval at which Next is called while items wait and no other event
 // occurs.
-const PollEvery = 5 * time.Millisecond
+const PollInterval = 5 * time.Millisecond
 
 // Totals summarizes a queue's load.
 type Totals struct {
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -78,7 +78,7 @@
 		s.runs = append(s.runs, &simRun{it: it, started: s.now, prompt: it.PromptTokens})
 	}
 	if len(s.runs) == 0 {
-		s.now = s.now.Add(PollEvery)
+		s.now = s.now.Add(PollInterval)
 		return
 	}
 	cost := 10 * time.Millisecond
--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -105,18 +105,18 @@
 	}
 }
 
-// Sent records that a prompt with this chain has been sent to the endpoint, which will
+// RecordSent records that a prompt with this chain has been sent to the endpoint, which will
 // soon hold it.
-func (s *Set) Sent(chain []uint64) {
+func (s *Set) RecordSent(chain []uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.insertChain(chain)
 }
 
-// Ran records the report of a finished run: expectedBlocks is what Cached returned when
+// RecordRun records the report of a finished run: expectedBlocks is what Cached returned when
 // the run was sent, cached the number of prompt tokens that the endpoint found in its
 // cache. The endpoint now holds the whole chain.
-func (s *Set) Ran(chain []uint64, expectedBlocks int, cached uint64) {
+func (s *Set) RecordRun(chain []uint64, expectedBlocks int, cached uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.updateTrust(expectedBlocks, cached)
--- a/affinity/affinity_test.go
+++ b/affinity/affinity_test.go
@@ -36,8 +36,8 @@
 		{"eviction of what was never added", func(s *Set) { s.Apply(false, c[:2], c[5:9]) }, 2},
 		{"added twice", func(s *Set) { s.Apply(false, c[:4], nil); s.Apply(false, c[:4], nil) }, 4},
 		{"reset", func(s *Set) { s.Apply(false, c, nil); s.Apply(true, c[:1], nil) }, 1},
-		{"sent", func(s *Set) { s.Sent(c) }, 10},
-		{"ran", func(s *Set) { s.Ran(c, 0, 0) }, 10},
+		{"sent", func(s *Set) { s.RecordSent(c) }, 10},
+		{"ran", func(s *Set) { s.RecordRun(c, 0, 0) }, 10},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -56,13 +56,13 @@
 	is := is.New(t)
 	s := New(100_000)
 	c := chain(1, 20)
-	s.Sent(c)
+	s.RecordSent(c)
 	for range 60 {
-		s.Ran(c, s.Cached(c), 0)
+		s.RecordRun(c, s.Cached(c), 0)
 	}
 	is.Equal(s.Cached(c), 0)
 	for range 60 {
-		s.Ran(c, s.Cached(c), 20*prefix.BlockTokens)
+		s.RecordRun(c, s.Cached(c), 20*prefix.BlockTokens)
 	}
 	is.True(s.Cached(c) >= 19)
 }
@@ -77,13 +77,13 @@
 			c := chain(rapid.Uint64Range(0, 9).Draw(t, "chain"), rapid.IntRange(0, 40).Draw(t, "length"))
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				s.Sent(c)
+				s.RecordSent(c)
 			case 1:
 				s.Apply(false, c, nil)
 			case 2:
 				s.Apply(false, nil, c)
 			case 3:
-				s.Ran(c, s.Cached(c), rapid.Uint64Range(0, 50_000).Draw(t, "cached"))
+				s.RecordRun(c, s.Cached(c), rapid.Uint64Range(0, 50_000).Draw(t, "cached"))
 			}
 			is.True(s.Len() >= 0 && s.Len() <= ways*len(s.buckets))
 			is.True(s.Cached(c) <= len(c))
@@ -95,7 +95,7 @@
 func BenchmarkCached(b *testing.B) {
 	s := New(450_000)
 	held, other := chain(1, prefix.MaxBlocks), chain(2, prefix.MaxBlocks)
-	s.Sent(held)
+	s.RecordSent(held)
 	for name, c := range map[string][]uint64{"hit": held, "miss": other} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -48,7 +48,7 @@
 	Service service.Service
 	Signer  *ticket.Signer
 	Queue   admission.Queue
-	Keeper  *generation.Keeper
+	Keeper  *generation.Tracker
 	Client  *inner.Client // reaches other agents; nil: no spans can be imported and no records handed over
 	Log     *log.Logger
 	Metrics *metrics.Set
@@ -77,7 +77,7 @@
 	stated   time.Time      // when it was asked for that; what it said earlier does not count
 	cache    *affinity.Set  // blocks that the endpoint is believed to hold
 	role     string
-	book     *orders.Book
+	book     *orders.Tracker
 	blocking map[*run]struct{} // runs that the order in progress waits for
 	withdraw time.Time         // when new runs are refused what it takes away
 	version  uint64            // counts changes worth reporting
@@ -119,7 +119,7 @@
 		sweeping:    make(chan struct{}, 1),
 		wake:        make(chan struct{}, 1),
 		orderWake:   make(chan struct{}, 1),
-		book:        orders.NewBook(),
+		book:        orders.NewTracker(),
 		ctx:         ctx,
 		stop:        stop,
 		meter:       newMeter(deps.Metrics),
--- a/agent/configuration.go
+++ b/agent/configuration.go
@@ -16,15 +16,15 @@
 // held here.
 func (s *server) Offer(_ context.Context, req *connect.Request[rudderv1.OfferRequest]) (*connect.Response[rudderv1.OfferResponse], error) {
 	k := s.a.deps.Keeper
-	verdict, err := k.Take(req.Msg)
+	verdict, err := k.ApplyOffer(req.Msg)
 	if err != nil {
 		s.a.deps.Log.Debug("Delta does not fit.", "generation", k.Generation(), "err", err)
 	}
-	if verdict == generation.Diverge {
+	if verdict == generation.Diverged {
 		s.a.deps.Log.Error("Two documents of one generation.", "generation", k.Generation())
 	}
 	resp := &rudderv1.OfferResponse{Generation: k.Generation()}
-	if newer := k.Update(generation.Offered(req.Msg)); newer != nil && err == nil {
+	if newer := k.Update(generation.OfferedGeneration(req.Msg)); newer != nil && err == nil {
 		resp.Newer, resp.NewerDelta = newer.Document, newer.Delta
 	}
 	return connect.NewResponse(resp), nil
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -23,11 +23,11 @@
 
 // dispatchLoop starts waiting work as the endpoint has room for it.
 func (a *Agent) dispatchLoop() {
-	timer := time.NewTimer(admission.PollEvery)
+	timer := time.NewTimer(admission.PollInterval)
 	defer timer.Stop()
 	for {
 		if a.startAll() {
-			timer.Reset(admission.PollEvery)
+			timer.Reset(admission.PollInterval)
 		}
 		select {
 		case <-a.ctx.Done():
@@ -218,7 +218,7 @@
 	a.queue.Done(r.item, queued, prefill, decode, u.CachedTokens)
 	load := a.load()
 	a.mu.Unlock()
-	a.cache.Ran(r.req.GetCompletion().GetPrefix(), r.believed, u.CachedTokens)
+	a.cache.RecordRun(r.req.GetCompletion().GetPrefix(), r.believed, u.CachedTokens)
 	r.finishOK(finish, &rudderv1.Usage{PromptTokens: u.PromptTokens, CachedTokens: u.CachedTokens, OutputTokens: u.OutputTokens},
 		&rudderv1.RunTimes{QueuedUs: queued.Microseconds(), PrefillUs: prefill.Microseconds(), DecodeUs: decode.Microseconds()}, load)
 }
--- a/agent/endpoint.go
+++ b/agent/endpoint.go
@@ -73,7 +73,7 @@
 	a.stated = asked
 	if !sameModels(a.models, models) || a.role != role {
 		a.models, a.role = models, role
-		a.book.Changed()
+		a.book.ModelsChanged()
 		a.notify()
 	}
 	a.setState(rudderv1.AgentState_AGENT_STATE_SERVING)
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -24,7 +24,7 @@
 
 // desk is the agent's hold on its endpoint's memory. The agent's lock guards it.
 type desk struct {
-	book    *memory.Book
+	book    *memory.LeaseTable
 	jobs    map[string]*spanJob // by span id
 	waiting int                 // of them in the queue
 	orphans uint64              // tokens held at the endpoint under no lease, as last seen
@@ -36,7 +36,7 @@
 
 func newDesk(tokens uint64) *desk {
 	return &desk{
-		book: memory.NewBook(tokens, tokens/reserveOf*reserveParts),
+		book: memory.NewLeaseTable(tokens, tokens/reserveOf*reserveParts),
 		jobs: make(map[string]*spanJob),
 		wake: make(chan struct{}, 1),
 
@@ -80,7 +80,7 @@
 	a.endLapsed(now)
 	v := a.desk.book.Reserve(memory.Request{
 		Group: m.Group, Epoch: m.Epoch, Holder: m.Holder, Tokens: m.Tokens,
-		Lease: time.Duration(m.LeaseMs) * time.Millisecond, Since: m.SinceUnixMs, Queued: a.queuedMemory(),
+		Lease: time.Duration(m.LeaseMs) * time.Millisecond, StartUnixMs: m.SinceUnixMs, QueuedTokens: a.queuedMemory(),
 	}, now)
 	a.meter.reserved(v.Granted)
 	a.desk.poke()
@@ -103,7 +103,7 @@
 // leavesRoom refuses longer work that would keep a group in line waiting, or
 // would itself wait for the group's end; the caller holds mu.
 func (a *Agent) leavesRoom(it admission.Item, now time.Time) *result.Err {
-	wanted := a.desk.book.Wanted(now)
+	wanted := a.desk.book.WaitingTokens(now)
 	if wanted == 0 || it.Class == routing.ClassShort || it.MemoryTokens == 0 {
 		return nil
 	}
@@ -199,7 +199,7 @@
 		a.drainWake()
 		return sweepPause
 	}
-	if at, ok := a.desk.book.Next(); ok {
+	if at, ok := a.desk.book.NextExpiry(); ok {
 		return max(at.Sub(now), 0)
 	}
 	return idleSweep
--- a/agent/meter.go
+++ b/agent/meter.go
@@ -36,7 +36,7 @@
 	gauge("rudder_agent_records", func() float64 { return float64(len(a.records.runs)) })
 	gauge("rudder_agent_tombstones", func() float64 { return float64(len(a.records.tombs)) })
 	gauge("rudder_agent_answer_bytes", func() float64 { return float64(a.records.bytes) })
-	generation.Gauges(m.set, "agent", a.deps.Keeper)
+	generation.RegisterMetrics(m.set, "agent", a.deps.Keeper)
 }
 
 func (m *meter) reserved(granted bool) {
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -65,7 +65,7 @@
 // it takes away.
 func (a *Agent) advanceOrder() {
 	a.mu.Lock()
-	action := a.book.Look(a.situation(), a.blockers(), time.Now())
+	action := a.book.CheckWaiting(a.situation(), a.blockers(), time.Now())
 	if action == orders.Drop {
 		a.closeOrder(false)
 	}
@@ -74,7 +74,7 @@
 	switch action {
 	case orders.Wait:
 		a.awaitRuns(changed)
-	case orders.Ask:
+	case orders.QueryState:
 		a.giveOrder()
 	}
 }
@@ -101,7 +101,7 @@
 		a.endpointLost()
 		return
 	}
-	o, ok := a.book.Give(uuid.NewString(), a.cfg.Endpoint, st, a.situation(), a.blockers(), asked, time.Now())
+	o, ok := a.book.PrepareSend(uuid.NewString(), a.cfg.Endpoint, st, a.situation(), a.blockers(), asked, time.Now())
 	if !ok {
 		a.closeOrder(false)
 		a.mu.Unlock()
@@ -149,7 +149,7 @@
 		a.closeOrder(true)
 	case errors.Is(err, engine.ErrLost):
 		a.deps.Log.Warn("The answer to an order was lost.", "err", err)
-		a.book.Lost(err.Error())
+		a.book.AnswerLost(err.Error())
 		a.notify()
 	default:
 		a.failOrder(err.Error())
@@ -165,15 +165,15 @@
 	}
 	a.mu.Lock()
 	found := a.book.Phase() == rudderv1.OrderPhase_ORDER_PHASE_FOUND
-	ending := a.book.Settle(st, time.Now())
+	ending := a.book.Resolve(st, time.Now())
 	switch {
-	case ending == orders.Done || ending == orders.NotDone && found:
-		a.closeOrder(ending == orders.Done)
-	case ending == orders.NotDone:
+	case ending == orders.Executed || ending == orders.NotExecuted && found:
+		a.closeOrder(ending == orders.Executed)
+	case ending == orders.NotExecuted:
 		a.failOrder("the answer was lost and the order was not carried out")
 	}
 	a.mu.Unlock()
-	if ending == orders.Open {
+	if ending == orders.Unresolved {
 		a.waitOrder(orderLook)
 	}
 }
@@ -207,8 +207,8 @@
 }
 
 // situation is what the agent knows now; the caller holds mu.
-func (a *Agent) situation() orders.Situation {
-	return orders.Situation{
+func (a *Agent) situation() orders.Snapshot {
+	return orders.Snapshot{
 		Incarnation: a.incarnation, ClockMS: a.clockMS(), State: a.current(),
 		Document: a.deps.Keeper.Document(), Endpoint: a.cfg.Endpoint, Models: a.models,
 	}
@@ -235,7 +235,7 @@
 // servesAny tells whether the endpoint will serve a model after the order in
 // progress; the caller holds mu.
 func (a *Agent) servesAny() bool {
-	return slices.ContainsFunc(orders.Without(a.models, a.book.Order()), func(m engine.Model) bool { return !m.Loading })
+	return slices.ContainsFunc(orders.AvailableDuring(a.models, a.book.Order()), func(m engine.Model) bool { return !m.Loading })
 }
 
 // serves tells whether the endpoint takes new runs under a model's, version's
@@ -243,7 +243,7 @@
 func (a *Agent) serves(name string) bool {
 	left := a.models
 	if !time.Now().Before(a.withdraw) {
-		left = orders.Without(a.models, a.book.Order())
+		left = orders.AvailableDuring(a.models, a.book.Order())
 	}
 	for _, m := range left {
 		if orders.Serves(m, name) {
@@ -256,7 +256,7 @@
 // block lets the order in progress wait for a run that needs what it takes
 // away; the caller holds mu.
 func (a *Agent) block(r *run) {
-	if a.blocking != nil && orders.Takes(a.models, a.book.Order(), r.req.GetCompletion().GetModel()) {
+	if a.blocking != nil && orders.Unloads(a.models, a.book.Order(), r.req.GetCompletion().GetModel()) {
 		a.blocking[r] = struct{}{}
 	}
 }
--- a/agent/report.go
+++ b/agent/report.go
@@ -72,7 +72,7 @@
 		MemoryTokens:       a.cfg.MemoryTokens,
 		FreeTokens:         a.capacity().FreeTokens,
 		PrefillUsPerToken:  float64(t.Cost.PrefillPerToken) / float64(time.Microsecond),
-		PrefillUsPerToken2: t.Cost.PrefillPerToken2,
+		PrefillUsPerToken2: t.Cost.PrefillPerTokenSquared,
 		DecodeUsPerToken:   float64(t.Cost.DecodePerToken) / float64(time.Microsecond),
 		LongTokens:         t.LongTokens,
 		ReserveLimit:       a.desk.book.Limit(),
--- a/agent/sweep.go
+++ b/agent/sweep.go
@@ -108,7 +108,7 @@
 			continue
 		}
 		freed = true
-		a.desk.book.Freed(id)
+		a.desk.book.RecordFreed(id)
 		a.forgetJobs(id)
 	}
 	a.desk.orphans = 0
--- a/availability/leaves.go
+++ b/availability/leaves.go
@@ -10,8 +10,8 @@
 const (
 	// FromStore and FromAnswer are the sources of a Leave other than gateways, which are given by
 	// name.
-	FromStore  = "store"
-	FromAnswer = "answer"
+	FromStore    = "store"
+	FromResponse = "answer"
 	// shareFor is how long a new entry is included in every message to the other gateways. Messages
 	// are sent several times a second, so a few of them may be lost.
 	shareFor = 2 * time.Second
@@ -28,8 +28,8 @@
 	maxShared = 256
 )
 
-// Leave describes a draining endpoint, which accepts no new requests.
-type Leave struct {
+// DrainEntry describes a draining endpoint, which accepts no new requests.
+type DrainEntry struct {
 	Born   int64     // incarnation that is draining, see catalog.Endpoint
 	Since  time.Time // when this gateway learned of it
 	Source string    // where it learned of it first: FromStore, FromAnswer or the name of a gateway
@@ -43,25 +43,25 @@
 	superseded bool
 }
 
-// Leaves tracks the draining endpoints. An incarnation that is draining never accepts requests again:
+// DrainTable tracks the draining endpoints. An incarnation that is draining never accepts requests again:
 // neither a response without the statement, which may have been overtaken by later ones, nor an entry
 // of the store, which may be outdated, reverts it. Leaves is not safe for concurrent use.
-type Leaves struct {
-	entries    map[string]*Leave
+type DrainTable struct {
+	entries    map[string]*DrainEntry
 	lastRepeat time.Time // when Tell last returned all entries
 }
 
-// NewLeaves returns an empty table.
-func NewLeaves() *Leaves { return &Leaves{entries: make(map[string]*Leave)} }
+// NewDrainTable returns an empty table.
+func NewDrainTable() *DrainTable { return &DrainTable{entries: make(map[string]*DrainEntry)} }
 
-// Take records that an endpoint is draining. It reports whether that is new.
-func (l *Leaves) Take(e catalog.Endpoint, source string, now time.Time) bool {
+// Add records that an endpoint is draining. It reports whether that is new.
+func (l *DrainTable) Add(e catalog.Endpoint, source string, now time.Time) bool {
 	old := l.entries[e.ID]
 	if old != nil && !old.uncertain && !restarted(old.Born, e.Born) {
 		old.listed = old.listed || source == FromStore
 		return false
 	}
-	l.entries[e.ID] = &Leave{Born: e.Born, Since: now, Source: source, listed: source == FromStore}
+	l.entries[e.ID] = &DrainEntry{Born: e.Born, Since: now, Source: source, listed: source == FromStore}
 	return true
 }
 
@@ -69,35 +69,35 @@
 // incarnation was listed last. A statement received later than restartListingLag before that time may
 // already come from the new incarnation, which therefore counts as draining until TakeBack. Restarted
 // reports whether that is the case.
-func (l *Leaves) Restarted(e catalog.Endpoint, listed, now time.Time) bool {
+func (l *DrainTable) Restarted(e catalog.Endpoint, listed, now time.Time) bool {
 	old := l.entries[e.ID]
 	if old == nil || old.listed || old.Since.Before(listed.Add(-restartListingLag)) {
 		return false
 	}
-	l.entries[e.ID] = &Leave{Born: e.Born, Since: now, Source: old.Source, uncertain: true}
+	l.entries[e.ID] = &DrainEntry{Born: e.Born, Since: now, Source: old.Source, uncertain: true}
 	return true
 }
 
-// Doubted reports whether an endpoint counts as draining because of a statement that may have come from
+// Uncertain reports whether an endpoint counts as draining because of a statement that may have come from
 // its previous incarnation.
-func (l *Leaves) Doubted(e catalog.Endpoint) bool {
-	leave, ok := l.Of(e)
+func (l *DrainTable) Uncertain(e catalog.Endpoint) bool {
+	leave, ok := l.Lookup(e)
 	return ok && leave.uncertain
 }
 
-// TakeBack records a response in which the endpoint does not state that it is draining. It drops the
+// RevokeUncertain records a response in which the endpoint does not state that it is draining. It drops the
 // endpoint's entry if that is uncertain.
-func (l *Leaves) TakeBack(e catalog.Endpoint) {
-	if l.Doubted(e) {
+func (l *DrainTable) RevokeUncertain(e catalog.Endpoint) {
+	if l.Uncertain(e) {
 		delete(l.entries, e.ID)
 	}
 }
 
-// Of returns the entry of an endpoint; ok is false if this incarnation is not draining.
-func (l *Leaves) Of(e catalog.Endpoint) (leave Leave, ok bool) {
+// Lookup returns the entry of an endpoint; ok is false if this incarnation is not draining.
+func (l *DrainTable) Lookup(e catalog.Endpoint) (leave DrainEntry, ok bool) {
 	entry := l.entries[e.ID]
 	if entry == nil || restarted(entry.Born, e.Born) {
-		return Leave{}, false
+		return DrainEntry{}, false
 	}
 	return *entry, true
 }
@@ -107,10 +107,10 @@
 	return catalog.Endpoint{Born: before}.RestartedAs(catalog.Endpoint{Born: now})
 }
 
-// Tell returns the draining incarnations to send to the other gateways, by endpoint: those learned within
+// Updates returns the draining incarnations to send to the other gateways, by endpoint: those learned within
 // shareFor and, at intervals of repeatInterval, all others that the store's list lacks. regular is set for
 // a message that is sent anyway; only such a message repeats all.
-func (l *Leaves) Tell(regular bool, now time.Time) map[string]int64 {
+func (l *DrainTable) Updates(regular bool, now time.Time) map[string]int64 {
 	full := regular && now.Sub(l.lastRepeat) >= repeatInterval
 	if full {
 		l.lastRepeat = now
@@ -133,9 +133,9 @@
 
 // Expire drops entries older than unknownTTL of endpoints that are unknown or known in another incarnation,
 // and entries of unknown endpoints beyond maxUnknown.
-func (l *Leaves) Expire(known func(id string) (e catalog.Endpoint, ok bool), now time.Time) {
+func (l *DrainTable) Expire(known func(id string) (e catalog.Endpoint, ok bool), now time.Time) {
 	unknown := 0
-	maps.DeleteFunc(l.entries, func(id string, leave *Leave) bool {
+	maps.DeleteFunc(l.entries, func(id string, leave *DrainEntry) bool {
 		e, ok := known(id)
 		leave.superseded = ok && restarted(leave.Born, e.Born)
 		if ok && !leave.superseded {
--- a/availability/leaves_test.go
+++ b/availability/leaves_test.go
@@ -29,10 +29,10 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			l := NewLeaves()
-			is.True(l.Take(catalog.Endpoint{ID: "e", Born: tc.reported}, "g", now))
-			is.True(!l.Take(catalog.Endpoint{ID: "e", Born: tc.reported}, FromAnswer, now.Add(time.Second)))
-			leave, ok := l.Of(catalog.Endpoint{ID: "e", Born: tc.queried})
+			l := NewDrainTable()
+			is.True(l.Add(catalog.Endpoint{ID: "e", Born: tc.reported}, "g", now))
+			is.True(!l.Add(catalog.Endpoint{ID: "e", Born: tc.reported}, FromResponse, now.Add(time.Second)))
+			leave, ok := l.Lookup(catalog.Endpoint{ID: "e", Born: tc.queried})
 			is.Equal(ok, tc.leaves)
 			if ok {
 				is.Equal(leave.Source, "g")
@@ -46,28 +46,28 @@
 // store's list lacks is repeated at intervals for as long as it exists.
 func TestLeavesAreTold(t *testing.T) {
 	is := is.New(t)
-	l := NewLeaves()
-	l.Take(catalog.Endpoint{ID: "a", Born: 3}, FromAnswer, now)
-	l.Take(catalog.Endpoint{ID: "b"}, FromStore, now)
-	is.Equal(l.Tell(false, now), map[string]int64{"a": 3})
-	is.Equal(len(l.Tell(false, now.Add(shareFor+1))), 0)
-	is.Equal(l.Tell(true, now.Add(time.Hour)), map[string]int64{"a": 3})
-	is.Equal(len(l.Tell(true, now.Add(time.Hour+repeatInterval-1))), 0)
-	is.Equal(l.Tell(true, now.Add(time.Hour+repeatInterval)), map[string]int64{"a": 3})
-	l.Take(catalog.Endpoint{ID: "a", Born: 3}, FromStore, now)
-	is.Equal(len(l.Tell(true, now.Add(2*time.Hour))), 0)
+	l := NewDrainTable()
+	l.Add(catalog.Endpoint{ID: "a", Born: 3}, FromResponse, now)
+	l.Add(catalog.Endpoint{ID: "b"}, FromStore, now)
+	is.Equal(l.Updates(false, now), map[string]int64{"a": 3})
+	is.Equal(len(l.Updates(false, now.Add(shareFor+1))), 0)
+	is.Equal(l.Updates(true, now.Add(time.Hour)), map[string]int64{"a": 3})
+	is.Equal(len(l.Updates(true, now.Add(time.Hour+repeatInterval-1))), 0)
+	is.Equal(l.Updates(true, now.Add(time.Hour+repeatInterval)), map[string]int64{"a": 3})
+	l.Add(catalog.Endpoint{ID: "a", Born: 3}, FromStore, now)
+	is.Equal(len(l.Updates(true, now.Add(2*time.Hour))), 0)
 }
 
 // TestLeavesAreBounded checks that entries of unknown endpoints expire and are limited in number, and that
 // those of known endpoints stay.
 func TestLeavesAreBounded(t *testing.T) {
 	is := is.New(t)
-	l := NewLeaves()
+	l := NewDrainTable()
 	for n := range 2 * maxUnknown {
-		l.Take(catalog.Endpoint{ID: fmt.Sprint(n)}, "g", now)
+		l.Add(catalog.Endpoint{ID: fmt.Sprint(n)}, "g", now)
 	}
 	known := func(id string) (catalog.Endpoint, bool) { return catalog.Endpoint{}, id == "7" }
-	is.Equal(len(l.Tell(true, now)), maxShared)
+	is.Equal(len(l.Updates(true, now)), maxShared)
 	l.Expire(known, now)
 	is.Equal(len(l.entries), maxUnknown+1)
 	l.Expire(known, now.Add(unknownTTL+1))
@@ -78,16 +78,16 @@
 // list names another incarnation, and that it applies again once the list names its own.
 func TestLeaveOfAnotherLifeIsNotTold(t *testing.T) {
 	is := is.New(t)
-	l := NewLeaves()
+	l := NewDrainTable()
 	e := catalog.Endpoint{ID: "e", Born: 2}
-	l.Take(e, FromAnswer, now)
+	l.Add(e, FromResponse, now)
 	lists := func(born int64) {
 		l.Expire(func(string) (catalog.Endpoint, bool) { return catalog.Endpoint{ID: "e", Born: born}, true }, now.Add(time.Second))
 	}
 	lists(1)
-	is.Equal(len(l.Tell(true, now)), 0)
+	is.Equal(len(l.Updates(true, now)), 0)
 	lists(2)
-	is.Equal(l.Tell(true, now.Add(repeatInterval)), map[string]int64{"e": 2})
-	_, leaves := l.Of(e)
+	is.Equal(l.Updates(true, now.Add(repeatInterval)), map[string]int64{"e": 2})
+	_, leaves := l.Lookup(e)
 	is.True(leaves)
 }
--- a/availability/rests.go
+++ b/availability/rests.go
@@ -11,11 +11,11 @@
 // show the restart.
 const restartListingLag = 1500 * time.Millisecond
 
-// Rests tracks the backoffs that endpoints have requested from this gateway. After a backoff an endpoint
+// BackoffTable tracks the backoffs that endpoints have requested from this gateway. After a backoff an endpoint
 // goes through slow start: it gets one request, and more as these are answered, so that the requests
 // queued meanwhile do not reach it all at once. A backoff does not apply to other gateways and says
 // nothing about the endpoint's health. Rests is not safe for concurrent use.
-type Rests struct {
+type BackoffTable struct {
 	entries map[string]*backoff
 }
 
@@ -30,19 +30,19 @@
 	inFlight, window int
 }
 
-// Send is a request sent to an endpoint that may be in slow start. The zero value is no request.
-type Send struct {
+// SentRequest is a request sent to an endpoint that may be in slow start. The zero value is no request.
+type SentRequest struct {
 	endpoint string
 	epoch    uint64 // 0 if the endpoint had no backoff
 }
 
-// NewRests returns an empty table.
-func NewRests() *Rests { return &Rests{entries: make(map[string]*backoff)} }
+// NewBackoffTable returns an empty table.
+func NewBackoffTable() *BackoffTable { return &BackoffTable{entries: make(map[string]*backoff)} }
 
-// Ask records that an endpoint requested a backoff of d from now on. Of overlapping backoffs the one that
+// Request records that an endpoint requested a backoff of d from now on. Of overlapping backoffs the one that
 // ends last applies, because responses can overtake each other. Ask reports whether the end of the
 // backoff has changed.
-func (r *Rests) Ask(endpoint string, d time.Duration, now time.Time) bool {
+func (r *BackoffTable) Request(endpoint string, d time.Duration, now time.Time) bool {
 	e := r.entries[endpoint]
 	if e == nil {
 		e = &backoff{}
@@ -59,24 +59,24 @@
 	return longer
 }
 
-// Any reports whether any endpoint is in a backoff or in slow start.
-func (r *Rests) Any() bool { return len(r.entries) > 0 }
+// Active reports whether any endpoint is in a backoff or in slow start.
+func (r *BackoffTable) Active() bool { return len(r.entries) > 0 }
 
-// Resting reports whether an endpoint is in a backoff.
-func (r *Rests) Resting(endpoint string, now time.Time) bool {
+// InBackoff reports whether an endpoint is in a backoff.
+func (r *BackoffTable) InBackoff(endpoint string, now time.Time) bool {
 	e := r.entries[endpoint]
 	return e != nil && now.Before(e.until)
 }
 
-// Open reports whether one more request may be sent to an endpoint now.
-func (r *Rests) Open(endpoint string, now time.Time) bool {
+// MaySend reports whether one more request may be sent to an endpoint now.
+func (r *BackoffTable) MaySend(endpoint string, now time.Time) bool {
 	e := r.entries[endpoint]
 	return e == nil || !now.Before(e.until) && e.inFlight < e.window
 }
 
-// OpensAt returns when one more request may be sent to an endpoint. It returns now if the endpoint is not
+// NextSend returns when one more request may be sent to an endpoint. It returns now if the endpoint is not
 // in a backoff, also where slow start has to wait for responses.
-func (r *Rests) OpensAt(endpoint string, now time.Time) time.Time {
+func (r *BackoffTable) NextSend(endpoint string, now time.Time) time.Time {
 	if e := r.entries[endpoint]; e != nil && now.Before(e.until) {
 		return e.until
 	}
@@ -84,8 +84,8 @@
 }
 
 // Begin registers a request that is about to be sent to an endpoint; ok is false if it must not be sent.
-func (r *Rests) Begin(endpoint string, now time.Time) (s Send, ok bool) {
-	if !r.Open(endpoint, now) {
+func (r *BackoffTable) Begin(endpoint string, now time.Time) (s SentRequest, ok bool) {
+	if !r.MaySend(endpoint, now) {
 		return s, false
 	}
 	s.endpoint = endpoint
@@ -98,7 +98,7 @@
 
 // End records that a request was answered, or will not be. It reports whether this ended the endpoint's slow
 // start.
-func (r *Rests) End(s Send, answered bool) bool {
+func (r *BackoffTable) End(s SentRequest, answered bool) bool {
 	e := r.entries[s.endpoint]
 	if e == nil || s.epoch != e.epoch {
 		return false
@@ -117,18 +117,18 @@
 // Restarted records that an endpoint was seen to have restarted, which ends a backoff that its previous
 // incarnation requested. listed is when that incarnation was listed last. A backoff requested later than
 // restartListingLag before that time stays, as it may have been requested by the new incarnation.
-func (r *Rests) Restarted(endpoint string, listed time.Time) {
+func (r *BackoffTable) Restarted(endpoint string, listed time.Time) {
 	if e := r.entries[endpoint]; e != nil && e.requestedAt.Before(listed.Add(-restartListingLag)) {
 		delete(r.entries, endpoint)
 	}
 }
 
 // Forget drops the state of an endpoint that is gone.
-func (r *Rests) Forget(endpoint string) { delete(r.entries, endpoint) }
+func (r *BackoffTable) Forget(endpoint string) { delete(r.entries, endpoint) }
 
 // Suspended shortens all backoffs by the time for which the host was suspended, which its clock
 // does not count.
-func (r *Rests) Suspended(d time.Duration) {
+func (r *BackoffTable) Suspended(d time.Duration) {
 	for _, e := range r.entries {
 		e.until = e.until.Add(-d)
 	}
--- a/availability/rests_test.go
+++ b/availability/rests_test.go
@@ -28,15 +28,15 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			r := NewRests()
+			r := NewBackoffTable()
 			for _, a := range tc.requests {
-				is.Equal(r.Ask("e", time.Duration(a.restMs)*time.Millisecond, after(a.atMs)), a.changes)
+				is.Equal(r.Request("e", time.Duration(a.restMs)*time.Millisecond, after(a.atMs)), a.changes)
 			}
-			is.True(r.Resting("e", after(tc.untilMs-1)))
-			is.True(!r.Open("e", after(tc.untilMs-1)))
-			is.Equal(r.OpensAt("e", after(tc.untilMs-1)), after(tc.untilMs))
-			is.True(!r.Resting("e", after(tc.untilMs)))
-			is.True(r.Open("e", after(tc.untilMs)))
+			is.True(r.InBackoff("e", after(tc.untilMs-1)))
+			is.True(!r.MaySend("e", after(tc.untilMs-1)))
+			is.Equal(r.NextSend("e", after(tc.untilMs-1)), after(tc.untilMs))
+			is.True(!r.InBackoff("e", after(tc.untilMs)))
+			is.True(r.MaySend("e", after(tc.untilMs)))
 		})
 	}
 }
@@ -45,9 +45,9 @@
 // widens the window with each one that is answered, so that queued requests do not arrive all at once.
 func TestRestedEndpointGetsOneAndThenMore(t *testing.T) {
 	is := is.New(t)
-	r := NewRests()
-	r.Ask("e", time.Second, now)
-	var out []Send
+	r := NewBackoffTable()
+	r.Request("e", time.Second, now)
+	var out []SentRequest
 	begin := func() int {
 		n := 0
 		for {
@@ -68,7 +68,7 @@
 	is.Equal(begin(), 2)
 	is.True(!r.End(out[0], true))
 	is.Equal(begin(), 2) // one in place of the answered one, and one more
-	is.True(r.Any())
+	is.True(r.Active())
 	over := false
 	for _, s := range out[1:] {
 		over = r.End(s, true) || over
@@ -78,21 +78,21 @@
 		is.True(ok)
 		over = r.End(s, true)
 	}
-	is.True(!r.Any())
+	is.True(!r.Active())
 }
 
 // TestAnswersOfBeforeARest checks that responses to requests sent before an endpoint asked for a backoff do
 // not widen the window after it.
 func TestAnswersOfBeforeARest(t *testing.T) {
 	is := is.New(t)
-	r := NewRests()
+	r := NewBackoffTable()
 	early, ok := r.Begin("e", now)
 	is.True(ok)
-	r.Ask("e", time.Second, now)
+	r.Request("e", time.Second, now)
 	is.True(!r.End(early, true))
 	first, ok := r.Begin("e", after(1000))
 	is.True(ok)
-	r.Ask("e", time.Second, after(1000)) // the endpoint refuses it and asks for another backoff
+	r.Request("e", time.Second, after(1000)) // the endpoint refuses it and asks for another backoff
 	is.True(!r.End(first, true))
 	_, ok = r.Begin("e", after(2000))
 	is.True(ok)
@@ -103,28 +103,28 @@
 // TestRestWhileTheHostIsSuspended checks that time for which the host was suspended counts towards a backoff.
 func TestRestWhileTheHostIsSuspended(t *testing.T) {
 	is := is.New(t)
-	r := NewRests()
-	r.Ask("e", 3*time.Second, now)
+	r := NewBackoffTable()
+	r.Request("e", 3*time.Second, now)
 	r.Suspended(2 * time.Second)
-	is.True(r.Resting("e", after(999)))
-	is.True(!r.Resting("e", after(1000)))
+	is.True(r.InBackoff("e", after(999)))
+	is.True(!r.InBackoff("e", after(1000)))
 	r.Forget("e")
-	is.True(!r.Any())
+	is.True(!r.Active())
 }
 
 // TestLine checks that the queue is ordered by urgency and then by arrival.
 func TestLine(t *testing.T) {
 	is := is.New(t)
-	var l Line
-	is.True(l.First(nil))
+	var l WaitQueue
+	is.True(l.IsFirst(nil))
 	late, early, urgent, same := &Waiter{1, after(20)}, &Waiter{1, after(10)}, &Waiter{0, after(30)}, &Waiter{1, after(10)}
 	for _, w := range []*Waiter{late, early, urgent, same} {
-		l.Join(w)
+		l.Push(w)
 	}
-	is.True(!l.First(nil))
+	is.True(!l.IsFirst(nil))
 	for _, w := range []*Waiter{urgent, early, same, late} {
-		is.True(l.First(w))
-		l.Leave(w)
+		is.True(l.IsFirst(w))
+		l.Remove(w)
 	}
 	is.Equal(l.Len(), 0)
 }
--- a/availability/statement.go
+++ b/availability/statement.go
@@ -12,13 +12,13 @@
 
 // Statement is what a response of an endpoint says about the endpoint's availability.
 type Statement struct {
-	// Leaving is set if the endpoint is draining: this incarnation accepts no new requests.
-	Leaving bool
-	// Rest is the requested backoff, from the response on: for so long the gateway that gets the
+	// Draining is set if the endpoint is draining: this incarnation accepts no new requests.
+	Draining bool
+	// Backoff is the requested backoff, from the response on: for so long the gateway that gets the
 	// response must send the endpoint nothing. It is 0 if none is requested.
-	Rest time.Duration
+	Backoff time.Duration
 	// Limit is how many requests a second the endpoint accepts from all gateways together.
-	Limit ratelimit.Named
+	Limit ratelimit.AdvertisedLimit
 	// LimitUnreadable is set if the response has a limit that cannot be parsed. Such a limit neither
 	// sets nor ends one.
 	LimitUnreadable bool
--- a/balance/book.go
+++ b/balance/book.go
@@ -8,41 +8,41 @@
 // Load is the load of one endpoint. Messages between gateways encode its fields by
 // position, so new fields are appended.
 type Load struct {
-	ReadMs float64 // estimated time to prefill the pending prompts
-	Short  int     // requests with short prompts
-	Long   int     // requests with long prompts
-	Tokens int     // context memory that the requests need
+	PrefillMs    float64 // estimated time to prefill the pending prompts
+	Short        int     // requests with short prompts
+	Long         int     // requests with long prompts
+	MemoryTokens int     // context memory that the requests need
 	// Parts is the number of parts of long prompts that are still being prefilled.
 	// Engines prefill the newest part first, so a second part delays the first.
 	Parts int
-	// Unread is the number of short requests that wait for their first event.
-	Unread int
-	// Patient is the number of requests in Long whose route allows the longest gaps
+	// AwaitingFirstEvent is the number of short requests that wait for their first event.
+	AwaitingFirstEvent int
+	// GapTolerant is the number of requests in Long whose route allows the longest gaps
 	// between events of the service.
-	Patient int
+	GapTolerant int
 }
 
 // plus returns the sum of both loads.
 func (l Load) plus(o Load) Load {
 	return Load{
-		ReadMs: l.ReadMs + o.ReadMs, Short: l.Short + o.Short, Long: l.Long + o.Long,
-		Tokens: l.Tokens + o.Tokens, Parts: l.Parts + o.Parts,
-		Unread: l.Unread + o.Unread, Patient: l.Patient + o.Patient,
+		PrefillMs: l.PrefillMs + o.PrefillMs, Short: l.Short + o.Short, Long: l.Long + o.Long,
+		MemoryTokens: l.MemoryTokens + o.MemoryTokens, Parts: l.Parts + o.Parts,
+		AwaitingFirstEvent: l.AwaitingFirstEvent + o.AwaitingFirstEvent, GapTolerant: l.GapTolerant + o.GapTolerant,
 	}
 }
 
 // minus returns l less o.
 func (l Load) minus(o Load) Load {
 	return Load{
-		ReadMs: l.ReadMs - o.ReadMs, Short: l.Short - o.Short, Long: l.Long - o.Long,
-		Tokens: l.Tokens - o.Tokens, Parts: l.Parts - o.Parts,
-		Unread: l.Unread - o.Unread, Patient: l.Patient - o.Patient,
+		PrefillMs: l.PrefillMs - o.PrefillMs, Short: l.Short - o.Short, Long: l.Long - o.Long,
+		MemoryTokens: l.MemoryTokens - o.MemoryTokens, Parts: l.Parts - o.Parts,
+		AwaitingFirstEvent: l.AwaitingFirstEvent - o.AwaitingFirstEvent, GapTolerant: l.GapTolerant - o.GapTolerant,
 	}
 }
 
 // prefillOnly returns the part of the load that ends with the first event.
 func (l Load) prefillOnly() Load {
-	return Load{ReadMs: l.ReadMs, Parts: l.Parts, Unread: l.Unread}
+	return Load{PrefillMs: l.PrefillMs, Parts: l.Parts, AwaitingFirstEvent: l.AwaitingFirstEvent}
 }
 
 // peerTTL is how long the load reported by a peer remains valid. A live peer reports
@@ -69,14 +69,14 @@
 
 // Digest is the load of the endpoints that another cell offers to other cells.
 type Digest struct {
-	Made  time.Time
-	Loads map[string]Load // without the load of this gateway's own cell
+	CreatedAt time.Time
+	Loads     map[string]Load // without the load of this gateway's own cell
 }
 
-// Book tracks load by endpoint. The prefill time of a prompt counts in full until Read
+// LoadTracker tracks load by endpoint. The prefill time of a prompt counts in full until Read
 // is called: reducing it at the estimated rate would admit more prompts than busy
 // engines can prefill. Book is not safe for concurrent use.
-type Book struct {
+type LoadTracker struct {
 	local   map[string]*localLoad
 	peers   map[string]peerLoad
 	digests map[string]Digest // by cell
@@ -85,13 +85,13 @@
 	changed map[string]struct{}
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{local: make(map[string]*localLoad), peers: make(map[string]peerLoad), digests: make(map[string]Digest), changed: make(map[string]struct{})}
+// NewLoadTracker returns an empty book.
+func NewLoadTracker() *LoadTracker {
+	return &LoadTracker{local: make(map[string]*localLoad), peers: make(map[string]peerLoad), digests: make(map[string]Digest), changed: make(map[string]struct{})}
 }
 
 // Add adds the load of one request to an endpoint.
-func (b *Book) Add(endpoint string, l Load) {
+func (b *LoadTracker) Add(endpoint string, l Load) {
 	a := b.local[endpoint]
 	if a == nil {
 		a = new(localLoad)
@@ -103,9 +103,9 @@
 	a.awaitingFirst++
 }
 
-// Read removes the prefill part of a load that was added, once the prompt has been
+// PrefillDone removes the prefill part of a load that was added, once the prompt has been
 // prefilled.
-func (b *Book) Read(endpoint string, l Load) {
+func (b *LoadTracker) PrefillDone(endpoint string, l Load) {
 	a := b.local[endpoint]
 	if a == nil {
 		return
@@ -114,12 +114,12 @@
 	a.load = a.load.minus(l.prefillOnly())
 	a.awaitingFirst--
 	if a.awaitingFirst == 0 {
-		a.load.ReadMs = 0 // clear the rounding error
+		a.load.PrefillMs = 0 // clear the rounding error
 	}
 }
 
 // Remove removes the rest of a load that was added and for which Read was called.
-func (b *Book) Remove(endpoint string, l Load) {
+func (b *LoadTracker) Remove(endpoint string, l Load) {
 	a := b.local[endpoint]
 	if a == nil {
 		return
@@ -132,8 +132,8 @@
 	}
 }
 
-// Own returns this gateway's full load by endpoint, for reporting to peers.
-func (b *Book) Own() map[string]Load {
+// Local returns this gateway's full load by endpoint, for reporting to peers.
+func (b *LoadTracker) Local() map[string]Load {
 	clear(b.changed)
 	out := make(map[string]Load, len(b.local))
 	for id, a := range b.local {
@@ -142,9 +142,9 @@
 	return out
 }
 
-// Changed returns this gateway's load at the endpoints where it has changed since the
+// LocalChanges returns this gateway's load at the endpoints where it has changed since the
 // last call of Own. It is zero at endpoints without remaining load.
-func (b *Book) Changed() map[string]Load {
+func (b *LoadTracker) LocalChanges() map[string]Load {
 	out := make(map[string]Load, len(b.changed))
 	for id := range b.changed {
 		out[id] = b.localLoadAt(id)
@@ -152,21 +152,21 @@
 	return out
 }
 
-func (b *Book) localLoadAt(endpoint string) Load {
+func (b *LoadTracker) localLoadAt(endpoint string) Load {
 	if a := b.local[endpoint]; a != nil {
 		return a.load
 	}
 	return Load{}
 }
 
-// Peer records the full load of a peer in the given data centre.
-func (b *Book) Peer(name, dataCentre string, loads map[string]Load, now time.Time) {
+// SetPeerLoad records the full load of a peer in the given data centre.
+func (b *LoadTracker) SetPeerLoad(name, dataCentre string, loads map[string]Load, now time.Time) {
 	b.peers[name] = peerLoad{receivedAt: now, dataCentre: dataCentre, loads: loads}
 }
 
-// PeerChanged records a peer's load at the endpoints where it has changed. A lost
+// UpdatePeerLoad records a peer's load at the endpoints where it has changed. A lost
 // update is corrected by the peer's next full report.
-func (b *Book) PeerChanged(name, dataCentre string, loads map[string]Load, now time.Time) {
+func (b *LoadTracker) UpdatePeerLoad(name, dataCentre string, loads map[string]Load, now time.Time) {
 	p := b.peers[name]
 	if p.loads == nil || now.Sub(p.receivedAt) > peerTTL {
 		p.loads = make(map[string]Load, len(loads))
@@ -176,8 +176,8 @@
 	b.peers[name] = p
 }
 
-// Peers returns the number of peers that have reported within peerTTL.
-func (b *Book) Peers(now time.Time) int {
+// LivePeers returns the number of peers that have reported within peerTTL.
+func (b *LoadTracker) LivePeers(now time.Time) int {
 	for name, p := range b.peers {
 		if now.Sub(p.receivedAt) > peerTTL {
 			delete(b.peers, name)
@@ -188,20 +188,20 @@
 
 // Load returns the load of an endpoint: that of this gateway, of peers with a valid
 // report, and of other cells according to their valid digests.
-func (b *Book) Load(endpoint string, now time.Time) Load {
-	sum := b.LoadWithout(endpoint, nil, now)
+func (b *LoadTracker) Load(endpoint string, now time.Time) Load {
+	sum := b.LoadExcluding(endpoint, nil, now)
 	for _, d := range b.digests {
-		if now.Sub(d.Made) <= digestTTL {
+		if now.Sub(d.CreatedAt) <= digestTTL {
 			sum = sum.plus(d.Loads[endpoint])
 		}
 	}
 	return sum
 }
 
-// LoadWithout returns the load that this gateway and its peers have at an endpoint,
+// LoadExcluding returns the load that this gateway and its peers have at an endpoint,
 // without peers in data centres for which excluded returns true. A nil excluded
 // excludes none.
-func (b *Book) LoadWithout(endpoint string, excluded func(dataCentre string) bool, now time.Time) Load {
+func (b *LoadTracker) LoadExcluding(endpoint string, excluded func(dataCentre string) bool, now time.Time) Load {
 	sum := b.localLoadAt(endpoint)
 	for _, p := range b.peers {
 		if now.Sub(p.receivedAt) <= peerTTL && (excluded == nil || !excluded(p.dataCentre)) {
@@ -211,17 +211,17 @@
 	return sum
 }
 
-// TakeDigest stores the digest of another cell unless a newer one is stored.
-func (b *Book) TakeDigest(cell string, d Digest) {
-	if d.Made.After(b.digests[cell].Made) {
+// StoreDigest stores the digest of another cell unless a newer one is stored.
+func (b *LoadTracker) StoreDigest(cell string, d Digest) {
+	if d.CreatedAt.After(b.digests[cell].CreatedAt) {
 		b.digests[cell] = d
 	}
 }
 
 // Digests returns the valid digests by cell.
-func (b *Book) Digests(now time.Time) map[string]Digest {
+func (b *LoadTracker) Digests(now time.Time) map[string]Digest {
 	for cell, d := range b.digests {
-		if now.Sub(d.Made) > digestTTL {
+		if now.Sub(d.CreatedAt) > digestTTL {
 			delete(b.digests, cell)
 		}
 	}
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -8,32 +8,32 @@
 	"github.com/micarudder/micarudder/catalog"
 )
 
-// Work describes a request for endpoint selection.
-type Work struct {
+// Request describes a request for endpoint selection.
+type Request struct {
 	InputTokens  int
 	OutputTokens int
 	// Slack is the remaining time that a long prompt may wait for endpoints.
 	Slack time.Duration
-	// Waited is the share of the time to wait that has passed, from 0 to 1.
-	Waited float64
-	// Pauses holds the gaps between two events that the routes to the service allow,
+	// WaitedShare is the share of the time to wait that has passed, from 0 to 1.
+	WaitedShare float64
+	// Gaps holds the gaps between two events that the routes to the service allow,
 	// and Pause the one that the request's own route allows.
-	Pauses catalog.Pauses
-	Pause  time.Duration
-	// LeftMs is the time left until the objective, DeadlineMs until the deadline.
-	LeftMs     float64
-	DeadlineMs float64
+	Gaps   catalog.Gaps
+	MaxGap time.Duration
+	// ObjectiveLeftMs is the time left until the objective, DeadlineMs until the deadline.
+	ObjectiveLeftMs float64
+	DeadlineLeftMs  float64
 	// Late is set for a prompt that is treated as late regardless of LeftMs: it has used
 	// up much of the time that its caller will wait, or its process is shutting down.
 	Late bool
-	// MustTake is set for a request that must not be refused, because its caller should
+	// NoRefusal is set for a request that must not be refused, because its caller should
 	// not retry later.
-	MustTake bool
+	NoRefusal bool
 	// Remote is set for a short request whose candidates belong to another cell. It is
 	// placed there only if it will be in time.
 	Remote bool
-	// Avoid lists the endpoints that the request was already sent to.
-	Avoid []string
+	// Excluded lists the endpoints that the request was already sent to.
+	Excluded []string
 }
 
 // Candidate is an endpoint that may be selected.
@@ -43,10 +43,10 @@
 	// Rank orders the candidates identically on all gateways: short requests take the
 	// first ones, long prompts the last ones. OwnRank is an order specific to this
 	// gateway.
-	Rank    uint64
-	OwnRank uint64
-	// Warm is set if an idle connection to the endpoint is open.
-	Warm bool
+	Rank      uint64
+	LocalRank uint64
+	// Connected is set if an idle connection to the endpoint is open.
+	Connected bool
 	// Remote is set for an endpoint of another cell, whose load is less well known. A
 	// part of a prompt is placed there only if it causes no interference.
 	Remote bool
@@ -56,21 +56,21 @@
 	// Suspect is set for an endpoint that failed recently. It is selected only if there
 	// is no other.
 	Suspect bool
-	// Pace is the factor by which the endpoint is slower than usual in everything it
+	// Slowdown is the factor by which the endpoint is slower than usual in everything it
 	// does.
-	Pace float64
+	Slowdown float64
 }
 
 // slowdown returns the factor by which the endpoint is slower than usual, at least 1.
-func (c Candidate) slowdown() float64 { return max(1, c.Pace) }
+func (c Candidate) slowdown() float64 { return max(1, c.Slowdown) }
 
 // Choice is the outcome of endpoint selection for a request.
 type Choice struct {
 	Endpoint int   // index of the candidate; -1: none
 	Helpers  []int // candidates that prefill parts of the prompt
-	// Reserve is the memory to reserve on helpers before the request is sent, if the
+	// Reservations is the memory to reserve on helpers before the request is sent, if the
 	// endpoint lacks memory for the whole prompt.
-	Reserve []Reservation
+	Reservations []Reservation
 	// Refuse is set if all slots are in use and the request would be late. Its caller
 	// should retry when others have finished.
 	Refuse bool
@@ -80,18 +80,18 @@
 	// late, or to cause more interference than BaseInterference.
 	Suboptimal bool
 	// Loads is the load that the request adds, by candidate.
-	Loads []Placed
-	// Expected is the estimate that the choice is based on. It is also set with Wait
+	Loads []LoadShare
+	// Estimate is the estimate that the choice is based on. It is also set with Wait
 	// and Refuse.
-	Expected Expected
+	Expected Estimate
 }
 
-// Expected is the estimate for the best endpoints found.
-type Expected struct {
-	FirstMs float64 // time to the first event
-	Harm    float64 // interference, in late short requests
-	Parts   int     // parts of the prompt; 0: no endpoint has room for one
-	Idle    int     // usable endpoints without prefill work
+// Estimate is the estimate for the best endpoints found.
+type Estimate struct {
+	FirstMs       float64 // time to the first event
+	Interference  float64 // interference, in late short requests
+	Parts         int     // parts of the prompt; 0: no endpoint has room for one
+	IdleEndpoints int     // usable endpoints without prefill work
 }
 
 const (
@@ -101,9 +101,9 @@
 	lateMarginMs = 50
 )
 
-// LatestFirst returns the time after which a first event counts as late; zero if none
+// LateAfter returns the time after which a first event counts as late; zero if none
 // was expected.
-func (e Expected) LatestFirst() time.Duration {
+func (e Estimate) LateAfter() time.Duration {
 	if e.FirstMs <= 0 {
 		return 0
 	}
@@ -116,17 +116,17 @@
 	Tokens    int
 }
 
-// Placed is load that a choice adds to a candidate.
-type Placed struct {
+// LoadShare is load that a choice adds to a candidate.
+type LoadShare struct {
 	Candidate int
 	Load      Load
-	// ReadFor is the estimated upper bound of the prefill time. If zero, the prefill
+	// PrefillFor is the estimated upper bound of the prefill time. If zero, the prefill
 	// lasts until the first event.
-	ReadFor time.Duration
+	PrefillFor time.Duration
 }
 
 // Choose selects endpoints of a service for a request from the candidates.
-func (p Policy) Choose(s *catalog.Service, w Work, all []Candidate) Choice {
+func (p Policy) Choose(s *catalog.Service, w Request, all []Candidate) Choice {
 	usable := usable(w, all)
 	if len(usable) == 0 {
 		return Choice{Endpoint: -1}
@@ -141,41 +141,41 @@
 	return p.placeLong(s.Engine, w, prefill, all, usable)
 }
 
-// Elsewhere reports whether another cell may offer a better placement than the choice,
+// TryOtherCells reports whether another cell may offer a better placement than the choice,
 // which was made in the request's own cell.
-func (c Choice) Elsewhere() bool { return c.Wait || c.Refuse || c.Suboptimal || c.Endpoint < 0 }
+func (c Choice) TryOtherCells() bool { return c.Wait || c.Refuse || c.Suboptimal || c.Endpoint < 0 }
 
-// Spare reports whether an endpoint with the given load can be offered to other cells:
+// HasSpareCapacity reports whether an endpoint with the given load can be offered to other cells:
 // it has no prefill work that a part of a prompt would delay, and has free slots.
-func (p Policy) Spare(e *catalog.Engine, slots int, l Load) bool {
+func (p Policy) HasSpareCapacity(e *catalog.Engine, slots int, l Load) bool {
 	if e != nil {
 		slots = e.Slots
 	}
 	return p.busy(l) == 0 && float64(l.Short+l.Long) < p.PackedShare*float64(slots)
 }
 
-// TakesTurns reports whether a request has to wait for its turn to select endpoints, as
+// MustQueue reports whether a request has to wait for its turn to select endpoints, as
 // long prompts do.
-func (p Policy) TakesTurns(s *catalog.Service, w Work) bool {
+func (p Policy) MustQueue(s *catalog.Service, w Request) bool {
 	return s.Engine != nil && prefillMs(s.Engine, w.InputTokens) > p.ShortPrefillMs
 }
 
-// Oversize reports whether a prompt exceeds the memory of one endpoint.
-func (p Policy) Oversize(s *catalog.Service, w Work) bool {
+// ExceedsMemory reports whether a prompt exceeds the memory of one endpoint.
+func (p Policy) ExceedsMemory(s *catalog.Service, w Request) bool {
 	return s.Engine != nil && p.exceedsMemory(s.Engine, w)
 }
 
-func (p Policy) exceedsMemory(e *catalog.Engine, w Work) bool {
+func (p Policy) exceedsMemory(e *catalog.Engine, w Request) bool {
 	return w.InputTokens+w.OutputTokens > int(longMemoryShare*float64(e.MemoryTokens))
 }
 
 // usable returns the indexes of the candidates to select from: those not in w.Avoid,
 // and suspect ones only if there are no others.
-func usable(w Work, all []Candidate) []int {
+func usable(w Request, all []Candidate) []int {
 	var healthy, suspect []int
 	for i := range all {
 		switch {
-		case slices.Contains(w.Avoid, all[i].ID):
+		case slices.Contains(w.Excluded, all[i].ID):
 		case all[i].Suspect:
 			suspect = append(suspect, i)
 		default:
@@ -192,12 +192,12 @@
 // prefers. An open connection saves a round trip, and saves the endpoint the work of
 // accepting a new one.
 func compareLocal(a, b Candidate) int {
-	return cmp.Or(cmp.Compare(needsConnection(a), needsConnection(b)), cmp.Compare(a.OwnRank, b.OwnRank))
+	return cmp.Or(cmp.Compare(needsConnection(a), needsConnection(b)), cmp.Compare(a.LocalRank, b.LocalRank))
 }
 
 // needsConnection returns 1 for an endpoint to which no connection is open, else 0.
 func needsConnection(c Candidate) int {
-	if c.Warm {
+	if c.Connected {
 		return 0
 	}
 	return 1
@@ -208,5 +208,5 @@
 	best := slices.MinFunc(usable, func(a, b int) int {
 		return cmp.Or(cmp.Compare(all[a].Load.Short, all[b].Load.Short), compareLocal(all[a], all[b]))
 	})
-	return Choice{Endpoint: best, Loads: []Placed{{Candidate: best, Load: Load{Short: 1}}}}
+	return Choice{Endpoint: best, Loads: []LoadShare{{Candidate: best, Load: Load{Short: 1}}}}
 }
--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -30,16 +30,16 @@
 	return out
 }
 
-func choose(s *catalog.Service, w Work, all []Candidate) Choice {
+func choose(s *catalog.Service, w Request, all []Candidate) Choice {
 	return Default().Choose(s, w, all)
 }
 
 var (
-	pauses = catalog.Pauses{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: time.Second}
+	pauses = catalog.Gaps{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: time.Second}
 
-	short    = Work{InputTokens: 5000, OutputTokens: 1400, LeftMs: 300, DeadlineMs: 2000, Pauses: pauses}
-	long     = Work{InputTokens: 133000, OutputTokens: 700, LeftMs: 2500, DeadlineMs: 10000, Slack: time.Second, Pauses: pauses}
-	oversize = Work{InputTokens: 400000, OutputTokens: 700, LeftMs: 2500, DeadlineMs: 10000, Slack: time.Second, Pauses: pauses}
+	short    = Request{InputTokens: 5000, OutputTokens: 1400, ObjectiveLeftMs: 300, DeadlineLeftMs: 2000, Gaps: pauses}
+	long     = Request{InputTokens: 133000, OutputTokens: 700, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second, Gaps: pauses}
+	oversize = Request{InputTokens: 400000, OutputTokens: 700, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second, Gaps: pauses}
 )
 
 func TestModel(t *testing.T) {
@@ -53,12 +53,12 @@
 	is := is.New(t)
 	all := idleCandidates(3)
 	all[0].Load.Short, all[1].Load.Short, all[2].Load.Short = 2, 1, 2
-	is.Equal(choose(plain, Work{}, all).Endpoint, 1)
+	is.Equal(choose(plain, Request{}, all).Endpoint, 1)
 }
 
 func TestNoCandidates(t *testing.T) {
 	is := is.New(t)
-	is.Equal(choose(plain, Work{Avoid: []string{"0"}}, idleCandidates(1)).Endpoint, -1)
+	is.Equal(choose(plain, Request{Excluded: []string{"0"}}, idleCandidates(1)).Endpoint, -1)
 	is.Equal(choose(model, short, nil).Endpoint, -1)
 }
 
@@ -67,8 +67,8 @@
 	all := idleCandidates(2)
 	all[0].Suspect = true
 	all[1].Load.Short = 9
-	is.Equal(choose(plain, Work{}, all).Endpoint, 1)
-	is.Equal(choose(plain, Work{Avoid: []string{"1"}}, all).Endpoint, 0)
+	is.Equal(choose(plain, Request{}, all).Endpoint, 1)
+	is.Equal(choose(plain, Request{Excluded: []string{"1"}}, all).Endpoint, 0)
 }
 
 // TestShortsStayTogether: the short requests of all gateways use the first endpoints of
@@ -81,7 +81,7 @@
 		c := choose(model, short, all)
 		l := &all[c.Endpoint].Load
 		l.Short++
-		l.Tokens += short.InputTokens + short.OutputTokens
+		l.MemoryTokens += short.InputTokens + short.OutputTokens
 	}
 	for _, c := range all[:2] {
 		is.True(c.Load.Short > 0)
@@ -99,8 +99,8 @@
 	for i := range all {
 		all[i].Load.Short = 4
 	}
-	all[1].OwnRank = 1
-	all[0].OwnRank, all[2].OwnRank, all[3].OwnRank = 7, 8, 9
+	all[1].LocalRank = 1
+	all[0].LocalRank, all[2].LocalRank, all[3].LocalRank = 7, 8, 9
 	is.Equal(choose(model, short, all).Endpoint, 1)
 }
 
@@ -111,7 +111,7 @@
 	busyCandidates := func(short int) []Candidate {
 		all := idleCandidates(3)
 		for i := range all {
-			all[i].Load = Load{Short: short, Tokens: short * 6000, Unread: 2}
+			all[i].Load = Load{Short: short, MemoryTokens: short * 6000, AwaitingFirstEvent: 2}
 		}
 		return all
 	}
@@ -119,10 +119,10 @@
 	is.True(c.Refuse)
 	is.Equal(c.Endpoint, -1)
 	must := short
-	must.MustTake = true
+	must.NoRefusal = true
 	is.True(choose(model, must, busyCandidates(18)).Endpoint >= 0)
 	relaxed := short
-	relaxed.LeftMs = 5000
+	relaxed.ObjectiveLeftMs = 5000
 	is.True(choose(model, relaxed, busyCandidates(18)).Endpoint >= 0)
 	is.True(choose(model, short, busyCandidates(15)).Endpoint >= 0) // may be late, but slots are free
 }
@@ -132,10 +132,10 @@
 func TestShortAvoidsPrefill(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(3)
-	all[0].Load = Load{ReadMs: 400, Short: 3, Parts: 1}
-	all[1].Load = Load{Long: 1, Tokens: 140000}
+	all[0].Load = Load{PrefillMs: 400, Short: 3, Parts: 1}
+	all[1].Load = Load{Long: 1, MemoryTokens: 140000}
 	is.Equal(choose(model, short, all).Endpoint, 1)
-	all[1].Load.ReadMs = 400
+	all[1].Load.PrefillMs = 400
 	is.Equal(choose(model, short, all).Endpoint, 2)
 }
 
@@ -147,16 +147,16 @@
 	is := is.New(t)
 	all := idleCandidates(6)
 	for i := range 2 {
-		all[i].Load = Load{Short: 6, Tokens: 36000}
+		all[i].Load = Load{Short: 6, MemoryTokens: 36000}
 	}
 	medium := long
-	medium.InputTokens, medium.Pause = 42000, 600*time.Millisecond
+	medium.InputTokens, medium.MaxGap = 42000, 600*time.Millisecond
 	c := choose(model, medium, all)
 	is.Equal(c.Endpoint, 0)
-	medium.Pause = time.Second
+	medium.MaxGap = time.Second
 	is.True(choose(model, medium, all).Endpoint >= 2)
-	all[0].Load.ReadMs = 200
-	medium.Pause = 600 * time.Millisecond
+	all[0].Load.PrefillMs = 200
+	medium.MaxGap = 600 * time.Millisecond
 	is.Equal(choose(model, medium, all).Endpoint, 1)
 }
 
@@ -174,7 +174,7 @@
 	for _, p := range c.Loads {
 		is.Equal(all[p.Candidate].Load.Short, 0)
 	}
-	is.Equal(len(c.Reserve), 0)
+	is.Equal(len(c.Reservations), 0)
 }
 
 // TestLongWaitsForIdleEndpoints: engines prefill the newest part first, so no part is
@@ -184,7 +184,7 @@
 	is := is.New(t)
 	all := idleCandidates(4)
 	for i := range all {
-		all[i].Load = Load{ReadMs: 900, Parts: 1}
+		all[i].Load = Load{PrefillMs: 900, Parts: 1}
 	}
 	is.True(choose(model, long, all).Wait)
 	noSlack := long
@@ -206,7 +206,7 @@
 	is := is.New(t)
 	all := idleCandidates(4)
 	long := long
-	long.Pause = pauses.Longest // the class with the highest value
+	long.MaxGap = pauses.Longest // the class with the highest value
 	for i := range all {
 		all[i].Load.Short = 1
 	}
@@ -216,10 +216,10 @@
 	}
 	is.True(choose(model, long, all).Wait)
 	waited := long
-	waited.Waited = 1
+	waited.WaitedShare = 1
 	is.True(!choose(model, waited, all).Wait)
 	late := waited
-	late.Late, late.LeftMs, late.Slack = true, -100, -time.Second
+	late.Late, late.ObjectiveLeftMs, late.Slack = true, -100, -time.Second
 	is.True(choose(model, late, all).Wait)
 }
 
@@ -229,7 +229,7 @@
 	is := is.New(t)
 	all := idleCandidates(18)
 	for i := range 15 {
-		all[i].Load = Load{ReadMs: 240, Parts: 1}
+		all[i].Load = Load{PrefillMs: 240, Parts: 1}
 	}
 	c := choose(model, long, all)
 	is.True(!c.Wait)
@@ -244,7 +244,7 @@
 	is := is.New(t)
 	all := idleCandidates(6)
 	for i := range 3 {
-		all[i].Load = Load{Long: 1, Tokens: 50000}
+		all[i].Load = Load{Long: 1, MemoryTokens: 50000}
 	}
 	w := long
 	w.InputTokens = 200000
@@ -258,17 +258,17 @@
 func TestPatientOnesBearLongerParts(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(2)
-	all[0].Load = Load{Long: 1, Patient: 1, Tokens: 50000}
-	all[1].Load = Load{Long: 1, Tokens: 50000}
+	all[0].Load = Load{Long: 1, GapTolerant: 1, MemoryTokens: 50000}
+	all[1].Load = Load{Long: 1, MemoryTokens: 50000}
 	w := long
-	w.InputTokens, w.Pause = 70000, time.Second // 680 ms of prefill
+	w.InputTokens, w.MaxGap = 70000, time.Second // 680 ms of prefill
 	noHelpers := Default()
 	noHelpers.MaxHelpers = 0
 	c := noHelpers.Choose(model, w, all)
 	is.Equal(c.Endpoint, 0)
-	is.Equal(c.Loads[0].Load.Patient, 1)
-	w.Pause = 600 * time.Millisecond
-	is.Equal(choose(model, w, idleCandidates(1)).Loads[0].Load.Patient, 0)
+	is.Equal(c.Loads[0].Load.GapTolerant, 1)
+	w.MaxGap = 600 * time.Millisecond
+	is.Equal(choose(model, w, idleCandidates(1)).Loads[0].Load.GapTolerant, 0)
 }
 
 // TestPrefillEndsByEstimate: each part of a long prompt counts as prefilled after a
@@ -278,10 +278,10 @@
 	c := choose(model, long, idleCandidates(18))
 	is.True(len(c.Loads) > 1)
 	for _, p := range c.Loads {
-		is.True(p.ReadFor >= time.Duration(p.Load.ReadMs*float64(time.Millisecond)))
-		is.True(p.ReadFor < 2*time.Second)
+		is.True(p.PrefillFor >= time.Duration(p.Load.PrefillMs*float64(time.Millisecond)))
+		is.True(p.PrefillFor < 2*time.Second)
 	}
-	is.Equal(choose(model, short, idleCandidates(18)).Loads[0].ReadFor, time.Duration(0))
+	is.Equal(choose(model, short, idleCandidates(18)).Loads[0].PrefillFor, time.Duration(0))
 }
 
 // TestDecoderHasFreeSlots: helpers start only when the decoding endpoint admits the
@@ -289,11 +289,11 @@
 func TestDecoderHasFreeSlots(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(2)
-	all[0].Load = Load{Short: 14, Tokens: 20000}
-	all[1].Load = Load{Long: 1, Tokens: 60000}
+	all[0].Load = Load{Short: 14, MemoryTokens: 20000}
+	all[1].Load = Load{Long: 1, MemoryTokens: 60000}
 	w := long
 	w.Slack, w.Late = 0, true
-	w.Pauses = catalog.Pauses{} // late events cause no interference
+	w.Gaps = catalog.Gaps{} // late events cause no interference
 	is.Equal(choose(model, w, all).Endpoint, 1)
 }
 
@@ -305,10 +305,10 @@
 	few, many, prefilling := idleCandidates(18), idleCandidates(18), idleCandidates(18)
 	for i := range few {
 		few[i].Load.Short, many[i].Load.Short = 1, 8
-		prefilling[i].Load = Load{ReadMs: 250, Parts: 1}
+		prefilling[i].Load = Load{PrefillMs: 250, Parts: 1}
 	}
 	w := oversize
-	w.Waited = 1
+	w.WaitedShare = 1
 	is.True(!choose(model, w, few).Wait)
 	is.True(choose(model, w, many).Wait)
 	for _, late := range []bool{false, true} {
@@ -316,7 +316,7 @@
 		is.True(choose(model, w, prefilling).Wait)
 		is.True(!choose(model, w, idleCandidates(18)).Wait)
 	}
-	w.LeftMs, w.Slack = -100, -time.Second
+	w.ObjectiveLeftMs, w.Slack = -100, -time.Second
 	is.True(choose(model, w, few).Wait)
 }
 
@@ -325,7 +325,7 @@
 func TestNothingForACallerThatWouldBeGone(t *testing.T) {
 	is := is.New(t)
 	w := oversize
-	w.DeadlineMs = 3000
+	w.DeadlineLeftMs = 3000
 	is.True(choose(model, w, idleCandidates(2)).Wait) // 6.5 s of prefill each
 	is.True(!choose(model, w, idleCandidates(18)).Wait)
 }
@@ -346,11 +346,11 @@
 // TestValue: typical prompts have their expected value, within a factor of 1.5, by class or, if
 // no class is more gap-tolerant than another, by length.
 func TestValue(t *testing.T) {
-	two := catalog.Pauses{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: 600 * time.Millisecond}
+	two := catalog.Gaps{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: 600 * time.Millisecond}
 	cases := []struct {
 		name   string
 		tokens int
-		pauses catalog.Pauses
+		pauses catalog.Gaps
 		pause  time.Duration
 		want   float64
 	}{
@@ -364,7 +364,7 @@
 		{"no gap-tolerant class", 133000, two, two.Longest, 13.3},
 	}
 	for _, tc := range cases {
-		w := Work{InputTokens: tc.tokens, Pauses: tc.pauses, Pause: tc.pause}
+		w := Request{InputTokens: tc.tokens, Gaps: tc.pauses, MaxGap: tc.pause}
 		if got := w.value(); got < 0.67*tc.want || got > 1.5*tc.want {
 			t.Errorf("%s: value %.1f, want %.1f within a factor of 1.5", tc.name, got, tc.want)
 		}
@@ -374,12 +374,12 @@
 func TestTakesTurns(t *testing.T) {
 	is := is.New(t)
 	p := Default()
-	is.True(!p.TakesTurns(plain, long))
-	is.True(!p.TakesTurns(model, short))
-	is.True(p.TakesTurns(model, long))
-	is.True(!p.Oversize(model, long))
-	is.True(p.Oversize(model, oversize))
-	is.True(!p.Oversize(plain, oversize))
+	is.True(!p.MustQueue(plain, long))
+	is.True(!p.MustQueue(model, short))
+	is.True(p.MustQueue(model, long))
+	is.True(!p.ExceedsMemory(model, long))
+	is.True(p.ExceedsMemory(model, oversize))
+	is.True(!p.ExceedsMemory(plain, oversize))
 }
 
 // TestHugeFitsTogether: the memory of the decoding endpoint and the reservations on
@@ -388,7 +388,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := idleCandidates(18)
 		for i := range all {
-			all[i].Load.Tokens = rapid.IntRange(0, 232000).Draw(t, "tokens")
+			all[i].Load.MemoryTokens = rapid.IntRange(0, 232000).Draw(t, "tokens")
 		}
 		w := oversize
 		w.InputTokens = rapid.IntRange(240000, 1000000).Draw(t, "prompt")
@@ -398,15 +398,15 @@
 		}
 		held := 0
 		for _, p := range c.Loads {
-			held += p.Load.Tokens
-			if p.Load.Tokens+all[p.Candidate].Load.Tokens > engine.MemoryTokens {
-				t.Fatalf("candidate %d is assigned %d tokens, %d already in use", p.Candidate, p.Load.Tokens, all[p.Candidate].Load.Tokens)
+			held += p.Load.MemoryTokens
+			if p.Load.MemoryTokens+all[p.Candidate].Load.MemoryTokens > engine.MemoryTokens {
+				t.Fatalf("candidate %d is assigned %d tokens, %d already in use", p.Candidate, p.Load.MemoryTokens, all[p.Candidate].Load.MemoryTokens)
 			}
 		}
 		if held != w.InputTokens+w.OutputTokens {
 			t.Fatalf("memory assigned for %d tokens, prompt needs %d", held, w.InputTokens+w.OutputTokens)
 		}
-		for _, r := range c.Reserve {
+		for _, r := range c.Reservations {
 			if r.Candidate == c.Endpoint || r.Tokens <= 0 {
 				t.Fatalf("invalid reservation %+v with decoding endpoint %d", r, c.Endpoint)
 			}
@@ -420,11 +420,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := idleCandidates(rapid.IntRange(0, 20).Draw(t, "endpoints"))
 		for i := range all {
-			all[i].Load = Load{ReadMs: float64(rapid.IntRange(0, 900).Draw(t, "prefill")), Short: rapid.IntRange(0, 20).Draw(t, "short"),
-				Long: rapid.IntRange(0, 3).Draw(t, "long"), Tokens: rapid.IntRange(0, 300000).Draw(t, "tokens"), Parts: rapid.IntRange(0, 3).Draw(t, "parts")}
+			all[i].Load = Load{PrefillMs: float64(rapid.IntRange(0, 900).Draw(t, "prefill")), Short: rapid.IntRange(0, 20).Draw(t, "short"),
+				Long: rapid.IntRange(0, 3).Draw(t, "long"), MemoryTokens: rapid.IntRange(0, 300000).Draw(t, "tokens"), Parts: rapid.IntRange(0, 3).Draw(t, "parts")}
 			all[i].Suspect = rapid.Bool().Draw(t, "suspect")
 		}
-		w := Work{InputTokens: rapid.IntRange(0, 700000).Draw(t, "prompt"), OutputTokens: 700, LeftMs: 1500, DeadlineMs: 10000, Pauses: pauses, Avoid: []string{"1"},
+		w := Request{InputTokens: rapid.IntRange(0, 700000).Draw(t, "prompt"), OutputTokens: 700, ObjectiveLeftMs: 1500, DeadlineLeftMs: 10000, Gaps: pauses, Excluded: []string{"1"},
 			Slack: time.Duration(rapid.IntRange(-1, 1).Draw(t, "slack")), Late: rapid.Bool().Draw(t, "late")}
 		c := choose(model, w, all)
 		if c.Wait || c.Endpoint < 0 {
@@ -449,10 +449,10 @@
 	is := is.New(t)
 	p := Default()
 	plain := &catalog.Service{Name: "s"}
-	all := []Candidate{{ID: "a", OwnRank: 1}, {ID: "b", OwnRank: 2, Warm: true}, {ID: "c", OwnRank: 3, Warm: true}}
-	is.Equal(p.Choose(plain, Work{}, all).Endpoint, 1)
+	all := []Candidate{{ID: "a", LocalRank: 1}, {ID: "b", LocalRank: 2, Connected: true}, {ID: "c", LocalRank: 3, Connected: true}}
+	is.Equal(p.Choose(plain, Request{}, all).Endpoint, 1)
 	all[1].Load.Short = 1
-	is.Equal(p.Choose(plain, Work{}, all).Endpoint, 2)
+	is.Equal(p.Choose(plain, Request{}, all).Endpoint, 2)
 	all[2].Load.Short = 2
-	is.Equal(p.Choose(plain, Work{}, all).Endpoint, 0)
+	is.Equal(p.Choose(plain, Request{}, all).Endpoint, 0)
 }
--- a/balance/long.go
+++ b/balance/long.go
@@ -12,7 +12,7 @@
 // placeLong splits the prefill of a prompt over endpoints without prefill work. It
 // weighs the interference of a split against the delay of the prompt, and waits while
 // the best split causes more interference than the prompt may.
-func (p Policy) placeLong(e *catalog.Engine, w Work, prefill float64, all []Candidate, usable []int) Choice {
+func (p Policy) placeLong(e *catalog.Engine, w Request, prefill float64, all []Candidate, usable []int) Choice {
 	var best split
 	maxParts := min(1+p.MaxHelpers, len(usable))
 	if p.exceedsMemory(e, w) {
@@ -27,12 +27,12 @@
 			best = s
 		}
 	}
-	expected := Expected{FirstMs: best.firstMs, Harm: best.interference, Parts: len(best.candidates), Idle: p.countIdle(all, usable)}
+	expected := Estimate{FirstMs: best.firstMs, Interference: best.interference, Parts: len(best.candidates), IdleEndpoints: p.countIdle(all, usable)}
 	if best.candidates == nil || p.shouldWait(w, best, p.minFirstMs(e, w, prefill, len(usable))) {
 		return Choice{Endpoint: -1, Wait: true, Expected: expected}
 	}
 	c := p.assignParts(e, w, prefill, all, best.candidates)
-	c.Expected, c.Suboptimal = expected, best.firstMs > budgetShare*w.LeftMs || best.interference > p.BaseInterference
+	c.Expected, c.Suboptimal = expected, best.firstMs > budgetShare*w.ObjectiveLeftMs || best.interference > p.BaseInterference
 	return c
 }
 
@@ -41,13 +41,13 @@
 // waits and is small once it is late. minFirst is the time to its first event if all
 // endpoints were idle: a prompt that cannot be in time even then does not wait for idle
 // endpoints.
-func (p Policy) shouldWait(w Work, best split, minFirst float64) bool {
+func (p Policy) shouldWait(w Request, best split, minFirst float64) bool {
 	switch {
-	case best.firstMs > w.DeadlineMs:
+	case best.firstMs > w.DeadlineLeftMs:
 		return true // the caller would have given up
-	case best.firstMs <= w.LeftMs && !w.Late:
-		return best.interference > p.BaseInterference+w.value()*(p.ArrivalInterference+p.WaitedInterference*w.Waited)
-	case w.Slack > 0 && !w.Late && minFirst <= w.LeftMs:
+	case best.firstMs <= w.ObjectiveLeftMs && !w.Late:
+		return best.interference > p.BaseInterference+w.value()*(p.ArrivalInterference+p.WaitedInterference*w.WaitedShare)
+	case w.Slack > 0 && !w.Late && minFirst <= w.ObjectiveLeftMs:
 		return true
 	default:
 		return best.interference > w.value()*p.LateInterference
@@ -56,7 +56,7 @@
 
 // minFirstMs returns the time to the first event of a prompt on the given number of
 // idle endpoints, in milliseconds.
-func (p Policy) minFirstMs(e *catalog.Engine, w Work, prefill float64, endpoints int) float64 {
+func (p Policy) minFirstMs(e *catalog.Engine, w Request, prefill float64, endpoints int) float64 {
 	return prefill/float64(min(1+p.MaxHelpers, endpoints)) + iterationsToFirst*iterationMs(e, 1, w.InputTokens)
 }
 
@@ -109,7 +109,7 @@
 
 // bestSplit returns the split into the given number of parts that causes the least
 // interference. ok is false if the candidates lack memory for the prompt.
-func (p Policy) bestSplit(e *catalog.Engine, w Work, prefill float64, parts int, all []Candidate, usable []int) (s split, ok bool) {
+func (p Policy) bestSplit(e *catalog.Engine, w Request, prefill float64, parts int, all []Candidate, usable []int) (s split, ok bool) {
 	part := prefill / float64(parts)
 	estimates := make([]partEstimate, 0, len(usable))
 	for _, i := range usable {
@@ -135,15 +135,15 @@
 		s.candidates = append(s.candidates, o.index)
 		s.interference += o.interference
 		s.firstMs = max(s.firstMs, o.finishMs)
-		s.queuedMs = max(s.queuedMs, all[o.index].Load.ReadMs)
+		s.queuedMs = max(s.queuedMs, all[o.index].Load.PrefillMs)
 		free += freeTokens(e, all[o.index].Load)
 	}
 	s.firstMs += iterationsToFirst * iterationMs(e, 1, w.InputTokens)
 	s.cost = s.interference + p.partCost(part)*float64(parts)
-	if s.firstMs <= w.LeftMs {
-		s.cost += max(0, s.firstMs-budgetShare*w.LeftMs) / delayUnitMs
+	if s.firstMs <= w.ObjectiveLeftMs {
+		s.cost += max(0, s.firstMs-budgetShare*w.ObjectiveLeftMs) / delayUnitMs
 	} else {
-		s.cost += p.LateValueLoss*w.value() + s.firstMs/lateDelayUnitMs + max(0, s.firstMs-budgetShare*w.DeadlineMs)/delayUnitMs
+		s.cost += p.LateValueLoss*w.value() + s.firstMs/lateDelayUnitMs + max(0, s.firstMs-budgetShare*w.DeadlineLeftMs)/delayUnitMs
 	}
 	if w.gapTolerant() == 1 || s.interference > 0 {
 		p.moveDecoderFirst(e, w, all, s.candidates)
@@ -170,7 +170,7 @@
 // busy returns 1 for an endpoint with so much pending prefill that a new part would
 // delay other requests, else 0.
 func (p Policy) busy(l Load) int {
-	if l.ReadMs > p.MaxQueuedMs {
+	if l.PrefillMs > p.MaxQueuedMs {
 		return 1
 	}
 	return 0
@@ -184,25 +184,25 @@
 
 // estimatePart estimates how long a part takes on an endpoint, and the interference
 // that it causes there.
-func (p Policy) estimatePart(e *catalog.Engine, w Work, index int, c Candidate, part float64) partEstimate {
+func (p Policy) estimatePart(e *catalog.Engine, w Request, index int, c Candidate, part float64) partEstimate {
 	l := c.Load
 	decoding := l.Short + l.Long
-	prefill := (l.ReadMs + part) * c.slowdown()
+	prefill := (l.PrefillMs + part) * c.slowdown()
 	s := partEstimate{index: index, finishMs: prefill}
 	if decoding == 0 && l.Parts == 0 {
 		return s
 	}
-	iteration := iterationMs(e, decoding, l.Tokens) * c.slowdown()
+	iteration := iterationMs(e, decoding, l.MemoryTokens) * c.slowdown()
 	s.finishMs += iteration * iterationsToFirst
 	longestIteration := prefill + iteration
-	if longestIteration > p.maxIterationMs(w.Pauses.Shortest) {
+	if longestIteration > p.maxIterationMs(w.Gaps.Shortest) {
 		s.interference += float64(l.Short)
 	}
-	if longestIteration > p.maxIterationMs(w.Pauses.Next) {
-		s.interference += float64(l.Long-l.Patient) * p.LongGapCost
+	if longestIteration > p.maxIterationMs(w.Gaps.Next) {
+		s.interference += float64(l.Long-l.GapTolerant) * p.LongGapCost
 	}
-	if longestIteration > p.maxIterationMs(w.Pauses.Longest) {
-		s.interference += float64(l.Patient) * p.TolerantGapCost
+	if longestIteration > p.maxIterationMs(w.Gaps.Longest) {
+		s.interference += float64(l.GapTolerant) * p.TolerantGapCost
 	}
 	if l.Parts > 0 {
 		s.interference += part / delayUnitMs * p.PartDelayCost
@@ -240,8 +240,8 @@
 
 // exceedsGap returns 1 for an endpoint so slow that every gap between the prompt's
 // events would be too long, else 0.
-func (p Policy) exceedsGap(e *catalog.Engine, w Work, c Candidate) int {
-	if iterationMs(e, 1+c.Load.Short+c.Load.Long, c.Load.Tokens)*c.slowdown() > p.maxIterationMs(w.Pause) {
+func (p Policy) exceedsGap(e *catalog.Engine, w Request, c Candidate) int {
+	if iterationMs(e, 1+c.Load.Short+c.Load.Long, c.Load.MemoryTokens)*c.slowdown() > p.maxIterationMs(w.MaxGap) {
 		return 1
 	}
 	return 0
@@ -251,7 +251,7 @@
 // endpoints that are fast enough, not crowded and in the own cell, it prefers one with
 // memory for the whole prompt, or else the one with the most memory; of equal ones, the
 // one with the fewest requests.
-func (p Policy) moveDecoderFirst(e *catalog.Engine, w Work, all []Candidate, chosen []int) {
+func (p Policy) moveDecoderFirst(e *catalog.Engine, w Request, all []Candidate, chosen []int) {
 	need := w.InputTokens + w.OutputTokens
 	best := 0
 	for n := range chosen {
@@ -270,25 +270,25 @@
 
 // freeTokens returns the memory of an endpoint that is available to long prompts.
 func freeTokens(e *catalog.Engine, l Load) int {
-	return max(0, int(longMemoryShare*float64(e.MemoryTokens))-l.Tokens)
+	return max(0, int(longMemoryShare*float64(e.MemoryTokens))-l.MemoryTokens)
 }
 
 // assignParts distributes the prefill of a prompt over the chosen candidates, the first
 // of which decodes, and fills their memory in order.
-func (p Policy) assignParts(e *catalog.Engine, w Work, prefill float64, all []Candidate, chosen []int) Choice {
+func (p Policy) assignParts(e *catalog.Engine, w Request, prefill float64, all []Candidate, chosen []int) Choice {
 	need := w.InputTokens + w.OutputTokens
 	c := Choice{Endpoint: chosen[0], Helpers: chosen[1:]}
 	for n, i := range chosen {
 		tokens := min(need, freeTokens(e, all[i].Load))
 		need -= tokens
-		l := Load{ReadMs: prefill / float64(len(chosen)), Tokens: tokens, Parts: 1}
+		l := Load{PrefillMs: prefill / float64(len(chosen)), MemoryTokens: tokens, Parts: 1}
 		if n == 0 {
 			l.Long = 1
-			l.Patient = w.gapTolerant()
+			l.GapTolerant = w.gapTolerant()
 		} else if tokens > 0 {
-			c.Reserve = append(c.Reserve, Reservation{i, tokens})
+			c.Reservations = append(c.Reservations, Reservation{i, tokens})
 		}
-		c.Loads = append(c.Loads, Placed{Candidate: i, Load: l, ReadFor: p.prefillFor(p.estimatePart(e, w, i, all[i], l.ReadMs))})
+		c.Loads = append(c.Loads, LoadShare{Candidate: i, Load: l, PrefillFor: p.prefillFor(p.estimatePart(e, w, i, all[i], l.PrefillMs))})
 	}
 	return c
 }
@@ -297,7 +297,7 @@
 // suitable ones on which the prompt causes no interference, the first in the order of
 // short requests. This keeps requests with short gap objectives off the endpoints that
 // prefill longer prompts.
-func (p Policy) decodeWithShort(e *catalog.Engine, w Work, all []Candidate, estimates []partEstimate) {
+func (p Policy) decodeWithShort(e *catalog.Engine, w Request, all []Candidate, estimates []partEstimate) {
 	best := -1
 	for n, o := range estimates {
 		l := all[o.index].Load
--- a/balance/short.go
+++ b/balance/short.go
@@ -17,7 +17,7 @@
 // The order does not depend on where long requests are decoding, because that changes
 // constantly: with such an order 30 short requests were spread over 8 to 11 of 17
 // endpoints, and each part of a long prompt caused a gap for some of them.
-func (p Policy) placeShort(e *catalog.Engine, w Work, prefill float64, all []Candidate, usable []int) Choice {
+func (p Policy) placeShort(e *catalog.Engine, w Request, prefill float64, all []Candidate, usable []int) Choice {
 	slices.SortFunc(usable, func(a, b int) int { return cmp.Compare(all[a].Rank, all[b].Rank) })
 	tokens := w.InputTokens + w.OutputTokens
 	packed := p.packedEndpoints(e, all, usable)
@@ -32,7 +32,7 @@
 		if earliest < 0 || first < earliestFirst {
 			earliest, earliestFirst = i, first
 		}
-		if first > p.FirstEventShare*w.LeftMs {
+		if first > p.FirstEventShare*w.ObjectiveLeftMs {
 			continue
 		}
 		if best < 0 || earlier(first, all[i], bestFirst, all[best]) {
@@ -40,16 +40,16 @@
 		}
 	}
 	if best < 0 {
-		if !w.MustTake && earliestFirst > w.LeftMs && p.saturated(e, all, usable) {
-			return Choice{Endpoint: -1, Refuse: true, Expected: Expected{FirstMs: earliestFirst}}
+		if !w.NoRefusal && earliestFirst > w.ObjectiveLeftMs && p.saturated(e, all, usable) {
+			return Choice{Endpoint: -1, Refuse: true, Expected: Estimate{FirstMs: earliestFirst}}
 		}
 		if w.Remote {
-			return Choice{Endpoint: -1, Wait: true, Expected: Expected{FirstMs: earliestFirst}}
+			return Choice{Endpoint: -1, Wait: true, Expected: Estimate{FirstMs: earliestFirst}}
 		}
 		best, bestFirst, late = earliest, earliestFirst, true
 	}
-	load := Load{ReadMs: prefill, Short: 1, Tokens: tokens, Unread: 1}
-	return Choice{Endpoint: best, Suboptimal: late, Loads: []Placed{{Candidate: best, Load: load}}, Expected: Expected{FirstMs: bestFirst, Parts: 1}}
+	load := Load{PrefillMs: prefill, Short: 1, MemoryTokens: tokens, AwaitingFirstEvent: 1}
+	return Choice{Endpoint: best, Suboptimal: late, Loads: []LoadShare{{Candidate: best, Load: load}}, Expected: Estimate{FirstMs: bestFirst, Parts: 1}}
 }
 
 // saturated reports whether the requests in flight use up the slots of all endpoints
@@ -85,12 +85,12 @@
 // firstEventMs estimates how long a short request waits for its first event: the
 // pending prefill plus the iterations of the decoding requests. Penalties keep requests
 // away from endpoints that are crowded, out of memory or too slow.
-func (p Policy) firstEventMs(e *catalog.Engine, w Work, c Candidate, tokens int) float64 {
+func (p Policy) firstEventMs(e *catalog.Engine, w Request, c Candidate, tokens int) float64 {
 	l := c.Load
 	decoding := l.Short + l.Long
-	iteration := iterationMs(e, decoding, l.Tokens) * c.slowdown()
-	ms := l.ReadMs*c.slowdown() + iteration*iterationsToFirst
-	if iteration > p.maxIterationMs(w.Pause) {
+	iteration := iterationMs(e, decoding, l.MemoryTokens) * c.slowdown()
+	ms := l.PrefillMs*c.slowdown() + iteration*iterationsToFirst
+	if iteration > p.maxIterationMs(w.MaxGap) {
 		ms += gapPenaltyMs
 	}
 	crowdedFrom := float64(e.Slots) * crowdedShare
@@ -98,9 +98,9 @@
 		ms += (over + 1) * crowdedPenaltyMs
 	}
 	if waiting := decoding - e.Slots + 1; waiting > 0 {
-		ms += float64(min(waiting, l.Unread+1)) * p.SlotWaitMs
+		ms += float64(min(waiting, l.AwaitingFirstEvent+1)) * p.SlotWaitMs
 	}
-	if l.Tokens+tokens > e.MemoryTokens {
+	if l.MemoryTokens+tokens > e.MemoryTokens {
 		ms += memoryPenaltyMs
 	}
 	return ms
--- a/balance/turns_test.go
+++ b/balance/turns_test.go
@@ -13,7 +13,7 @@
 
 func TestTurnsByDueTime(t *testing.T) {
 	is := is.New(t)
-	turns := NewTurns()
+	turns := NewPromptQueue()
 	later := turns.Join("s", InTime, start.Add(3*time.Second), start)
 	sooner := turns.Join("s", InTime, start.Add(time.Second), start)
 	other := turns.Join("t", InTime, start.Add(9*time.Second), start)
@@ -29,7 +29,7 @@
 // before a late one, regardless of their due times.
 func TestTurnsByRank(t *testing.T) {
 	is := is.New(t)
-	turns := NewTurns()
+	turns := NewPromptQueue()
 	late := turns.Join("s", Late, start.Add(-time.Second), start)
 	oversize := turns.Join("s", Oversize, start.Add(time.Second), start)
 	inTime := turns.Join("s", InTime, start.Add(2*time.Second), start)
@@ -47,15 +47,15 @@
 // time, as long as each receives the other's messages in time.
 func TestTurnsOfPeers(t *testing.T) {
 	is := is.New(t)
-	a, b := NewTurns(), NewTurns()
+	a, b := NewPromptQueue(), NewPromptQueue()
 	first := a.Join("s", InTime, start.Add(time.Second), start)
 	second := b.Join("s", InTime, start.Add(2*time.Second), start)
-	a.Peer("b", b.Own(start), start.Add(time.Millisecond))
-	b.Peer("a", a.Own(start), start.Add(time.Millisecond))
+	a.SetPeerHeads("b", b.LocalHeads(start), start.Add(time.Millisecond))
+	b.SetPeerHeads("a", a.LocalHeads(start), start.Add(time.Millisecond))
 	is.True(a.First(first, InTime, settled))
 	is.True(!b.First(second, InTime, settled))
 	a.Leave(first)
-	b.Peer("a", a.Own(settled), settled.Add(time.Millisecond))
+	b.SetPeerHeads("a", a.LocalHeads(settled), settled.Add(time.Millisecond))
 	is.True(b.First(second, InTime, settled.Add(time.Millisecond)))
 }
 
@@ -63,10 +63,10 @@
 // peer makes at the same time would have arrived.
 func TestTurnsWaitForWords(t *testing.T) {
 	is := is.New(t)
-	turns := NewTurns()
+	turns := NewPromptQueue()
 	turn := turns.Join("s", InTime, start, start)
 	is.True(turns.First(turn, InTime, start)) // no peers
-	turns.Peer("p", nil, start)
+	turns.SetPeerHeads("p", nil, start)
 	is.True(!turns.First(turn, InTime, settled.Add(-time.Millisecond)))
 	is.True(turns.First(turn, InTime, settled))
 }
@@ -74,20 +74,20 @@
 // TestTurnsOfSilentPeers: a peer that has fallen silent blocks no prompts.
 func TestTurnsOfSilentPeers(t *testing.T) {
 	is := is.New(t)
-	turns := NewTurns()
+	turns := NewPromptQueue()
 	turn := turns.Join("s", InTime, start.Add(time.Second), start)
-	turns.Peer("p", map[string]Claim{"s": {Rank: InTime, LeftMs: 10}}, start)
+	turns.SetPeerHeads("p", map[string]QueueHead{"s": {Rank: InTime, DueInMs: 10}}, start)
 	is.True(!turns.First(turn, InTime, start.Add(claimTTL)))
 	is.True(turns.First(turn, InTime, start.Add(claimTTL+time.Millisecond)))
-	turns.Forget(start.Add(peerTTL + time.Millisecond))
+	turns.ExpirePeers(start.Add(peerTTL + time.Millisecond))
 	is.Equal(len(turns.peers), 0)
 }
 
 func TestOwnClaims(t *testing.T) {
 	is := is.New(t)
-	turns := NewTurns()
+	turns := NewPromptQueue()
 	turns.Join("s", Late, start, start)
 	turns.Join("s", InTime, start.Add(2*time.Second), start)
 	turns.Join("s", InTime, start.Add(time.Second), start)
-	is.Equal(turns.Own(start), map[string]Claim{"s": {Rank: InTime, LeftMs: 1000}})
+	is.Equal(turns.LocalHeads(start), map[string]QueueHead{"s": {Rank: InTime, DueInMs: 1000}})
 }
--- a/balance/value.go
+++ b/balance/value.go
@@ -20,12 +20,12 @@
 // Length alone, at one short request per defaultTokensPerUnit, overrates prompts of
 // medium length two and a half times and lowers the served value by 0.017 (standard
 // error 0.003, 60 engines).
-func (w Work) value() float64 {
+func (w Request) value() float64 {
 	tokens := float64(w.InputTokens)
 	switch {
 	case w.gapTolerant() == 1:
 		return tolerantBaseValue + tokens/tolerantTokensPerUnit
-	case w.Pauses.Longest > w.Pauses.Next:
+	case w.Gaps.Longest > w.Gaps.Next:
 		return mediumBaseValue + tokens/mediumTokensPerUnit
 	default:
 		return tokens / defaultTokensPerUnit
@@ -34,8 +34,8 @@
 
 // gapTolerant returns 1 for a request whose route allows longer gaps than the
 // second-shortest that routes to the service allow, else 0.
-func (w Work) gapTolerant() int {
-	if w.Pause > w.Pauses.Next {
+func (w Request) gapTolerant() int {
+	if w.MaxGap > w.Gaps.Next {
 		return 1
 	}
 	return 0
--- a/catalog/table.go
+++ b/catalog/table.go
@@ -13,12 +13,12 @@
 	hosts    map[string]map[string]*Route // host, then prefix
 	services map[string]*Service
 	keys     map[string]*Workspace
-	pauses   map[string]Pauses // by service
+	gaps     map[string]Gaps // by service
 }
 
-// Pauses are the objectives of the routes of a service for the pause between two
+// Gaps are the objectives of the routes of a service for the pause between two
 // events; zero: no route has one.
-type Pauses struct {
+type Gaps struct {
 	Shortest time.Duration
 	Next     time.Duration // the shortest above Shortest, or Shortest where it is the only one
 	Longest  time.Duration
@@ -31,7 +31,7 @@
 		hosts:         make(map[string]map[string]*Route),
 		services:      make(map[string]*Service, len(c.Services)),
 		keys:          make(map[string]*Workspace),
-		pauses:        make(map[string]Pauses),
+		gaps:          make(map[string]Gaps),
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
@@ -41,7 +41,7 @@
 		}
 		t.hosts[host][r.PathPrefix] = r
 		for _, target := range r.Targets {
-			t.pauses[target.Service] = t.pauses[target.Service].with(r.GapObjective)
+			t.gaps[target.Service] = t.gaps[target.Service].with(r.GapObjective)
 		}
 	}
 	for i := range c.Services {
@@ -76,7 +76,7 @@
 }
 
 // with returns the pauses with one more objective.
-func (p Pauses) with(gap time.Duration) Pauses {
+func (p Gaps) with(gap time.Duration) Gaps {
 	if gap <= 0 {
 		return p
 	}
@@ -92,8 +92,8 @@
 	return p
 }
 
-// Pauses returns the pauses that the routes to a service allow.
-func (t *Table) Pauses(service string) Pauses { return t.pauses[service] }
+// Gaps returns the pauses that the routes to a service allow.
+func (t *Table) Gaps(service string) Gaps { return t.gaps[service] }
 
 // Service returns the service of that name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
--- a/catalog/table_test.go
+++ b/catalog/table_test.go
@@ -56,18 +56,18 @@
 // and the longest are found.
 func TestPauses(t *testing.T) {
 	is := is.New(t)
-	s := func(ms ...int) Pauses {
+	s := func(ms ...int) Gaps {
 		var c Configuration
 		for _, n := range ms {
 			c.Routes = append(c.Routes, Route{GapObjective: time.Duration(n) * time.Millisecond, Targets: []Target{{Service: "s", Weight: 1}}})
 		}
-		return NewTable(&c).Pauses("s")
+		return NewTable(&c).Gaps("s")
 	}
-	all := Pauses{250 * time.Millisecond, 600 * time.Millisecond, time.Second}
+	all := Gaps{250 * time.Millisecond, 600 * time.Millisecond, time.Second}
 	is.Equal(s(250, 600, 1000), all)
 	is.Equal(s(1000, 0, 600, 250, 250), all)
 	is.Equal(s(600, 1000, 250), all)
-	is.Equal(s(250, 250), Pauses{250 * time.Millisecond, 250 * time.Millisecond, 250 * time.Millisecond})
-	is.Equal(s(600, 250), Pauses{250 * time.Millisecond, 600 * time.Millisecond, 600 * time.Millisecond})
-	is.Equal(s(), Pauses{})
+	is.Equal(s(250, 250), Gaps{250 * time.Millisecond, 250 * time.Millisecond, 250 * time.Millisecond})
+	is.Equal(s(600, 250), Gaps{250 * time.Millisecond, 600 * time.Millisecond, 600 * time.Millisecond})
+	is.Equal(s(), Gaps{})
 }
--- a/cost/cost.go
+++ b/cost/cost.go
@@ -134,7 +134,7 @@
 		expected := float64(m.prior.Prefill(n, 0))
 		sum.add(n, 0, expected*math.Exp(m.logScale), priorWeight/(expected*expected))
 	}
-	m.cost.PrefillPerToken, m.cost.PrefillPerToken2 = sum.solve()
+	m.cost.PrefillPerToken, m.cost.PrefillPerTokenSquared = sum.solve()
 }
 
 // updateStreak updates the streak and reports whether at least wrongStreak predictions
--- a/cost/cost_test.go
+++ b/cost/cost_test.go
@@ -10,7 +10,7 @@
 	"github.com/micarudder/micarudder/routing"
 )
 
-var truth = routing.Cost{PrefillPerToken: 60 * time.Microsecond, PrefillPerToken2: 0.0002, DecodePerToken: 15 * time.Millisecond}
+var truth = routing.Cost{PrefillPerToken: 60 * time.Microsecond, PrefillPerTokenSquared: 0.0002, DecodePerToken: 15 * time.Millisecond}
 
 // observe feeds the model n runs of an endpoint that is slower than truth by the factor
 // slow, with 20 % noise. One in longEvery runs is long.
@@ -28,7 +28,7 @@
 }
 
 func TestModel(t *testing.T) {
-	slow := routing.Cost{PrefillPerToken: 600 * time.Microsecond, PrefillPerToken2: 0.002, DecodePerToken: 150 * time.Millisecond}
+	slow := routing.Cost{PrefillPerToken: 600 * time.Microsecond, PrefillPerTokenSquared: 0.002, DecodePerToken: 150 * time.Millisecond}
 	cases := []struct {
 		name   string
 		prior  routing.Cost
--- a/ctl/gateways.go
+++ b/ctl/gateways.go
@@ -102,9 +102,9 @@
 	return a.SilentMs < b.SilentMs
 }
 
-func heldOf(e *rudderv1.EndpointStatus) placement.Held {
+func heldOf(e *rudderv1.EndpointStatus) placement.EndpointState {
 	r := e.GetReport()
-	h := placement.Held{
+	h := placement.EndpointState{
 		Role:    r.GetRole(),
 		Serving: e.Connected && r.GetState() == rudderv1.AgentState_AGENT_STATE_SERVING,
 	}
--- a/e2e/bubble_test.go
+++ b/e2e/bubble_test.go
@@ -70,7 +70,7 @@
 	revision   int64 // of the accepted document
 	policy     routing.Policy
 	place      func(next http.Handler, w http.ResponseWriter, r *http.Request) // stands between placers and agents
-	keepers    map[string]*generation.Keeper
+	keepers    map[string]*generation.Tracker
 	metrics    map[string]*metrics.Set // of gateways
 	signers    map[string]*ticket.Signer
 	change     func(*gateway.Config)   // of gateways started from now on; may be nil
@@ -98,7 +98,7 @@
 			agents: make(map[string]*agent.Agent), gateways: make(map[string]*gateway.Gateway), servers: make(map[string]*http.Server),
 			frozen: make(map[string]chan struct{}), dead: make(map[string]bool),
 			parted: make(map[route]bool), joined: make(map[route][]net.Conn),
-			keepers: make(map[string]*generation.Keeper), metrics: make(map[string]*metrics.Set), signers: make(map[string]*ticket.Signer),
+			keepers: make(map[string]*generation.Tracker), metrics: make(map[string]*metrics.Set), signers: make(map[string]*ticket.Signer),
 			doc: &rudderv1.Document{
 				Generation: 1, PlanId: "plan-1",
 				Models: []*rudderv1.Model{{Name: model, Version: "1", MaxTokens: 1_100_000, Replicas: map[string]uint32{dataCentre: 100}}},
@@ -222,7 +222,7 @@
 
 // agent starts the agent beside an endpoint; it can be called again after a kill.
 func (b *bubble) agent(name, serviceName string, memory uint64) *agent.Agent {
-	b.keepers[name] = generation.NewKeeper()
+	b.keepers[name] = generation.NewTracker()
 	deps := agent.Deps{
 		Client: b.innerClientFrom(name), Signer: b.signerOf(name), Queue: admission.New(admission.Config{}), Keeper: b.keepers[name], Log: quiet(),
 		Metrics: metrics.NewSet(),
@@ -279,7 +279,7 @@
 func (b *bubble) gateway(name string, peers ...string) *gateway.Gateway {
 	client := b.innerClientFrom(name)
 	set := metrics.NewSet()
-	b.keepers[name], b.metrics[name] = generation.NewKeeper(), set
+	b.keepers[name], b.metrics[name] = generation.NewTracker(), set
 	store, err := metastore.NewClient(metastore.Options{Addresses: []string{platformAddr}, HTTPClient: b.httpClientFrom(name), Timeout: time.Second, Metrics: set})
 	if err != nil {
 		b.t.Fatal(err)
--- a/e2e/place_test.go
+++ b/e2e/place_test.go
@@ -199,7 +199,7 @@
 		h.offer()
 		is.Equal(result.Code(h.place(h.permit(unload1)).Code), result.OrderInProgress)
 		is.Equal(h.report().Order.Phase, rudderv1.OrderPhase_ORDER_PHASE_FOUND)
-		time.Sleep(orders.SettleTime + time.Second)
+		time.Sleep(orders.ResolveTime + time.Second)
 		is.True(h.report().Order == nil)
 	})
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -28,7 +28,7 @@
 	defer settled()
 	defer func() { l.outcome(result.Code(end.Code)) }()
 	if s.group == nil {
-		l.cache.Sent(s.o.completion.GetPrefix())
+		l.cache.RecordSent(s.o.completion.GetPrefix())
 	}
 	stream, err := l.client.Run(ctx, connect.NewRequest(req))
 	if err != nil {
@@ -68,7 +68,7 @@
 		s.startOver()
 	}
 	s.out.Named(s.ticket)
-	s.life.Named = s.life.Named || s.out.Known()
+	s.life.HasName = s.life.HasName || s.out.Known()
 }
 
 // startOver serves a caller that has bytes of a run that is gone: a new run's
@@ -120,7 +120,7 @@
 		s.gone = err
 		return endOf(result.New(result.ReaderTooSlow, err.Error()))
 	}
-	s.life.Named = s.life.Named || s.out.Known()
+	s.life.HasName = s.life.HasName || s.out.Known()
 	return nil
 }
 
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -56,7 +56,7 @@
 }
 
 func (g *Gateway) platformChange(c metastore.Change) {
-	g.members.apply(membership.Outside{})
+	g.members.apply(membership.ExternalContact{})
 	if c.Restored {
 		g.platform.restored.Add(1)
 		g.platform.generation.Store(0) // until the restored store is read
@@ -81,11 +81,11 @@
 // learn takes a document or delta. It returns document.ErrBase when only the
 // whole document would help.
 func (g *Gateway) learn(o *rudderv1.OfferRequest, from source) error {
-	verdict, err := g.deps.Keeper.Take(o)
+	verdict, err := g.deps.Keeper.ApplyOffer(o)
 	if err != nil {
 		return err
 	}
-	offered := generation.Offered(o)
+	offered := generation.OfferedGeneration(o)
 	switch verdict {
 	case generation.Newer:
 		g.deps.Log.Info("Configuration in force.", "generation", offered, "from", from)
@@ -95,7 +95,7 @@
 			g.deps.Log.Error("The platform holds an older configuration than the one in force.", "generation", offered)
 			g.meter.generationBack()
 		}
-	case generation.Diverge:
+	case generation.Diverged:
 		g.deps.Log.Error("Two documents of one generation.", "generation", offered, "from", from)
 	}
 	return nil
--- a/gateway/ending.go
+++ b/gateway/ending.go
@@ -64,7 +64,7 @@
 // settle says of the request's last ending what the evidence of all attempts
 // allows, and names the run that may exist.
 func (s *session) settle(end *rudderv1.End) *rudderv1.End {
-	claim := s.life.Claim(s.ending(end))
+	claim := s.life.ReportableOutcome(s.ending(end))
 	end.Outcome = rudderv1.Outcome(claim)
 	if claim != result.NotRun {
 		s.o.ticket = s.ticket
@@ -86,7 +86,7 @@
 // abandon frees what a caller that left used, unless it was told a ticket and
 // may come back, or the call is to a plain service, which is not to be cut.
 func (s *session) abandon(ctx context.Context, l *link) {
-	if s.o.completion == nil || s.life.Named || s.out.Known() {
+	if s.o.completion == nil || s.life.HasName || s.out.Known() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), voidTime)
@@ -97,8 +97,8 @@
 }
 
 // ending is an end frame as the decision sees it.
-func (s *session) ending(e *rudderv1.End) lifecycle.Ending {
-	return lifecycle.Ending{Code: result.Code(e.Code), Outcome: result.Outcome(e.Outcome), Sealed: e.Sealed, Attached: s.attached}
+func (s *session) ending(e *rudderv1.End) lifecycle.AttemptResult {
+	return lifecycle.AttemptResult{Code: result.Code(e.Code), Outcome: result.Outcome(e.Outcome), Sealed: e.Sealed, Attached: s.attached}
 }
 
 func endOf(err *result.Err) *rudderv1.End {
--- a/gateway/form.go
+++ b/gateway/form.go
@@ -31,7 +31,7 @@
 		gr.fail(m, result.LeaseLost)
 		return
 	}
-	if a.Kind == memory.DoReserve {
+	if a.Kind == memory.ActionReserve {
 		gr.reserve(a.Member)
 		return
 	}
@@ -43,7 +43,7 @@
 func (gr *group) lapsed() (int, bool) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	return gr.state.Lapsed(time.Now())
+	return gr.state.ExpiredMember(time.Now())
 }
 
 // fail ends the attempt. An endpoint that is at fault is avoided for a while.
@@ -57,21 +57,21 @@
 	}
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	gr.state.Failed(code)
+	gr.state.RecordFailure(code)
 }
 
 // reserve asks one member for its part of the memory.
 func (gr *group) reserve(member int) {
 	l, m := gr.links[member], gr.member(member)
 	gr.mu.Lock()
-	gr.state.Asked(member)
+	gr.state.RecordRequested(member)
 	epoch := gr.state.Epoch()
 	gr.mu.Unlock()
 	ctx, cancel := context.WithTimeout(gr.ctx, reserveTime)
 	defer cancel()
 	sent := time.Now()
 	resp, err := l.client.Reserve(ctx, connect.NewRequest(&rudderv1.ReserveRequest{
-		Group: gr.id, Holder: gr.s.g.cfg.Name, Tokens: m.Reserve, LeaseMs: groupLease.Milliseconds(),
+		Group: gr.id, Holder: gr.s.g.cfg.Name, Tokens: m.ReserveTokens, LeaseMs: groupLease.Milliseconds(),
 		Epoch: epoch, SinceUnixMs: gr.since.UnixMilli(), Model: gr.s.o.completion.Model,
 	}))
 	if err != nil {
@@ -85,7 +85,7 @@
 	}
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	gr.state.Granted(member, sent, groupLease)
+	gr.state.RecordGranted(member, sent, groupLease)
 }
 
 func (gr *group) member(i int) memory.Member {
@@ -123,7 +123,7 @@
 		StartToken: m.Start, Tokens: m.Tokens, Before: gr.spans,
 		Workspace: gr.s.o.workspace.Name, Weight: gr.s.o.workspace.Weight, Priority: gr.s.o.workspace.Priority,
 	}
-	if a.Kind == memory.DoImport {
+	if a.Kind == memory.ActionImport {
 		req.Tokens, req.Body = 0, nil
 	}
 	resp, err := gr.callPrefill(gr.links[a.Member], req)
@@ -161,7 +161,7 @@
 // computed takes in what a member did. It holds all spans up to its own now, so
 // that the others before it are released.
 func (gr *group) computed(a memory.Action, h *rudderv1.KVHandle) {
-	if a.Kind == memory.DoCompute {
+	if a.Kind == memory.ActionCompute {
 		gr.spans = append(gr.spans, h)
 	}
 	name := gr.links[a.Member].declared.Name
@@ -169,10 +169,10 @@
 		gr.spans[i] = &rudderv1.KVHandle{Id: old.Id, Endpoint: name, StartToken: old.StartToken, Tokens: old.Tokens}
 	}
 	gr.mu.Lock()
-	free := gr.state.Computed(a.Member)
+	free := gr.state.RecordComputed(a.Member)
 	gr.mu.Unlock()
 	gr.release(free)
-	if a.Kind == memory.DoCompute {
+	if a.Kind == memory.ActionCompute {
 		gr.preload(a.Member+2, h)
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -45,7 +45,7 @@
 	Hosts   metastore.HostLister // nil: no list of hosts
 	Client  *inner.Client
 	Signer  *ticket.Signer
-	Keeper  *generation.Keeper
+	Keeper  *generation.Tracker
 	Policy  routing.Policy
 	Log     *log.Logger
 	Metrics *metrics.Set
--- a/gateway/group.go
+++ b/gateway/group.go
@@ -107,22 +107,22 @@
 	for {
 		gr.begin(ctx)
 		a := gr.next()
-		for a.Kind < memory.DoRun {
-			if a.Kind != memory.DoReserve {
+		for a.Kind < memory.ActionRun {
+			if a.Kind != memory.ActionReserve {
 				leave()
 			}
 			gr.step(ctx, a)
 			a = gr.next()
 		}
 		switch a.Kind {
-		case memory.DoRun:
+		case memory.ActionRun:
 			return gr.links[a.Member], nil
-		case memory.DoFail:
+		case memory.ActionFail:
 			gr.disband()
 			return nil, gr.failed(ctx, a.Code)
 		}
 		gr.disband()
-		if end := gr.rest(ctx, a.Pause); end != nil {
+		if end := gr.rest(ctx, a.Backoff); end != nil {
 			return nil, end
 		}
 	}
@@ -190,7 +190,7 @@
 	defer gr.mu.Unlock()
 	gr.ctx, gr.cancel = context.WithCancelCause(ctx)
 	if code != 0 {
-		gr.state.Unplanned(code)
+		gr.state.RecordNoPlan(code)
 		return
 	}
 	gr.state.Begin(plan)
@@ -201,9 +201,9 @@
 // plan chooses the members, or says why there is no plan.
 func (gr *group) plan() (memory.Plan, result.Code) {
 	c := gr.s.o.completion
-	need := memory.Need{Prompt: c.PromptTokens, Answer: c.MaxTokens}
+	need := memory.PlanRequest{Prompt: c.PromptTokens, Answer: c.MaxTokens}
 	if gr.s.o.claims != nil {
-		need.Last = gr.s.o.claims.Endpoint
+		need.LastEndpoint = gr.s.o.claims.Endpoint
 	}
 	rooms, links := gr.rooms(time.Now())
 	p := need.Plan(rooms)
@@ -224,8 +224,8 @@
 }
 
 // rooms is the view of the planner, with the links by endpoint.
-func (gr *group) rooms(now time.Time) ([]memory.Room, map[string]*link) {
-	var rooms []memory.Room
+func (gr *group) rooms(now time.Time) ([]memory.EndpointMemory, map[string]*link) {
+	var rooms []memory.EndpointMemory
 	links := make(map[string]*link)
 	view, order := gr.s.g.links.view(now)
 	for i, c := range view {
@@ -241,12 +241,12 @@
 }
 
 // room is the link as the planner of groups sees it.
-func (l *link) room(c *routing.Candidate, avoid bool) memory.Room {
+func (l *link) room(c *routing.Candidate, avoid bool) memory.EndpointMemory {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return memory.Room{
+	return memory.EndpointMemory{
 		Endpoint: c.Endpoint, Limit: l.load.GetReserveLimit(), Reserved: l.load.GetReservedTokens(), Free: c.FreeTokens,
-		Wait: c.Wait[routing.ClassHuge] + c.Pending, Near: c.DataCentre == l.g.cfg.DataCentre, Avoid: avoid || c.BreakerOpen,
+		Wait: c.Wait[routing.ClassHuge] + c.Pending, SameDataCentre: c.DataCentre == l.g.cfg.DataCentre, Avoid: avoid || c.BreakerOpen,
 	}
 }
 
--- a/gateway/grouped.go
+++ b/gateway/grouped.go
@@ -84,7 +84,7 @@
 // chooseLast plans a group and chooses its last endpoint, without forming it.
 func (s *session) chooseLast() (*link, routing.Decision) {
 	rooms, links := newGroup(s).rooms(time.Now())
-	p := memory.Need{Prompt: s.o.completion.PromptTokens, Answer: s.o.completion.MaxTokens}.Plan(rooms)
+	p := memory.PlanRequest{Prompt: s.o.completion.PromptTokens, Answer: s.o.completion.MaxTokens}.Plan(rooms)
 	if p == nil {
 		return nil, routing.Decision{Index: -1, Reason: routing.FilterMemory}
 	}
--- a/gateway/held.go
+++ b/gateway/held.go
@@ -11,11 +11,11 @@
 
 // held returns what the endpoint holds by its agent's latest report, the name
 // of that report, and whether the agent can be reached.
-func (l *link) held(now time.Time) (placement.Held, word, bool) {
+func (l *link) held(now time.Time) (placement.EndpointState, word, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.reachableAt(now) {
-		return placement.Held{}, word{}, false
+		return placement.EndpointState{}, word{}, false
 	}
 	r := l.report
 	w := word{r.Incarnation, r.Holds, r.AgentMs, r.AgentMs + now.Sub(l.heard).Milliseconds()}
@@ -35,13 +35,13 @@
 }
 
 // heldOf turns a report into what placement knows of an endpoint.
-func heldOf(r *rudderv1.AgentReport) placement.Held {
-	h := placement.Held{Role: r.Role, Serving: true}
+func heldOf(r *rudderv1.AgentReport) placement.EndpointState {
+	h := placement.EndpointState{Role: r.Role, Serving: true}
 	for _, m := range r.Models {
 		h.Models = append(h.Models, engine.Model{Name: m.Model, Version: m.Version, Adapters: m.Adapters, Loading: m.Loading})
 	}
 	if o := r.Order; o != nil && o.Phase != rudderv1.OrderPhase_ORDER_PHASE_FAILED {
-		h = h.Under(engine.Order{Kind: engine.OrderKind(o.Kind), Model: o.Model, Version: o.Version, Adapter: o.Adapter, Role: o.Role})
+		h = h.DuringOrder(engine.Order{Kind: engine.OrderKind(o.Kind), Model: o.Model, Version: o.Version, Adapter: o.Adapter, Role: o.Role})
 	}
 	return h
 }
@@ -57,5 +57,5 @@
 			models = append(models, engine.Model{Name: m.Model, Version: m.Version, Adapters: m.Adapters, Loading: m.Loading})
 		}
 	}
-	return orders.Copy(models, name)
+	return orders.VariantName(models, name)
 }
--- a/gateway/limiter.go
+++ b/gateway/limiter.go
@@ -31,11 +31,11 @@
 
 	mu      sync.Mutex
 	table   *limits.Table
-	budgets map[string]*limits.Budget
+	budgets map[string]*limits.RetryBudget
 }
 
 func newLimiter(g *Gateway) *limiter {
-	return &limiter{g: g, table: limits.NewTable(g.cfg.Name, len(g.cfg.Peers)), budgets: make(map[string]*limits.Budget)}
+	return &limiter{g: g, table: limits.NewTable(g.cfg.Name, len(g.cfg.Peers)), budgets: make(map[string]*limits.RetryBudget)}
 }
 
 // apply puts the document's limits in force.
@@ -48,7 +48,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.table.SetAll(all, time.Now())
+	l.table.SetLimits(all, time.Now())
 }
 
 // admit counts a request in, or refuses it at once with a time to come back.
@@ -60,7 +60,7 @@
 	if !v.OK {
 		return &result.Err{Code: result.WorkspaceLimit, Detail: v.Detail, RetryAfter: v.RetryAfter.Milliseconds()}
 	}
-	l.budget(workspace).Request(now)
+	l.budget(workspace).RecordRequest(now)
 	return nil
 }
 
@@ -75,14 +75,14 @@
 func (l *limiter) retry(workspace string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.budget(workspace).Retry(time.Now())
+	return l.budget(workspace).AllowRetry(time.Now())
 }
 
 // budget returns a workspace's budget; the caller holds mu.
-func (l *limiter) budget(workspace string) *limits.Budget {
+func (l *limiter) budget(workspace string) *limits.RetryBudget {
 	b, ok := l.budgets[workspace]
 	if !ok {
-		b = limits.NewBudget(len(l.g.cfg.Peers) + 1)
+		b = limits.NewRetryBudget(len(l.g.cfg.Peers) + 1)
 		l.budgets[workspace] = b
 	}
 	return b
@@ -119,7 +119,7 @@
 	l.mu.Lock()
 	now := time.Now()
 	l.table.Tick(now)
-	for _, u := range l.table.Uses(now) {
+	for _, u := range l.table.Demands(now) {
 		if u.RequestsPerSecond >= leastUse {
 			req.Uses = append(req.Uses, &rudderv1.WorkspaceUse{
 				Workspace: u.Workspace, RequestsPerSecond: float32(u.RequestsPerSecond), TokensPerSecond: float32(u.TokensPerSecond),
@@ -143,9 +143,9 @@
 
 // Share takes in a peer's recent use.
 func (s *server) Share(_ context.Context, req *connect.Request[rudderv1.ShareRequest]) (*connect.Response[rudderv1.ShareResponse], error) {
-	uses := make([]limits.Use, 0, len(req.Msg.Uses))
+	uses := make([]limits.Demand, 0, len(req.Msg.Uses))
 	for _, u := range req.Msg.Uses {
-		uses = append(uses, limits.Use{
+		uses = append(uses, limits.Demand{
 			Workspace: u.Workspace, RequestsPerSecond: float64(u.RequestsPerSecond), TokensPerSecond: float64(u.TokensPerSecond),
 		})
 	}
@@ -153,9 +153,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if req.Msg.Leaving {
-		l.table.PeerGone(req.Msg.Gateway, time.Now())
+		l.table.RemovePeer(req.Msg.Gateway, time.Now())
 	} else {
-		l.table.Peer(req.Msg.Gateway, uses, time.Now())
+		l.table.RecordPeer(req.Msg.Gateway, uses, time.Now())
 	}
 	return connect.NewResponse(&rudderv1.ShareResponse{}), nil
 }
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -95,7 +95,7 @@
 	l.connected = false
 	l.mu.Unlock()
 	if ctx.Err() == nil { // else the link was closed: its successor may be connected
-		l.g.members.apply(membership.Lost{Endpoint: l.declared.Name})
+		l.g.members.apply(membership.ConnectionLost{Endpoint: l.declared.Name})
 	}
 	return any
 }
@@ -126,7 +126,7 @@
 			continue
 		}
 		held := engine.Model{Name: m.Model, Version: m.Version, Adapters: m.Adapters}
-		for _, name := range append(orders.Names(held), orders.Copies(held)...) {
+		for _, name := range append(orders.Names(held), orders.VariantNames(held)...) {
 			l.models[name] = true
 		}
 	}
@@ -166,7 +166,7 @@
 		long = work
 	}
 	l.mu.Lock()
-	l.breaker.Sent(time.Now())
+	l.breaker.RecordSend(time.Now())
 	l.pending += work
 	l.pendingL += long
 	l.pendingN++
@@ -188,9 +188,9 @@
 	now := time.Now()
 	switch c {
 	case result.OK:
-		l.breaker.Success(now)
+		l.breaker.RecordSuccess(now)
 	case result.EndpointLost, result.EndpointFailed, result.AgentLost, result.OrderUnanswered, result.AnswerDamaged:
-		if l.breaker.Failure(now) {
+		if l.breaker.RecordFailure(now) {
 			l.g.deps.Log.Warn("Breaker opened.", "endpoint", l.declared.Name, "code", uint32(c))
 		}
 	}
@@ -219,15 +219,15 @@
 	defer l.mu.Unlock()
 	c := routing.Candidate{
 		Endpoint: l.declared.Name, Host: l.declared.Host, DataCentre: l.declared.DataCentre, Service: l.declared.Service,
-		MemoryTokens: l.declared.MemoryTokens, Models: l.models, Pending: l.pending, PendingLong: l.pendingL, PendingCount: l.pendingN,
+		MemoryTokens: l.declared.MemoryTokens, Models: l.models, Pending: l.pending, PendingLong: l.pendingL, PendingRequests: l.pendingN,
 		Connected: v.Usable(), Leaving: v.State == membership.Leaving,
-		Resting: now.Before(l.restsTo), BreakerOpen: l.breaker.Blocks(now), LongLane: l.g.lanes.has(l.declared.Name),
-		Slowness: l.slowness.Factor(now), Cached: l.cache.Cached,
+		BackingOff: now.Before(l.restsTo), BreakerOpen: l.breaker.Blocks(now), InLongLane: l.g.lanes.has(l.declared.Name),
+		SlowdownFactor: l.slowness.Factor(now), Cached: l.cache.Cached,
 	}
 	if l.report == nil {
 		return c
 	}
-	c.Age = now.Sub(l.loadAt)
+	c.LoadAge = now.Sub(l.loadAt)
 	fillLoad(&c, l.load)
 	return c
 }
@@ -252,8 +252,8 @@
 // costOf returns the learned cost in a load; zero when none is known.
 func costOf(load *rudderv1.Load) routing.Cost {
 	return routing.Cost{
-		PrefillPerToken:  time.Duration(load.GetPrefillUsPerToken() * float64(time.Microsecond)),
-		PrefillPerToken2: load.GetPrefillUsPerToken2(),
-		DecodePerToken:   time.Duration(load.GetDecodeUsPerToken() * float64(time.Microsecond)),
+		PrefillPerToken:        time.Duration(load.GetPrefillUsPerToken() * float64(time.Microsecond)),
+		PrefillPerTokenSquared: load.GetPrefillUsPerToken2(),
+		DecodePerToken:         time.Duration(load.GetDecodeUsPerToken() * float64(time.Microsecond)),
 	}
 }
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -30,11 +30,11 @@
 type members struct {
 	mu    sync.Mutex
 	view  *membership.View
-	heirs *membership.Heirs
+	heirs *membership.RecordOwners
 }
 
 func newMembers() *members {
-	return &members{view: membership.NewView(membership.Default()), heirs: membership.NewHeirs()}
+	return &members{view: membership.NewView(membership.Default()), heirs: membership.NewRecordOwners()}
 }
 
 // apply takes one piece of evidence.
@@ -64,7 +64,7 @@
 	for _, h := range doc.Hosts {
 		leaving[h.Name] = h.Leaving
 	}
-	var ev membership.Declared
+	var ev membership.EndpointsDeclared
 	for _, e := range doc.Endpoints {
 		ev.Endpoints = append(ev.Endpoints, membership.Declaration{
 			Endpoint: e.Name, Host: e.Host, Service: e.Service, Leaving: e.Leaving || leaving[e.Host],
@@ -91,15 +91,15 @@
 	defer m.mu.Unlock()
 	now := time.Now()
 	if r.Successor == "" {
-		m.heirs.Holds(address, r.Inherited, now)
+		m.heirs.Confirm(address, r.Inherited, now)
 		return
 	}
-	m.heirs.Passed(address, r.Successor, append([]string{r.Incarnation}, r.Inherited...), now)
+	m.heirs.HandOver(address, r.Successor, append([]string{r.Incarnation}, r.Inherited...), now)
 }
 
 // reported hands membership an agent's report.
 func (m *members) reported(endpoint string, r *rudderv1.AgentReport) {
-	ev := membership.Reported{Endpoint: endpoint, Incarnation: r.Incarnation, AgentMS: r.AgentMs, State: r.State}
+	ev := membership.AgentReported{Endpoint: endpoint, Incarnation: r.Incarnation, AgentMS: r.AgentMs, State: r.State}
 	for _, lm := range r.Models {
 		if !lm.Loading && !lm.Unloading {
 			ev.Models = append(ev.Models, lm.Model)
@@ -112,7 +112,7 @@
 func (l *link) takeRefusal(e *rudderv1.End) {
 	switch result.Code(e.Code) {
 	case result.Draining:
-		l.g.members.apply(membership.Refused{Endpoint: l.declared.Name})
+		l.g.members.apply(membership.OrderRefused{Endpoint: l.declared.Name})
 	case result.EndpointRefused:
 		l.rest(time.Duration(e.RetryAfterMs)*time.Millisecond, time.Now())
 	}
@@ -148,7 +148,7 @@
 	told := make(map[string]time.Time)
 	for g.ctx.Err() == nil {
 		if hosts, err := g.deps.Hosts.Hosts(g.ctx); err == nil {
-			var ev membership.Listed
+			var ev membership.HostsListed
 			for _, h := range hosts {
 				ev.Hosts = append(ev.Hosts, membership.ListedHost{Name: h.Name, Leaving: h.State != metastore.HostLive})
 			}
--- a/gateway/offer.go
+++ b/gateway/offer.go
@@ -138,7 +138,7 @@
 		return nil
 	}
 	resp, err := l.send(ctx, offer)
-	if err == nil && offer.Delta != nil && resp.Generation < generation.Offered(offer) {
+	if err == nil && offer.Delta != nil && resp.Generation < generation.OfferedGeneration(offer) {
 		resp, err = l.send(ctx, &rudderv1.OfferRequest{Document: l.g.deps.Keeper.Document()})
 	}
 	if err != nil {
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -165,7 +165,7 @@
 	if err != nil {
 		return err
 	}
-	p.g.members.apply(membership.Outside{})
+	p.g.members.apply(membership.ExternalContact{})
 	offer := &rudderv1.OfferRequest{Document: resp.Msg.Document, Delta: resp.Msg.Delta}
 	return p.g.learnOr(offer, fromPeer, func() (*rudderv1.Document, error) {
 		resp, err := x.client.Fetch(ctx, connect.NewRequest(&rudderv1.FetchRequest{}))
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -31,12 +31,12 @@
 // under mu.
 type placer struct {
 	g        *Gateway
-	presence *placement.Presence
+	presence *placement.FlapDamper
 	tenure   *tenure
 
 	generation uint64 // of assigned
 	live       map[string]bool
-	assigned   placement.Assigned
+	assigned   placement.Assignments
 
 	mu        sync.Mutex
 	grants    placement.Grants
@@ -55,7 +55,7 @@
 }
 
 func newPlacer(g *Gateway) *placer {
-	p := &placer{g: g, presence: placement.NewPresence(), grants: make(placement.Grants), notBefore: make(map[string]time.Time)}
+	p := &placer{g: g, presence: placement.NewFlapDamper(), grants: make(placement.Grants), notBefore: make(map[string]time.Time)}
 	p.tenure = newTenure(g)
 	return p
 }
@@ -115,7 +115,7 @@
 }
 
 // steps returns what placement asks for on the present view.
-func (p *placer) steps(doc *rudderv1.Document, links map[string]*link, now time.Time) []placement.Step {
+func (p *placer) steps(doc *rudderv1.Document, links map[string]*link, now time.Time) []placement.PlannedOrder {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if lease := p.tenure.held(now); lease != p.lease {
@@ -139,7 +139,7 @@
 		if !ok {
 			continue
 		}
-		p.grants.Settle(name, w.incarnation, w.holds, w.reportMS)
+		p.grants.DropReported(name, w.incarnation, w.holds, w.reportMS)
 		if p.believed(name, w) {
 			view[name], p.decided[name] = h, w
 		}
@@ -192,8 +192,8 @@
 }
 
 // additions are the steps that take nothing away; they need no lease.
-func additions(steps []placement.Step) []placement.Step {
-	var out []placement.Step
+func additions(steps []placement.PlannedOrder) []placement.PlannedOrder {
+	var out []placement.PlannedOrder
 	for _, s := range steps {
 		if s.Order.Kind == engine.OrderLoadModel || s.Order.Kind == engine.OrderLoadAdapter {
 			out = append(out, s)
@@ -242,7 +242,7 @@
 }
 
 // permitAll sends the permits for the steps decided at the given time.
-func (p *placer) permitAll(steps []placement.Step, generation uint64, decided time.Time) {
+func (p *placer) permitAll(steps []placement.PlannedOrder, generation uint64, decided time.Time) {
 	var links []*link
 	requests := make(map[*link]*rudderv1.PlaceRequest)
 	own := p.own()
--- a/gateway/placer_test.go
+++ b/gateway/placer_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := New(Config{Name: "gw", DataCentre: zone}, Deps{Client: client, Keeper: generation.NewKeeper(), Log: log.New(io.Discard)})
+	g := New(Config{Name: "gw", DataCentre: zone}, Deps{Client: client, Keeper: generation.NewTracker(), Log: log.New(io.Discard)})
 	doc := &rudderv1.Document{Generation: 2, Models: []*rudderv1.Model{{Name: "m", Version: "2", Floor: 1, Replicas: map[string]uint32{zone: uint32(n)}}}}
 	for i := range n {
 		doc.Endpoints = append(doc.Endpoints, &rudderv1.Endpoint{Name: fmt.Sprintf("e%03d", i), DataCentre: zone})
--- a/gateway/renew.go
+++ b/gateway/renew.go
@@ -36,7 +36,7 @@
 // renewAll renews every lease that is held, without waiting for the answers.
 func (gr *group) renewAll(ctx context.Context, cancel context.CancelCauseFunc) {
 	gr.mu.Lock()
-	held, reservation := gr.state.Held(true), gr.state.Reservation()
+	held, reservation := gr.state.Holders(true), gr.state.Reservation()
 	gr.mu.Unlock()
 	for _, m := range held {
 		l := gr.links[m]
@@ -57,10 +57,10 @@
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	if resp.Msg.Held {
-		gr.state.Renewed(member, sent, groupLease)
+		gr.state.RecordRenewed(member, sent, groupLease)
 		return
 	}
-	for _, m := range gr.state.Held(true) {
+	for _, m := range gr.state.Holders(true) {
 		if m == member {
 			cancel(&lapse{m})
 		}
@@ -95,7 +95,7 @@
 func (gr *group) disband() {
 	gr.stop()
 	gr.mu.Lock()
-	held := gr.state.Held(false)
+	held := gr.state.Holders(false)
 	gr.mu.Unlock()
 	gr.release(held)
 }
--- a/gateway/runs.go
+++ b/gateway/runs.go
@@ -109,7 +109,7 @@
 // attach relays a run's answer without ever starting one.
 func (g *Gateway) attach(x *exchange, o *order, out sink) *rudderv1.End {
 	s := &session{g: g, o: o, out: out, ticket: o.ticket, began: time.Now()}
-	s.life = lifecycle.Dispatch{Repeatable: o.repeatable, Named: true}
+	s.life = lifecycle.Dispatch{Repeatable: o.repeatable, HasName: true}
 	ctx, cancel := context.WithDeadline(x.r.Context(), o.deadline)
 	defer cancel()
 	l := g.linkOf(o.claims)
--- a/gateway/session.go
+++ b/gateway/session.go
@@ -74,7 +74,7 @@
 // serve runs the order to its end and returns what to tell the caller.
 func (g *Gateway) serve(ctx context.Context, o *order, out sink) *rudderv1.End {
 	s := &session{g: g, o: o, out: out, excluded: make(map[string]bool), began: time.Now(), ticket: o.ticket}
-	s.life = lifecycle.Dispatch{Repeatable: o.repeatable, Named: o.ticket != "" || o.keyed, Resumable: o.resumable()}
+	s.life = lifecycle.Dispatch{Repeatable: o.repeatable, HasName: o.ticket != "" || o.keyed, Resumable: o.resumable()}
 	ctx, cancel := context.WithDeadline(ctx, o.deadline)
 	defer cancel()
 	end := s.settle(s.run(ctx))
@@ -111,7 +111,7 @@
 			return s.void(ctx, l, last)
 		case lifecycle.StepReattach:
 			s.stay()
-		case lifecycle.StepAgain:
+		case lifecycle.StepResend:
 			l.relearn(ctx, last)
 		default:
 			if step == lifecycle.StepRestart && s.restart() != nil {
@@ -206,7 +206,7 @@
 	if l == nil {
 		err := result.New(result.NoEndpoint, decision.Reason)
 		err.RetryAfter = comeBack.Milliseconds()
-		if decision.Reason == routing.FilterResting {
+		if decision.Reason == routing.FilterBackoff {
 			err.RetryAfter = s.g.links.restLeft(time.Now()).Milliseconds()
 		}
 		return nil, endOf(err)
@@ -276,7 +276,7 @@
 		Repeatable: s.o.repeatable, RemainingMs: time.Until(s.o.deadline).Milliseconds(),
 		Priority: s.o.workspace.Priority, Weight: s.o.workspace.Weight,
 		Generation: s.g.deps.Keeper.Generation(), Gateway: s.g.cfg.Name,
-		Completion: s.o.completion, Call: s.o.call, Body: s.o.body, Ephemeral: !s.life.Named && !s.life.Lost(),
+		Completion: s.o.completion, Call: s.o.call, Body: s.o.body, Ephemeral: !s.life.HasName && !s.life.EarlierMayHaveRun(),
 		SentAgentMs: clock,
 	}
 	if c := s.o.completion; c != nil && (len(s.delivered) > 0 || s.group != nil) {
@@ -295,7 +295,7 @@
 	if result.Code(end.Code) != result.OK || c == nil || s.group != nil {
 		return
 	}
-	l.cache.Ran(c.Prefix, believed, end.GetUsage().GetCachedTokens())
+	l.cache.RecordRun(c.Prefix, believed, end.GetUsage().GetCachedTokens())
 	l.observe(l.prefill(c.PromptTokens, end.GetUsage().GetCachedTokens()), time.Duration(end.GetTimes().GetPrefillUs())*time.Microsecond)
 }
 
--- a/generation/gauges.go
+++ b/generation/gauges.go
@@ -6,8 +6,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Gauges registers the metrics of a keeper; process is "gateway" or "agent".
-func Gauges(set *metrics.Set, process string, k *Keeper) {
+// RegisterMetrics registers the metrics of a keeper; process is "gateway" or "agent".
+func RegisterMetrics(set *metrics.Set, process string, k *Tracker) {
 	gauge := func(name string, f func() float64) {
 		set.NewGauge(fmt.Sprintf("rudder_%s_generation%s", process, name), f)
 	}
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -11,9 +11,9 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// Keeper holds the accepted document of one process. It is safe for concurrent
+// Tracker holds the accepted document of one process. It is safe for concurrent
 // use. Callers must not change the documents that it returns.
-type Keeper struct {
+type Tracker struct {
 	mu       sync.Mutex
 	doc      *rudderv1.Document
 	since    time.Time     // when the document came into force in this process
@@ -24,25 +24,25 @@
 	cache deltaCache
 }
 
-// NewKeeper returns a keeper with an empty document of generation 0.
-func NewKeeper() *Keeper {
-	return &Keeper{doc: &rudderv1.Document{}, changed: make(chan struct{})}
+// NewTracker returns a keeper with an empty document of generation 0.
+func NewTracker() *Tracker {
+	return &Tracker{doc: &rudderv1.Document{}, changed: make(chan struct{})}
 }
 
-// Verdict is the result of an offer.
-type Verdict int
+// OfferResult is the result of an offer.
+type OfferResult int
 
 // The results of an offer.
 const (
-	Same    Verdict = iota // the document that is held already, or no document
-	Newer                  // higher generation: accepted
-	Older                  // lower generation: ignored
-	Diverge                // same generation, other plan and so other content: ignored, an operator must look into it
+	Same     OfferResult = iota // the document that is held already, or no document
+	Newer                       // higher generation: accepted
+	Older                       // lower generation: ignored
+	Diverged                    // same generation, other plan and so other content: ignored, an operator must look into it
 )
 
 // Offer compares doc with the current document and replaces that if doc has a
 // higher generation.
-func (k *Keeper) Offer(doc *rudderv1.Document) Verdict {
+func (k *Tracker) Offer(doc *rudderv1.Document) OfferResult {
 	if doc == nil {
 		return Same
 	}
@@ -57,14 +57,14 @@
 		return Older
 	case doc.PlanId != k.doc.PlanId:
 		k.diverged++
-		return Diverge
+		return Diverged
 	default:
 		return Same
 	}
 }
 
 // advance replaces the current document by a newer one. The caller holds mu.
-func (k *Keeper) advance(doc *rudderv1.Document) {
+func (k *Tracker) advance(doc *rudderv1.Document) {
 	k.cache.remember(k.doc)
 	k.doc = doc
 	k.since = time.Now()
@@ -74,18 +74,18 @@
 
 // Document returns the current document. Before the first accepted one, its
 // generation is 0.
-func (k *Keeper) Document() *rudderv1.Document {
+func (k *Tracker) Document() *rudderv1.Document {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.doc
 }
 
 // Generation returns the current generation.
-func (k *Keeper) Generation() uint64 { return k.Document().GetGeneration() }
+func (k *Tracker) Generation() uint64 { return k.Document().GetGeneration() }
 
 // Since returns when the current document came into force in this process, or the
 // zero time before the first one.
-func (k *Keeper) Since() time.Time {
+func (k *Tracker) Since() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.since
@@ -93,7 +93,7 @@
 
 // Changed returns a channel that is closed when the current document is replaced.
 // A caller that gets the channel before it calls Document misses no change.
-func (k *Keeper) Changed() <-chan struct{} {
+func (k *Tracker) Changed() <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.changed
@@ -101,7 +101,7 @@
 
 // StaleOffers returns the number of offered documents with a lower generation than
 // the current one.
-func (k *Keeper) StaleOffers() int {
+func (k *Tracker) StaleOffers() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.stale
@@ -109,7 +109,7 @@
 
 // DivergedOffers returns the number of offered documents with the current generation
 // and another plan id.
-func (k *Keeper) DivergedOffers() int {
+func (k *Tracker) DivergedOffers() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.diverged
--- a/generation/update.go
+++ b/generation/update.go
@@ -17,7 +17,7 @@
 // document: a delta if the document of that generation is kept and the delta is
 // shorter, else the complete document. It returns nil if have is not older. The
 // returned message is shared and must not be changed.
-func (k *Keeper) Update(have uint64) *rudderv1.OfferRequest {
+func (k *Tracker) Update(have uint64) *rudderv1.OfferRequest {
 	doc := k.Document()
 	if have >= doc.Generation {
 		return nil
@@ -28,10 +28,10 @@
 	return &rudderv1.OfferRequest{Document: doc}
 }
 
-// Take applies an offer of another process, be it a document or a delta. The error
+// ApplyOffer applies an offer of another process, be it a document or a delta. The error
 // is document.ErrBase if the delta leads to a newer document but cannot be applied to
 // the current one; the sender must then offer the complete document.
-func (k *Keeper) Take(o *rudderv1.OfferRequest) (Verdict, error) {
+func (k *Tracker) ApplyOffer(o *rudderv1.OfferRequest) (OfferResult, error) {
 	if o.GetDelta() == nil {
 		return k.Offer(o.GetDocument()), nil
 	}
@@ -47,9 +47,9 @@
 	return k.Offer(doc), nil
 }
 
-// Offered returns the generation of the offered document, or of the sender's own
+// OfferedGeneration returns the generation of the offered document, or of the sender's own
 // one if the offer has none.
-func Offered(o *rudderv1.OfferRequest) uint64 {
+func OfferedGeneration(o *rudderv1.OfferRequest) uint64 {
 	switch {
 	case o.GetDocument() != nil:
 		return o.Document.Generation
--- a/health/health.go
+++ b/health/health.go
@@ -12,8 +12,8 @@
 type Outcome uint8
 
 const (
-	Good        Outcome = iota
-	Bad                 // an error or a broken response
+	Success     Outcome = iota
+	BadResponse         // an error or a broken response
 	Unreachable         // no connection, or an endpoint that depends on it reported it unreachable
 	Replaced            // another endpoint responded at its address
 )
@@ -70,19 +70,19 @@
 	return r
 }
 
-// Note records the outcome of one of this gateway's exchanges. It reports whether the
+// RecordOutcome records the outcome of one of this gateway's exchanges. It reports whether the
 // endpoint has just become suspect.
-func (t *Table) Note(endpoint string, o Outcome, now time.Time) bool {
+func (t *Table) RecordOutcome(endpoint string, o Outcome, now time.Time) bool {
 	r := t.record(endpoint)
 	switch o {
-	case Good:
+	case Success:
 		r.lastSuccess = now
 		r.failures *= 1 - outcomeWeight
 		if now.After(r.avoidUntil) && r.failures <= suspectThreshold {
 			r.backoff = 0
 		}
 		return false
-	case Bad:
+	case BadResponse:
 		r.failures += outcomeWeight * (1 - r.failures)
 	case Unreachable, Replaced:
 		r.failures = max(r.failures, suspectThreshold) + outcomeWeight*(1-max(r.failures, suspectThreshold))
@@ -109,13 +109,13 @@
 	return t.avoidedByPeers(endpoint, now)
 }
 
-// Reached records that an endpoint answered a status query. That ends a backoff
+// RecordReachable records that an endpoint answered a status query. That ends a backoff
 // unless the newest failure was Bad: such a response shows that the endpoint is reachable, not
 // that it serves requests correctly.
-func (t *Table) Reached(endpoint string, now time.Time) {
+func (t *Table) RecordReachable(endpoint string, now time.Time) {
 	r := t.record(endpoint)
 	r.lastReached = now
-	if r.lastFailureOutcome != Bad {
+	if r.lastFailureOutcome != BadResponse {
 		r.avoidUntil, r.backoff = time.Time{}, 0
 	}
 }
@@ -123,7 +123,7 @@
 // lastKnownGood returns the newest time at which the endpoint is known not to have failed
 // with outcome o. A response to a status query counts for reachability only, not for Bad.
 func (r *record) lastKnownGood(o Outcome) time.Time {
-	if o != Bad && r.lastReached.After(r.lastSuccess) {
+	if o != BadResponse && r.lastReached.After(r.lastSuccess) {
 		return r.lastReached
 	}
 	return r.lastSuccess
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -15,13 +15,13 @@
 	is := is.New(t)
 	h := NewTable()
 	now := start
-	is.True(!h.Note("e", Bad, now))
+	is.True(!h.RecordOutcome("e", BadResponse, now))
 	is.True(!h.Suspect("e", now))
-	h.Note("e", Bad, now)
+	h.RecordOutcome("e", BadResponse, now)
 	is.True(h.Suspect("e", now))
 	now = now.Add(initialBackoff + time.Millisecond)
 	is.True(!h.Suspect("e", now))
-	h.Note("e", Bad, now)
+	h.RecordOutcome("e", BadResponse, now)
 	is.True(h.Suspect("e", now.Add(initialBackoff)))
 	is.True(!h.Suspect("e", now.Add(2*initialBackoff)))
 	h.Forget("e")
@@ -32,7 +32,7 @@
 func TestHealthUnreachableAtOnce(t *testing.T) {
 	is := is.New(t)
 	h := NewTable()
-	is.True(h.Note("e", Unreachable, start))
+	is.True(h.RecordOutcome("e", Unreachable, start))
 	is.True(h.Suspect("e", start))
 }
 
@@ -42,9 +42,9 @@
 	is := is.New(t)
 	h := NewTable()
 	for range 20 {
-		h.Note("e", Bad, start)
+		h.RecordOutcome("e", BadResponse, start)
 		for range 4 {
-			h.Note("e", Good, start)
+			h.RecordOutcome("e", Success, start)
 		}
 	}
 	is.True(!h.Suspect("e", start))
--- a/health/shared.go
+++ b/health/shared.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Sign is what one gateway shares with the others about an endpoint. The fields are encoded
+// Observation is what one gateway shares with the others about an endpoint. The fields are encoded
 // by position: new ones go last.
-type Sign struct {
+type Observation struct {
 	// Failure is the outcome of the gateway's newest failed exchange with the endpoint,
 	// FailureAgeMs ago; Good if none failed recently. Bad is not shared, because every
 	// gateway would then avoid endpoints that lose one response in twenty. Sharing it changes
@@ -50,7 +50,7 @@
 type gatewayObservations map[string]peerObservation
 
 type peerObservation struct {
-	Sign
+	Observation
 	receivedAt time.Time
 	// discounted is set if the gateway failed at so many endpoints that its failures do not
 	// count.
@@ -63,9 +63,9 @@
 	endpoints []string // endpoints of its observations
 }
 
-// Peer replaces all observations of another gateway. endpoints is the number of endpoints that
+// UpdatePeer replaces all observations of another gateway. endpoints is the number of endpoints that
 // there are.
-func (t *Table) Peer(gateway string, observations map[string]Sign, endpoints int, now time.Time) {
+func (t *Table) UpdatePeer(gateway string, observations map[string]Observation, endpoints int, now time.Time) {
 	t.dropPeer(gateway)
 	if len(observations) == 0 {
 		return
@@ -84,10 +84,10 @@
 
 // likelyIsolated reports whether a gateway with these observations has failed at too large a
 // share of the endpoints.
-func likelyIsolated(observations map[string]Sign, endpoints int) bool {
+func likelyIsolated(observations map[string]Observation, endpoints int) bool {
 	failed := 0
 	for _, s := range observations {
-		if s.Failure != Good {
+		if s.Failure != Success {
 			failed++
 		}
 	}
@@ -105,20 +105,20 @@
 	delete(t.peers, gateway)
 }
 
-// Own returns the observations that this gateway shares with the others. It also drops those
+// LocalObservations returns the observations that this gateway shares with the others. It also drops those
 // of gateways that have not been heard from for observationTTL.
-func (t *Table) Own(now time.Time) map[string]Sign {
+func (t *Table) LocalObservations(now time.Time) map[string]Observation {
 	for name, p := range t.peers {
 		if now.Sub(p.updatedAt) > observationTTL {
 			t.dropPeer(name)
 		}
 	}
-	out := make(map[string]Sign)
+	out := make(map[string]Observation)
 	late := 0
 	for id := range t.shareCandidates {
 		r := t.local[id]
-		var s Sign
-		if r.recentlyFailed(now) && r.lastFailureOutcome != Bad {
+		var s Observation
+		if r.recentlyFailed(now) && r.lastFailureOutcome != BadResponse {
 			s.Failure, s.FailureAgeMs = r.lastFailureOutcome, now.Sub(r.lastFailure).Milliseconds()
 		}
 		if r.reportedSlow(now) {
@@ -128,7 +128,7 @@
 			s.Late = true
 			late++
 		}
-		if s != (Sign{}) {
+		if s != (Observation{}) {
 			out[id] = s
 		} else if !r.recentlyLate(now) {
 			delete(t.shareCandidates, id)
@@ -167,7 +167,7 @@
 	}
 	for _, s := range t.peerObservations[endpoint] {
 		at := s.receivedAt.Add(-time.Duration(s.FailureAgeMs) * time.Millisecond)
-		if s.Failure == Good || now.Sub(at) > observationTTL || !at.After(own.lastKnownGood(s.Failure)) || s.discounted {
+		if s.Failure == Success || now.Sub(at) > observationTTL || !at.After(own.lastKnownGood(s.Failure)) || s.discounted {
 			continue
 		}
 		if s.Failure == Replaced {
@@ -178,46 +178,46 @@
 	return count
 }
 
-// Witnesses returns how many gateways recently failed to use an endpoint if they are a quorum,
+// FailingGateways returns how many gateways recently failed to use an endpoint if they are a quorum,
 // so that it is avoided for that reason; otherwise 0.
-func (t *Table) Witnesses(endpoint string, now time.Time) int {
+func (t *Table) FailingGateways(endpoint string, now time.Time) int {
 	if n := t.failingGateways(endpoint, now); n >= failureQuorum {
 		return n
 	}
 	return 0
 }
 
-// Doubt is the reason to send an endpoint a status query.
-type Doubt uint8
+// QueryReason is the reason to send an endpoint a status query.
+type QueryReason uint8
 
 const (
-	NoDoubt    Doubt = iota
-	OthersSlow       // another endpoint is slow; slow endpoints tend to occur together
-	Slow             // the endpoint is or may be slow
-	Failing          // a gateway recently failed to use the endpoint
+	NoQuery           QueryReason = iota
+	OtherEndpointSlow             // another endpoint is slow; slow endpoints tend to occur together
+	PossiblySlow                  // the endpoint is or may be slow
+	RecentFailure                 // a gateway recently failed to use the endpoint
 )
 
-// Doubt returns the reason why a gateway that watches the endpoint should query it now.
-func (t *Table) Doubt(endpoint string, now time.Time) Doubt {
-	doubt := NoDoubt
+// QueryReason returns the reason why a gateway that watches the endpoint should query it now.
+func (t *Table) QueryReason(endpoint string, now time.Time) QueryReason {
+	doubt := NoQuery
 	if t.anySlow(now) {
-		doubt = OthersSlow
+		doubt = OtherEndpointSlow
 	}
 	if r := t.local[endpoint]; r != nil {
 		if r.recentlyFailed(now) {
-			return Failing
+			return RecentFailure
 		}
 		if r.recentlyLate(now) || r.reportedSlow(now) {
-			doubt = Slow
+			doubt = PossiblySlow
 		}
 	}
 	for _, s := range t.peerObservations[endpoint] {
 		switch {
 		case now.Sub(s.receivedAt) > observationTTL:
-		case s.Failure != Good:
-			return Failing
+		case s.Failure != Success:
+			return RecentFailure
 		case s.Late || s.Slowdown > slowThreshold:
-			doubt = Slow
+			doubt = PossiblySlow
 		}
 	}
 	return doubt
@@ -246,8 +246,8 @@
 	return false
 }
 
-// SetLate records that a stream from the endpoint started, or paused, much later than expected.
-func (t *Table) SetLate(endpoint string, now time.Time) {
+// RecordLateStream records that a stream from the endpoint started, or paused, much later than expected.
+func (t *Table) RecordLateStream(endpoint string, now time.Time) {
 	t.record(endpoint).lastLate = now
 	t.shareCandidates[endpoint] = struct{}{}
 }
@@ -258,18 +258,18 @@
 	return r.lastLate.After(r.slowdownAt) && now.Sub(r.lastLate) <= observationTTL
 }
 
-// SetPace records the slowdown that an endpoint reported: how many times as long as usual it
+// SetSlowdown records the slowdown that an endpoint reported: how many times as long as usual it
 // takes.
-func (t *Table) SetPace(endpoint string, slowdown float64, now time.Time) {
+func (t *Table) SetSlowdown(endpoint string, slowdown float64, now time.Time) {
 	r := t.record(endpoint)
 	r.slowdown, r.slowdownAt = slowdown, now
 	t.shareCandidates[endpoint] = struct{}{}
 }
 
-// Pace returns the slowdown of an endpoint: how many times as long as usual it takes, by its
+// Slowdown returns the slowdown of an endpoint: how many times as long as usual it takes, by its
 // newest report within observationTTL, received directly or shared by another gateway. It is
 // between 1 and maxSlowdown.
-func (t *Table) Pace(endpoint string, now time.Time) float64 {
+func (t *Table) Slowdown(endpoint string, now time.Time) float64 {
 	slowdown, newest := 1.0, time.Time{}
 	if r := t.local[endpoint]; r != nil && now.Sub(r.slowdownAt) <= observationTTL {
 		slowdown, newest = r.slowdown, r.slowdownAt
--- a/health/watch.go
+++ b/health/watch.go
@@ -28,9 +28,9 @@
 	return w
 }
 
-// Of returns the gateways that watch an endpoint: the first and the second. Both are empty if
+// Lookup returns the gateways that watch an endpoint: the first and the second. Both are empty if
 // there are no gateways.
-func (w Watchers) Of(endpoint string) (first, second string) {
+func (w Watchers) Lookup(endpoint string) (first, second string) {
 	if len(w.ring) == 0 {
 		return "", ""
 	}
--- a/lifecycle/dispatch.go
+++ b/lifecycle/dispatch.go
@@ -11,9 +11,9 @@
 // not hide an earlier attempt that may have run.
 type Dispatch struct {
 	Repeatable bool // the request is idempotent
-	// Named is set if the caller has a name for the request, a ticket or an
+	// HasName is set if the caller has a name for the request, a ticket or an
 	// idempotency key, and may present it to other gateways too.
-	Named     bool
+	HasName   bool
 	Resumable bool   // another endpoint can continue a partly delivered answer
 	Delivered uint64 // answer bytes delivered to the caller
 	Attempts  int    // orders sent so far
@@ -23,8 +23,8 @@
 	earlier result.Outcome
 }
 
-// Ending describes how an attempt ended, with the evidence for its outcome.
-type Ending struct {
+// AttemptResult describes how an attempt ended, with the evidence for its outcome.
+type AttemptResult struct {
 	Code    result.Code
 	Outcome result.Outcome
 	// Sealed reports that the agent refuses this ID for the rest of its
@@ -41,7 +41,7 @@
 // The steps after an attempt has ended.
 const (
 	StepAnswer    Step = iota // answer the caller with the ending
-	StepAgain                 // send the order again with the configuration learned meanwhile
+	StepResend                // send the order again with the configuration learned meanwhile
 	StepReattach              // send the same order to the same agent, which runs it at most once
 	StepElsewhere             // send the order to another endpoint, from offset 0
 	StepContinue              // send the order to another endpoint, resuming after the delivered text
@@ -59,7 +59,7 @@
 
 // Next returns the step that follows an attempt. budget reports whether the
 // retry budget of the workspace permits another retry.
-func (d *Dispatch) Next(e Ending, budget func() bool) Step {
+func (d *Dispatch) Next(e AttemptResult, budget func() bool) Step {
 	e = d.applyEvidence(e)
 	step := d.decide(e, budget)
 	if step.sendsOrder() {
@@ -68,19 +68,21 @@
 	return step
 }
 
-// Lost reports whether an earlier attempt may have run. If so, the next order
+// EarlierMayHaveRun reports whether an earlier attempt may have run. If so, the next order
 // may be the second one with this ID, and the agent must seal the ID if it
 // refuses that order.
-func (d *Dispatch) Lost() bool { return executionRank(d.earlier) > executionRank(result.NotRun) }
+func (d *Dispatch) EarlierMayHaveRun() bool {
+	return executionRank(d.earlier) > executionRank(result.NotRun)
+}
 
-// Claim returns the outcome that the caller may be told if e is the last ending
+// ReportableOutcome returns the outcome that the caller may be told if e is the last ending
 // of the request. "Not run" requires evidence for every attempt. A name can be
 // presented to several gateways at once, so the only evidence for a named
 // request is the seal of the agent. A named repeatable request may be sent to
 // another agent under the same name, so for it there is no evidence at all.
-func (d *Dispatch) Claim(e Ending) result.Outcome {
+func (d *Dispatch) ReportableOutcome(e AttemptResult) result.Outcome {
 	e = d.applyEvidence(e)
-	if e.Outcome == result.NotRun && d.Named && (d.Repeatable || !e.Sealed) {
+	if e.Outcome == result.NotRun && d.HasName && (d.Repeatable || !e.Sealed) {
 		e.Outcome = result.MayHaveRun
 	}
 	if e.Outcome == result.NotRun && e.Sealed && !d.Repeatable {
@@ -92,8 +94,8 @@
 // applyEvidence makes the outcome of an ending more precise: an ID that only
 // this gateway knows cannot have run in an earlier incarnation of the agent,
 // because it was never sent to that incarnation.
-func (d *Dispatch) applyEvidence(e Ending) Ending {
-	if e.Code == result.IncarnationGone && !d.Named {
+func (d *Dispatch) applyEvidence(e AttemptResult) AttemptResult {
+	if e.Code == result.IncarnationGone && !d.HasName {
 		e.Outcome = result.NotRun
 	}
 	return e
@@ -121,7 +123,7 @@
 	}
 }
 
-func (d *Dispatch) decide(e Ending, budget func() bool) Step {
+func (d *Dispatch) decide(e AttemptResult, budget func() bool) Step {
 	switch e.Outcome {
 	case result.Ran:
 		return d.afterRun(e, budget)
@@ -135,7 +137,7 @@
 // afterUnknown returns the step after an attempt that may have run. The run of a
 // request that is not repeatable can only be queried at the agent that received
 // the order.
-func (d *Dispatch) afterUnknown(e Ending) Step {
+func (d *Dispatch) afterUnknown(e AttemptResult) Step {
 	if d.Repeatable {
 		// An admitted request does not fail because the retry budget is used up;
 		// MaxAttempts bounds its cost.
@@ -153,7 +155,7 @@
 // afterRun returns the step after an attempt that ran to its end. A repeatable
 // request is retried if its answer is damaged, or if the run belongs to an
 // earlier request with the same name and was abandoned.
-func (d *Dispatch) afterRun(e Ending, budget func() bool) Step {
+func (d *Dispatch) afterRun(e AttemptResult, budget func() bool) Step {
 	if e.Code == result.AnswerDamaged || e.Attached && abandoned(e.Code) {
 		return d.retryRepeatable(e, budget)
 	}
@@ -161,13 +163,13 @@
 }
 
 // afterRefusal returns the step after an attempt that did not run.
-func (d *Dispatch) afterRefusal(e Ending, budget func() bool) Step {
+func (d *Dispatch) afterRefusal(e AttemptResult, budget func() bool) Step {
 	switch {
 	case e.Code == result.OldGeneration && d.attemptsLeft():
-		return StepAgain
+		return StepResend
 	case d.pinned() && !e.Sealed:
 		return StepVoid
-	case d.pinned(), !d.Repeatable && d.Lost():
+	case d.pinned(), !d.Repeatable && d.EarlierMayHaveRun():
 		return StepAnswer
 	case e.Code == result.Draining:
 		return d.switchEndpoint(e, unlimitedBudget) // a planned shutdown must not drop requests
@@ -179,7 +181,7 @@
 }
 
 // retryRepeatable retries a repeatable request on another endpoint.
-func (d *Dispatch) retryRepeatable(e Ending, budget func() bool) Step {
+func (d *Dispatch) retryRepeatable(e AttemptResult, budget func() bool) Step {
 	if !d.Repeatable {
 		return StepAnswer
 	}
@@ -188,7 +190,7 @@
 
 // switchEndpoint sends the order to another endpoint if attempts and budget
 // permit a retry.
-func (d *Dispatch) switchEndpoint(e Ending, budget func() bool) Step {
+func (d *Dispatch) switchEndpoint(e AttemptResult, budget func() bool) Step {
 	switch {
 	case !d.attemptsLeft() || !budget():
 		return StepAnswer
@@ -202,7 +204,7 @@
 }
 
 // pinned reports whether all orders under the name go to the same agent.
-func (d *Dispatch) pinned() bool { return d.Named && !d.Repeatable }
+func (d *Dispatch) pinned() bool { return d.HasName && !d.Repeatable }
 
 // attemptsLeft reports whether the request may be ordered again.
 func (d *Dispatch) attemptsLeft() bool { return d.Attempts < MaxAttempts }
--- a/lifecycle/dispatch_test.go
+++ b/lifecycle/dispatch_test.go
@@ -9,10 +9,10 @@
 	"github.com/micarudder/micarudder/result"
 )
 
-func drawEnding(t *rapid.T) Ending {
+func drawEnding(t *rapid.T) AttemptResult {
 	code := rapid.SampledFrom(result.All()).Draw(t, "code").Code
 	outcome := rapid.SampledFrom([]result.Outcome{result.NotRun, result.Ran, result.MayHaveRun}).Draw(t, "outcome")
-	return Ending{
+	return AttemptResult{
 		Code: code, Outcome: outcome,
 		Sealed:   outcome == result.NotRun && rapid.Bool().Draw(t, "sealed"),
 		Attached: rapid.Bool().Draw(t, "attached"),
@@ -25,21 +25,21 @@
 // every order.
 func TestDispatchRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := Dispatch{Repeatable: rapid.Bool().Draw(t, "repeatable"), Named: rapid.Bool().Draw(t, "named"), Resumable: rapid.Bool().Draw(t, "resumable")}
+		d := Dispatch{Repeatable: rapid.Bool().Draw(t, "repeatable"), HasName: rapid.Bool().Draw(t, "named"), Resumable: rapid.Bool().Draw(t, "resumable")}
 		lost := false
 		for {
 			d.Attempts++
 			e := drawEnding(t)
 			d.Delivered = rapid.Uint64Range(0, 1).Draw(t, "delivered")
 			step := d.Next(e, func() bool { return true })
-			mayHaveRun := e.Outcome != result.NotRun && (e.Code != result.IncarnationGone || d.Named)
+			mayHaveRun := e.Outcome != result.NotRun && (e.Code != result.IncarnationGone || d.HasName)
 			if !step.sendsOrder() {
 				checkClaim(t, &d, e, lost, mayHaveRun)
 				return
 			}
 			lost = lost || mayHaveRun
 			switched := step == StepElsewhere || step == StepContinue || step == StepRestart
-			if switched && !d.Repeatable && (lost || d.Named) {
+			if switched && !d.Repeatable && (lost || d.HasName) {
 				t.Fatalf("%v of unrepeatable work after %+v", step, e)
 			}
 			if d.Attempts >= MaxAttempts {
@@ -49,43 +49,43 @@
 	})
 }
 
-func checkClaim(t *rapid.T, d *Dispatch, e Ending, lost, mayHaveRun bool) {
-	if d.Claim(e) != result.NotRun {
+func checkClaim(t *rapid.T, d *Dispatch, e AttemptResult, lost, mayHaveRun bool) {
+	if d.ReportableOutcome(e) != result.NotRun {
 		return
 	}
 	sealed := e.Sealed && !d.Repeatable
-	if mayHaveRun || lost && !sealed || d.Named && !sealed {
-		t.Fatalf("\"not run\" after %+v, lost %v, named %v, repeatable %v", e, lost, d.Named, d.Repeatable)
+	if mayHaveRun || lost && !sealed || d.HasName && !sealed {
+		t.Fatalf("\"not run\" after %+v, lost %v, named %v, repeatable %v", e, lost, d.HasName, d.Repeatable)
 	}
 }
 
 // TestDispatchSteps checks the step after each kind of ending.
 func TestDispatchSteps(t *testing.T) {
-	repeatable, unrepeatable, named := Dispatch{Repeatable: true, Resumable: true}, Dispatch{}, Dispatch{Named: true}
+	repeatable, unrepeatable, named := Dispatch{Repeatable: true, Resumable: true}, Dispatch{}, Dispatch{HasName: true}
 	partlyDelivered := Dispatch{Repeatable: true, Resumable: true, Delivered: 8}
 	serviceCall := Dispatch{Repeatable: true, Delivered: 8}
 	cases := []struct {
 		name string
 		d    Dispatch
-		e    Ending
+		e    AttemptResult
 		want Step
 	}{
-		{"complete answer", repeatable, Ending{Code: result.OK, Outcome: result.Ran}, StepAnswer},
-		{"overloaded", repeatable, Ending{Code: result.Overloaded, Outcome: result.NotRun}, StepElsewhere},
-		{"overloaded, unrepeatable", unrepeatable, Ending{Code: result.Overloaded, Outcome: result.NotRun}, StepElsewhere},
-		{"overloaded, named", named, Ending{Code: result.Overloaded, Outcome: result.NotRun}, StepVoid},
-		{"overloaded, sealed", named, Ending{Code: result.Overloaded, Outcome: result.NotRun, Sealed: true}, StepAnswer},
-		{"voided", repeatable, Ending{Code: result.TicketVoided, Outcome: result.NotRun, Sealed: true}, StepAnswer},
-		{"agent lost", repeatable, Ending{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepElsewhere},
-		{"agent lost, unrepeatable", unrepeatable, Ending{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepReattach},
-		{"endpoint lost, unrepeatable", unrepeatable, Ending{Code: result.EndpointLost, Outcome: result.MayHaveRun}, StepAnswer},
-		{"agent lost during the answer", partlyDelivered, Ending{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepContinue},
-		{"agent lost during the answer of a service call", serviceCall, Ending{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepRestart},
-		{"damaged answer", partlyDelivered, Ending{Code: result.AnswerDamaged, Outcome: result.Ran}, StepRestart},
-		{"canceled by an earlier caller", repeatable, Ending{Code: result.Canceled, Outcome: result.Ran, Attached: true}, StepElsewhere},
-		{"old configuration", named, Ending{Code: result.OldGeneration, Outcome: result.NotRun}, StepAgain},
-		{"stale ID known to this gateway only", unrepeatable, Ending{Code: result.IncarnationGone, Outcome: result.MayHaveRun}, StepElsewhere},
-		{"stale ticket", named, Ending{Code: result.IncarnationGone, Outcome: result.MayHaveRun}, StepAnswer},
+		{"complete answer", repeatable, AttemptResult{Code: result.OK, Outcome: result.Ran}, StepAnswer},
+		{"overloaded", repeatable, AttemptResult{Code: result.Overloaded, Outcome: result.NotRun}, StepElsewhere},
+		{"overloaded, unrepeatable", unrepeatable, AttemptResult{Code: result.Overloaded, Outcome: result.NotRun}, StepElsewhere},
+		{"overloaded, named", named, AttemptResult{Code: result.Overloaded, Outcome: result.NotRun}, StepVoid},
+		{"overloaded, sealed", named, AttemptResult{Code: result.Overloaded, Outcome: result.NotRun, Sealed: true}, StepAnswer},
+		{"voided", repeatable, AttemptResult{Code: result.TicketVoided, Outcome: result.NotRun, Sealed: true}, StepAnswer},
+		{"agent lost", repeatable, AttemptResult{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepElsewhere},
+		{"agent lost, unrepeatable", unrepeatable, AttemptResult{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepReattach},
+		{"endpoint lost, unrepeatable", unrepeatable, AttemptResult{Code: result.EndpointLost, Outcome: result.MayHaveRun}, StepAnswer},
+		{"agent lost during the answer", partlyDelivered, AttemptResult{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepContinue},
+		{"agent lost during the answer of a service call", serviceCall, AttemptResult{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepRestart},
+		{"damaged answer", partlyDelivered, AttemptResult{Code: result.AnswerDamaged, Outcome: result.Ran}, StepRestart},
+		{"canceled by an earlier caller", repeatable, AttemptResult{Code: result.Canceled, Outcome: result.Ran, Attached: true}, StepElsewhere},
+		{"old configuration", named, AttemptResult{Code: result.OldGeneration, Outcome: result.NotRun}, StepResend},
+		{"stale ID known to this gateway only", unrepeatable, AttemptResult{Code: result.IncarnationGone, Outcome: result.MayHaveRun}, StepElsewhere},
+		{"stale ticket", named, AttemptResult{Code: result.IncarnationGone, Outcome: result.MayHaveRun}, StepAnswer},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -99,8 +99,8 @@
 func TestRefusalKeepsEarlierOutcome(t *testing.T) {
 	is := is.New(t)
 	d := Dispatch{Repeatable: true, Resumable: true, Attempts: 1}
-	is.Equal(d.Next(Ending{Code: result.AgentLost, Outcome: result.MayHaveRun}, func() bool { return true }), StepElsewhere)
-	is.Equal(d.Claim(Ending{Code: result.Overloaded, Outcome: result.NotRun}), result.MayHaveRun)
+	is.Equal(d.Next(AttemptResult{Code: result.AgentLost, Outcome: result.MayHaveRun}, func() bool { return true }), StepElsewhere)
+	is.Equal(d.ReportableOutcome(AttemptResult{Code: result.Overloaded, Outcome: result.NotRun}), result.MayHaveRun)
 }
 
 // TestDrainingNeedsNoBudget checks that a request refused by a draining agent is
@@ -120,6 +120,6 @@
 	}
 	for _, c := range cases {
 		d := Dispatch{Repeatable: c.repeatable, Attempts: c.attempts}
-		is.New(t).Equal(d.Next(Ending{Code: c.code, Outcome: result.NotRun, Sealed: true}, none), c.want)
+		is.New(t).Equal(d.Next(AttemptResult{Code: c.code, Outcome: result.NotRun, Sealed: true}, none), c.want)
 	}
 }
--- a/limits/breaker.go
+++ b/limits/breaker.go
@@ -63,16 +63,16 @@
 	return false
 }
 
-// Sent records that a request is sent to the endpoint; a half-open breaker takes it as the
+// RecordSend records that a request is sent to the endpoint; a half-open breaker takes it as the
 // probe.
-func (b *Breaker) Sent(now time.Time) {
+func (b *Breaker) RecordSend(now time.Time) {
 	if b.State(now) == HalfOpen {
 		b.probeStarted = now
 	}
 }
 
-// Success records that the endpoint served a request.
-func (b *Breaker) Success(now time.Time) {
+// RecordSuccess records that the endpoint served a request.
+func (b *Breaker) RecordSuccess(now time.Time) {
 	if b.State(now) == Open {
 		return // from a request sent before the breaker opened
 	}
@@ -80,9 +80,9 @@
 	b.consecutiveFailures, b.consecutiveOpens, b.probeStarted = 0, 0, time.Time{}
 }
 
-// Failure records that the endpoint failed a request, and reports whether that opened the
+// RecordFailure records that the endpoint failed a request, and reports whether that opened the
 // breaker.
-func (b *Breaker) Failure(now time.Time) bool {
+func (b *Breaker) RecordFailure(now time.Time) bool {
 	state := b.State(now)
 	if state == Open {
 		return false
--- a/limits/budget.go
+++ b/limits/budget.go
@@ -18,26 +18,26 @@
 	maxCredit = 100
 )
 
-// Budget limits the automatic retries of one workspace to a ratio of its requests, so that
+// RetryBudget limits the automatic retries of one workspace to a ratio of its requests, so that
 // a failing fleet is not hit by a multiple of its load. Each gateway keeps its own budget
 // without coordination and gets its part of minRetryRate.
-type Budget struct {
+type RetryBudget struct {
 	gateways int // number of gateways that share minRetryRate, this one included
 	credit   float64
 	updated  time.Time
 }
 
-// NewBudget returns the budget of one of the given number of gateways.
-func NewBudget(gateways int) *Budget { return &Budget{gateways: gateways} }
+// NewRetryBudget returns the budget of one of the given number of gateways.
+func NewRetryBudget(gateways int) *RetryBudget { return &RetryBudget{gateways: gateways} }
 
-// Request records a first attempt.
-func (b *Budget) Request(now time.Time) {
+// RecordRequest records a first attempt.
+func (b *RetryBudget) RecordRequest(now time.Time) {
 	b.decay(now)
 	b.credit = min(maxCredit, b.credit+retryRatio)
 }
 
-// Retry takes one retry from the budget and reports whether one was available.
-func (b *Budget) Retry(now time.Time) bool {
+// AllowRetry takes one retry from the budget and reports whether one was available.
+func (b *RetryBudget) AllowRetry(now time.Time) bool {
 	b.decay(now)
 	if b.credit < 1 {
 		return false
@@ -50,7 +50,7 @@
 // rate; above it, credit earned by requests decays exponentially. One whole retry does not
 // decay, even if it was earned by many requests long ago: with many gateways, each has few
 // requests.
-func (b *Budget) decay(now time.Time) {
+func (b *RetryBudget) decay(now time.Time) {
 	rate := minRetryRate / float64(b.gateways)
 	if b.updated.IsZero() {
 		b.credit, b.updated = rate*budgetTimeConstant.Seconds(), now
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -62,9 +62,9 @@
 	return &Table{self: self, expectedPeers: expectedPeers, workspaces: make(map[string]*account), peers: make(map[string]peerReport)}
 }
 
-// SetAll replaces the limits, by workspace. Requests in flight and overdrawn buckets are
+// SetLimits replaces the limits, by workspace. Requests in flight and overdrawn buckets are
 // kept.
-func (t *Table) SetAll(limits map[string]Limit, now time.Time) {
+func (t *Table) SetLimits(limits map[string]Limit, now time.Time) {
 	maps.DeleteFunc(t.workspaces, func(name string, _ *account) bool {
 		_, ok := limits[name]
 		return !ok
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -20,7 +20,7 @@
 	f := make(fleet, n)
 	for i := range f {
 		f[i] = NewTable(fmt.Sprint("gateway-", i), n-1)
-		f[i].SetAll(map[string]Limit{"w": l}, epoch)
+		f[i].SetLimits(map[string]Limit{"w": l}, epoch)
 	}
 	f.exchange(epoch)
 	return f
@@ -29,7 +29,7 @@
 func (f fleet) exchange(now time.Time) {
 	for _, from := range f {
 		for _, to := range f {
-			to.Peer(from.self, from.Uses(now), now)
+			to.RecordPeer(from.self, from.Demands(now), now)
 		}
 	}
 	for _, t := range f {
@@ -166,9 +166,9 @@
 	is.Equal(inFlight(at(0)), 5)
 	f[0].Tick(at(31_000))
 	is.Equal(inFlight(at(31_000)), 10)
-	f[0].Peer("gateway-1", nil, at(32_000))
+	f[0].RecordPeer("gateway-1", nil, at(32_000))
 	is.True(inFlight(at(32_000)) < 10)
-	f[0].PeerGone("gateway-1", at(33_000))
+	f[0].RemovePeer("gateway-1", at(33_000))
 	is.Equal(inFlight(at(33_000)), 10)
 }
 
@@ -183,7 +183,7 @@
 	tables := make(fleet, gateways)
 	for i := range tables {
 		tables[i] = NewTable(fmt.Sprint("gateway-", i), gateways-1)
-		tables[i].SetAll(map[string]Limit{"w": {RequestsPerSecond: perSecond}, "flights": {MaxInFlight: perSecond}}, epoch)
+		tables[i].SetLimits(map[string]Limit{"w": {RequestsPerSecond: perSecond}, "flights": {MaxInFlight: perSecond}}, epoch)
 	}
 	inFlight := 0
 	for _, g := range tables {
@@ -245,19 +245,19 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			b := NewBudget(1)
+			b := NewRetryBudget(1)
 			for range tc.requests {
-				b.Request(epoch)
+				b.RecordRequest(epoch)
 			}
 			granted := 0
 			for range tc.retries {
-				if b.Retry(epoch) {
+				if b.AllowRetry(epoch) {
 					granted++
 				}
 			}
 			is.True(granted >= tc.want-1 && granted <= tc.want)
-			is.True(!b.Retry(epoch))
-			is.True(b.Retry(at(10_000))) // credit returns
+			is.True(!b.AllowRetry(epoch))
+			is.True(b.AllowRetry(at(10_000))) // credit returns
 		})
 	}
 }
@@ -267,16 +267,16 @@
 // Together they must grant the minimum rate only once, plus a tenth of the requests.
 func TestBudgetOfManyGateways(t *testing.T) {
 	for _, gateways := range []int{1, 6, 24, 400} {
-		budgets := make([]*Budget, gateways)
+		budgets := make([]*RetryBudget, gateways)
 		for i := range budgets {
-			budgets[i] = NewBudget(gateways)
+			budgets[i] = NewRetryBudget(gateways)
 		}
 		requests, granted := 0, 0
 		for ms := 0; ms < 60_000; ms += 100 {
 			b := budgets[requests%gateways]
-			b.Request(at(ms))
+			b.RecordRequest(at(ms))
 			requests++
-			if b.Retry(at(ms)) {
+			if b.AllowRetry(at(ms)) {
 				granted++
 			}
 		}
@@ -309,9 +309,9 @@
 			var b Breaker
 			for i, e := range tc.events {
 				if e == 'f' {
-					b.Failure(at(100 * i))
+					b.RecordFailure(at(100 * i))
 				} else {
-					b.Success(at(100 * i))
+					b.RecordSuccess(at(100 * i))
 				}
 			}
 			is.Equal(b.State(at(tc.now)), tc.state)
@@ -324,19 +324,19 @@
 	is := is.New(t)
 	var b Breaker
 	for range 3 {
-		b.Failure(at(0))
+		b.RecordFailure(at(0))
 	}
-	b.Sent(at(1_000))
+	b.RecordSend(at(1_000))
 	is.True(b.Blocks(at(1_001)))   // one probe at a time
 	is.True(!b.Blocks(at(11_000))) // a probe without an answer times out
-	is.True(b.Failure(at(1_100)))
+	is.True(b.RecordFailure(at(1_100)))
 	is.True(b.Blocks(at(3_099))) // twice the open time
 	is.True(!b.Blocks(at(3_100)))
-	b.Sent(at(3_100))
-	b.Success(at(3_200))
+	b.RecordSend(at(3_100))
+	b.RecordSuccess(at(3_200))
 	is.Equal(b.State(at(3_200)), Closed)
 	for i := range 40 { // one failing probe a minute
-		b.Failure(at(10_000 + 60_000*i))
+		b.RecordFailure(at(10_000 + 60_000*i))
 	}
 	is.True(b.State(at(10_000+60_000*39+30_000)) == HalfOpen) // at most 30 s
 }
--- a/limits/split.go
+++ b/limits/split.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Use is the recent use of one workspace at one gateway, refused requests included.
+// Demand is the recent use of one workspace at one gateway, refused requests included.
 // Gateways report it to each other.
-type Use struct {
+type Demand struct {
 	Workspace         string
 	RequestsPerSecond float64
 	TokensPerSecond   float64
@@ -29,7 +29,7 @@
 // peerReport is a peer's last report.
 type peerReport struct {
 	received time.Time
-	uses     map[string]Use
+	uses     map[string]Demand
 }
 
 // demand is a decaying average of the requests and tokens asked for.
@@ -51,28 +51,28 @@
 	d.updated = now
 }
 
-// Uses returns this gateway's recent use of all limited workspaces, ordered by workspace,
+// Demands returns this gateway's recent use of all limited workspaces, ordered by workspace,
 // to be reported to its peers.
-func (t *Table) Uses(now time.Time) []Use {
-	out := make([]Use, 0, len(t.workspaces))
+func (t *Table) Demands(now time.Time) []Demand {
+	out := make([]Demand, 0, len(t.workspaces))
 	for name, a := range t.workspaces {
 		if a.limit == (Limit{}) {
 			continue
 		}
 		a.demand.decay(now)
-		out = append(out, Use{name, a.demand.requests, a.demand.tokens})
+		out = append(out, Demand{name, a.demand.requests, a.demand.tokens})
 	}
-	slices.SortFunc(out, func(a, b Use) int { return strings.Compare(a.Workspace, b.Workspace) })
+	slices.SortFunc(out, func(a, b Demand) int { return strings.Compare(a.Workspace, b.Workspace) })
 	return out
 }
 
-// Peer records a peer's report of its recent use. A peer that reports no use still counts
+// RecordPeer records a peer's report of its recent use. A peer that reports no use still counts
 // in the split.
-func (t *Table) Peer(name string, uses []Use, now time.Time) {
+func (t *Table) RecordPeer(name string, uses []Demand, now time.Time) {
 	if name == t.self {
 		return
 	}
-	r := peerReport{received: now, uses: make(map[string]Use, len(uses))}
+	r := peerReport{received: now, uses: make(map[string]Demand, len(uses))}
 	for _, u := range uses {
 		r.uses[u.Workspace] = u
 	}
@@ -80,8 +80,8 @@
 	t.splitLimits(now)
 }
 
-// PeerGone removes a peer that has announced that it is leaving.
-func (t *Table) PeerGone(name string, now time.Time) {
+// RemovePeer removes a peer that has announced that it is leaving.
+func (t *Table) RemovePeer(name string, now time.Time) {
 	delete(t.peers, name)
 	t.splitLimits(now)
 }
@@ -124,7 +124,7 @@
 // gateways that start together would each give out the whole limit.
 func (t *Table) shares(workspace string, a *account, now time.Time) (requests, tokens float64) {
 	missing := float64(t.missingPeers(now))
-	sum := Use{RequestsPerSecond: missing * a.demand.requests, TokensPerSecond: missing * a.demand.tokens}
+	sum := Demand{RequestsPerSecond: missing * a.demand.requests, TokensPerSecond: missing * a.demand.tokens}
 	for _, r := range t.peers {
 		u := r.uses[workspace]
 		sum.RequestsPerSecond += u.RequestsPerSecond
--- a/limits/window.go
+++ b/limits/window.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// WindowConfig is the bound on the retries to a service: in every window of length Window
+// RetryWindowConfig is the bound on the retries to a service: in every window of length Window
 // at most Ratio times the number of requests, plus Slack. Requests are first sends,
 // retries are second sends.
-type WindowConfig struct {
+type RetryWindowConfig struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
@@ -23,20 +23,20 @@
 	usableFraction = 0.6
 )
 
-// Window bounds the retries to one service over a sliding window that several gateways
+// RetryWindow bounds the retries to one service over a sliding window that several gateways
 // share: each counts its own requests and gets an even part of the slack.
-type Window struct {
-	config   WindowConfig
+type RetryWindow struct {
+	config   RetryWindowConfig
 	requests [subWindows + 1]int
 	retries  [subWindows + 1]int
 	newest   int64 // number of the newest sub-window, counted from the Unix epoch
 }
 
-// NewWindow returns an empty window.
-func NewWindow(c WindowConfig) *Window { return &Window{config: c} }
+// NewRetryWindow returns an empty window.
+func NewRetryWindow(c RetryWindowConfig) *RetryWindow { return &RetryWindow{config: c} }
 
-// Request records a first send.
-func (w *Window) Request(now time.Time) {
+// RecordRequest records a first send.
+func (w *RetryWindow) RecordRequest(now time.Time) {
 	w.advance(now)
 	w.requests[w.index()]++
 }
@@ -45,9 +45,9 @@
 // many gateways share the slack.
 const UnknownGateways = math.MaxInt
 
-// Retry takes one retry from the budget of one among the given number of gateways, and
+// AllowRetry takes one retry from the budget of one among the given number of gateways, and
 // reports whether one was available.
-func (w *Window) Retry(now time.Time, gateways int) bool {
+func (w *RetryWindow) AllowRetry(now time.Time, gateways int) bool {
 	w.advance(now)
 	requests, retries := 0, 0
 	for i := range w.requests {
@@ -63,10 +63,10 @@
 }
 
 // index returns the position of the newest sub-window in the counts.
-func (w *Window) index() int { return int(w.newest % int64(len(w.requests))) }
+func (w *RetryWindow) index() int { return int(w.newest % int64(len(w.requests))) }
 
 // advance clears the sub-windows that have left the window.
-func (w *Window) advance(now time.Time) {
+func (w *RetryWindow) advance(now time.Time) {
 	current := now.UnixNano() / int64(w.config.Window/subWindows)
 	steps := min(current-w.newest, int64(len(w.requests)))
 	for range max(0, steps) {
--- a/limits/window_test.go
+++ b/limits/window_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-var windowBounds = WindowConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}
+var windowBounds = RetryWindowConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}
 
 func TestWindowSlackIsShared(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	granted := 0
-	w := NewWindow(windowBounds)
-	for w.Retry(now, 4) {
+	w := NewRetryWindow(windowBounds)
+	for w.AllowRetry(now, 4) {
 		granted++
 	}
 	is.Equal(granted, int(usableFraction*windowBounds.Slack/4))
@@ -30,27 +30,27 @@
 	now := time.Unix(1000, 0)
 	granted := 0
 	for range 24 {
-		w := NewWindow(windowBounds)
-		for w.Retry(now, UnknownGateways) {
+		w := NewRetryWindow(windowBounds)
+		for w.AllowRetry(now, UnknownGateways) {
 			granted++
 		}
 	}
 	is.True(granted <= int(windowBounds.Slack))
-	w := NewWindow(windowBounds)
+	w := NewRetryWindow(windowBounds)
 	for range 100 {
-		w.Request(now)
+		w.RecordRequest(now)
 	}
-	is.True(w.Retry(now, UnknownGateways))
+	is.True(w.AllowRetry(now, UnknownGateways))
 }
 
 func TestWindowForgets(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	w := NewWindow(windowBounds)
-	for w.Retry(now, 4) {
+	w := NewRetryWindow(windowBounds)
+	for w.AllowRetry(now, 4) {
 	}
-	is.True(!w.Retry(now.Add(9*time.Second), 4))
-	is.True(w.Retry(now.Add(12*time.Second), 4))
+	is.True(!w.AllowRetry(now.Add(9*time.Second), 4))
+	is.True(w.AllowRetry(now.Add(12*time.Second), 4))
 }
 
 // TestWindowBound checks that no window holds more retries than the bound allows, whatever
@@ -58,9 +58,9 @@
 func TestWindowBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gateways := rapid.IntRange(1, 6).Draw(t, "gateways")
-		windows := make([]*Window, gateways)
+		windows := make([]*RetryWindow, gateways)
 		for i := range windows {
-			windows[i] = NewWindow(windowBounds)
+			windows[i] = NewRetryWindow(windowBounds)
 		}
 		now := time.Unix(1000, 0)
 		var requests, retries []time.Time
@@ -68,9 +68,9 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
 			w := windows[rapid.IntRange(0, gateways-1).Draw(t, "gateway")]
 			if rapid.Bool().Draw(t, "request") {
-				w.Request(now)
+				w.RecordRequest(now)
 				requests = append(requests, now)
-			} else if w.Retry(now, gateways) {
+			} else if w.AllowRetry(now, gateways) {
 				retries = append(retries, now)
 			}
 			recent := func(list []time.Time) (n float64) {
--- a/membership/event.go
+++ b/membership/event.go
@@ -17,13 +17,13 @@
 	Leaving  bool   // the endpoint or its host is declared as leaving
 }
 
-// Declared replaces the set of endpoints by the declared one.
-type Declared struct{ Endpoints []Declaration }
+// EndpointsDeclared replaces the set of endpoints by the declared one.
+type EndpointsDeclared struct{ Endpoints []Declaration }
 
-// Reported is an agent's report of its own state. It also shows that the agent
+// AgentReported is an agent's report of its own state. It also shows that the agent
 // is connected. An empty incarnation marks a heartbeat: everything except the
 // clock is as last reported.
-type Reported struct {
+type AgentReported struct {
 	Endpoint    string
 	Incarnation string
 	AgentMS     int64 // the agent's clock: a report older than the last one is ignored
@@ -31,11 +31,11 @@
 	Models      []string // models that are ready to serve
 }
 
-// Refused reports that an agent refused an order because it is leaving.
-type Refused struct{ Endpoint string }
+// OrderRefused reports that an agent refused an order because it is leaving.
+type OrderRefused struct{ Endpoint string }
 
-// Lost reports that the connection to an agent broke or could not be opened.
-type Lost struct{ Endpoint string }
+// ConnectionLost reports that the connection to an agent broke or could not be opened.
+type ConnectionLost struct{ Endpoint string }
 
 // ListedHost is one entry of the platform's list of hosts.
 type ListedHost struct {
@@ -43,17 +43,17 @@
 	Leaving bool
 }
 
-// Listed is a complete list of hosts as read from the platform. An empty list is
+// HostsListed is a complete list of hosts as read from the platform. An empty list is
 // ignored, because a platform without a single host does not answer.
-type Listed struct{ Hosts []ListedHost }
+type HostsListed struct{ Hosts []ListedHost }
 
-// Outside reports that a message from a peer gateway or the platform arrived.
-type Outside struct{}
+// ExternalContact reports that a message from a peer gateway or the platform arrived.
+type ExternalContact struct{}
 
 // Apply updates the view with one event.
 func (v *View) Apply(ev Event, now time.Time) { ev.apply(v, now) }
 
-func (ev Declared) apply(v *View, now time.Time) {
+func (ev EndpointsDeclared) apply(v *View, now time.Time) {
 	old := v.members
 	v.members = make(map[string]*member, len(ev.Endpoints))
 	for _, d := range ev.Endpoints {
@@ -67,7 +67,7 @@
 	v.updateNoAgentSince(now)
 }
 
-func (ev Reported) apply(v *View, now time.Time) {
+func (ev AgentReported) apply(v *View, now time.Time) {
 	m, ok := v.members[ev.Endpoint]
 	if ok && ev.Incarnation == "" {
 		ev.Incarnation, ev.State, ev.Models = m.incarnation, m.state, m.pools
@@ -91,7 +91,7 @@
 
 // outdated reports whether a report comes from the previous incarnation, or is
 // older than the last report of the current one.
-func (m *member) outdated(ev Reported) bool {
+func (m *member) outdated(ev AgentReported) bool {
 	if ev.Incarnation != m.incarnation {
 		return ev.Incarnation == m.previous
 	}
@@ -100,7 +100,7 @@
 
 // noteRestart records a new incarnation. A restart that the agent did not
 // announce counts as a loss, unless the lost connection was counted already.
-func (m *member) noteRestart(ev Reported, cfg FlapConfig, now time.Time) {
+func (m *member) noteRestart(ev AgentReported, cfg FlapConfig, now time.Time) {
 	if m.incarnation != "" && m.connected && !m.reportedLeaving() {
 		m.flap.addPenalty(cfg, now)
 	}
@@ -109,7 +109,7 @@
 
 func (m *member) reportedLeaving() bool { return m.state == rudderv1.AgentState_AGENT_STATE_LEAVING }
 
-func (ev Lost) apply(v *View, now time.Time) {
+func (ev ConnectionLost) apply(v *View, now time.Time) {
 	m, ok := v.members[ev.Endpoint]
 	if !ok || !m.connected {
 		return
@@ -135,13 +135,13 @@
 	}
 }
 
-func (ev Refused) apply(v *View, _ time.Time) {
+func (ev OrderRefused) apply(v *View, _ time.Time) {
 	if m, ok := v.members[ev.Endpoint]; ok {
 		m.state = rudderv1.AgentState_AGENT_STATE_LEAVING
 	}
 }
 
-func (ev Listed) apply(v *View, now time.Time) {
+func (ev HostsListed) apply(v *View, now time.Time) {
 	v.lastOtherContact = now
 	if len(ev.Hosts) == 0 {
 		return
@@ -157,4 +157,4 @@
 	v.hosts, v.listed = hosts, true
 }
 
-func (Outside) apply(v *View, now time.Time) { v.lastOtherContact = now }
+func (ExternalContact) apply(v *View, now time.Time) { v.lastOtherContact = now }
--- a/membership/evidence_test.go
+++ b/membership/evidence_test.go
@@ -23,21 +23,21 @@
 	ev    Event
 }
 
-func report(inc string, ms int64, s rudderv1.AgentState) Reported {
-	return Reported{Endpoint: "a", Incarnation: inc, AgentMS: ms, State: s, Models: []string{"m"}}
+func report(inc string, ms int64, s rudderv1.AgentState) AgentReported {
+	return AgentReported{Endpoint: "a", Incarnation: inc, AgentMS: ms, State: s, Models: []string{"m"}}
 }
 
 // reportOther is a report of endpoint b, which keeps one agent connected while a is lost.
-func reportOther(ms int64) Reported {
-	return Reported{Endpoint: "b", Incarnation: "b1", AgentMS: ms, State: serving, Models: []string{"m"}}
+func reportOther(ms int64) AgentReported {
+	return AgentReported{Endpoint: "b", Incarnation: "b1", AgentMS: ms, State: serving, Models: []string{"m"}}
 }
 
-func declared(aLeaving bool) Declared {
-	return Declared{[]Declaration{{Endpoint: "a", Host: "ha", Leaving: aLeaving}, {Endpoint: "b", Host: "hb"}}}
+func declared(aLeaving bool) EndpointsDeclared {
+	return EndpointsDeclared{[]Declaration{{Endpoint: "a", Host: "ha", Leaving: aLeaving}, {Endpoint: "b", Host: "hb"}}}
 }
 
-func listed(aLeaving bool) Listed {
-	return Listed{[]ListedHost{{Name: "ha", Leaving: aLeaving}, {Name: "hb"}}}
+func listed(aLeaving bool) HostsListed {
+	return HostsListed{[]ListedHost{{Name: "ha", Leaving: aLeaving}, {Name: "hb"}}}
 }
 
 var evidence = []struct {
@@ -54,15 +54,15 @@
 	{"agent no longer leaving", []step{{0, report("1", 1, leaving)}, {1, report("1", 2, serving)}}, 0, "serving normal agent"},
 	{"late report of the same incarnation", []step{{0, report("1", 9, leaving)}, {1, report("1", 2, serving)}}, 0, "leaving never agent"},
 	{"late report of the previous incarnation", []step{{0, report("1", 1, serving)}, {1, report("2", 1, leaving)}, {1, report("1", 50, serving)}}, 0, "leaving never agent"},
-	{"leaving, then disconnected", []step{{0, report("1", 1, leaving)}, {1, Lost{"a"}}}, 0, "leaving never agent"},
-	{"leaving, then a new incarnation", []step{{0, report("1", 1, leaving)}, {1, Lost{"a"}}, {1, report("2", 1, serving)}}, 0, "serving normal agent"},
-	{"refused an order", []step{{0, report("1", 1, serving)}, {1, Refused{"a"}}}, 0, "leaving never agent"},
-	{"disconnected within the grace period", []step{{0, report("1", 1, serving)}, {1, Lost{"a"}}}, 1, "silent last-resort connection"},
-	{"disconnected beyond the grace period", []step{{0, report("1", 1, serving)}, {1, Lost{"a"}}, {2, reportOther(2)}}, 1, "gone never connection"},
-	{"disconnected while starting", []step{{0, report("1", 1, starting)}, {1, Lost{"a"}}}, 0, "gone never connection"},
+	{"leaving, then disconnected", []step{{0, report("1", 1, leaving)}, {1, ConnectionLost{"a"}}}, 0, "leaving never agent"},
+	{"leaving, then a new incarnation", []step{{0, report("1", 1, leaving)}, {1, ConnectionLost{"a"}}, {1, report("2", 1, serving)}}, 0, "serving normal agent"},
+	{"refused an order", []step{{0, report("1", 1, serving)}, {1, OrderRefused{"a"}}}, 0, "leaving never agent"},
+	{"disconnected within the grace period", []step{{0, report("1", 1, serving)}, {1, ConnectionLost{"a"}}}, 1, "silent last-resort connection"},
+	{"disconnected beyond the grace period", []step{{0, report("1", 1, serving)}, {1, ConnectionLost{"a"}}, {2, reportOther(2)}}, 1, "gone never connection"},
+	{"disconnected while starting", []step{{0, report("1", 1, starting)}, {1, ConnectionLost{"a"}}}, 0, "gone never connection"},
 	{"connected without reports", []step{{0, report("1", 1, serving)}, {14, reportOther(9)}}, 2, "silent last-resort connection"},
-	{"heartbeat without changes", []step{{0, report("1", 1, serving)}, {14, Reported{Endpoint: "a", AgentMS: 14}}}, 2, "serving normal agent"},
-	{"heartbeat before the first report", []step{{0, Reported{Endpoint: "a", AgentMS: 14}}}, 0, "unheard never nothing"},
+	{"heartbeat without changes", []step{{0, report("1", 1, serving)}, {14, AgentReported{Endpoint: "a", AgentMS: 14}}}, 2, "serving normal agent"},
+	{"heartbeat before the first report", []step{{0, AgentReported{Endpoint: "a", AgentMS: 14}}}, 0, "unheard never nothing"},
 	{"declared as leaving", []step{{0, report("1", 1, serving)}, {0, declared(true)}}, 0, "leaving never declaration"},
 	{"no longer declared as leaving", []step{{0, report("1", 1, serving)}, {0, declared(true)}, {0, declared(false)}}, 0, "serving normal agent"},
 	{"declared as leaving before the first report", []step{{0, declared(true)}}, 0, "leaving never declaration"},
@@ -70,12 +70,12 @@
 	{"listed as live again", []step{{0, report("1", 1, serving)}, {1, listed(true)}, {1, listed(false)}}, 0, "serving normal agent"},
 	{"listed as live does not outrank the agent's report", []step{{0, report("1", 1, leaving)}, {1, listed(false)}}, 0, "leaving never agent"},
 	{"first report after the list", []step{{0, listed(true)}, {1, report("1", 1, serving)}}, 0, "leaving never list"},
-	{"restarted after the list", []step{{0, report("1", 1, serving)}, {1, listed(true)}, {1, Lost{"a"}}, {1, report("2", 1, serving)}}, 1, "serving normal agent"},
-	{"restarted, but still listed as leaving after the lag", []step{{0, report("1", 1, serving)}, {1, listed(true)}, {1, Lost{"a"}}, {1, report("2", 1, serving)}, {55, report("2", 9, serving)}}, 6, "leaving never list"},
-	{"not listed, but connected", []step{{0, report("1", 1, serving)}, {1, Listed{[]ListedHost{{Name: "hb"}}}}}, 0, "serving normal agent"},
-	{"not listed and disconnected", []step{{0, report("1", 1, serving)}, {1, Listed{[]ListedHost{{Name: "hb"}}}}, {1, Lost{"a"}}}, 0, "gone never list"},
-	{"an empty list is ignored", []step{{0, report("1", 1, serving)}, {1, Listed{}}, {1, Lost{"a"}}}, 0, "silent last-resort connection"},
-	{"listed as leaving, then not listed, agent still connected", []step{{0, report("1", 1, serving)}, {1, listed(true)}, {1, Listed{[]ListedHost{{Name: "hb"}}}}}, 0, "serving normal agent"},
+	{"restarted after the list", []step{{0, report("1", 1, serving)}, {1, listed(true)}, {1, ConnectionLost{"a"}}, {1, report("2", 1, serving)}}, 1, "serving normal agent"},
+	{"restarted, but still listed as leaving after the lag", []step{{0, report("1", 1, serving)}, {1, listed(true)}, {1, ConnectionLost{"a"}}, {1, report("2", 1, serving)}, {55, report("2", 9, serving)}}, 6, "leaving never list"},
+	{"not listed, but connected", []step{{0, report("1", 1, serving)}, {1, HostsListed{[]ListedHost{{Name: "hb"}}}}}, 0, "serving normal agent"},
+	{"not listed and disconnected", []step{{0, report("1", 1, serving)}, {1, HostsListed{[]ListedHost{{Name: "hb"}}}}, {1, ConnectionLost{"a"}}}, 0, "gone never list"},
+	{"an empty list is ignored", []step{{0, report("1", 1, serving)}, {1, HostsListed{}}, {1, ConnectionLost{"a"}}}, 0, "silent last-resort connection"},
+	{"listed as leaving, then not listed, agent still connected", []step{{0, report("1", 1, serving)}, {1, listed(true)}, {1, HostsListed{[]ListedHost{{Name: "hb"}}}}}, 0, "serving normal agent"},
 }
 
 func TestEvidence(t *testing.T) {
@@ -107,7 +107,7 @@
 	for i := range 3 {
 		v.Apply(report(fmt.Sprint(i), 1, serving), now)
 		is.Equal(v.Verdicts([]string{"a"}, now)[0].State, Serving)
-		v.Apply(Lost{"a"}, now.Add(time.Second))
+		v.Apply(ConnectionLost{"a"}, now.Add(time.Second))
 		now = now.Add(1200 * time.Millisecond)
 	}
 	v.Apply(report("4", 1, serving), now)
@@ -134,7 +134,7 @@
 		now = now.Add(time.Second)
 		v.Apply(report(fmt.Sprint(i), 1, serving), now)
 		v.Apply(report(fmt.Sprint(i), 2, leaving), now)
-		v.Apply(Lost{"a"}, now)
+		v.Apply(ConnectionLost{"a"}, now)
 	}
 	v.Apply(report("x", 1, serving), now)
 	is.Equal(v.Verdicts([]string{"a"}, now)[0].State, Serving)
@@ -143,7 +143,7 @@
 // fleet returns a view of n serving endpoints, two per host and twenty per rack.
 func fleet(n int, now time.Time) (*View, []string) {
 	v := NewView(Default())
-	var ev Declared
+	var ev EndpointsDeclared
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("e", i))
@@ -151,7 +151,7 @@
 	}
 	v.Apply(ev, now)
 	for _, name := range names {
-		v.Apply(Reported{Endpoint: name, Incarnation: name, AgentMS: 1, State: serving, Models: []string{"m"}}, now)
+		v.Apply(AgentReported{Endpoint: name, Incarnation: name, AgentMS: 1, State: serving, Models: []string{"m"}}, now)
 	}
 	return v, names
 }
@@ -174,19 +174,19 @@
 	now := time.Unix(0, 0)
 	v, names := fleet(60, now)
 	for _, name := range names[:20] {
-		v.Apply(Lost{name}, now)
+		v.Apply(ConnectionLost{name}, now)
 	}
 	is.Equal(usable(v, names, now), 40)
 	for _, name := range names[20:] {
-		v.Apply(Lost{name}, now)
+		v.Apply(ConnectionLost{name}, now)
 	}
 	now = now.Add(10 * time.Second)
 	is.Equal(usable(v, names, now), 60) // all agents disconnected: the fault may be on this side
 	is.True(v.CutOff(now))
-	v.Apply(Outside{}, now)
+	v.Apply(ExternalContact{}, now)
 	is.True(!v.CutOff(now)) // a peer or the platform can be reached: the agents are lost
 	is.Equal(usable(v, names, now.Add(21*time.Second)), 0)
-	v.Apply(Reported{Endpoint: "e0", Incarnation: "new", AgentMS: 1, State: serving, Models: []string{"m"}}, now)
+	v.Apply(AgentReported{Endpoint: "e0", Incarnation: "new", AgentMS: 1, State: serving, Models: []string{"m"}}, now)
 	is.Equal(usable(v, names, now), 1)
 }
 
@@ -198,9 +198,9 @@
 	v, names := fleet(60, now)
 	for round := range 2 {
 		for _, name := range names {
-			v.Apply(Lost{name}, now)
+			v.Apply(ConnectionLost{name}, now)
 			now = now.Add(10 * time.Millisecond)
-			v.Apply(Reported{Endpoint: name, Incarnation: fmt.Sprint(name, round), AgentMS: 1, State: serving, Models: []string{"m"}}, now)
+			v.Apply(AgentReported{Endpoint: name, Incarnation: fmt.Sprint(name, round), AgentMS: 1, State: serving, Models: []string{"m"}}, now)
 		}
 		is.Equal(usable(v, names, now), 60)
 	}
--- a/membership/heirs.go
+++ b/membership/heirs.go
@@ -6,9 +6,9 @@
 // updated one is dropped.
 const maxOwners = 4096
 
-// Heirs records which agent holds the run records of an incarnation that stopped.
+// RecordOwners records which agent holds the run records of an incarnation that stopped.
 // It is not safe for concurrent use.
-type Heirs struct{ byIncarnation map[string]owner }
+type RecordOwners struct{ byIncarnation map[string]owner }
 
 // owner is the agent that holds the run records of one incarnation.
 type owner struct {
@@ -17,22 +17,22 @@
 	updated   time.Time
 }
 
-// NewHeirs returns an empty table.
-func NewHeirs() *Heirs { return &Heirs{byIncarnation: make(map[string]owner)} }
+// NewRecordOwners returns an empty table.
+func NewRecordOwners() *RecordOwners { return &RecordOwners{byIncarnation: make(map[string]owner)} }
 
-// Holds records that the agent at address reports holding the records of the
+// Confirm records that the agent at address reports holding the records of the
 // incarnations.
-func (h *Heirs) Holds(address string, incarnations []string, now time.Time) {
+func (h *RecordOwners) Confirm(address string, incarnations []string, now time.Time) {
 	for _, inc := range incarnations {
 		h.set(inc, owner{address, true, now})
 	}
 }
 
-// Passed records that the leaving agent at from reports having handed the records
+// HandOver records that the leaving agent at from reports having handed the records
 // of the incarnations to the agent at to. Entries that a third agent has
 // confirmed take precedence, because the reports of agents that stop together may
 // arrive in any order.
-func (h *Heirs) Passed(from, to string, incarnations []string, now time.Time) {
+func (h *RecordOwners) HandOver(from, to string, incarnations []string, now time.Time) {
 	for _, inc := range incarnations {
 		if o, ok := h.byIncarnation[inc]; ok && o.confirmed && o.address != from {
 			continue
@@ -41,7 +41,7 @@
 	}
 }
 
-func (h *Heirs) set(incarnation string, o owner) {
+func (h *RecordOwners) set(incarnation string, o owner) {
 	if _, ok := h.byIncarnation[incarnation]; !ok && len(h.byIncarnation) >= maxOwners {
 		h.dropOldest()
 	}
@@ -50,9 +50,11 @@
 
 // Address returns the address of the agent that holds an incarnation's records,
 // or "" if the incarnation's own agent does.
-func (h *Heirs) Address(incarnation string) string { return h.byIncarnation[incarnation].address }
+func (h *RecordOwners) Address(incarnation string) string {
+	return h.byIncarnation[incarnation].address
+}
 
-func (h *Heirs) dropOldest() {
+func (h *RecordOwners) dropOldest() {
 	oldest, at := "", time.Time{}
 	for inc, o := range h.byIncarnation {
 		if oldest == "" || o.updated.Before(at) {
--- a/membership/successor_test.go
+++ b/membership/successor_test.go
@@ -73,10 +73,10 @@
 
 func TestRecordOwnersAreBounded(t *testing.T) {
 	is := is.New(t)
-	h := NewHeirs()
+	h := NewRecordOwners()
 	now := time.Unix(0, 0)
 	for i := range maxOwners + 10 {
-		h.Holds("addr", []string{fmt.Sprint(i)}, now.Add(time.Duration(i)*time.Second))
+		h.Confirm("addr", []string{fmt.Sprint(i)}, now.Add(time.Duration(i)*time.Second))
 	}
 	is.Equal(h.Address("0"), "")
 	is.Equal(h.Address("10"), "addr")
@@ -87,13 +87,13 @@
 // last reports of the three may arrive in any order; in the end c is the owner.
 func TestRecordOwnersInAnyOrder(t *testing.T) {
 	now := time.Unix(0, 0)
-	updates := []func(h *Heirs){
-		func(h *Heirs) { h.Passed("a", "b", []string{"ia"}, now) },
-		func(h *Heirs) { h.Passed("b", "c", []string{"ib", "ia"}, now) },
-		func(h *Heirs) { h.Holds("c", []string{"ia", "ib"}, now) },
+	updates := []func(h *RecordOwners){
+		func(h *RecordOwners) { h.HandOver("a", "b", []string{"ia"}, now) },
+		func(h *RecordOwners) { h.HandOver("b", "c", []string{"ib", "ia"}, now) },
+		func(h *RecordOwners) { h.Confirm("c", []string{"ia", "ib"}, now) },
 	}
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
-		h := NewHeirs()
+		h := NewRecordOwners()
 		for _, i := range order {
 			updates[i](h)
 		}
@@ -105,8 +105,8 @@
 func TestRecordOwnerHandsOver(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	h := NewHeirs()
-	h.Holds("b", []string{"ia"}, now)
-	h.Passed("b", "c", []string{"ib", "ia"}, now)
+	h := NewRecordOwners()
+	h.Confirm("b", []string{"ia"}, now)
+	h.HandOver("b", "c", []string{"ib", "ia"}, now)
 	is.Equal(h.Address("ia"), "c")
 }
--- a/memory/book.go
+++ b/memory/book.go
@@ -10,14 +10,14 @@
 
 // Request is a request to reserve memory at one endpoint.
 type Request struct {
-	Group  string
-	Epoch  uint64
-	Holder string // name of the coordinator
-	Tokens uint64
-	Lease  time.Duration
-	Since  int64 // when the group began, in Unix milliseconds of its coordinator's clock
-	// Queued is the memory, in tokens, for which admitted work waits at the endpoint.
-	Queued uint64
+	Group       string
+	Epoch       uint64
+	Holder      string // name of the coordinator
+	Tokens      uint64
+	Lease       time.Duration
+	StartUnixMs int64 // when the group began, in Unix milliseconds of its coordinator's clock
+	// QueuedTokens is the memory, in tokens, for which admitted work waits at the endpoint.
+	QueuedTokens uint64
 }
 
 // Verdict is the answer to a Request. Code is the reason for a refusal: result.MemoryHeld
@@ -69,10 +69,10 @@
 	expires time.Time
 }
 
-// Book is an agent's record of the leases on its endpoint's memory. It is not safe for
+// LeaseTable is an agent's record of the leases on its endpoint's memory. It is not safe for
 // concurrent use. Times are of the agent's monotonic clock: a lease that expired while the
 // agent was suspended is over before the agent acts on it.
-type Book struct {
+type LeaseTable struct {
 	total   uint64
 	limit   uint64
 	leases  map[string]*Lease
@@ -80,18 +80,18 @@
 	waiters []waiter
 }
 
-// NewBook returns an empty book for an endpoint with total tokens of memory, of which at
+// NewLeaseTable returns an empty book for an endpoint with total tokens of memory, of which at
 // most limit may be reserved.
-func NewBook(total, limit uint64) *Book {
-	return &Book{total: total, limit: limit, leases: make(map[string]*Lease), fences: make(map[string]fence)}
+func NewLeaseTable(total, limit uint64) *LeaseTable {
+	return &LeaseTable{total: total, limit: limit, leases: make(map[string]*Lease), fences: make(map[string]fence)}
 }
 
 // Limit returns the maximum number of tokens that leases may take together.
-func (b *Book) Limit() uint64 { return b.limit }
+func (b *LeaseTable) Limit() uint64 { return b.limit }
 
 // Reserved returns the number of reserved tokens, those of ended leases included until
 // they are freed.
-func (b *Book) Reserved() uint64 {
+func (b *LeaseTable) Reserved() uint64 {
 	var sum uint64
 	for _, l := range b.leases {
 		sum += l.Tokens
@@ -102,7 +102,7 @@
 // Reserve grants or refuses a lease. It never waits and never grants a part of the
 // requested amount. Repeating a granted request extends the lease, and a later attempt of
 // a group ends the earlier ones.
-func (b *Book) Reserve(r Request, now time.Time) Verdict {
+func (b *LeaseTable) Reserve(r Request, now time.Time) Verdict {
 	b.dropExpired(now)
 	id := ReservationID(r.Group, r.Epoch)
 	if r.Tokens == 0 || r.Tokens > b.limit {
@@ -136,7 +136,7 @@
 func clampLease(d time.Duration) time.Duration { return min(max(d, 0), MaxLease) }
 
 // reserveAgain answers a repeated request: it extends the lease if it is still live.
-func (b *Book) reserveAgain(l *Lease, r Request, now time.Time) Verdict {
+func (b *LeaseTable) reserveAgain(l *Lease, r Request, now time.Time) Verdict {
 	if !l.live(now) || l.Tokens != r.Tokens {
 		return refused(result.LeaseLost, "this attempt of the group has ended")
 	}
@@ -146,7 +146,7 @@
 
 // closeEarlier ends the leases of earlier attempts of the request's group that no run
 // uses.
-func (b *Book) closeEarlier(r Request) {
+func (b *LeaseTable) closeEarlier(r Request) {
 	for _, l := range b.leases {
 		if l.Group == r.Group && l.Epoch < r.Epoch && !l.Pinned {
 			l.Closing = true
@@ -156,7 +156,7 @@
 
 // closeLease ends a lease and fences its attempt, so that the attempt is never granted
 // again.
-func (b *Book) closeLease(l *Lease) {
+func (b *LeaseTable) closeLease(l *Lease) {
 	l.Closing = true
 	if f := b.fences[l.Group]; f.epoch <= l.Epoch {
 		f.epoch, f.ended = l.Epoch, true
@@ -166,12 +166,12 @@
 
 // fits reports whether the request fits beside all leases, the work that was admitted
 // before it, and all earlier waiting groups.
-func (b *Book) fits(r Request, now time.Time) bool {
+func (b *LeaseTable) fits(r Request, now time.Time) bool {
 	reserved := b.Reserved()
-	if reserved+r.Tokens > b.limit || reserved+r.Tokens+r.Queued > b.total {
+	if reserved+r.Tokens > b.limit || reserved+r.Tokens+r.QueuedTokens > b.total {
 		return false
 	}
-	own := waiter{group: r.Group, since: r.Since}
+	own := waiter{group: r.Group, since: r.StartUnixMs}
 	for _, p := range b.waiters {
 		if p.before(own) && !b.hasLiveLease(p.group, now) && reserved+p.tokens+r.Tokens > b.limit {
 			return false
@@ -181,7 +181,7 @@
 }
 
 // hasLiveLease reports whether a group has a live lease here.
-func (b *Book) hasLiveLease(group string, now time.Time) bool {
+func (b *LeaseTable) hasLiveLease(group string, now time.Time) bool {
 	for _, l := range b.leases {
 		if l.Group == group && l.live(now) {
 			return true
@@ -191,8 +191,8 @@
 }
 
 // enqueue adds the request's group to the waiting groups, or renews its entry.
-func (b *Book) enqueue(r Request, now time.Time) {
-	p := waiter{r.Group, r.Since, r.Tokens, now.Add(waiterTTL)}
+func (b *LeaseTable) enqueue(r Request, now time.Time) {
+	p := waiter{r.Group, r.StartUnixMs, r.Tokens, now.Add(waiterTTL)}
 	for i := range b.waiters {
 		if b.waiters[i].group == r.Group {
 			b.waiters[i] = p
@@ -204,9 +204,9 @@
 	}
 }
 
-// Wanted returns the tokens that the first waiting group needs, 0 if none waits. Work that
+// WaitingTokens returns the tokens that the first waiting group needs, 0 if none waits. Work that
 // would not fit beside them should go elsewhere.
-func (b *Book) Wanted(now time.Time) uint64 {
+func (b *LeaseTable) WaitingTokens(now time.Time) uint64 {
 	var first waiter
 	for _, p := range b.waiters {
 		if now.Before(p.expires) && !b.hasLiveLease(p.group, now) && (first.group == "" || p.before(first)) {
@@ -217,7 +217,7 @@
 }
 
 // dropExpired removes waiting groups and fences that have expired.
-func (b *Book) dropExpired(now time.Time) {
+func (b *LeaseTable) dropExpired(now time.Time) {
 	b.waiters = slices.DeleteFunc(b.waiters, func(p waiter) bool { return !now.Before(p.expires) })
 	for g, f := range b.fences {
 		if !now.Before(f.expires) && !b.hasLease(g) {
@@ -227,7 +227,7 @@
 }
 
 // hasLease reports whether a group has a lease here, ended ones included.
-func (b *Book) hasLease(group string) bool {
+func (b *LeaseTable) hasLease(group string) bool {
 	for _, l := range b.leases {
 		if l.Group == group {
 			return true
--- a/memory/book_test.go
+++ b/memory/book_test.go
@@ -22,51 +22,51 @@
 	const limit = 100
 	cases := []struct {
 		name string
-		do   func(is *is.I, b *Book)
+		do   func(is *is.I, b *LeaseTable)
 	}{
-		{"grants up to the limit", func(is *is.I, b *Book) {
+		{"grants up to the limit", func(is *is.I, b *LeaseTable) {
 			is.True(b.Reserve(request("a", 1, 60), at(0)).Granted)
 			is.Equal(b.Reserve(request("b", 1, 41), at(0)).Code, result.MemoryHeld)
-			is.True(b.Reserve(Request{Group: "c", Epoch: 1, Tokens: 40, Since: -1}, at(0)).Granted)
+			is.True(b.Reserve(Request{Group: "c", Epoch: 1, Tokens: 40, StartUnixMs: -1}, at(0)).Granted)
 			is.Equal(b.Reserved(), uint64(100))
 		}},
-		{"never more than the limit", func(is *is.I, b *Book) {
+		{"never more than the limit", func(is *is.I, b *LeaseTable) {
 			is.Equal(b.Reserve(request("a", 1, 101), at(0)).Code, result.MemoryHeld)
 			is.True(b.Reserve(request("b", 1, 100), at(0)).Granted) // a is not kept as a waiting group
 		}},
-		{"a repeated request extends the lease", func(is *is.I, b *Book) {
+		{"a repeated request extends the lease", func(is *is.I, b *LeaseTable) {
 			first := b.Reserve(request("a", 1, 60), at(0))
 			is.Equal(b.Reserve(request("a", 1, 60), at(500)), first)
 			is.True(b.Live("a.1", at(1400)))
 			is.Equal(b.Reserved(), uint64(60))
 		}},
-		{"an expired lease is over before Expire is called", func(is *is.I, b *Book) {
+		{"an expired lease is over before Expire is called", func(is *is.I, b *LeaseTable) {
 			b.Reserve(request("a", 1, 60), at(0))
 			is.True(!b.Renew("a.1", time.Second, at(1000)))
 			is.True(!b.Pin("a.1", at(1000)))
 			is.Equal(b.Reserve(request("a", 1, 60), at(1000)).Code, result.LeaseLost)
 			is.Equal(b.Reserved(), uint64(60)) // until the endpoint has freed it
 			is.Equal(len(b.Expire(at(1000))), 1)
-			b.Freed("a.1")
+			b.RecordFreed("a.1")
 			is.Equal(b.Reserved(), uint64(0))
 		}},
-		{"a later attempt ends the earlier", func(is *is.I, b *Book) {
+		{"a later attempt ends the earlier", func(is *is.I, b *LeaseTable) {
 			b.Reserve(request("a", 1, 30), at(0))
 			is.True(b.Reserve(request("a", 2, 60), at(1)).Granted)
 			is.True(!b.Live("a.1", at(1)))
 			is.Equal(b.Reserve(request("a", 1, 1), at(2)).Code, result.LeaseLost)
 		}},
-		{"released before it was requested", func(is *is.I, b *Book) {
+		{"released before it was requested", func(is *is.I, b *LeaseTable) {
 			is.True(!b.Release("a.1", at(0)))
 			is.Equal(b.Reserve(request("a", 1, 60), at(1)).Code, result.LeaseLost)
 			is.True(b.Reserve(request("a", 2, 60), at(1)).Granted)
 		}},
-		{"a late release does not affect the later attempt", func(is *is.I, b *Book) {
+		{"a late release does not affect the later attempt", func(is *is.I, b *LeaseTable) {
 			b.Reserve(request("a", 2, 60), at(0))
 			is.True(!b.Release("a.1", at(1)))
 			is.True(b.Live("a.2", at(1)))
 		}},
-		{"a pinned lease outlives its coordinator", func(is *is.I, b *Book) {
+		{"a pinned lease outlives its coordinator", func(is *is.I, b *LeaseTable) {
 			b.Reserve(request("a", 1, 60), at(0))
 			is.True(b.Pin("a.1", at(1)))
 			is.True(!b.Pin("a.1", at(2)))
@@ -75,44 +75,44 @@
 			b.Unpin("a.1")
 			is.Equal(len(b.Expire(at(100_000))), 1)
 		}},
-		{"the older group is served first", func(is *is.I, b *Book) {
+		{"the older group is served first", func(is *is.I, b *LeaseTable) {
 			b.Reserve(request("x", 1, 60), at(0))
-			older := Request{Group: "o", Epoch: 1, Tokens: 80, Lease: time.Second, Since: 1}
-			younger := Request{Group: "y", Epoch: 1, Tokens: 30, Lease: time.Second, Since: 2}
+			older := Request{Group: "o", Epoch: 1, Tokens: 80, Lease: time.Second, StartUnixMs: 1}
+			younger := Request{Group: "y", Epoch: 1, Tokens: 30, Lease: time.Second, StartUnixMs: 2}
 			is.True(!b.Reserve(older, at(1)).Granted)
 			is.True(!b.Reserve(younger, at(2)).Granted) // fits now, but not beside the older one
 			b.Release("x.1", at(3))
-			b.Freed("x.1")
+			b.RecordFreed("x.1")
 			younger.Epoch, older.Epoch = 2, 2
 			is.True(!b.Reserve(younger, at(4)).Granted)
 			is.True(b.Reserve(older, at(5)).Granted)
 		}},
-		{"admitted work goes first", func(is *is.I, b *Book) {
+		{"admitted work goes first", func(is *is.I, b *LeaseTable) {
 			r := request("a", 1, 60)
-			r.Queued = 41
+			r.QueuedTokens = 41
 			is.True(!b.Reserve(r, at(0)).Granted)
-			is.Equal(b.Wanted(at(1)), uint64(60))
-			is.Equal(b.Wanted(at(5000)), uint64(0))
-			r.Epoch, r.Queued = 2, 40
+			is.Equal(b.WaitingTokens(at(1)), uint64(60))
+			is.Equal(b.WaitingTokens(at(5000)), uint64(0))
+			r.Epoch, r.QueuedTokens = 2, 40
 			is.True(b.Reserve(r, at(2)).Granted)
-			is.Equal(b.Wanted(at(2)), uint64(0))
+			is.Equal(b.WaitingTokens(at(2)), uint64(0))
 		}},
-		{"a waiting group expires", func(is *is.I, b *Book) {
+		{"a waiting group expires", func(is *is.I, b *LeaseTable) {
 			b.Reserve(request("x", 1, 60), at(0))
-			b.Reserve(Request{Group: "o", Epoch: 1, Tokens: 80, Since: 1}, at(1))
-			is.True(b.Reserve(Request{Group: "y", Epoch: 1, Tokens: 30, Since: 2}, at(5001)).Granted)
+			b.Reserve(Request{Group: "o", Epoch: 1, Tokens: 80, StartUnixMs: 1}, at(1))
+			is.True(b.Reserve(Request{Group: "y", Epoch: 1, Tokens: 30, StartUnixMs: 2}, at(5001)).Granted)
 		}},
-		{"the duration of a lease is bounded", func(is *is.I, b *Book) {
+		{"the duration of a lease is bounded", func(is *is.I, b *LeaseTable) {
 			b.Reserve(Request{Group: "a", Epoch: 1, Tokens: 1, Lease: time.Hour}, at(0))
 			is.True(!b.Live("a.1", at(10_000)))
 		}},
-		{"fences expire", func(is *is.I, b *Book) {
+		{"fences expire", func(is *is.I, b *LeaseTable) {
 			b.Release("a.1", at(0))
 			is.True(b.Reserve(request("a", 1, 1), at(60_000)).Granted)
 		}},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { c.do(is.New(t), NewBook(limit, limit)) })
+		t.Run(c.name, func(t *testing.T) { c.do(is.New(t), NewLeaseTable(limit, limit)) })
 	}
 }
 
@@ -122,7 +122,7 @@
 func TestBookNeverOvercommitsOrLeaks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 100
-		b, now := NewBook(limit, limit), start
+		b, now := NewLeaseTable(limit, limit), start
 		over := map[string]bool{}
 		group := rapid.SampledFrom([]string{"a", "b", "c"})
 		epoch := rapid.Uint64Range(1, 5)
@@ -131,7 +131,7 @@
 			"reserve": func(t *rapid.T) {
 				r := Request{
 					Group: group.Draw(t, "group"), Epoch: epoch.Draw(t, "epoch"), Tokens: rapid.Uint64Range(1, 110).Draw(t, "tokens"),
-					Lease: time.Duration(rapid.IntRange(0, 20_000).Draw(t, "lease")) * time.Millisecond, Since: rapid.Int64Range(0, 3).Draw(t, "since"),
+					Lease: time.Duration(rapid.IntRange(0, 20_000).Draw(t, "lease")) * time.Millisecond, StartUnixMs: rapid.Int64Range(0, 3).Draw(t, "since"),
 				}
 				v := b.Reserve(r, now)
 				if v.Granted && over[v.Reservation] {
@@ -159,7 +159,7 @@
 			"free": func(t *rapid.T) {
 				for _, l := range b.Expire(now) {
 					over[l.ID] = true
-					b.Freed(l.ID)
+					b.RecordFreed(l.ID)
 				}
 			},
 			"": func(t *rapid.T) {
@@ -174,7 +174,7 @@
 			}
 		}
 		for _, l := range b.Expire(now.Add(time.Hour)) {
-			b.Freed(l.ID)
+			b.RecordFreed(l.ID)
 		}
 		if b.Reserved() != 0 {
 			t.Fatalf("%d tokens still reserved in the end", b.Reserved())
