--- a/memory/group.go
+++ b/memory/group.go
@@ -13,12 +13,12 @@
 
 // The kinds of steps.
 const (
-	DoReserve ActionKind = iota // reserve the member's memory
-	DoCompute                   // have the member import the spans before its own, then compute its own
-	DoImport                    // have the last member import the spans before its own
-	DoRun                       // order the run from the last member
-	DoBackoff                   // release everything, wait, then plan again
-	DoFail                      // return Code to the caller
+	ActionReserve ActionKind = iota // reserve the member's memory
+	ActionCompute                   // have the member import the spans before its own, then compute its own
+	ActionImport                    // have the last member import the spans before its own
+	ActionRun                       // order the run from the last member
+	ActionBackoff                   // release everything, wait, then plan again
+	ActionFail                      // return Code to the caller
 )
 
 // String returns the name of the step.
@@ -28,10 +28,10 @@
 
 // Action is a coordinator's next step. Member is an index into the plan.
 type Action struct {
-	Kind   ActionKind
-	Member int
-	Pause  time.Duration // before jitter; set for DoBackoff
-	Code   result.Code   // set for DoFail
+	Kind    ActionKind
+	Member  int
+	Backoff time.Duration // before jitter; set for DoBackoff
+	Code    result.Code   // set for DoFail
 }
 
 const (
@@ -109,37 +109,37 @@
 	last := len(g.plan) - 1
 	switch {
 	case g.reserved < len(g.plan):
-		g.next = Action{Kind: DoReserve, Member: g.order[g.reserved]}
+		g.next = Action{Kind: ActionReserve, Member: g.order[g.reserved]}
 	case g.computed < last:
-		g.next = Action{Kind: DoCompute, Member: g.computed}
+		g.next = Action{Kind: ActionCompute, Member: g.computed}
 	case g.computed == last:
-		g.next = Action{Kind: DoImport, Member: last}
+		g.next = Action{Kind: ActionImport, Member: last}
 	default:
-		g.next = Action{Kind: DoRun, Member: last}
+		g.next = Action{Kind: ActionRun, Member: last}
 	}
 }
 
-// Asked records that a reservation is about to be requested.
-func (g *Group) Asked(member int) { g.states[member].requested = true }
+// RecordRequested records that a reservation is about to be requested.
+func (g *Group) RecordRequested(member int) { g.states[member].requested = true }
 
-// Granted records that a member granted the lease that was requested at time sent.
-func (g *Group) Granted(member int, sent time.Time, lease time.Duration) {
+// RecordGranted records that a member granted the lease that was requested at time sent.
+func (g *Group) RecordGranted(member int, sent time.Time, lease time.Duration) {
 	g.states[member].granted, g.states[member].expires = true, sent.Add(lease)
 	g.reserved++
 	g.everFormed = g.everFormed || g.reserved == len(g.plan)
 	g.advance()
 }
 
-// Renewed records that a member extended the lease, as requested at time sent.
-func (g *Group) Renewed(member int, sent time.Time, lease time.Duration) {
+// RecordRenewed records that a member extended the lease, as requested at time sent.
+func (g *Group) RecordRenewed(member int, sent time.Time, lease time.Duration) {
 	if s := &g.states[member]; s.granted {
 		s.expires = sent.Add(lease)
 	}
 }
 
-// Computed records that a member has done its part. It returns the members that are no
+// RecordComputed records that a member has done its part. It returns the members that are no
 // longer needed, because this member has imported their spans and hands all of them on.
-func (g *Group) Computed(member int) (free []int) {
+func (g *Group) RecordComputed(member int) (free []int) {
 	g.computed++
 	for i := range member {
 		if g.states[i].granted {
@@ -151,9 +151,9 @@
 	return free
 }
 
-// Lapsed returns a member whose lease has expired as far as the coordinator can tell; ok
+// ExpiredMember returns a member whose lease has expired as far as the coordinator can tell; ok
 // is false if there is none.
-func (g *Group) Lapsed(now time.Time) (member int, ok bool) {
+func (g *Group) ExpiredMember(now time.Time) (member int, ok bool) {
 	for i, s := range g.states {
 		if s.granted && !now.Before(s.expires) {
 			return i, true
@@ -162,9 +162,9 @@
 	return 0, false
 }
 
-// Held returns the members that may hold a lease of this attempt: those that granted it
+// Holders returns the members that may hold a lease of this attempt: those that granted it
 // or, if granted is false, all that were asked.
-func (g *Group) Held(granted bool) (out []int) {
+func (g *Group) Holders(granted bool) (out []int) {
 	for i, s := range g.states {
 		if s.granted || s.requested && !granted {
 			out = append(out, i)
@@ -173,9 +173,9 @@
 	return out
 }
 
-// Failed records that this attempt failed with the given code, and decides whether there
+// RecordFailure records that this attempt failed with the given code, and decides whether there
 // is another attempt. All members of Held(false) must be released before that.
-func (g *Group) Failed(code result.Code) {
+func (g *Group) RecordFailure(code result.Code) {
 	formed := g.reserved == len(g.plan)
 	switch {
 	case formed:
@@ -185,17 +185,17 @@
 		g.unformedFailures++
 	}
 	if !retryable(code) || g.formedFailures >= maxFormedFailures || g.unformedFailures >= maxUnformedFailures {
-		g.next = Action{Kind: DoFail, Code: code}
+		g.next = Action{Kind: ActionFail, Code: code}
 		return
 	}
-	g.next = Action{Kind: DoBackoff, Pause: g.backoff}
+	g.next = Action{Kind: ActionBackoff, Backoff: g.backoff}
 	g.backoff = min(2*g.backoff, MaxBackoff)
 }
 
-// Unplanned records that no plan was found for the next attempt.
-func (g *Group) Unplanned(code result.Code) {
+// RecordNoPlan records that no plan was found for the next attempt.
+func (g *Group) RecordNoPlan(code result.Code) {
 	g.plan, g.states, g.reserved = nil, nil, -1
-	g.Failed(code)
+	g.RecordFailure(code)
 }
 
 // retryable reports whether another attempt may succeed after the given code.
--- a/memory/group_test.go
+++ b/memory/group_test.go
@@ -19,7 +19,7 @@
 // sim drives groups and books without a network: one step of one group at a time, in an
 // order that the test chooses.
 type sim struct {
-	books   map[string]*Book
+	books   map[string]*LeaseTable
 	now     time.Time
 	groups  []*simGroup
 	runTime time.Duration // how long each group keeps its memory; less than a lease
@@ -37,9 +37,9 @@
 }
 
 func newSim(endpoints ...string) *sim {
-	s := &sim{books: map[string]*Book{}, now: start}
+	s := &sim{books: map[string]*LeaseTable{}, now: start}
 	for _, e := range endpoints {
-		s.books[e] = NewBook(simLimit, simLimit)
+		s.books[e] = NewLeaseTable(simLimit, simLimit)
 	}
 	return s
 }
@@ -48,7 +48,7 @@
 func (s *sim) add(tokens uint64, endpoints ...string) {
 	var p Plan
 	for _, e := range endpoints {
-		p = append(p, Member{Endpoint: e, Tokens: 1, Reserve: tokens})
+		p = append(p, Member{Endpoint: e, Tokens: 1, ReserveTokens: tokens})
 	}
 	id := fmt.Sprint("g", len(s.groups))
 	s.groups = append(s.groups, &simGroup{g: NewGroup(id, false), since: s.now.UnixMilli(), plan: p, resumeAt: s.now})
@@ -65,15 +65,15 @@
 	}
 	a := sg.g.Next()
 	switch a.Kind {
-	case DoReserve:
+	case ActionReserve:
 		s.reserve(sg, a.Member)
-	case DoBackoff:
+	case ActionBackoff:
 		s.release(sg)
-		sg.begun, sg.resumeAt = false, s.now.Add(a.Pause)
-	case DoFail:
+		sg.begun, sg.resumeAt = false, s.now.Add(a.Backoff)
+	case ActionFail:
 		s.release(sg)
 		sg.failed = a.Code
-	case DoRun:
+	case ActionRun:
 		if !sg.running {
 			sg.running, sg.resumeAt = true, s.now.Add(s.runTime)
 			return true
@@ -81,7 +81,7 @@
 		s.release(sg)
 		sg.done = true
 	default:
-		for _, m := range sg.g.Computed(a.Member) {
+		for _, m := range sg.g.RecordComputed(a.Member) {
 			s.free(sg, m)
 		}
 	}
@@ -89,19 +89,19 @@
 }
 
 func (s *sim) reserve(sg *simGroup, m int) {
-	sg.g.Asked(m)
+	sg.g.RecordRequested(m)
 	v := s.books[sg.plan[m].Endpoint].Reserve(Request{
-		Group: sg.g.id, Epoch: sg.g.Epoch(), Tokens: sg.plan[m].Reserve, Lease: simLease, Since: sg.since,
+		Group: sg.g.id, Epoch: sg.g.Epoch(), Tokens: sg.plan[m].ReserveTokens, Lease: simLease, StartUnixMs: sg.since,
 	}, s.now)
 	if v.Granted {
-		sg.g.Granted(m, s.now, simLease)
+		sg.g.RecordGranted(m, s.now, simLease)
 		return
 	}
-	sg.g.Failed(v.Code)
+	sg.g.RecordFailure(v.Code)
 }
 
 func (s *sim) release(sg *simGroup) {
-	for _, m := range sg.g.Held(false) {
+	for _, m := range sg.g.Holders(false) {
 		s.free(sg, m)
 	}
 }
@@ -109,7 +109,7 @@
 func (s *sim) free(sg *simGroup, m int) {
 	b := s.books[sg.plan[m].Endpoint]
 	b.Release(sg.g.Reservation(), s.now)
-	b.Freed(sg.g.Reservation())
+	b.RecordFreed(sg.g.Reservation())
 }
 
 // run steps the groups until all have ended. It returns false if that takes more than a
@@ -208,8 +208,8 @@
 		g.Begin(plan)
 		for range plan {
 			m := g.Next().Member
-			g.Asked(m)
-			g.Granted(m, at(0), time.Second)
+			g.RecordRequested(m)
+			g.RecordGranted(m, at(0), time.Second)
 		}
 		return g
 	}
@@ -221,14 +221,14 @@
 			g := NewGroup("g", false)
 			g.Begin(plan)
 			var steps []string
-			for g.Next().Kind != DoRun {
+			for g.Next().Kind != ActionRun {
 				a := g.Next()
 				steps = append(steps, fmt.Sprint(a.Kind, " ", plan[a.Member].Endpoint))
-				if a.Kind == DoReserve {
-					g.Asked(a.Member)
-					g.Granted(a.Member, at(0), time.Second)
+				if a.Kind == ActionReserve {
+					g.RecordRequested(a.Member)
+					g.RecordGranted(a.Member, at(0), time.Second)
 				} else {
-					g.Computed(a.Member)
+					g.RecordComputed(a.Member)
 				}
 			}
 			is.Equal(steps, []string{"reserve a", "reserve b", "reserve c", "compute b", "compute c", "import a"})
@@ -236,37 +236,37 @@
 		}},
 		{"earlier members are free once the next has imported", func(is *is.I) {
 			g := formed()
-			is.Equal(len(g.Computed(0)), 0)
-			is.Equal(g.Computed(1), []int{0})
-			is.Equal(g.Computed(2), []int{1})
-			is.Equal(g.Held(false), []int{2})
+			is.Equal(len(g.RecordComputed(0)), 0)
+			is.Equal(g.RecordComputed(1), []int{0})
+			is.Equal(g.RecordComputed(2), []int{1})
+			is.Equal(g.Holders(false), []int{2})
 		}},
 		{"a lease that was not renewed has expired", func(is *is.I) {
 			g := formed()
-			g.Renewed(0, at(500), time.Second)
-			g.Renewed(2, at(500), time.Second)
-			m, lapsed := g.Lapsed(at(1000))
+			g.RecordRenewed(0, at(500), time.Second)
+			g.RecordRenewed(2, at(500), time.Second)
+			m, lapsed := g.ExpiredMember(at(1000))
 			is.True(lapsed)
 			is.Equal(m, 1)
-			_, lapsed = g.Lapsed(at(999))
+			_, lapsed = g.ExpiredMember(at(999))
 			is.True(!lapsed)
 		}},
 		{"a request without an answer counts as held", func(is *is.I) {
 			g := NewGroup("g", false)
 			g.Begin(plan)
-			g.Asked(2)
-			is.Equal(g.Held(true), nil)
-			is.Equal(g.Held(false), []int{2})
+			g.RecordRequested(2)
+			is.Equal(g.Holders(true), nil)
+			is.Equal(g.Holders(false), []int{2})
 		}},
 		{"backoff grows while memory is held by others", func(is *is.I) {
 			g := NewGroup("g", false)
 			var last time.Duration
 			for range 20 {
 				g.Begin(plan)
-				g.Failed(result.MemoryHeld)
-				is.Equal(g.Next().Kind, DoBackoff)
-				is.True(g.Next().Pause >= last)
-				last = g.Next().Pause
+				g.RecordFailure(result.MemoryHeld)
+				is.Equal(g.Next().Kind, ActionBackoff)
+				is.True(g.Next().Backoff >= last)
+				last = g.Next().Backoff
 			}
 			is.Equal(last, MaxBackoff)
 			is.Equal(g.Epoch(), uint64(20))
@@ -277,24 +277,24 @@
 				g.Begin(plan)
 				for range plan {
 					m := g.Next().Member
-					g.Granted(m, at(0), time.Second)
+					g.RecordGranted(m, at(0), time.Second)
 				}
-				g.Failed(result.EndpointLost)
-				is.Equal(g.Next().Kind == DoFail, i == maxFormedFailures-1)
+				g.RecordFailure(result.EndpointLost)
+				is.Equal(g.Next().Kind == ActionFail, i == maxFormedFailures-1)
 			}
 			is.Equal(g.Next().Code, result.EndpointLost)
 		}},
 		{"gives up after repeated attempts without a plan", func(is *is.I) {
 			g := NewGroup("g", false)
 			for range maxUnformedFailures {
-				g.Unplanned(result.NoEndpoint)
+				g.RecordNoPlan(result.NoEndpoint)
 			}
-			is.Equal(g.Next(), Action{Kind: DoFail, Code: result.NoEndpoint})
+			is.Equal(g.Next(), Action{Kind: ActionFail, Code: result.NoEndpoint})
 		}},
 		{"does not retry when the deadline is too near", func(is *is.I) {
 			g := formed()
-			g.Failed(result.DeadlineTooNear)
-			is.Equal(g.Next().Kind, DoFail)
+			g.RecordFailure(result.DeadlineTooNear)
+			is.Equal(g.Next().Kind, ActionFail)
 		}},
 	}
 	for _, c := range cases {
--- a/memory/lease.go
+++ b/memory/lease.go
@@ -7,13 +7,13 @@
 )
 
 // Live reports whether the reservation may be used now.
-func (b *Book) Live(id string, now time.Time) bool {
+func (b *LeaseTable) Live(id string, now time.Time) bool {
 	l, ok := b.leases[id]
 	return ok && l.live(now)
 }
 
 // Renew extends a live lease. It returns false if the lease is over.
-func (b *Book) Renew(id string, lease time.Duration, now time.Time) bool {
+func (b *LeaseTable) Renew(id string, lease time.Duration, now time.Time) bool {
 	l, ok := b.leases[id]
 	if !ok || !l.live(now) {
 		return false
@@ -25,7 +25,7 @@
 // Pin ties a live lease to a run: the lease lasts until Unpin, renewed or not, so that the
 // run does not depend on its coordinator. It returns false if the lease is over or already
 // has a run.
-func (b *Book) Pin(id string, now time.Time) bool {
+func (b *LeaseTable) Pin(id string, now time.Time) bool {
 	l, ok := b.leases[id]
 	if !ok || !l.live(now) || l.Pinned {
 		return false
@@ -35,7 +35,7 @@
 }
 
 // Unpin ends the lease of a run that has ended.
-func (b *Book) Unpin(id string) {
+func (b *LeaseTable) Unpin(id string) {
 	if l, ok := b.leases[id]; ok {
 		l.Pinned = false
 		b.closeLease(l)
@@ -45,7 +45,7 @@
 // Release ends a reservation that no run uses, and reports whether there was one to end. A
 // reservation that is not known, because its request was delayed or lost, will never be
 // granted.
-func (b *Book) Release(id string, now time.Time) bool {
+func (b *LeaseTable) Release(id string, now time.Time) bool {
 	b.dropExpired(now)
 	group, epoch, ok := ParseReservationID(id)
 	if !ok {
@@ -64,7 +64,7 @@
 
 // Expire ends the leases that have expired. It returns all leases that are closing and not
 // yet freed, ordered by ID.
-func (b *Book) Expire(now time.Time) []Lease {
+func (b *LeaseTable) Expire(now time.Time) []Lease {
 	var out []Lease
 	for _, l := range b.leases {
 		if !l.live(now) {
@@ -76,15 +76,15 @@
 	return out
 }
 
-// Freed records that the endpoint has freed the memory of a closing lease.
-func (b *Book) Freed(id string) {
+// RecordFreed records that the endpoint has freed the memory of a closing lease.
+func (b *LeaseTable) RecordFreed(id string) {
 	if l, ok := b.leases[id]; ok && l.Closing {
 		delete(b.leases, id)
 	}
 }
 
-// Next returns when the next lease expires unless it is renewed; ok is false if none will.
-func (b *Book) Next() (at time.Time, ok bool) {
+// NextExpiry returns when the next lease expires unless it is renewed; ok is false if none will.
+func (b *LeaseTable) NextExpiry() (at time.Time, ok bool) {
 	for _, l := range b.leases {
 		if l.Closing || l.Pinned {
 			continue
@@ -97,7 +97,7 @@
 }
 
 // Known reports whether the reservation's memory is counted in Reserved.
-func (b *Book) Known(id string) bool {
+func (b *LeaseTable) Known(id string) bool {
 	_, ok := b.leases[id]
 	return ok
 }
--- a/memory/plan.go
+++ b/memory/plan.go
@@ -26,43 +26,45 @@
 	preferredDen = 7
 )
 
-// Room is the memory of one endpoint as a coordinator knows it.
-type Room struct {
-	Endpoint string
-	Limit    uint64        // maximum number of tokens that reservations may take together
-	Reserved uint64        // tokens that they take now
-	Free     uint64        // tokens neither used nor reserved
-	Wait     time.Duration // predicted wait of long work
-	Near     bool          // in the coordinator's data centre
-	Avoid    bool          // failed this request recently
+// EndpointMemory is the memory of one endpoint as a coordinator knows it.
+type EndpointMemory struct {
+	Endpoint       string
+	Limit          uint64        // maximum number of tokens that reservations may take together
+	Reserved       uint64        // tokens that they take now
+	Free           uint64        // tokens neither used nor reserved
+	Wait           time.Duration // predicted wait of long work
+	SameDataCentre bool          // in the coordinator's data centre
+	Avoid          bool          // failed this request recently
 }
 
 // maximum returns the tokens that a reservation could get once there is no other.
-func (r Room) maximum() uint64 { return r.Limit }
+func (r EndpointMemory) maximum() uint64 { return r.Limit }
 
 // available returns the tokens that a reservation could get immediately.
-func (r Room) available() uint64 { return r.Limit - min(r.Limit, r.Reserved) }
+func (r EndpointMemory) available() uint64 { return r.Limit - min(r.Limit, r.Reserved) }
 
 // preferred returns the part of the available tokens that leaves the endpoint some memory.
-func (r Room) preferred() uint64 { return min(r.available(), r.Limit/preferredDen*preferredNum) }
+func (r EndpointMemory) preferred() uint64 {
+	return min(r.available(), r.Limit/preferredDen*preferredNum)
+}
 
-// Need describes the prompt that a group is planned for.
-type Need struct {
+// PlanRequest describes the prompt that a group is planned for.
+type PlanRequest struct {
 	Prompt uint64
 	Answer uint64
 	// ImportDivisor is the divisor described at DefaultImportDivisor, which 0 selects.
 	ImportDivisor uint64
-	// Last is the endpoint that has to answer; empty means any.
-	Last string
+	// LastEndpoint is the endpoint that has to answer; empty means any.
+	LastEndpoint string
 }
 
 // Member is one endpoint's part in a group: it computes the prompt's tokens from Start on,
 // after importing all tokens before them.
 type Member struct {
-	Endpoint string
-	Start    uint64
-	Tokens   uint64
-	Reserve  uint64 // memory that it needs for that, in tokens
+	Endpoint      string
+	Start         uint64
+	Tokens        uint64
+	ReserveTokens uint64 // memory that it needs for that, in tokens
 }
 
 // Plan is a group's members in the order of their spans. The last member computes its span
@@ -74,11 +76,11 @@
 // Plans that leave the members some memory are preferred to plans that fill them, and
 // plans that fit immediately to plans that have to wait for other groups. It returns nil
 // if all endpoints together cannot hold the prompt.
-func (n Need) Plan(view []Room) Plan {
+func (n PlanRequest) Plan(view []EndpointMemory) Plan {
 	if n.ImportDivisor == 0 {
 		n.ImportDivisor = DefaultImportDivisor
 	}
-	for _, size := range []func(Room) uint64{Room.preferred, Room.available, Room.maximum} {
+	for _, size := range []func(EndpointMemory) uint64{EndpointMemory.preferred, EndpointMemory.available, EndpointMemory.maximum} {
 		if p := n.planWith(view, size); p != nil {
 			return p
 		}
@@ -88,12 +90,12 @@
 
 // candidate is an endpoint with the memory that a plan may use of it.
 type candidate struct {
-	Room
+	EndpointMemory
 	tokens uint64
 }
 
 // planWith plans with the memory that size returns for each endpoint.
-func (n Need) planWith(view []Room, size func(Room) uint64) Plan {
+func (n PlanRequest) planWith(view []EndpointMemory, size func(EndpointMemory) uint64) Plan {
 	var candidates []candidate
 	for _, r := range view {
 		if tokens := size(r); tokens > 0 {
@@ -101,7 +103,7 @@
 		}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int { return n.compareCandidates(a, b) })
-	if n.Last != "" && (len(candidates) == 0 || candidates[0].Endpoint != n.Last) {
+	if n.LastEndpoint != "" && (len(candidates) == 0 || candidates[0].Endpoint != n.LastEndpoint) {
 		return nil
 	}
 	for k := 2; k <= min(len(candidates), MaxMembers); k++ {
@@ -113,13 +115,13 @@
 }
 
 // compareCandidates orders endpoints by how preferable they are as members.
-func (n Need) compareCandidates(a, b candidate) int {
-	last := func(r candidate) int { return trueFirst(n.Last != "" && r.Endpoint == n.Last) }
+func (n PlanRequest) compareCandidates(a, b candidate) int {
+	last := func(r candidate) int { return trueFirst(n.LastEndpoint != "" && r.Endpoint == n.LastEndpoint) }
 	bucket := func(r candidate) uint64 { return r.available() * availabilityBuckets / max(r.Limit, 1) }
 	return cmp.Or(
 		cmp.Compare(last(a), last(b)),
 		cmp.Compare(trueFirst(!a.Avoid), trueFirst(!b.Avoid)),
-		cmp.Compare(trueFirst(a.Near), trueFirst(b.Near)),
+		cmp.Compare(trueFirst(a.SameDataCentre), trueFirst(b.SameDataCentre)),
 		cmp.Compare(bucket(b), bucket(a)),
 		cmp.Compare(a.Wait, b.Wait),
 		cmp.Compare(a.Endpoint, b.Endpoint),
@@ -136,10 +138,10 @@
 
 // spanOrder returns the chosen endpoints in the order of their spans: those with the most
 // free memory first, so that running work at the others has time to end.
-func (n Need) spanOrder(chosen []candidate) []candidate {
+func (n PlanRequest) spanOrder(chosen []candidate) []candidate {
 	out := slices.Clone(chosen)
 	slices.SortFunc(out, func(a, b candidate) int {
-		last := func(r candidate) int { return 1 - trueFirst(n.Last != "" && r.Endpoint == n.Last) }
+		last := func(r candidate) int { return 1 - trueFirst(n.LastEndpoint != "" && r.Endpoint == n.LastEndpoint) }
 		return cmp.Or(
 			cmp.Compare(last(a), last(b)),
 			cmp.Compare(b.Free, a.Free),
@@ -151,7 +153,7 @@
 
 // split finds the smallest bound on each member's memory with which the prompt still fits,
 // and splits the prompt accordingly.
-func (n Need) split(candidates []candidate) Plan {
+func (n PlanRequest) split(candidates []candidate) Plan {
 	var largest uint64
 	for _, r := range candidates {
 		largest = max(largest, r.tokens)
@@ -174,7 +176,7 @@
 
 // assign gives each endpoint in turn as much of the prompt as fits within the bound. The
 // last one must get the rest, which must not be empty.
-func (n Need) assign(candidates []candidate, bound uint64) Plan {
+func (n PlanRequest) assign(candidates []candidate, bound uint64) Plan {
 	var p Plan
 	var start uint64
 	for i, r := range candidates {
@@ -182,7 +184,7 @@
 		imported := (start + n.ImportDivisor - 1) / n.ImportDivisor
 		if i == len(candidates)-1 {
 			m := n.member(r.Endpoint, start, n.Prompt-start, imported+n.Answer)
-			if m.Reserve > size {
+			if m.ReserveTokens > size {
 				return nil
 			}
 			return append(p, m)
@@ -208,7 +210,7 @@
 }
 
 // member returns a member whose reservation includes the margin.
-func (n Need) member(endpoint string, start, span, extra uint64) Member {
+func (n PlanRequest) member(endpoint string, start, span, extra uint64) Member {
 	need := span + extra
-	return Member{Endpoint: endpoint, Start: start, Tokens: span, Reserve: need + need/marginDivisor}
+	return Member{Endpoint: endpoint, Start: start, Tokens: span, ReserveTokens: need + need/marginDivisor}
 }
--- a/orders/names.go
+++ b/orders/names.go
@@ -26,10 +26,10 @@
 	return out
 }
 
-// Copies returns the exact names of the variants that a loaded model serves: the
+// VariantNames returns the exact names of the variants that a loaded model serves: the
 // model itself as NAME@VERSION, and each adapter as ADAPTER@VERSION on
 // NAME@VERSION.
-func Copies(m engine.Model) []string {
+func VariantNames(m engine.Model) []string {
 	exact := m.Name + "@" + m.Version
 	out := []string{exact}
 	for _, id := range m.Adapters {
@@ -38,10 +38,10 @@
 	return out
 }
 
-// Copy returns the exact name of the variant, as returned by Copies, on which a
+// VariantName returns the exact name of the variant, as returned by Copies, on which a
 // request for the name runs, or "" if there is none. If several match, it is
 // the one loaded last.
-func Copy(models []engine.Model, name string) string {
+func VariantName(models []engine.Model, name string) string {
 	for _, m := range slices.Backward(models) {
 		if m.Loading {
 			continue
@@ -58,9 +58,9 @@
 	return ""
 }
 
-// Without returns the models that remain available while the order is executed:
+// AvailableDuring returns the models that remain available while the order is executed:
 // without the model or adapter that it unloads.
-func Without(models []engine.Model, o engine.Order) []engine.Model {
+func AvailableDuring(models []engine.Model, o engine.Order) []engine.Model {
 	out := make([]engine.Model, 0, len(models))
 	for _, m := range models {
 		same := m.Name == o.Model && m.Version == o.Version
@@ -75,9 +75,9 @@
 	return out
 }
 
-// Takes reports whether a run under the name needs the model or adapter that the
+// Unloads reports whether a run under the name needs the model or adapter that the
 // order unloads.
-func Takes(models []engine.Model, o engine.Order, name string) bool {
+func Unloads(models []engine.Model, o engine.Order, name string) bool {
 	if o.Kind != engine.OrderUnloadModel && o.Kind != engine.OrderUnloadAdapter {
 		return false
 	}
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -26,10 +26,10 @@
 	// MaxStateAge bounds the time between querying the state of the endpoint and
 	// sending an order based on that state.
 	MaxStateAge = time.Second
-	// SettleTime is how long an endpoint has to report no order in progress
+	// ResolveTime is how long an endpoint has to report no order in progress
 	// before an order with unknown result counts as not executed: until then it
 	// may still be unread in the endpoint's socket.
-	SettleTime = 2 * time.Second
+	ResolveTime = 2 * time.Second
 )
 
 // Permit allows one order. The order contains only the kind and the model,
@@ -42,8 +42,8 @@
 	Order       engine.Order
 }
 
-// Situation is the state of the agent on which a decision is based.
-type Situation struct {
+// Snapshot is the state of the agent on which a decision is based.
+type Snapshot struct {
 	Incarnation string
 	ClockMS     int64 // the agent's clock
 	State       rudderv1.AgentState
@@ -52,11 +52,11 @@
 	Models      []engine.Model // as last reported by the endpoint
 }
 
-func (s *Situation) generation() uint64 { return s.Document.GetGeneration() }
+func (s *Snapshot) generation() uint64 { return s.Document.GetGeneration() }
 
-// Book tracks the agent's orders: the one in progress and those that failed. It
+// Tracker tracks the agent's orders: the one in progress and those that failed. It
 // is not safe for concurrent use.
-type Book struct {
+type Tracker struct {
 	phase       rudderv1.OrderPhase
 	order       engine.Order
 	generation  uint64
@@ -68,29 +68,29 @@
 	failures    map[string]*failure
 }
 
-// NewBook returns the book of a new incarnation. It starts in the phase Found,
+// NewTracker returns the book of a new incarnation. It starts in the phase Found,
 // because the endpoint may still execute an order of an earlier incarnation.
-func NewBook() *Book {
-	return &Book{phase: rudderv1.OrderPhase_ORDER_PHASE_FOUND, holds: 1, failures: make(map[string]*failure)}
+func NewTracker() *Tracker {
+	return &Tracker{phase: rudderv1.OrderPhase_ORDER_PHASE_FOUND, holds: 1, failures: make(map[string]*failure)}
 }
 
 // Holds returns a counter that increases with each change of the models that
 // the endpoint holds and of the order in progress. A permit is valid for one
 // value of the counter only.
-func (b *Book) Holds() uint64 { return b.holds }
+func (b *Tracker) Holds() uint64 { return b.holds }
 
-// Changed records a change of the models that the endpoint holds.
-func (b *Book) Changed() { b.holds++ }
+// ModelsChanged records a change of the models that the endpoint holds.
+func (b *Tracker) ModelsChanged() { b.holds++ }
 
 // Phase returns the phase of the order in progress, or 0 if there is none.
-func (b *Book) Phase() rudderv1.OrderPhase { return b.phase }
+func (b *Tracker) Phase() rudderv1.OrderPhase { return b.phase }
 
 // Order returns the order in progress; it is empty in the phase Found.
-func (b *Book) Order() engine.Order { return b.order }
+func (b *Tracker) Order() engine.Order { return b.order }
 
 // Accept makes the permit's order the order in progress, or returns the reason
 // for refusing it.
-func (b *Book) Accept(p Permit, s Situation, now time.Time) *result.Err {
+func (b *Tracker) Accept(p Permit, s Snapshot, now time.Time) *result.Err {
 	if err := b.checkPermit(p, s, now); err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 // checkPermit refuses a permit that is late, that arrives while another order is
 // in progress, that is not based on the agent's present state, or whose order
 // failed recently.
-func (b *Book) checkPermit(p Permit, s Situation, now time.Time) *result.Err {
+func (b *Tracker) checkPermit(p Permit, s Snapshot, now time.Time) *result.Err {
 	switch {
 	case s.State == rudderv1.AgentState_AGENT_STATE_LEAVING:
 		return result.New(result.Draining, "")
@@ -140,12 +140,12 @@
 const (
 	Wait Action = iota
 	Drop
-	Ask // query the state of the endpoint, then call Give
+	QueryState // query the state of the endpoint, then call Give
 )
 
-// Look returns the next action for a waiting order. runs is the number of runs
+// CheckWaiting returns the next action for a waiting order. runs is the number of runs
 // that need the model or adapter that the order unloads.
-func (b *Book) Look(s Situation, runs int, now time.Time) Action {
+func (b *Tracker) CheckWaiting(s Snapshot, runs int, now time.Time) Action {
 	if b.phase != rudderv1.OrderPhase_ORDER_PHASE_WAITING {
 		return Wait
 	}
@@ -157,15 +157,15 @@
 	case runs > 0:
 		return Wait
 	default:
-		return Ask
+		return QueryState
 	}
 }
 
-// Give makes the final decision before the order is sent. st is the endpoint's
+// PrepareSend makes the final decision before the order is sent. st is the endpoint's
 // state, queried at the time asked. It returns the order to send, or false if
 // the order has to be dropped.
-func (b *Book) Give(id, from string, st engine.State, s Situation, runs int, asked, now time.Time) (engine.Order, bool) {
-	if b.Look(s, runs, now) != Ask || elapsed(asked, now) > MaxStateAge || st.OrderBusy {
+func (b *Tracker) PrepareSend(id, from string, st engine.State, s Snapshot, runs int, asked, now time.Time) (engine.Order, bool) {
+	if b.CheckWaiting(s, runs, now) != QueryState || elapsed(asked, now) > MaxStateAge || st.OrderBusy {
 		return engine.Order{}, false
 	}
 	if _, err := Complete(b.order, s.Document, s.Endpoint, st.Models); err != nil {
@@ -177,45 +177,45 @@
 	return b.order, true
 }
 
-// Lost records that no answer to the order was received.
-func (b *Book) Lost(detail string) {
+// AnswerLost records that no answer to the order was received.
+func (b *Tracker) AnswerLost(detail string) {
 	b.setPhase(rudderv1.OrderPhase_ORDER_PHASE_UNKNOWN)
 	b.idleSince, b.detail = time.Time{}, detail
 }
 
-// Ending is the result of an order.
-type Ending int
+// Resolution is the result of an order.
+type Resolution int
 
 // The possible results.
 const (
-	Open Ending = iota // not known yet
-	Done
-	NotDone
+	Unresolved Resolution = iota // not known yet
+	Executed
+	NotExecuted
 )
 
-// Settle determines the result of an order whose answer was lost, or that was
+// Resolve determines the result of an order whose answer was lost, or that was
 // found when the agent started, from the endpoint's state at the time now.
-func (b *Book) Settle(st engine.State, now time.Time) Ending {
+func (b *Tracker) Resolve(st engine.State, now time.Time) Resolution {
 	switch {
 	case st.OrderBusy:
 		b.idleSince = time.Time{}
-		return Open
+		return Unresolved
 	case b.order.ID != "" && st.OrderID == b.order.ID:
-		return Done
+		return Executed
 	case b.idleSince.IsZero():
 		b.idleSince = now
-		return Open
-	case now.Sub(b.idleSince) < SettleTime:
-		return Open
+		return Unresolved
+	case now.Sub(b.idleSince) < ResolveTime:
+		return Unresolved
 	default:
-		return NotDone
+		return NotExecuted
 	}
 }
 
 // Close ends the order in progress without recording a failure: the order was
 // executed or dropped, or it was found at the start and is no longer in
 // progress.
-func (b *Book) Close(done bool) {
+func (b *Tracker) Close(done bool) {
 	if done {
 		delete(b.failures, orderKey(b.order))
 	}
@@ -224,19 +224,19 @@
 
 // Fail ends the order in progress and records its failure. jitter is a random
 // number in [0, 1).
-func (b *Book) Fail(detail string, jitter float64, now time.Time) {
+func (b *Tracker) Fail(detail string, jitter float64, now time.Time) {
 	b.recordFailure(detail, jitter, now)
 	b.reset()
 }
 
 // reset removes the order in progress.
-func (b *Book) reset() {
+func (b *Tracker) reset() {
 	b.setPhase(0)
 	b.order, b.idleSince, b.detail = engine.Order{}, time.Time{}, ""
 }
 
 // setPhase changes the phase and increases the counter that Holds returns.
-func (b *Book) setPhase(p rudderv1.OrderPhase) {
+func (b *Tracker) setPhase(p rudderv1.OrderPhase) {
 	b.phase = p
 	b.holds++
 }
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -21,8 +21,8 @@
 	unload = engine.Order{Kind: engine.OrderUnloadModel, Model: "m", Version: "1"}
 )
 
-func situation(generation uint64) Situation {
-	return Situation{
+func situation(generation uint64) Snapshot {
+	return Snapshot{
 		Incarnation: "i", State: rudderv1.AgentState_AGENT_STATE_SERVING, Endpoint: "e",
 		Models: []engine.Model{{Name: "m", Version: "1", Adapters: []string{"s@1"}}},
 		Document: &rudderv1.Document{
@@ -34,31 +34,31 @@
 }
 
 // idleBook returns a book without an order in progress.
-func idleBook() *Book {
-	b := NewBook()
+func idleBook() *Tracker {
+	b := NewTracker()
 	b.Close(false)
 	return b
 }
 
-func (b *Book) permit(o engine.Order, generation uint64) Permit {
+func (b *Tracker) permit(o engine.Order, generation uint64) Permit {
 	return Permit{Incarnation: "i", Generation: generation, Holds: b.holds, ExpiresMS: 1000, Order: o}
 }
 
 func TestLookDropsStaleOrders(t *testing.T) {
 	cases := []struct {
 		name   string
-		change func(*Situation)
+		change func(*Snapshot)
 		after  time.Duration
 		runs   int
 		want   Action
 	}{
-		{"nothing changed", func(*Situation) {}, time.Second, 0, Ask},
-		{"runs in progress", func(*Situation) {}, time.Second, 1, Wait},
-		{"paused", func(*Situation) {}, MaxPause + 1, 0, Drop},
-		{"paused with runs", func(*Situation) {}, MaxPause + 1, 1, Drop},
-		{"new generation", func(s *Situation) { s.Document.Generation++ }, 0, 1, Drop},
-		{"leaving", func(s *Situation) { s.State = rudderv1.AgentState_AGENT_STATE_LEAVING }, 0, 1, Drop},
-		{"endpoint lost", func(s *Situation) { s.State = rudderv1.AgentState_AGENT_STATE_ENDPOINT_LOST }, 0, 1, Drop},
+		{"nothing changed", func(*Snapshot) {}, time.Second, 0, QueryState},
+		{"runs in progress", func(*Snapshot) {}, time.Second, 1, Wait},
+		{"paused", func(*Snapshot) {}, MaxPause + 1, 0, Drop},
+		{"paused with runs", func(*Snapshot) {}, MaxPause + 1, 1, Drop},
+		{"new generation", func(s *Snapshot) { s.Document.Generation++ }, 0, 1, Drop},
+		{"leaving", func(s *Snapshot) { s.State = rudderv1.AgentState_AGENT_STATE_LEAVING }, 0, 1, Drop},
+		{"endpoint lost", func(s *Snapshot) { s.State = rudderv1.AgentState_AGENT_STATE_ENDPOINT_LOST }, 0, 1, Drop},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -66,7 +66,7 @@
 			b, s := idleBook(), situation(5)
 			is.True(b.Accept(b.permit(unload, 5), s, start) == nil)
 			c.change(&s)
-			is.Equal(b.Look(s, c.runs, start.Add(c.after)), c.want)
+			is.Equal(b.CheckWaiting(s, c.runs, start.Add(c.after)), c.want)
 		})
 	}
 }
@@ -91,7 +91,7 @@
 			is := is.New(t)
 			b, s := idleBook(), situation(5)
 			is.True(b.Accept(b.permit(unload, 5), s, start) == nil)
-			o, ok := b.Give("id", "e", c.st, s, c.runs, start.Add(c.askedOffset), start)
+			o, ok := b.PrepareSend("id", "e", c.st, s, c.runs, start.Add(c.askedOffset), start)
 			is.Equal(ok, c.ok)
 			if ok {
 				is.Equal(o.Fence, uint64(9<<20+1))
@@ -104,15 +104,15 @@
 	is := is.New(t)
 	b, s := idleBook(), situation(1)
 	is.True(b.Accept(b.permit(load, 1), s, start) == nil)
-	o, ok := b.Give("id", "e", engine.State{Models: s.Models}, s, 0, start, start)
+	o, ok := b.PrepareSend("id", "e", engine.State{Models: s.Models}, s, 0, start, start)
 	is.True(ok)
 	is.Equal(o.Weights, "m-2")
-	b.Lost("")
-	is.Equal(b.Settle(engine.State{}, start), Open)
-	is.Equal(b.Settle(engine.State{OrderBusy: true}, start.Add(time.Second)), Open) // it was still unread in the socket
-	is.Equal(b.Settle(engine.State{}, start.Add(2*time.Second)), Open)
-	is.Equal(b.Settle(engine.State{OrderID: "id"}, start.Add(3*time.Second)), Done)
-	is.Equal(b.Settle(engine.State{}, start.Add(4*time.Second)), NotDone)
+	b.AnswerLost("")
+	is.Equal(b.Resolve(engine.State{}, start), Unresolved)
+	is.Equal(b.Resolve(engine.State{OrderBusy: true}, start.Add(time.Second)), Unresolved) // it was still unread in the socket
+	is.Equal(b.Resolve(engine.State{}, start.Add(2*time.Second)), Unresolved)
+	is.Equal(b.Resolve(engine.State{OrderID: "id"}, start.Add(3*time.Second)), Executed)
+	is.Equal(b.Resolve(engine.State{}, start.Add(4*time.Second)), NotExecuted)
 }
 
 func TestFailuresBackOff(t *testing.T) {
@@ -154,7 +154,7 @@
 			case 3:
 				now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "pause")) * time.Millisecond)
 			case 4:
-				o, ok := b.Give("id", "e", engine.State{Models: situation(current).Models}, situation(current), 0, now, now)
+				o, ok := b.PrepareSend("id", "e", engine.State{Models: situation(current).Models}, situation(current), 0, now, now)
 				if !ok {
 					b.Close(false)
 					continue
--- a/orders/retry.go
+++ b/orders/retry.go
@@ -33,7 +33,7 @@
 // with each consecutive failure, up to maxBackoff. Jitter places the retry in its
 // upper half, so that endpoints that failed at the same time do not retry at the
 // same time.
-func (b *Book) recordFailure(detail string, jitter float64, now time.Time) {
+func (b *Tracker) recordFailure(detail string, jitter float64, now time.Time) {
 	b.dropExpiredFailures(now)
 	f, ok := b.failures[orderKey(b.order)]
 	if !ok {
@@ -50,7 +50,7 @@
 }
 
 // dropExpiredFailures removes old failures to bound the size of the book.
-func (b *Book) dropExpiredFailures(now time.Time) {
+func (b *Tracker) dropExpiredFailures(now time.Time) {
 	for k, f := range b.failures {
 		if now.Sub(f.retryAt) > failureRetention {
 			delete(b.failures, k)
@@ -59,7 +59,7 @@
 }
 
 // retryIn returns the remaining back-off of an order, or 0 if it may be permitted.
-func (b *Book) retryIn(o engine.Order, now time.Time) time.Duration {
+func (b *Tracker) retryIn(o engine.Order, now time.Time) time.Duration {
 	f, ok := b.failures[orderKey(o)]
 	if !ok {
 		return 0
@@ -70,7 +70,7 @@
 // Status returns the status of the order in progress or, if there is none, of the
 // failed order with the latest retry time; nil if there is neither. runs is the
 // number of runs that the order in progress waits for.
-func (b *Book) Status(runs int, now time.Time) *rudderv1.OrderStatus {
+func (b *Tracker) Status(runs int, now time.Time) *rudderv1.OrderStatus {
 	if b.phase != 0 {
 		st := orderStatus(b.order)
 		st.Phase, st.Detail, st.Runs = b.phase, b.detail, uint32(runs)
--- a/peers/codec.go
+++ b/peers/codec.go
@@ -23,7 +23,7 @@
 
 func fieldsToSend() []int {
 	var out []int
-	t := reflect.TypeFor[Word]()
+	t := reflect.TypeFor[Message]()
 	for i := range t.NumField() {
 		if t.Field(i).Tag.Get("msgpack") != "-" {
 			out = append(out, i)
@@ -33,7 +33,7 @@
 }
 
 // encode returns the datagram for w.
-func encode(w *Word) ([]byte, error) {
+func encode(w *Message) ([]byte, error) {
 	v := reflect.ValueOf(w).Elem()
 	n := len(sentFieldIndexes)
 	for n > minFields && v.Field(sentFieldIndexes[n-1]).IsZero() {
@@ -54,8 +54,8 @@
 }
 
 // decode parses a datagram.
-func decode(p []byte) (Word, error) {
-	var w Word
+func decode(p []byte) (Message, error) {
+	var w Message
 	v := reflect.ValueOf(&w).Elem()
 	d := msgpack.NewDecoder(bytes.NewReader(p))
 	n, err := d.DecodeArrayLen()
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -28,9 +28,9 @@
 	memberTTL = 10 * time.Second
 )
 
-// Word is the content of one datagram. Its fields are sent in this order, so new ones
+// Message is the content of one datagram. Its fields are sent in this order, so new ones
 // must be added at the end.
-type Word struct {
+type Message struct {
 	From        string // name of the sender
 	Incarnation uint64 // random number that identifies the sender's process
 	Sequence    uint64 // increases with each datagram of the process
@@ -45,10 +45,10 @@
 	// since an epoch of its own. Heard echoes, for each peer, the newest Clock that the
 	// sender has received from it. The peer can so bound the send time of the datagram by
 	// its own clock, whatever the network delay; see SaidAfter.
-	Clock int64
-	Heard map[string]int64
-	// Echo tells Send to fill in Heard; it is not sent.
-	Echo bool `msgpack:"-"`
+	Clock       int64
+	ClockEchoes map[string]int64
+	// EchoClocks tells Send to fill in Heard; it is not sent.
+	EchoClocks bool `msgpack:"-"`
 	// ProofAgeMs is the time since the sending of the store read that proved Version
 	// to be the newest; negative if there is no proof.
 	ProofAgeMs int64
@@ -56,32 +56,32 @@
 	// EndpointsAgeMs is the time since that read. Endpoints is 0 if none was read.
 	Endpoints      uint64
 	EndpointsAgeMs int64
-	// NoStore is set if the sender cannot reach the store.
-	NoStore bool
+	// StoreUnreachable is set if the sender cannot reach the store.
+	StoreUnreachable bool
 	// Waiting describes the first long prompt that waits for endpoints, by
 	// service; see balance.Turns.
-	Waiting map[string]balance.Claim
+	Waiting map[string]balance.QueueHead
 	Partial bool // see Loads
 	// DataCentre is the sender's data centre.
 	DataCentre string
 	// Digests hold the load in cells other than the receiver's.
 	Digests []Digest
-	// Signs holds everything that the sender has to report about the health of endpoints;
+	// Observations holds everything that the sender has to report about the health of endpoints;
 	// it is set in every datagram to the sender's own cell.
-	Signs map[string]health.Sign
-	// Crashes reports requests that were on endpoints when these crashed.
-	Crashes []quarantine.Report
+	Observations map[string]health.Observation
+	// CrashReports reports requests that were on endpoints when these crashed.
+	CrashReports []quarantine.Report
 	// StoreEra is the newest era of the store that the sender knows, or 0. An era higher than
 	// the one known before means that the store was restored from an older copy.
 	StoreEra uint64
 	// Limits holds the request rates that endpoints of the sender's cell accept.
-	Limits map[string]ratelimit.Notice
+	Limits map[string]ratelimit.LimitUpdate
 	// Coordinator identifies the gateway that grants sends to the endpoints in Limits; see
 	// ratelimit.Votes. It is 0 if the sender knows of no limit or cannot coordinate itself.
 	Coordinator uint64
-	// Leaves holds, by id, endpoints of any cell that are leaving, with the start of the process
+	// Drains holds, by id, endpoints of any cell that are leaving, with the start of the process
 	// that is leaving; see availability.Leaves.
-	Leaves map[string]int64
+	Drains map[string]int64
 }
 
 // Digest is the load at the endpoints that one cell offers to others.
@@ -92,8 +92,8 @@
 	// Loads holds the load at the endpoints that the cell offers to others, without
 	// the load of the receiver's own cell there.
 	Loads map[string]balance.Load
-	// Short is set if the cell has no endpoints to spare.
-	Short bool
+	// NoSpareEndpoints is set if the cell has no endpoints to spare.
+	NoSpareEndpoints bool
 }
 
 // Member is a gateway that datagrams may be sent to.
@@ -188,13 +188,13 @@
 }
 
 // Send fills in the sender's fields of w and sends it to each of the addresses.
-func (m *Mesh) Send(w Word, to []netip.AddrPort, now time.Time) error {
+func (m *Mesh) Send(w Message, to []netip.AddrPort, now time.Time) error {
 	m.mu.Lock()
 	m.sequence++
 	w.From, w.Incarnation, w.Sequence = m.name, m.incarnation, m.sequence
 	w.Clock = int64(now.Sub(m.epoch))
-	if w.Echo {
-		w.Heard = m.clockEchoes(to, now)
+	if w.EchoClocks {
+		w.ClockEchoes = m.clockEchoes(to, now)
 	}
 	m.mu.Unlock()
 	p, err := encode(&w)
@@ -225,10 +225,10 @@
 	return out
 }
 
-// SaidAfter returns a time, by this process's clock, before which w cannot have been
+// SentAfter returns a time, by this process's clock, before which w cannot have been
 // sent. ok is false if w echoes no valid clock of this process.
-func (m *Mesh) SaidAfter(w Word) (at time.Time, ok bool) {
-	clock, ok := w.Heard[m.name]
+func (m *Mesh) SentAfter(w Message) (at time.Time, ok bool) {
+	clock, ok := w.ClockEchoes[m.name]
 	if !ok || clock < 0 {
 		return time.Time{}, false
 	}
@@ -240,7 +240,7 @@
 // The datagrams of one sender are handled in the order of sending; one that arrives
 // after a later one is dropped. Receive returns the number of datagrams that could
 // not be decoded.
-func (m *Mesh) Receive(handle func(w Word, from netip.AddrPort)) (malformed int) {
+func (m *Mesh) Receive(handle func(w Message, from netip.AddrPort)) (malformed int) {
 	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := m.socket.ReadFromUDPAddrPort(buf)
@@ -260,7 +260,7 @@
 
 // accept records the receipt of a datagram. It returns false if the same or a later
 // one of the same process was received before.
-func (m *Mesh) accept(w Word, from netip.AddrPort) bool {
+func (m *Mesh) accept(w Message, from netip.AddrPort) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if last, ok := m.lastReceived[w.From]; ok && last.incarnation == w.Incarnation && last.sequence >= w.Sequence {
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -29,15 +29,15 @@
 	is := is.New(t)
 	a, _ := listen(t, "a")
 	b, at := listen(t, "b")
-	received := make(chan Word, 1)
-	go b.Receive(func(w Word, _ netip.AddrPort) { received <- w })
-	is.NoErr(a.Send(Word{Version: 7, Loads: map[string]balance.Load{"e": {ReadMs: 1.5, Short: 2}},
-		Waiting: map[string]balance.Claim{"s": {Rank: balance.Oversize, LeftMs: -5}}, DataCentre: "dc"}, []netip.AddrPort{at}, time.Now()))
+	received := make(chan Message, 1)
+	go b.Receive(func(w Message, _ netip.AddrPort) { received <- w })
+	is.NoErr(a.Send(Message{Version: 7, Loads: map[string]balance.Load{"e": {PrefillMs: 1.5, Short: 2}},
+		Waiting: map[string]balance.QueueHead{"s": {Rank: balance.Oversize, DueInMs: -5}}, DataCentre: "dc"}, []netip.AddrPort{at}, time.Now()))
 	w := <-received
 	is.Equal(w.From, "a")
 	is.Equal(w.Version, uint64(7))
-	is.Equal(w.Loads["e"], balance.Load{ReadMs: 1.5, Short: 2})
-	is.Equal(w.Waiting, map[string]balance.Claim{"s": {Rank: balance.Oversize, LeftMs: -5}})
+	is.Equal(w.Loads["e"], balance.Load{PrefillMs: 1.5, Short: 2})
+	is.Equal(w.Waiting, map[string]balance.QueueHead{"s": {Rank: balance.Oversize, DueInMs: -5}})
 	// The sender is a member although it is not in the list.
 	members := b.Members(time.Now())
 	is.Equal(len(members), 1)
@@ -54,7 +54,7 @@
 	other := netip.MustParseAddrPort("127.0.0.1:1")
 	m.SetMembers([]Member{{Address: self, Name: "a"}, {Address: other}, {Address: netip.MustParseAddrPort("127.0.0.1:2"), Name: "c"}})
 	is.Equal(len(m.Members(time.Now())), 2)
-	is.True(m.accept(Word{From: "b", Incarnation: 1, Sequence: 1, DataCentre: "dc"}, other))
+	is.True(m.accept(Message{From: "b", Incarnation: 1, Sequence: 1, DataCentre: "dc"}, other))
 	members := m.Members(time.Now())
 	is.Equal(len(members), 2)
 	is.True(slices.Contains(members, Member{Address: other, Name: "b", DataCentre: "dc"}))
@@ -63,10 +63,10 @@
 func TestReorderedDatagrams(t *testing.T) {
 	is := is.New(t)
 	m, at := listen(t, "a")
-	is.True(m.accept(Word{From: "b", Incarnation: 1, Sequence: 5}, at))
-	is.True(!m.accept(Word{From: "b", Incarnation: 1, Sequence: 5}, at))
-	is.True(!m.accept(Word{From: "b", Incarnation: 1, Sequence: 4}, at))
-	is.True(m.accept(Word{From: "b", Incarnation: 2, Sequence: 1}, at)) // a new process
+	is.True(m.accept(Message{From: "b", Incarnation: 1, Sequence: 5}, at))
+	is.True(!m.accept(Message{From: "b", Incarnation: 1, Sequence: 5}, at))
+	is.True(!m.accept(Message{From: "b", Incarnation: 1, Sequence: 4}, at))
+	is.True(m.accept(Message{From: "b", Incarnation: 2, Sequence: 1}, at)) // a new process
 }
 
 // TestAdjacentReleases checks that a datagram of the previous release and one of a later
@@ -74,16 +74,16 @@
 func TestAdjacentReleases(t *testing.T) {
 	is := is.New(t)
 	reports := []quarantine.Report{{Kind: quarantine.Crashed, Fingerprint: quarantine.Fingerprint{Head: 1<<64 - 1, Body: 2}, Endpoint: 3, Begun: true, AgeMs: 4}}
-	limits := map[string]ratelimit.Notice{"e": {Version: 3, Named: ratelimit.Named{Is: true, PerSecond: 1.9}, Born: 4}}
-	p, err := encode(&Word{From: "a", DataCentre: "dc", Crashes: reports, StoreEra: 5, Limits: limits, Coordinator: 6, Leaves: map[string]int64{"e": 7}})
+	limits := map[string]ratelimit.LimitUpdate{"e": {Version: 3, Limit: ratelimit.AdvertisedLimit{Set: true, PerSecond: 1.9}, Born: 4}}
+	p, err := encode(&Message{From: "a", DataCentre: "dc", CrashReports: reports, StoreEra: 5, Limits: limits, Coordinator: 6, Drains: map[string]int64{"e": 7}})
 	is.NoErr(err)
 	w, err := decode(p)
 	is.NoErr(err)
-	is.Equal(w.Crashes, reports)
+	is.Equal(w.CrashReports, reports)
 	is.Equal(w.StoreEra, uint64(5))
 	is.Equal(w.Limits, limits)
 	is.Equal(w.Coordinator, uint64(6))
-	is.Equal(w.Leaves, map[string]int64{"e": 7})
+	is.Equal(w.Drains, map[string]int64{"e": 7})
 	var fields []msgpack.RawMessage
 	is.NoErr(msgpack.Unmarshal(p, &fields))
 	extra, err := msgpack.Marshal([]int{1, 2})
@@ -96,21 +96,21 @@
 		is.NoErr(err)
 		is.Equal(w.From, "a")
 		is.Equal(w.DataCentre, "dc")
-		is.Equal(w.Crashes, reports)
+		is.Equal(w.CrashReports, reports)
 		is.Equal(w.StoreEra, uint64(5))
 		is.Equal(w.Limits, limits)
 		is.Equal(w.Coordinator, uint64(6))
-		is.Equal(len(w.Leaves) > 0, len(list) >= len(fields))
+		is.Equal(len(w.Drains) > 0, len(list) >= len(fields))
 	}
 	// A datagram without crash reports, era and limits is encoded as in the previous release.
-	p, err = encode(&Word{From: "a"})
+	p, err = encode(&Message{From: "a"})
 	is.NoErr(err)
 	is.NoErr(msgpack.Unmarshal(p, &fields))
 	is.Equal(len(fields), minFields)
 }
 
 func FuzzDecode(f *testing.F) {
-	p, err := encode(&Word{From: "a", Loads: map[string]balance.Load{"e": {Short: 1}}})
+	p, err := encode(&Message{From: "a", Loads: map[string]balance.Load{"e": {Short: 1}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -125,18 +125,18 @@
 // coordinator, and that the vote adds to every other one.
 func TestSizeOfLimits(t *testing.T) {
 	is := is.New(t)
-	size := func(w Word) int {
+	size := func(w Message) int {
 		p, err := encode(&w)
 		is.NoErr(err)
 		return len(p)
 	}
-	limits := make(map[string]ratelimit.Notice)
+	limits := make(map[string]ratelimit.LimitUpdate)
 	for n := range 18 {
-		limits[fmt.Sprintf("i-%010d", n)] = ratelimit.Notice{Version: 40, Named: ratelimit.Named{Is: true, PerSecond: 1.9}, Born: 1764700000000}
+		limits[fmt.Sprintf("i-%010d", n)] = ratelimit.LimitUpdate{Version: 40, Limit: ratelimit.AdvertisedLimit{Set: true, PerSecond: 1.9}, Born: 1764700000000}
 	}
-	empty := size(Word{From: "a"})
-	voteBytes := size(Word{From: "a", Coordinator: 1 << 63}) - empty
-	limitBytes := size(Word{From: "a", Coordinator: 1 << 63, Limits: limits}) - empty - voteBytes
+	empty := size(Message{From: "a"})
+	voteBytes := size(Message{From: "a", Coordinator: 1 << 63}) - empty
+	limitBytes := size(Message{From: "a", Coordinator: 1 << 63, Limits: limits}) - empty - voteBytes
 	t.Logf("a vote takes %d bytes, %d limits take %d bytes", voteBytes, len(limits), limitBytes)
 	is.True(voteBytes <= 20)
 	is.True(limitBytes <= 18*48)
@@ -149,9 +149,9 @@
 	for n := range 18 {
 		leaves[fmt.Sprintf("i-%010d", n)] = 1764700000000
 	}
-	empty, err := encode(&Word{From: "a"})
+	empty, err := encode(&Message{From: "a"})
 	is.NoErr(err)
-	withLeaves, err := encode(&Word{From: "a", Leaves: leaves})
+	withLeaves, err := encode(&Message{From: "a", Drains: leaves})
 	is.NoErr(err)
 	t.Logf("%d leaving endpoints take %d bytes", len(leaves), len(withLeaves)-len(empty))
 	is.True(len(withLeaves)-len(empty) <= 18*24)
--- a/placement/assign.go
+++ b/placement/assign.go
@@ -13,8 +13,8 @@
 // chosen by rendezvous hashing of model and endpoint names, so a change of a
 // version or an adapter moves no model, and an endpoint that joins or leaves
 // moves few models of other endpoints.
-func Assign(doc *rudderv1.Document, live map[string]bool) Assigned {
-	out := make(Assigned)
+func Assign(doc *rudderv1.Document, live map[string]bool) Assignments {
+	out := make(Assignments)
 	for _, dc := range DataCentres(doc) {
 		assignIn(out, doc, dc, live)
 	}
@@ -22,8 +22,8 @@
 }
 
 // AssignIn is like Assign but limited to one data centre.
-func AssignIn(doc *rudderv1.Document, dataCentre string, live map[string]bool) Assigned {
-	out := make(Assigned)
+func AssignIn(doc *rudderv1.Document, dataCentre string, live map[string]bool) Assignments {
+	out := make(Assignments)
 	assignIn(out, doc, dataCentre, live)
 	return out
 }
@@ -72,7 +72,7 @@
 }
 
 // assignIn adds the assignments of one data centre to out.
-func assignIn(out Assigned, doc *rudderv1.Document, dc string, live map[string]bool) {
+func assignIn(out Assignments, doc *rudderv1.Document, dc string, live map[string]bool) {
 	a := newAllocation(doc, dc, live)
 	candidates := a.rank()
 	// Every model gets its guaranteed replicas before any model gets more.
--- a/placement/cost_test.go
+++ b/placement/cost_test.go
@@ -63,7 +63,7 @@
 
 // changed returns the number of endpoints other than gone whose assignment
 // differs.
-func changed(before, after Assigned, gone string) int {
+func changed(before, after Assignments, gone string) int {
 	n := 0
 	for name := range before {
 		if name != gone && !reflect.DeepEqual(before[name], after[name]) {
@@ -92,7 +92,7 @@
 	view := make(View)
 	assigned := AssignIn(d, dc, live)
 	for _, e := range d.Endpoints {
-		view[e.Name] = Held{Serving: true, Role: "mixed"}
+		view[e.Name] = EndpointState{Serving: true, Role: "mixed"}
 	}
 	for b.Loop() {
 		Next(d, dc, assigned, view)
--- a/placement/grants.go
+++ b/placement/grants.go
@@ -20,10 +20,10 @@
 // report yet, by endpoint.
 type Grants map[string]Grant
 
-// Settle removes the grant of an endpoint once a report covers its outcome: the
+// DropReported removes the grant of an endpoint once a report covers its outcome: the
 // agent has accepted the order or its state has changed in another way, it has
 // restarted, or the permit has expired.
-func (g Grants) Settle(endpoint, incarnation string, holds uint64, clockMS int64) {
+func (g Grants) DropReported(endpoint, incarnation string, holds uint64, clockMS int64) {
 	grant, ok := g[endpoint]
 	if ok && (grant.Incarnation != incarnation || grant.Holds != holds || clockMS > grant.ExpiresMS) {
 		delete(g, endpoint)
@@ -34,15 +34,15 @@
 func (g Grants) Apply(v View) {
 	for name, grant := range g {
 		if h, ok := v[name]; ok {
-			v[name] = h.Under(grant.Order)
+			v[name] = h.DuringOrder(grant.Order)
 		}
 	}
 }
 
-// Under returns the endpoint's state while it executes an order: a model that
+// DuringOrder returns the endpoint's state while it executes an order: a model that
 // the order unloads is already removed, and a model that it loads is still
 // loading.
-func (h Held) Under(o engine.Order) Held {
+func (h EndpointState) DuringOrder(o engine.Order) EndpointState {
 	h.Busy = true
 	h.Models = slices.Clone(h.Models)
 	same := func(m engine.Model) bool { return m.Name == o.Model && m.Version == o.Version }
--- a/placement/grants_test.go
+++ b/placement/grants_test.go
@@ -27,7 +27,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			g := Grants{"e": {Order: load, Incarnation: "i", Holds: 3, ExpiresMS: 1000}}
-			g.Settle("e", c.incarnation, c.holds, c.clock)
+			g.DropReported("e", c.incarnation, c.holds, c.clock)
 			v := View{"e": {Serving: true}}
 			g.Apply(v)
 			is.Equal(v["e"].Busy, c.kept)
@@ -38,15 +38,15 @@
 
 func TestUnderOrder(t *testing.T) {
 	is := is.New(t)
-	h := Held{Models: []engine.Model{{Name: "m", Version: "1"}}}
-	is.Equal(len(h.Under(engine.Order{Kind: engine.OrderUnloadModel, Model: "m", Version: "1"}).Models), 0)
-	is.True(h.Under(engine.Order{Kind: engine.OrderLoadAdapter}).Fetching)
+	h := EndpointState{Models: []engine.Model{{Name: "m", Version: "1"}}}
+	is.Equal(len(h.DuringOrder(engine.Order{Kind: engine.OrderUnloadModel, Model: "m", Version: "1"}).Models), 0)
+	is.True(h.DuringOrder(engine.Order{Kind: engine.OrderLoadAdapter}).Fetching)
 	is.Equal(len(h.Models), 1) // the original is unchanged
 }
 
 func TestPresenceDampsFlapping(t *testing.T) {
 	is := is.New(t)
-	p, now := NewPresence(), time.Unix(1000, 0)
+	p, now := NewFlapDamper(), time.Unix(1000, 0)
 	observe := func(present bool, lasting time.Duration) bool {
 		p.Observe("e", present, now)
 		now = now.Add(lasting)
--- a/placement/next.go
+++ b/placement/next.go
@@ -10,17 +10,17 @@
 
 // Blocked is an unload that is not permitted yet.
 type Blocked struct {
-	DataCentre string
-	Endpoint   string
-	Model      string
-	Waits      bool // for the replacements to serve; if false, the model's floor forbids the unload
+	DataCentre         string
+	Endpoint           string
+	Model              string
+	AwaitsReplacements bool // for the replacements to serve; if false, the model's floor forbids the unload
 }
 
 // Next returns the orders that may be given now in one data centre, at most
 // one for each endpoint, and the unloads that are blocked. It bounds the number
 // of endpoints that change at once and the number of concurrent loads from the
 // weight store; changes and loads in progress count against these bounds.
-func Next(doc *rudderv1.Document, dataCentre string, assigned Assigned, view View) ([]Step, []Blocked) {
+func Next(doc *rudderv1.Document, dataCentre string, assigned Assignments, view View) ([]PlannedOrder, []Blocked) {
 	b := newBatch(doc, dataCentre, assigned, view)
 	// Endpoints that have already given up capacity come first, so that a change
 	// in progress is completed before the next one starts.
@@ -30,7 +30,7 @@
 	for _, e := range b.engines {
 		b.unloadSurplus(e)
 	}
-	slices.SortFunc(b.steps, func(x, y Step) int { return cmp.Compare(x.Endpoint, y.Endpoint) })
+	slices.SortFunc(b.steps, func(x, y PlannedOrder) int { return cmp.Compare(x.Endpoint, y.Endpoint) })
 	return b.steps, b.blocked
 }
 
@@ -38,7 +38,7 @@
 type batch struct {
 	doc      *rudderv1.Document
 	dc       string
-	assigned Assigned
+	assigned Assignments
 	view     View
 	engines  []*rudderv1.Endpoint
 
@@ -50,11 +50,11 @@
 	maxLoads    int
 	maxChanges  int
 
-	steps   []Step
+	steps   []PlannedOrder
 	blocked []Blocked
 }
 
-func newBatch(doc *rudderv1.Document, dc string, assigned Assigned, view View) *batch {
+func newBatch(doc *rudderv1.Document, dc string, assigned Assignments, view View) *batch {
 	b := &batch{
 		doc: doc, dc: dc, assigned: assigned, view: view,
 		serving: make(map[string]int), wanted: make(map[string]int),
@@ -114,7 +114,7 @@
 
 // servedBy returns the names of the models that an endpoint serves, in any
 // version.
-func servedBy(h Held) map[string]bool {
+func servedBy(h EndpointState) map[string]bool {
 	out := make(map[string]bool)
 	for _, m := range h.Models {
 		if h.Serving && !m.Loading {
@@ -153,7 +153,7 @@
 // addOrder adds an order for an endpoint to the batch.
 func (b *batch) addOrder(e *rudderv1.Endpoint, o engine.Order) {
 	o.Fence = Fence(b.doc.GetGeneration(), 0)
-	b.steps = append(b.steps, Step{DataCentre: b.dc, Endpoint: e.Name, Order: o})
+	b.steps = append(b.steps, PlannedOrder{DataCentre: b.dc, Endpoint: e.Name, Order: o})
 	b.hasOrder[e.Name] = true
 	b.changing[e.Name] = true
 }
@@ -190,7 +190,7 @@
 
 // orderAdapterChange adds an order for the first difference in adapters. For
 // each model, loads come before unloads.
-func (b *batch) orderAdapterChange(e *rudderv1.Endpoint, held Held) {
+func (b *batch) orderAdapterChange(e *rudderv1.Endpoint, held EndpointState) {
 	for _, a := range b.assigned[e.Name] {
 		m, ok := findLoaded(held.Models, a)
 		if !ok {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -37,11 +37,11 @@
 // it.
 func AdapterID(name, version string) string { return name + "@" + version }
 
-// Assigned maps endpoint names to their assignments, each list sorted by model.
-type Assigned map[string][]Assignment
+// Assignments maps endpoint names to their assignments, each list sorted by model.
+type Assignments map[string][]Assignment
 
-// Held is the state of one endpoint as reported by its agent.
-type Held struct {
+// EndpointState is the state of one endpoint as reported by its agent.
+type EndpointState struct {
 	Models  []engine.Model
 	Role    string
 	Serving bool // connected and not leaving, so that its models can be used
@@ -54,7 +54,7 @@
 // View maps endpoint names to the state of the endpoints. An endpoint that is
 // not in the view is unreachable: it does not count as serving and gets no
 // order.
-type View map[string]Held
+type View map[string]EndpointState
 
 // Live returns, for each endpoint of the view, whether it serves.
 func (v View) Live() map[string]bool {
@@ -65,10 +65,10 @@
 	return live
 }
 
-// Step is one order that may be given now. The agent that gives the order sets
+// PlannedOrder is one order that may be given now. The agent that gives the order sets
 // its ID and From; Fence is the lowest fencing number of the generation. An
 // agent waits for the runs of a model to end before it gives an unload order.
-type Step struct {
+type PlannedOrder struct {
 	DataCentre string
 	Endpoint   string
 	Order      engine.Order
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -48,7 +48,7 @@
 func drawView(t *rapid.T, d *rudderv1.Document) View {
 	v := make(View)
 	for _, e := range d.Endpoints {
-		h := Held{Role: rapid.SampledFrom([]string{"mixed", "decode"}).Draw(t, "role"), Serving: rapid.IntRange(0, 9).Draw(t, "serving") > 0}
+		h := EndpointState{Role: rapid.SampledFrom([]string{"mixed", "decode"}).Draw(t, "role"), Serving: rapid.IntRange(0, 9).Draw(t, "serving") > 0}
 		for _, name := range rapid.Permutation([]string{"m0", "m1", "m2", "gone"}).Draw(t, "held")[:rapid.IntRange(0, Slots(e)).Draw(t, "n")] {
 			h.Models = append(h.Models, engine.Model{Name: name, Version: rapid.SampledFrom([]string{"1", "2"}).Draw(t, "v")})
 		}
@@ -69,7 +69,7 @@
 }
 
 // startOrder returns the state of an endpoint while it executes the order.
-func startOrder(h Held, o engine.Order) Held {
+func startOrder(h EndpointState, o engine.Order) EndpointState {
 	h.Busy = true
 	h.Models = slices.Clone(h.Models)
 	switch o.Kind {
@@ -82,7 +82,7 @@
 }
 
 // finishOrder returns the state of an endpoint after it has executed the order.
-func finishOrder(h Held, o engine.Order) Held {
+func finishOrder(h EndpointState, o engine.Order) EndpointState {
 	h.Busy = false
 	h.Models = slices.Clone(h.Models)
 	for i := range h.Models {
@@ -203,7 +203,7 @@
 }
 
 // checkBatch checks the orders of one batch against the bounds.
-func checkBatch(t *rapid.T, d *rudderv1.Document, v View, steps []Step) {
+func checkBatch(t *rapid.T, d *rudderv1.Document, v View, steps []PlannedOrder) {
 	t.Helper()
 	after := make(View)
 	inFlight, loads := 0, 0
@@ -236,7 +236,7 @@
 	if maxLoads == 0 {
 		maxLoads = DefaultConcurrentLoads
 	}
-	if len(steps) > 0 && loads > maxLoads && slices.ContainsFunc(steps, func(s Step) bool { return s.Order.Kind == engine.OrderLoadModel }) {
+	if len(steps) > 0 && loads > maxLoads && slices.ContainsFunc(steps, func(s PlannedOrder) bool { return s.Order.Kind == engine.OrderLoadModel }) {
 		t.Fatalf("%d concurrent loads", loads)
 	}
 	before, now := servingCounts(d, v), servingCounts(d, after)
@@ -269,7 +269,7 @@
 			if len(inProgress) == 0 {
 				if len(blocked) == 0 {
 					requireReached(t, d, assigned, v)
-				} else if !slices.ContainsFunc(blocked, func(b Blocked) bool { return !b.Waits }) {
+				} else if !slices.ContainsFunc(blocked, func(b Blocked) bool { return !b.AwaitsReplacements }) {
 					t.Fatalf("all of %v wait for replacements and none for a floor", blocked)
 				}
 				return
@@ -290,7 +290,7 @@
 }
 
 // requireReached checks that every serving endpoint holds its assignment.
-func requireReached(t *rapid.T, d *rudderv1.Document, assigned Assigned, v View) {
+func requireReached(t *rapid.T, d *rudderv1.Document, assigned Assignments, v View) {
 	t.Helper()
 	for _, e := range d.Endpoints {
 		h := v[e.Name]
--- a/placement/presence.go
+++ b/placement/presence.go
@@ -15,10 +15,10 @@
 	LossResetAfter = 10 * time.Minute
 )
 
-// Presence damps flapping endpoints: an endpoint that appears and disappears
+// FlapDamper damps flapping endpoints: an endpoint that appears and disappears
 // repeatedly does not change the assignment of models each time. It is not safe
 // for concurrent use.
-type Presence struct{ seen map[string]*presence }
+type FlapDamper struct{ seen map[string]*presence }
 
 // presence is the observed state of one endpoint.
 type presence struct {
@@ -28,14 +28,14 @@
 	losses  int
 }
 
-// NewPresence returns a Presence without endpoints.
-func NewPresence() *Presence { return &Presence{make(map[string]*presence)} }
+// NewFlapDamper returns a Presence without endpoints.
+func NewFlapDamper() *FlapDamper { return &FlapDamper{make(map[string]*presence)} }
 
 // Observe records whether an endpoint is present at the time now and returns
 // whether it counts as live. An endpoint that is observed for the first time
 // counts as live, because a process that has just started has not heard from
 // any endpoint yet.
-func (p *Presence) Observe(name string, present bool, now time.Time) bool {
+func (p *FlapDamper) Observe(name string, present bool, now time.Time) bool {
 	s, ok := p.seen[name]
 	if !ok {
 		s = &presence{present: present, since: now, live: true}
@@ -49,7 +49,7 @@
 }
 
 // Forget removes the endpoints that are no longer declared.
-func (p *Presence) Forget(declared map[string]bool) {
+func (p *FlapDamper) Forget(declared map[string]bool) {
 	for name := range p.seen {
 		if !declared[name] {
 			delete(p.seen, name)
--- a/plan/make_test.go
+++ b/plan/make_test.go
@@ -40,7 +40,7 @@
 		if rapid.Bool().Draw(t, "live") {
 			view = make(placement.View)
 			for _, e := range base.Endpoints {
-				h := placement.Held{Serving: rapid.IntRange(0, 5).Draw(t, "serving") > 0}
+				h := placement.EndpointState{Serving: rapid.IntRange(0, 5).Draw(t, "serving") > 0}
 				for _, m := range rapid.Permutation([]string{"m0", "m1", "m2"}).Draw(t, "held")[:rapid.IntRange(0, int(e.MaxModels)).Draw(t, "n")] {
 					h.Models = append(h.Models, engine.Model{Name: m, Version: "1", Loading: rapid.Bool().Draw(t, "loading")})
 				}
--- a/plan/simulate.go
+++ b/plan/simulate.go
@@ -60,7 +60,7 @@
 		if _, seen := view[e.Name]; known[e.Name] || seen {
 			continue
 		}
-		out[e.Name] = placement.Held{Role: e.Role, Serving: true}
+		out[e.Name] = placement.EndpointState{Role: e.Role, Serving: true}
 		names = append(names, e.Name)
 	}
 	return out, names
@@ -73,7 +73,7 @@
 	live := make(map[string]bool)
 	for _, e := range base.GetEndpoints() {
 		live[e.Name] = true
-		view[e.Name] = placement.Held{Role: e.Role, Serving: true}
+		view[e.Name] = placement.EndpointState{Role: e.Role, Serving: true}
 	}
 	for name, list := range placement.Assign(base, live) {
 		h := view[name]
@@ -144,11 +144,11 @@
 	return out
 }
 
-func (out *outcome) zone(next *rudderv1.Document, dc string, assigned placement.Assigned, cur placement.View, lowest tally) {
+func (out *outcome) zone(next *rudderv1.Document, dc string, assigned placement.Assignments, cur placement.View, lowest tally) {
 	for round := 1; round <= maxRounds; round++ {
 		steps, blocked := placement.Next(next, dc, assigned, cur)
 		if len(steps) == 0 {
-			out.stuck = append(out.stuck, slices.DeleteFunc(blocked, func(b placement.Blocked) bool { return b.Waits })...)
+			out.stuck = append(out.stuck, slices.DeleteFunc(blocked, func(b placement.Blocked) bool { return b.AwaitsReplacements })...)
 			return
 		}
 		for _, s := range steps {
@@ -159,7 +159,7 @@
 	}
 }
 
-func fromOrder(round int, s placement.Step) Step {
+func fromOrder(round int, s placement.PlannedOrder) Step {
 	return Step{
 		Round: round, DataCentre: s.DataCentre, Endpoint: s.Endpoint, Kind: s.Order.Kind,
 		Model: s.Order.Model, Version: s.Order.Version, Adapter: s.Order.Adapter, Role: s.Order.Role,
@@ -167,7 +167,7 @@
 }
 
 // apply returns what the endpoint holds once the order is done.
-func apply(h placement.Held, o engine.Order) placement.Held {
+func apply(h placement.EndpointState, o engine.Order) placement.EndpointState {
 	h.Models = slices.Clone(h.Models)
 	at := slices.IndexFunc(h.Models, func(m engine.Model) bool { return m.Name == o.Model && m.Version == o.Version })
 	switch o.Kind {
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -40,7 +40,7 @@
 	for b.Loop() {
 		n++
 		now = now.Add(time.Millisecond)
-		t.Crashed(Fingerprint{n, 1}, Crash{Endpoint: 1, At: now}, now)
+		t.RecordCrash(Fingerprint{n, 1}, Crash{Endpoint: 1, At: now}, now)
 	}
 }
 
@@ -48,7 +48,7 @@
 	t, now := NewTable(), start
 	for n := range uint64(MaxRequests) {
 		now = now.Add(time.Millisecond)
-		t.Crashed(Fingerprint{n, 1}, Crash{Endpoint: 1, At: now}, now)
+		t.RecordCrash(Fingerprint{n, 1}, Crash{Endpoint: 1, At: now}, now)
 	}
 	return t, now
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -72,14 +72,14 @@
 
 // Verdict is the assessment of a request.
 type Verdict struct {
-	// Before and Within count the crashes before and after the endpoint had begun to answer the
+	// CrashesBefore and Within count the crashes before and after the endpoint had begun to answer the
 	// request.
-	Before, Within int
-	// Good is how many endpoints completed the request, within successWindow before its newest
+	CrashesBefore, CrashesWithin int
+	// Successes is how many endpoints completed the request, within successWindow before its newest
 	// crash or later. The request is not quarantined if they are at least as many as the crashes:
 	// a request that many callers send is on every endpoint that fails, and is completed on all
 	// others. Each endpoint counts once, because a single one may be of another kind.
-	Good int
+	Successes int
 	// Until is when the request may be sent again; zero if it is not quarantined.
 	Until time.Time
 }
@@ -132,15 +132,15 @@
 // Len returns the number of records.
 func (t *Table) Len() int { return len(t.records) }
 
-// MayKnow reports whether a request with that Head may have a record.
-func (t *Table) MayKnow(head uint64) bool { return t.heads[head] > 0 }
+// MayContain reports whether a request with that Head may have a record.
+func (t *Table) MayContain(head uint64) bool { return t.heads[head] > 0 }
 
-// Crashed records that an endpoint crashed while it was running a request of this gateway.
-func (t *Table) Crashed(f Fingerprint, c Crash, now time.Time) { t.addCrash(f, c, local, now) }
+// RecordCrash records that an endpoint crashed while it was running a request of this gateway.
+func (t *Table) RecordCrash(f Fingerprint, c Crash, now time.Time) { t.addCrash(f, c, local, now) }
 
-// Served records that an endpoint completed a request of this gateway. It reports whether that is
+// RecordSuccess records that an endpoint completed a request of this gateway. It reports whether that is
 // new information about a request that has a record; other requests are ignored.
-func (t *Table) Served(f Fingerprint, endpoint Incarnation, now time.Time) bool {
+func (t *Table) RecordSuccess(f Fingerprint, endpoint Incarnation, now time.Time) bool {
 	return t.records[f] != nil && t.addSuccess(f, success{endpoint, now}, local, now)
 }
 
@@ -305,8 +305,8 @@
 
 func (r *record) verdict(now time.Time) Verdict {
 	var v Verdict
-	v.Before, v.Within = r.crashCounts()
-	v.Good = r.successCount()
+	v.CrashesBefore, v.CrashesWithin = r.crashCounts()
+	v.Successes = r.successCount()
 	if d := r.quarantineTime(); d > 0 && r.lastCrash().Add(d).After(now) {
 		v.Until = r.lastCrash().Add(d)
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -41,13 +41,13 @@
 			table := NewTable()
 			for n := range tc.before + tc.within {
 				c := crash(n, n >= tc.before, n)
-				table.Crashed(fingerprint, c, c.At)
-				table.Crashed(fingerprint, c, c.At) // reported by two streams of the same request
+				table.RecordCrash(fingerprint, c, c.At)
+				table.RecordCrash(fingerprint, c, c.At) // reported by two streams of the same request
 			}
 			v := table.Verdict(fingerprint, start.Add(10*time.Second))
 			is.Equal(v.Quarantined(), tc.want)
-			is.Equal(v.Before, tc.before)
-			is.Equal(v.Within, tc.within)
+			is.Equal(v.CrashesBefore, tc.before)
+			is.Equal(v.CrashesWithin, tc.within)
 			is.True(!table.Verdict(Fingerprint{1, 2}, start).Quarantined()) // another body
 		})
 	}
@@ -59,7 +59,7 @@
 	table := NewTable()
 	for born := range int64(3) {
 		at := start.Add(time.Duration(born) * time.Second)
-		table.Crashed(fingerprint, Crash{Endpoint: IncarnationOf("e", born), At: at}, at)
+		table.RecordCrash(fingerprint, Crash{Endpoint: IncarnationOf("e", born), At: at}, at)
 	}
 	is.True(table.Verdict(fingerprint, start.Add(3*time.Second)).Quarantined())
 }
@@ -71,13 +71,13 @@
 	table := NewTable()
 	for n := range 10 {
 		c := Crash{Endpoint: Incarnation(n + 1), Begun: n > 0, At: start.Add(time.Duration(n) * time.Millisecond)}
-		table.Crashed(fingerprint, c, c.At)
+		table.RecordCrash(fingerprint, c, c.At)
 	}
 	now := start.Add(time.Second)
-	is.Equal(table.Verdict(fingerprint, now), Verdict{Before: 1})
+	is.Equal(table.Verdict(fingerprint, now), Verdict{CrashesBefore: 1})
 	for n := range 2 {
 		at := now.Add(time.Duration(n) * correlationWindow)
-		table.Crashed(fingerprint, Crash{Endpoint: Incarnation(n + 20), At: at}, at)
+		table.RecordCrash(fingerprint, Crash{Endpoint: Incarnation(n + 20), At: at}, at)
 	}
 	is.True(table.Verdict(fingerprint, now.Add(time.Second)).Quarantined())
 }
@@ -87,17 +87,17 @@
 	is := is.New(t)
 	table := NewTable()
 	for n := range 3 {
-		table.Crashed(fingerprint, crash(n, false, n-3), start)
+		table.RecordCrash(fingerprint, crash(n, false, n-3), start)
 	}
 	newest := start.Add(-time.Second)
 	is.Equal(table.Verdict(fingerprint, start).Until, newest.Add(minQuarantine))
 	is.True(!table.Verdict(fingerprint, newest.Add(minQuarantine)).Quarantined())
 	again := start.Add(minQuarantine + time.Second)
-	table.Crashed(fingerprint, Crash{Endpoint: 77, At: again}, again)
+	table.RecordCrash(fingerprint, Crash{Endpoint: 77, At: again}, again)
 	is.Equal(table.Verdict(fingerprint, again).Until, again.Add(2*minQuarantine))
 	for n := range 20 {
 		again = again.Add(time.Second)
-		table.Crashed(fingerprint, Crash{Endpoint: Incarnation(100 + n), At: again}, again)
+		table.RecordCrash(fingerprint, Crash{Endpoint: Incarnation(100 + n), At: again}, again)
 	}
 	is.Equal(table.Verdict(fingerprint, again).Until, again.Add(maxQuarantine))
 }
@@ -108,17 +108,17 @@
 	is := is.New(t)
 	table := NewTable()
 	now := start.Add(5 * time.Second)
-	is.True(!table.Served(fingerprint, 100, start)) // it has no crashes
+	is.True(!table.RecordSuccess(fingerprint, 100, start)) // it has no crashes
 	for n := range 3 {
-		table.Crashed(fingerprint, crash(n, false, n), start)
-		is.Equal(table.Served(fingerprint, 100, start), n == 0)
+		table.RecordCrash(fingerprint, crash(n, false, n), start)
+		is.Equal(table.RecordSuccess(fingerprint, 100, start), n == 0)
 	}
 	is.True(table.Verdict(fingerprint, now).Quarantined())
-	is.True(table.Served(fingerprint, 101, now))
+	is.True(table.RecordSuccess(fingerprint, 101, now))
 	is.True(table.Verdict(fingerprint, now).Quarantined())
-	is.True(table.Served(fingerprint, 102, now))
+	is.True(table.RecordSuccess(fingerprint, 102, now))
 	is.True(!table.Verdict(fingerprint, now).Quarantined())
-	table.Crashed(fingerprint, crash(4, false, 6), now.Add(time.Second))
+	table.RecordCrash(fingerprint, crash(4, false, 6), now.Add(time.Second))
 	is.True(table.Verdict(fingerprint, now).Quarantined())
 }
 
@@ -127,18 +127,18 @@
 func TestSuccessesExpire(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
-	table.Crashed(fingerprint, crash(0, false, 0), start)
+	table.RecordCrash(fingerprint, crash(0, false, 0), start)
 	for n := range maxCrashes + 3 {
-		is.True(table.Served(fingerprint, Incarnation(100+n), start))
+		is.True(table.RecordSuccess(fingerprint, Incarnation(100+n), start))
 	}
-	is.Equal(table.Verdict(fingerprint, start).Good, maxCrashes)
+	is.Equal(table.Verdict(fingerprint, start).Successes, maxCrashes)
 	now := start.Add(2 * successWindow)
-	is.True(table.Served(fingerprint, 200, now.Add(-2*time.Second)))
-	is.True(!table.Served(fingerprint, 200, now.Add(-time.Second))) // too soon after the first to be new
+	is.True(table.RecordSuccess(fingerprint, 200, now.Add(-2*time.Second)))
+	is.True(!table.RecordSuccess(fingerprint, 200, now.Add(-time.Second))) // too soon after the first to be new
 	for n := range 3 {
-		table.Crashed(fingerprint, crash(10+n, false, int((2*successWindow).Seconds())+n), now)
+		table.RecordCrash(fingerprint, crash(10+n, false, int((2*successWindow).Seconds())+n), now)
 	}
-	is.Equal(table.Verdict(fingerprint, now).Good, 1)
+	is.Equal(table.Verdict(fingerprint, now).Successes, 1)
 	is.True(table.Verdict(fingerprint, now.Add(3*time.Second)).Quarantined())
 }
 
@@ -146,10 +146,10 @@
 func TestInvalidReports(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
-	_, added := table.Hear([]Report{{Kind: 99, Fingerprint: fingerprint, Endpoint: 1}}, false, start)
+	_, added := table.Apply([]Report{{Kind: 99, Fingerprint: fingerprint, Endpoint: 1}}, false, start)
 	is.Equal(added, 0)
 	for n, age := range []int64{-5, 1<<63 - 1, -1 << 63} {
-		table.Hear([]Report{{Kind: Crashed, Fingerprint: fingerprint, Endpoint: Incarnation(n + 1), AgeMs: age}}, false, start)
+		table.Apply([]Report{{Kind: Crashed, Fingerprint: fingerprint, Endpoint: Incarnation(n + 1), AgeMs: age}}, false, start)
 		is.True(!table.records[fingerprint].lastCrash().After(start))
 	}
 }
@@ -161,15 +161,15 @@
 	table := NewTable()
 	is.True(!table.Clear(fingerprint, start)) // it has no crashes
 	for n := range 3 {
-		table.Crashed(fingerprint, crash(n, false, n), start)
+		table.RecordCrash(fingerprint, crash(n, false, n), start)
 	}
 	now := start.Add(5 * time.Second)
 	is.True(table.Clear(fingerprint, now))
 	is.True(!table.Verdict(fingerprint, now).Quarantined())
-	table.Hear([]Report{{Fingerprint: fingerprint, Endpoint: 9, AgeMs: 3000}}, false, now.Add(time.Second))
-	is.Equal(table.Verdict(fingerprint, now).Before, 0)
-	table.Crashed(fingerprint, crash(4, false, 6), now.Add(time.Second))
-	is.Equal(table.Verdict(fingerprint, now).Before, 1)
+	table.Apply([]Report{{Fingerprint: fingerprint, Endpoint: 9, AgeMs: 3000}}, false, now.Add(time.Second))
+	is.Equal(table.Verdict(fingerprint, now).CrashesBefore, 0)
+	table.RecordCrash(fingerprint, crash(4, false, 6), now.Add(time.Second))
+	is.Equal(table.Verdict(fingerprint, now).CrashesBefore, 1)
 }
 
 // TestHearJudgesWholeMessage checks that Hear determines which requests became quarantined only after all
@@ -180,10 +180,10 @@
 	for n := range 3 {
 		reports = append(reports, Report{Kind: Crashed, Fingerprint: fingerprint, Endpoint: Incarnation(n + 1), AgeMs: int64(n * 1000)})
 	}
-	quarantined, added := NewTable().Hear(reports, false, start)
+	quarantined, added := NewTable().Apply(reports, false, start)
 	is.Equal(quarantined, []Fingerprint{fingerprint})
 	is.Equal(added, 3)
-	quarantined, added = NewTable().Hear(append(reports, Report{Kind: Cleared, Fingerprint: fingerprint}), false, start)
+	quarantined, added = NewTable().Apply(append(reports, Report{Kind: Cleared, Fingerprint: fingerprint}), false, start)
 	is.Equal(len(quarantined), 0)
 	is.Equal(added, 4)
 }
@@ -211,12 +211,12 @@
 		}
 		a, b := NewTable(), NewTable()
 		for _, r := range reports {
-			a.Hear([]Report{r}, false, now)
+			a.Apply([]Report{r}, false, now)
 		}
 		order := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1))
 		for range 2 {
 			for _, i := range order.Perm(len(reports)) {
-				b.Hear([]Report{reports[i]}, true, now)
+				b.Apply([]Report{reports[i]}, true, now)
 			}
 		}
 		if a.Verdict(fingerprint, now) != b.Verdict(fingerprint, now) {
@@ -231,37 +231,37 @@
 	is := is.New(t)
 	table := NewTable()
 	for n := range 3 {
-		table.Crashed(fingerprint, crash(n, false, n-3), start)
+		table.RecordCrash(fingerprint, crash(n, false, n-3), start)
 	}
 	for n := range 2 * MaxRequests {
 		now := start.Add(time.Duration(n) * time.Millisecond)
-		table.Crashed(Fingerprint{uint64(n + 2), 1}, Crash{Endpoint: 1, At: now}, now)
+		table.RecordCrash(Fingerprint{uint64(n + 2), 1}, Crash{Endpoint: 1, At: now}, now)
 	}
 	is.True(table.Len() <= MaxRequests)
 	is.True(len(table.heads) <= MaxRequests)
 	is.True(table.Verdict(fingerprint, start.Add(time.Minute)).Quarantined())
-	is.True(table.MayKnow(fingerprint.Head))
+	is.True(table.MayContain(fingerprint.Head))
 	// Expired records are removed when a new one is added.
 	late := start.Add(maxQuarantine)
-	table.Tell(OwnCell, true, false, late) // all updates have expired
-	table.Crashed(Fingerprint{1, 9}, Crash{Endpoint: 1, At: late}, late)
+	table.Updates(OwnCell, true, false, late) // all updates have expired
+	table.RecordCrash(Fingerprint{1, 9}, Crash{Endpoint: 1, At: late}, late)
 	is.Equal(table.Len(), 1)
-	is.True(table.MayKnow(1))
-	is.True(!table.MayKnow(2))
+	is.True(table.MayContain(1))
+	is.True(!table.MayContain(2))
 }
 
 // TestTell checks which updates go to which audience, how often and for how long.
 func TestTell(t *testing.T) {
 	is := is.New(t)
-	count := func(table *Table, a Audience, rep bool) int { return len(table.Tell(a, rep, false, start)) }
+	count := func(table *Table, a Audience, rep bool) int { return len(table.Updates(a, rep, false, start)) }
 	observer, peer, remotePeer := NewTable(), NewTable(), NewTable()
-	observer.Crashed(fingerprint, crash(1, false, 0), start)
-	reports := observer.Tell(OwnCell, false, false, start)
-	_, added := peer.Hear(reports, false, start)
+	observer.RecordCrash(fingerprint, crash(1, false, 0), start)
+	reports := observer.Updates(OwnCell, false, false, start)
+	_, added := peer.Apply(reports, false, start)
 	is.Equal(added, 1)
-	_, added = peer.Hear(reports, false, start)
+	_, added = peer.Apply(reports, false, start)
 	is.Equal(added, 0)
-	remotePeer.Hear(reports, true, start)
+	remotePeer.Apply(reports, true, start)
 
 	is.Equal(count(observer, OwnCell, false), 1)
 	is.Equal(count(observer, OtherCells, false), 0) // only representatives send to other cells
@@ -273,11 +273,11 @@
 	is.Equal(count(remotePeer, OtherCells, true), 0) // it does not circulate
 
 	for range maxUrgentSends {
-		is.Equal(len(observer.Tell(OwnCell, false, true, start)), 1)
+		is.Equal(len(observer.Updates(OwnCell, false, true, start)), 1)
 	}
-	is.Equal(len(observer.Tell(OwnCell, false, true, start)), 0)
-	is.Equal(len(observer.Tell(OwnCell, false, false, start.Add(updateTTL))), 1)
-	is.Equal(len(observer.Tell(OwnCell, false, false, start.Add(updateTTL+time.Millisecond))), 0)
+	is.Equal(len(observer.Updates(OwnCell, false, true, start)), 0)
+	is.Equal(len(observer.Updates(OwnCell, false, false, start.Add(updateTTL))), 1)
+	is.Equal(len(observer.Updates(OwnCell, false, false, start.Add(updateTTL+time.Millisecond))), 0)
 }
 
 // TestRepeat checks that a gateway without records reaches the same verdicts from repeated reports, and
@@ -285,24 +285,24 @@
 func TestRepeat(t *testing.T) {
 	is := is.New(t)
 	table, other := NewTable(), NewTable()
-	is.Equal(len(table.Repeat(start)), 0)
+	is.Equal(len(table.RepeatReports(start)), 0)
 	const many = 60
 	for f := range many {
 		for n := range 3 {
-			table.Crashed(Fingerprint{uint64(f), 1}, crash(n, false, n-3), start)
+			table.RecordCrash(Fingerprint{uint64(f), 1}, crash(n, false, n-3), start)
 		}
 	}
-	table.Crashed(Fingerprint{many, 1}, crash(0, false, 0), start) // not quarantined
+	table.RecordCrash(Fingerprint{many, 1}, crash(0, false, 0), start) // not quarantined
 	for range 3*many/MaxReports + 1 {
-		reports := table.Repeat(start)
+		reports := table.RepeatReports(start)
 		is.True(len(reports) <= MaxReports)
-		other.Hear(reports, true, start)
+		other.Apply(reports, true, start)
 	}
 	is.Equal(other.Len(), many)
 	for f := range many {
 		is.True(other.Verdict(Fingerprint{uint64(f), 1}, start).Quarantined())
 	}
-	quarantined, _ := NewTable().Hear(table.Repeat(start), false, start)
+	quarantined, _ := NewTable().Apply(table.RepeatReports(start), false, start)
 	is.True(len(quarantined) > 0)
 }
 
@@ -311,11 +311,11 @@
 	is := is.New(t)
 	before, after := NewTable(), NewTable()
 	for n := range 3 {
-		before.Crashed(fingerprint, crash(n, false, n), start)
+		before.RecordCrash(fingerprint, crash(n, false, n), start)
 	}
 	now := start.Add(time.Minute)
-	after.Recall(before.Entry(fingerprint), now)
+	after.Restore(before.Entry(fingerprint), now)
 	is.Equal(after.Verdict(fingerprint, now), before.Verdict(fingerprint, now))
-	is.Equal(len(after.Tell(OwnCell, true, false, now)), 0)
+	is.Equal(len(after.Updates(OwnCell, true, false, now)), 0)
 	is.Equal(len(before.Entry(Fingerprint{5, 5}).Crashes), 0)
 }
--- a/quarantine/tell.go
+++ b/quarantine/tell.go
@@ -65,9 +65,9 @@
 	return representative && n.from != otherCell
 }
 
-// Tell returns the updates for an audience. representative is set if this gateway represents its cell
+// Updates returns the updates for an audience. representative is set if this gateway represents its cell
 // towards the others, urgent for a message in addition to the regular ones.
-func (t *Table) Tell(a Audience, representative, urgent bool, now time.Time) []Report {
+func (t *Table) Updates(a Audience, representative, urgent bool, now time.Time) []Report {
 	var out []Report
 	for f := range t.updated {
 		r := t.records[f]
@@ -95,9 +95,9 @@
 	return r
 }
 
-// Repeat returns the reports on quarantined requests again, for gateways that were disconnected or
+// RepeatReports returns the reports on quarantined requests again, for gateways that were disconnected or
 // have started since. If they are more than MaxReports, successive calls return them in turn.
-func (t *Table) Repeat(now time.Time) []Report {
+func (t *Table) RepeatReports(now time.Time) []Report {
 	var all []Fingerprint
 	for f, r := range t.records {
 		if r.verdict(now).Quarantined() {
@@ -133,9 +133,9 @@
 	return out
 }
 
-// Hear records the reports of a gateway of this cell or of another one. It returns the requests that
+// Apply records the reports of a gateway of this cell or of another one. It returns the requests that
 // became quarantined by them, and the number of reports that were new.
-func (t *Table) Hear(reports []Report, fromOtherCell bool, now time.Time) (quarantined []Fingerprint, added int) {
+func (t *Table) Apply(reports []Report, fromOtherCell bool, now time.Time) (quarantined []Fingerprint, added int) {
 	from := sameCell
 	if fromOtherCell {
 		from = otherCell
@@ -189,9 +189,9 @@
 	return e
 }
 
-// Recall restores a request from its stored entry. It queues no updates, because the other gateways
+// Restore restores a request from its stored entry. It queues no updates, because the other gateways
 // restore the entry themselves.
-func (t *Table) Recall(e Entry, now time.Time) {
+func (t *Table) Restore(e Entry, now time.Time) {
 	for _, c := range e.Crashes[:min(len(e.Crashes), maxCrashes)] {
 		t.addCrash(e.Fingerprint, c, otherCell, now)
 	}
@@ -218,7 +218,7 @@
 			continue
 		}
 		v := r.verdict(now)
-		l := Listing{Fingerprint: f.String(), CrashedBefore: v.Before, CrashedWithin: v.Within, EndedWell: v.Good}
+		l := Listing{Fingerprint: f.String(), CrashedBefore: v.CrashesBefore, CrashedWithin: v.CrashesWithin, EndedWell: v.Successes}
 		if v.Quarantined() {
 			l.ForMs = v.Until.Sub(now).Milliseconds()
 		}
--- a/ratelimit/coordinator.go
+++ b/ratelimit/coordinator.go
@@ -13,15 +13,15 @@
 	// minRate is the lowest rate at which requests are sent, in requests a second. It also applies to an
 	// endpoint that accepts none: without a response no gateway would learn that the limit has ended.
 	minRate = 0.1
-	// ProbeEvery is how long an endpoint with a limit may go without a request while other endpoints
+	// ProbeInterval is how long an endpoint with a limit may go without a request while other endpoints
 	// have capacity. The response to a probe shows whether it still has a limit.
-	ProbeEvery = time.Second
+	ProbeInterval = time.Second
 	// maxRetryAfter bounds the time after which a refused caller is told to retry.
 	maxRetryAfter = 10 * time.Second
 )
 
-// Ask is a request that asks to be sent to one of several endpoints with limits.
-type Ask struct {
+// GrantRequest is a request that asks to be sent to one of several endpoints with limits.
+type GrantRequest struct {
 	Service string
 	// Endpoints are the acceptable endpoints, in order of preference.
 	Endpoints []string
@@ -35,8 +35,8 @@
 	endpoint   string
 }
 
-// Answer is the coordinator's decision about an Ask.
-type Answer struct {
+// Decision is the coordinator's decision about an Ask.
+type Decision struct {
 	// Endpoint is where the request may be sent now; empty if it is not granted yet.
 	Endpoint string
 	// Refused is set if no endpoint can accept the request in time. Its caller should retry after
@@ -61,7 +61,7 @@
 // urgency in order of arrival. It is not safe for concurrent use.
 type Coordinator struct {
 	pacers  map[string]*pacer
-	waiting []*Ask
+	waiting []*GrantRequest
 	// nextRetry is the time at which the last refused caller was told to retry, by service, not counting
 	// times capped by maxRetryAfter.
 	nextRetry map[string]time.Time
@@ -82,14 +82,14 @@
 // Forget drops the history of an endpoint that no longer has a limit.
 func (c *Coordinator) Forget(endpoint string) { delete(c.pacers, endpoint) }
 
-// Leave removes a waiting request.
-func (c *Coordinator) Leave(a *Ask) {
-	c.waiting = slices.DeleteFunc(c.waiting, func(w *Ask) bool { return w == a })
+// Remove removes a waiting request.
+func (c *Coordinator) Remove(a *GrantRequest) {
+	c.waiting = slices.DeleteFunc(c.waiting, func(w *GrantRequest) bool { return w == a })
 }
 
 // Try decides about a request that is waiting or has just arrived. The request keeps waiting unless it is
 // granted, refused or not limited.
-func (c *Coordinator) Try(a *Ask, rates Rates, now time.Time) Answer {
+func (c *Coordinator) Try(a *GrantRequest, rates Rates, now time.Time) Decision {
 	if a.Probe {
 		return c.tryProbe(a, rates, now)
 	}
@@ -100,40 +100,40 @@
 	c.plan(rates, now)
 	switch {
 	case a.endpoint == "":
-		c.Leave(a)
-		return Answer{Unlimited: true}
+		c.Remove(a)
+		return Decision{Unlimited: true}
 	case a.expectedAt.After(a.Until):
-		c.Leave(a)
-		return Answer{Refused: true, RetryAfter: c.retryAfter(a, rates, now)}
+		c.Remove(a)
+		return Decision{Refused: true, RetryAfter: c.retryAfter(a, rates, now)}
 	case a.expectedAt.After(now):
-		return Answer{Expected: a.expectedAt}
+		return Decision{Expected: a.expectedAt}
 	default:
-		c.Leave(a)
+		c.Remove(a)
 		c.recordGrant(a.endpoint, rates, now)
-		return Answer{Endpoint: a.endpoint}
+		return Decision{Endpoint: a.endpoint}
 	}
 }
 
 // compareAsks orders waiting requests by urgency and arrival. A new request a comes after equal ones.
-func compareAsks(w, a *Ask) int {
+func compareAsks(w, a *GrantRequest) int {
 	return cmp.Or(cmp.Compare(w.Urgency, a.Urgency), w.Since.Compare(a.Since), -1)
 }
 
 // tryProbe grants a probe to an endpoint that has had no grant for ProbeEvery, if no request is waiting.
-func (c *Coordinator) tryProbe(a *Ask, rates Rates, now time.Time) Answer {
+func (c *Coordinator) tryProbe(a *GrantRequest, rates Rates, now time.Time) Decision {
 	for _, id := range a.Endpoints {
 		perSecond, ok := rates(id)
 		if !ok {
 			continue
 		}
 		p := c.pacer(id, perSecond, now)
-		idle := p.lastGrant.IsZero() || now.Sub(p.lastGrant) >= ProbeEvery
+		idle := p.lastGrant.IsZero() || now.Sub(p.lastGrant) >= ProbeInterval
 		if idle && !p.earliestGrant().After(now) && len(c.waiting) == 0 {
 			c.recordGrant(id, rates, now)
-			return Answer{Endpoint: id}
+			return Decision{Endpoint: id}
 		}
 	}
-	return Answer{Refused: true}
+	return Decision{Refused: true}
 }
 
 // endpointPlan is the state of an endpoint while a plan is computed.
@@ -211,7 +211,7 @@
 
 // retryAfter returns the time after which the caller of a refused request should retry. Successive callers
 // of a service get times spaced at the rate at which the acceptable endpoints accept requests.
-func (c *Coordinator) retryAfter(a *Ask, rates Rates, now time.Time) time.Duration {
+func (c *Coordinator) retryAfter(a *GrantRequest, rates Rates, now time.Time) time.Duration {
 	totalRate := 0.0
 	for _, id := range a.Endpoints {
 		if perSecond, ok := rates(id); ok {
--- a/ratelimit/coordinator_test.go
+++ b/ratelimit/coordinator_test.go
@@ -21,14 +21,14 @@
 func simulate(rates Rates, endpoints []string, interval, maxWait, duration time.Duration) (granted map[string][]time.Time, refused int) {
 	c, begin := NewCoordinator(), time.Unix(0, 0)
 	granted = make(map[string][]time.Time)
-	var waiting []*Ask
+	var waiting []*GrantRequest
 	next := begin
 	for now := begin; now.Sub(begin) < duration; now = now.Add(time.Millisecond) {
 		if !now.Before(next) {
-			waiting = append(waiting, &Ask{Endpoints: endpoints, Since: now, Until: now.Add(maxWait)})
+			waiting = append(waiting, &GrantRequest{Endpoints: endpoints, Since: now, Until: now.Add(maxWait)})
 			next = next.Add(interval)
 		}
-		var remaining []*Ask
+		var remaining []*GrantRequest
 		for _, a := range waiting {
 			switch decision := c.Try(a, rates, now); {
 			case decision.Endpoint != "":
@@ -80,8 +80,8 @@
 	limits := map[string]float64{"a": 0}
 	rates := fixed(limits)
 	c, now := NewCoordinator(), time.Unix(0, 0)
-	ask := func() Answer {
-		return c.Try(&Ask{Endpoints: []string{"a"}, Since: now, Until: now}, rates, now)
+	ask := func() Decision {
+		return c.Try(&GrantRequest{Endpoints: []string{"a"}, Since: now, Until: now}, rates, now)
 	}
 	ask() // creates the pacer
 	now = now.Add(10 * time.Second)
@@ -113,12 +113,12 @@
 	c, now := NewCoordinator(), time.Unix(0, 0)
 	rates := fixed(map[string]float64{"a": 2, "b": 2, "c": 2, "d": 2})
 	ids := []string{"a", "b", "c", "d"}
-	c.Try(&Ask{Endpoints: ids, Since: now, Until: now}, rates, now) // creates the pacers
+	c.Try(&GrantRequest{Endpoints: ids, Since: now, Until: now}, rates, now) // creates the pacers
 	refused := 0
 	for range 10 {
 		now = now.Add(time.Second)
 		for range 6 { // six at once, every second
-			if c.Try(&Ask{Endpoints: ids, Since: now, Until: now}, rates, now).Refused {
+			if c.Try(&GrantRequest{Endpoints: ids, Since: now, Until: now}, rates, now).Refused {
 				refused++
 			}
 		}
@@ -132,8 +132,8 @@
 	is := is.New(t)
 	c, now := NewCoordinator(), time.Unix(0, 0)
 	rates := fixed(map[string]float64{"a": 2})
-	ask := func(urgency int, since, maxWait time.Duration) *Ask {
-		return &Ask{Endpoints: []string{"a"}, Urgency: urgency, Since: now.Add(since), Until: now.Add(maxWait)}
+	ask := func(urgency int, since, maxWait time.Duration) *GrantRequest {
+		return &GrantRequest{Endpoints: []string{"a"}, Urgency: urgency, Since: now.Add(since), Until: now.Add(maxWait)}
 	}
 	second := ask(1, 20*time.Millisecond, 10*time.Second)
 	first := ask(1, 10*time.Millisecond, 10*time.Second)
@@ -148,7 +148,7 @@
 	now = now.Add(500 * time.Millisecond)
 	is.Equal(c.Try(first, rates, now).Expected, now.Add(500*time.Millisecond))
 	is.Equal(c.Try(urgent, rates, now).Endpoint, "a")
-	c.Leave(first) // its caller has disconnected
+	c.Remove(first) // its caller has disconnected
 	is.Equal(c.Try(second, rates, now).Expected, now.Add(500*time.Millisecond))
 }
 
@@ -160,14 +160,14 @@
 	rates := fixed(map[string]float64{"a": 2, "b": 2})
 	var delays []time.Duration
 	for range 60 {
-		a := c.Try(&Ask{Service: "s", Endpoints: []string{"a", "b"}, Since: now, Until: now}, rates, now)
+		a := c.Try(&GrantRequest{Service: "s", Endpoints: []string{"a", "b"}, Since: now, Until: now}, rates, now)
 		is.True(a.Refused)
 		delays = append(delays, a.RetryAfter)
 	}
 	is.Equal(delays[0], 750*time.Millisecond)
 	is.Equal(delays[1]-delays[0], 250*time.Millisecond)
 	is.Equal(delays[59], maxRetryAfter)
-	is.Equal(c.Try(&Ask{Service: "s", Endpoints: []string{"gone"}, Until: now}, rates, now), Answer{Unlimited: true})
+	is.Equal(c.Try(&GrantRequest{Service: "s", Endpoints: []string{"gone"}, Until: now}, rates, now), Decision{Unlimited: true})
 }
 
 // TestProbes checks that probes are granted at intervals, also for an endpoint that accepts no requests.
@@ -176,19 +176,19 @@
 	c, now := NewCoordinator(), time.Unix(0, 0)
 	rates := fixed(map[string]float64{"a": 5, "none": 0})
 	probe := func(id string) bool {
-		return c.Try(&Ask{Endpoints: []string{id}, Probe: true}, rates, now).Endpoint != ""
+		return c.Try(&GrantRequest{Endpoints: []string{id}, Probe: true}, rates, now).Endpoint != ""
 	}
 	is.True(!probe("a"))
 	is.True(!probe("none"))
 	now = now.Add(300 * time.Millisecond)
 	is.True(probe("a"))
-	now = now.Add(ProbeEvery / 2)
+	now = now.Add(ProbeInterval / 2)
 	is.True(!probe("a")) // less than ProbeEvery since the previous one
-	now = now.Add(ProbeEvery / 2)
+	now = now.Add(ProbeInterval / 2)
 	is.True(probe("a"))
 	is.True(!probe("none"))
 	now = now.Add(10 * time.Second)
-	c.Try(&Ask{Endpoints: []string{"none"}, Until: now.Add(-1)}, rates, now)
+	c.Try(&GrantRequest{Endpoints: []string{"none"}, Until: now.Add(-1)}, rates, now)
 	is.True(probe("none"))
 	is.True(!probe("none"))
 	is.True(!probe("without a limit"))
@@ -207,9 +207,9 @@
 	}
 	rates := fixed(limits)
 	c := NewCoordinator()
-	var asks []*Ask
+	var asks []*GrantRequest
 	for n := range 36 {
-		a := &Ask{Service: "s", Endpoints: ids, Since: now.Add(time.Duration(n) * time.Millisecond), Until: now.Add(time.Hour)}
+		a := &GrantRequest{Service: "s", Endpoints: ids, Since: now.Add(time.Duration(n) * time.Millisecond), Until: now.Add(time.Hour)}
 		c.Try(a, rates, now)
 		asks = append(asks, a)
 	}
--- a/ratelimit/known.go
+++ b/ratelimit/known.go
@@ -25,46 +25,46 @@
 	foreignTTL = 10 * time.Second
 )
 
-// Named is what a response of an endpoint says about the endpoint's limit.
-type Named struct {
-	// Is is set if the response names a limit. A response without one ends the limit.
-	Is bool
+// AdvertisedLimit is what a response of an endpoint says about the endpoint's limit.
+type AdvertisedLimit struct {
+	// Set is set if the response names a limit. A response without one ends the limit.
+	Set bool
 	// PerSecond is how many requests a second the endpoint accepts from all gateways together; 0 if it
 	// accepts none.
 	PerSecond float64
 }
 
-// Notice is what one gateway sends to the others about an endpoint's limit. The fields are encoded by
+// LimitUpdate is what one gateway sends to the others about an endpoint's limit. The fields are encoded by
 // position: new ones go last.
-type Notice struct {
+type LimitUpdate struct {
 	// Version increases with each change of the known limit of the endpoint.
 	Version uint64
-	Named   Named
+	Limit   AdvertisedLimit
 	// Born is the incarnation of the endpoint that the limit applies to, see catalog.Endpoint.
 	Born int64
 }
 
 // entry is the known limit of one endpoint, or its end.
 type entry struct {
-	Notice
+	LimitUpdate
 	confirmedAt time.Time // when it was learned or last confirmed
 	shareUntil  time.Time // until when every message includes it
 }
 
-// Known holds the limits of endpoints. Responses arrive late and out of order, and at different gateways,
+// LimitTable holds the limits of endpoints. Responses arrive late and out of order, and at different gateways,
 // so clocks do not show which is the newest. A response is known to be newer than the current limit only if
 // its request was sent when that limit was already known, and only such a response raises or ends a limit.
 // Among responses in unknown order the lowest limit applies. Known is not safe for concurrent use.
-type Known struct {
+type LimitTable struct {
 	entries map[string]*entry
 }
 
-// NewKnown returns an empty table.
-func NewKnown() *Known { return &Known{entries: make(map[string]*entry)} }
+// NewLimitTable returns an empty table.
+func NewLimitTable() *LimitTable { return &LimitTable{entries: make(map[string]*entry)} }
 
 // Version returns the version of an endpoint's limit. The caller reads it when it sends a request and
 // passes it to Answered with the response.
-func (k *Known) Version(endpoint string) uint64 {
+func (k *LimitTable) Version(endpoint string) uint64 {
 	if e := k.entries[endpoint]; e != nil {
 		return e.Version
 	}
@@ -72,94 +72,94 @@
 }
 
 // Limit returns the limit of an endpoint; ok is false if it has none.
-func (k *Known) Limit(endpoint string) (perSecond float64, ok bool) {
+func (k *LimitTable) Limit(endpoint string) (perSecond float64, ok bool) {
 	e := k.entries[endpoint]
-	if e == nil || !e.Named.Is {
+	if e == nil || !e.Limit.Set {
 		return 0, false
 	}
-	return e.Named.PerSecond, true
+	return e.Limit.PerSecond, true
 }
 
 // Limits returns all limits in force, in requests a second by endpoint.
-func (k *Known) Limits() map[string]float64 {
+func (k *LimitTable) Limits() map[string]float64 {
 	out := make(map[string]float64)
 	for id, e := range k.entries {
-		if e.Named.Is {
-			out[id] = e.Named.PerSecond
+		if e.Limit.Set {
+			out[id] = e.Limit.PerSecond
 		}
 	}
 	return out
 }
 
-// Answered records what a response says about the limit of an endpoint, for the incarnation born. sent is
+// ApplyResponse records what a response says about the limit of an endpoint, for the incarnation born. sent is
 // the Version at the time when the request was sent. It reports whether the known limit has changed.
-func (k *Known) Answered(endpoint string, born int64, sent uint64, n Named, now time.Time) bool {
+func (k *LimitTable) ApplyResponse(endpoint string, born int64, sent uint64, n AdvertisedLimit, now time.Time) bool {
 	e := k.entries[endpoint]
 	if e == nil || e.Born != born {
-		if !n.Is {
+		if !n.Set {
 			return false
 		}
-		k.entries[endpoint] = &entry{Notice{1, n, born}, now, now.Add(shareFor)}
+		k.entries[endpoint] = &entry{LimitUpdate{1, n, born}, now, now.Add(shareFor)}
 		return true
 	}
 	newer := sent >= e.Version
-	if n == e.Named {
+	if n == e.Limit {
 		e.confirmedAt = now
 		return false
 	}
-	if !newer && !lower(n, e.Named) {
+	if !newer && !lower(n, e.Limit) {
 		return false
 	}
 	e.Version++
-	e.Named, e.confirmedAt, e.shareUntil = n, now, now.Add(shareFor)
+	e.Limit, e.confirmedAt, e.shareUntil = n, now, now.Add(shareFor)
 	return true
 }
 
 // lower reports whether a is a stricter limit than b.
-func lower(a, b Named) bool {
-	return a.Is && (!b.Is || a.PerSecond < b.PerSecond)
+func lower(a, b AdvertisedLimit) bool {
+	return a.Set && (!b.Set || a.PerSecond < b.PerSecond)
 }
 
-// Heard records what another gateway sent about an endpoint, which must be about the incarnation that the
+// ApplyUpdate records what another gateway sent about an endpoint, which must be about the incarnation that the
 // caller knows. It reports whether the known limit has changed. If the notice is outdated, the newer state
 // is included in messages again.
-func (k *Known) Heard(endpoint string, n Notice, now time.Time) bool {
+func (k *LimitTable) ApplyUpdate(endpoint string, n LimitUpdate, now time.Time) bool {
 	e := k.entries[endpoint]
 	switch {
 	case e == nil || n.Born != e.Born:
 	case n.Version < e.Version:
 		e.shareUntil = now.Add(shareFor)
 		return false
-	case n.Version == e.Version && !lower(n.Named, e.Named):
-		if n.Named == e.Named {
+	case n.Version == e.Version && !lower(n.Limit, e.Limit):
+		if n.Limit == e.Limit {
 			e.confirmedAt = now
 		}
 		return false
 	}
-	changed := e == nil && n.Named.Is || e != nil && e.Named != n.Named
+	changed := e == nil && n.Limit.Set || e != nil && e.Limit != n.Limit
 	k.entries[endpoint] = &entry{n, now, now.Add(shareFor)}
 	return changed
 }
 
-// Tell returns the notices to send to the other gateways: those changed within shareFor and, if full is
+// Updates returns the notices to send to the other gateways: those changed within shareFor and, if full is
 // set, all others that a gateway may have missed.
-func (k *Known) Tell(full bool, now time.Time) map[string]Notice {
-	var out map[string]Notice
+func (k *LimitTable) Updates(full bool, now time.Time) map[string]LimitUpdate {
+	var out map[string]LimitUpdate
 	for id, e := range k.entries {
-		if now.After(e.shareUntil) && !(full && (e.Named.Is || now.Sub(e.confirmedAt) <= endedTTL)) {
+		if now.After(e.shareUntil) && !(full && (e.Limit.Set || now.Sub(e.confirmedAt) <= endedTTL)) {
 			continue
 		}
 		if out == nil {
-			out = make(map[string]Notice)
+			out = make(map[string]LimitUpdate)
 		}
-		out[id] = e.Notice
+		out[id] = e.LimitUpdate
 	}
 	return out
 }
 
 // Expire drops the limits of endpoints of other cells that were not confirmed within foreignTTL. It reports
 // whether there were any. own reports whether an endpoint belongs to this cell.
-func (k *Known) Expire(own func(endpoint string) bool, now time.Time) bool {
+func (k *LimitTable) Expire(own func(endpoint string) bool, now time.Time) bool {
 	before := len(k.entries)
 	maps.DeleteFunc(k.entries, func(id string, e *entry) bool {
 		return now.Sub(e.confirmedAt) > foreignTTL && !own(id)
@@ -168,4 +168,4 @@
 }
 
 // Forget drops the limit of an endpoint that is gone or has restarted.
-func (k *Known) Forget(endpoint string) { delete(k.entries, endpoint) }
+func (k *LimitTable) Forget(endpoint string) { delete(k.entries, endpoint) }
--- a/ratelimit/known_test.go
+++ b/ratelimit/known_test.go
@@ -7,38 +7,40 @@
 	"github.com/matryer/is"
 )
 
-func limitOf(perSecond float64) Named { return Named{Is: true, PerSecond: perSecond} }
+func limitOf(perSecond float64) AdvertisedLimit {
+	return AdvertisedLimit{Set: true, PerSecond: perSecond}
+}
 
 // TestWhichAnswerHolds checks that only a response to a request sent when the limit was known raises or ends
 // it, and that among responses in unknown order the lowest limit applies.
 func TestWhichAnswerHolds(t *testing.T) {
 	type response struct {
 		sent  uint64
-		named Named
+		named AdvertisedLimit
 	}
 	cases := []struct {
 		name      string
 		responses []response
-		want      Named
+		want      AdvertisedLimit
 	}{
-		{"none", []response{{0, Named{}}}, Named{}},
+		{"none", []response{{0, AdvertisedLimit{}}}, AdvertisedLimit{}},
 		{"first", []response{{0, limitOf(2)}}, limitOf(2)},
-		{"no limit in the response to an earlier request", []response{{0, limitOf(2)}, {0, Named{}}}, limitOf(2)},
-		{"no limit in the response to a later request", []response{{0, limitOf(2)}, {1, Named{}}}, Named{}},
+		{"no limit in the response to an earlier request", []response{{0, limitOf(2)}, {0, AdvertisedLimit{}}}, limitOf(2)},
+		{"no limit in the response to a later request", []response{{0, limitOf(2)}, {1, AdvertisedLimit{}}}, AdvertisedLimit{}},
 		{"raised by a later response", []response{{0, limitOf(2)}, {1, limitOf(3)}}, limitOf(3)},
 		{"raised by a response in unknown order", []response{{0, limitOf(2)}, {0, limitOf(3)}}, limitOf(2)},
 		{"lowered by a response in unknown order", []response{{0, limitOf(2)}, {0, limitOf(1)}}, limitOf(1)},
-		{"named again after its end", []response{{0, limitOf(2)}, {1, Named{}}, {1, limitOf(2)}}, limitOf(2)},
+		{"named again after its end", []response{{0, limitOf(2)}, {1, AdvertisedLimit{}}, {1, limitOf(2)}}, limitOf(2)},
 		{"zero", []response{{0, limitOf(0)}}, limitOf(0)},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			k, now := NewKnown(), time.Now()
+			k, now := NewLimitTable(), time.Now()
 			for _, a := range tc.responses {
-				k.Answered("e", 0, a.sent, a.named, now)
+				k.ApplyResponse("e", 0, a.sent, a.named, now)
 			}
 			perSecond, ok := k.Limit("e")
-			if got := (Named{Is: ok, PerSecond: perSecond}); got != tc.want {
+			if got := (AdvertisedLimit{Set: ok, PerSecond: perSecond}); got != tc.want {
 				t.Errorf("limit %v, want %v", got, tc.want)
 			}
 		})
@@ -50,34 +52,34 @@
 func TestGatewaysAgreeOnLimits(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	a, b := NewKnown(), NewKnown()
+	a, b := NewLimitTable(), NewLimitTable()
 	exchange := func() {
-		fromA, fromB := a.Tell(true, now), b.Tell(true, now)
+		fromA, fromB := a.Updates(true, now), b.Updates(true, now)
 		for id, n := range fromA {
-			b.Heard(id, n, now)
+			b.ApplyUpdate(id, n, now)
 		}
 		for id, n := range fromB {
-			a.Heard(id, n, now)
+			a.ApplyUpdate(id, n, now)
 		}
 	}
-	a.Answered("e", 0, 0, limitOf(2), now)
-	b.Answered("e", 0, 0, limitOf(3), now)
+	a.ApplyResponse("e", 0, 0, limitOf(2), now)
+	b.ApplyResponse("e", 0, 0, limitOf(3), now)
 	exchange()
-	is.Equal(a.entries["e"].Notice, b.entries["e"].Notice)
+	is.Equal(a.entries["e"].LimitUpdate, b.entries["e"].LimitUpdate)
 	got, _ := a.Limit("e")
 	is.Equal(got, 2.0)
 
-	stale := a.Tell(true, now)["e"]
-	b.Answered("e", 0, b.Version("e"), Named{}, now)
+	stale := a.Updates(true, now)["e"]
+	b.ApplyResponse("e", 0, b.Version("e"), AdvertisedLimit{}, now)
 	exchange()
 	_, limited := a.Limit("e")
 	is.True(!limited)
-	is.True(!b.Heard("e", stale, now)) // from a gateway that was disconnected
+	is.True(!b.ApplyUpdate("e", stale, now)) // from a gateway that was disconnected
 	_, limited = b.Limit("e")
 	is.True(!limited)
 	now = now.Add(2 * shareFor)
-	b.Heard("e", stale, now)
-	is.Equal(b.Tell(false, now)["e"].Named, Named{}) // the newer state is sent again
+	b.ApplyUpdate("e", stale, now)
+	is.Equal(b.Updates(false, now)["e"].Limit, AdvertisedLimit{}) // the newer state is sent again
 }
 
 // TestNewLifeHasNoLimit checks that the limit of an earlier incarnation does not apply to a later one, whether
@@ -85,14 +87,14 @@
 func TestNewLifeHasNoLimit(t *testing.T) {
 	is := is.New(t)
 	for _, born := range []int64{9, 1} {
-		k, now := NewKnown(), time.Now()
-		k.Answered("e", 5, 0, limitOf(2), now)
-		k.Answered("e", 5, 1, limitOf(3), now)
-		is.True(!k.Answered("e", born, 2, Named{}, now)) // another incarnation: the limit does not end
-		k.Answered("e", born, 0, limitOf(9), now)
+		k, now := NewLimitTable(), time.Now()
+		k.ApplyResponse("e", 5, 0, limitOf(2), now)
+		k.ApplyResponse("e", 5, 1, limitOf(3), now)
+		is.True(!k.ApplyResponse("e", born, 2, AdvertisedLimit{}, now)) // another incarnation: the limit does not end
+		k.ApplyResponse("e", born, 0, limitOf(9), now)
 		got, _ := k.Limit("e")
 		is.Equal(got, 9.0)
-		k.Heard("e", Notice{Version: 1, Named: limitOf(4), Born: 5}, now)
+		k.ApplyUpdate("e", LimitUpdate{Version: 1, Limit: limitOf(4), Born: 5}, now)
 		got, _ = k.Limit("e")
 		is.Equal(got, 4.0) // the caller vouches for the incarnation
 		k.Forget("e")
@@ -105,9 +107,9 @@
 // learns when they end.
 func TestForeignLimitsLapse(t *testing.T) {
 	is := is.New(t)
-	k, now := NewKnown(), time.Now()
-	k.Answered("own", 0, 0, limitOf(2), now)
-	k.Answered("foreign", 0, 0, limitOf(2), now)
+	k, now := NewLimitTable(), time.Now()
+	k.ApplyResponse("own", 0, 0, limitOf(2), now)
+	k.ApplyResponse("foreign", 0, 0, limitOf(2), now)
 	is.True(k.Expire(func(id string) bool { return id == "own" }, now.Add(foreignTTL+time.Second)))
 	_, own := k.Limit("own")
 	_, foreign := k.Limit("foreign")
--- a/ratelimit/votes.go
+++ b/ratelimit/votes.go
@@ -25,21 +25,21 @@
 	receivedAt time.Time
 }
 
-// Votes elects the gateway that coordinates the limits of the cell's endpoints. All gateways that know of a
+// Election elects the gateway that coordinates the limits of the cell's endpoints. All gateways that know of a
 // limit send their votes in their messages, and the one with most votes is the coordinator. If gateways do not
 // receive each other's messages there may be several coordinators, so each grants a share in proportion to its
 // votes: whichever gateway follows which, the shares add up to no more than maxTotalShare. This needs no
 // consensus, and a gateway that receives no messages grants little. Votes is not safe for concurrent use.
-type Votes struct {
+type Election struct {
 	self        string
 	coordinator string
 	since       time.Time // when this gateway chose that coordinator
 	ballots     map[string]ballot
 }
 
-// NewVotes returns the election state of the gateway named self.
-func NewVotes(self string) *Votes {
-	return &Votes{self: self, ballots: make(map[string]ballot)}
+// NewElection returns the election state of the gateway named self.
+func NewElection(self string) *Election {
+	return &Election{self: self, ballots: make(map[string]ballot)}
 }
 
 // gatewayKey returns the identifier of a gateway in messages; 0 stands for no gateway.
@@ -50,9 +50,9 @@
 	return max(1, xxhash.Sum64String(name))
 }
 
-// Heard records the vote of another gateway of the cell. A vote of 0 means that this gateway cannot be the
+// RecordVote records the vote of another gateway of the cell. A vote of 0 means that this gateway cannot be the
 // coordinator: it knows of no limit, is draining, or runs a release without limits.
-func (v *Votes) Heard(from string, vote uint64, now time.Time) {
+func (v *Election) RecordVote(from string, vote uint64, now time.Time) {
 	if vote == 0 {
 		delete(v.ballots, from)
 		return
@@ -61,17 +61,17 @@
 }
 
 // Reset returns to the initial state, when no endpoint has a limit any more.
-func (v *Votes) Reset() {
+func (v *Election) Reset() {
 	v.coordinator, v.since = "", time.Time{}
 	clear(v.ballots)
 }
 
-// Clear drops all votes received. It is called after the host was suspended, when their age is unknown.
-func (v *Votes) Clear() { clear(v.ballots) }
+// DropVotes drops all votes received. It is called after the host was suspended, when their age is unknown.
+func (v *Election) DropVotes() { clear(v.ballots) }
 
 // Choose returns the coordinator from this gateway's point of view. A gateway that is draining chooses
 // itself only if it knows of no other candidate.
-func (v *Votes) Choose(leaving bool, now time.Time) string {
+func (v *Election) Choose(leaving bool, now time.Time) string {
 	counts := map[uint64]int{gatewayKey(v.coordinator): 1}
 	for name, b := range v.ballots {
 		if now.Sub(b.receivedAt) > voteTTL {
@@ -103,10 +103,10 @@
 	return gatewayKey(a) < gatewayKey(b)
 }
 
-// Own returns the vote of this gateway. A gateway that has been its own coordinator for voteTTL without a
+// OwnVote returns the vote of this gateway. A gateway that has been its own coordinator for voteTTL without a
 // follower may be one whose messages arrive while it receives none. It votes 0, so that the others do not
 // choose it.
-func (v *Votes) Own(now time.Time) uint64 {
+func (v *Election) OwnVote(now time.Time) uint64 {
 	if v.coordinator == v.self && now.Sub(v.since) > voteTTL && v.followers(now) == 0 {
 		return 0
 	}
@@ -114,7 +114,7 @@
 }
 
 // followers returns how many other gateways vote for this one.
-func (v *Votes) followers(now time.Time) int {
+func (v *Election) followers(now time.Time) int {
 	n := 0
 	for _, b := range v.ballots {
 		if b.vote == gatewayKey(v.self) && now.Sub(b.receivedAt) <= voteTTL {
@@ -126,7 +126,7 @@
 
 // Share returns the share of each limit that this gateway may grant if the cell has the given number of
 // gateways. It is 0 if the gateway is not the coordinator, or has been for less than settlingTime.
-func (v *Votes) Share(gateways int, now time.Time) float64 {
+func (v *Election) Share(gateways int, now time.Time) float64 {
 	if v.coordinator != v.self || now.Sub(v.since) < settlingTime {
 		return 0
 	}
--- a/ratelimit/votes_test.go
+++ b/ratelimit/votes_test.go
@@ -10,7 +10,7 @@
 
 // gatewayGroup simulates gateways that exchange votes; receives tells which messages arrive.
 type gatewayGroup struct {
-	votes    []*Votes
+	votes    []*Election
 	receives func(from, to int) bool
 	now      time.Time
 }
@@ -18,7 +18,7 @@
 func newGatewayGroup(n int) *gatewayGroup {
 	e := &gatewayGroup{now: time.Now(), receives: func(int, int) bool { return true }}
 	for i := range n {
-		e.votes = append(e.votes, NewVotes(gatewayName(i)))
+		e.votes = append(e.votes, NewElection(gatewayName(i)))
 	}
 	return e
 }
@@ -32,7 +32,7 @@
 			v.Choose(false, e.now)
 			for to, w := range e.votes {
 				if from != to && e.receives(from, to) {
-					w.Heard(gatewayName(from), v.Own(e.now), e.now)
+					w.RecordVote(gatewayName(from), v.OwnVote(e.now), e.now)
 				}
 			}
 		}
@@ -116,21 +116,21 @@
 
 	next := e.votes[isolated].Choose(true, e.now)
 	is.Equal(next, second)
-	leaving := NewVotes("a")
-	leaving.Heard("b", gatewayKey("a"), e.now)
+	leaving := NewElection("a")
+	leaving.RecordVote("b", gatewayKey("a"), e.now)
 	is.Equal(leaving.Choose(true, e.now), "b")
-	is.Equal(NewVotes("a").Choose(true, e.now), "a") // there is no other candidate
+	is.Equal(NewElection("a").Choose(true, e.now), "a") // there is no other candidate
 }
 
 // TestNewCoordinatorWaits checks that a new coordinator grants nothing before settlingTime has passed.
 func TestNewCoordinatorWaits(t *testing.T) {
 	is := is.New(t)
-	v, now := NewVotes("a"), time.Now()
+	v, now := NewElection("a"), time.Now()
 	v.Choose(false, now)
 	is.Equal(v.Share(1, now), 0.0)
 	is.Equal(v.Share(1, now.Add(settlingTime)), 1.0)
-	v.Heard("b", gatewayKey("a"), now.Add(settlingTime))
+	v.RecordVote("b", gatewayKey("a"), now.Add(settlingTime))
 	is.Equal(v.Share(2, now.Add(settlingTime)), 1.0)
-	v.Clear()
+	v.DropVotes()
 	is.Equal(v.Share(2, now.Add(settlingTime)), maxTotalShare/2)
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -14,20 +14,20 @@
 
 // attempt sends the request to one endpoint and relays the answer. again is set if there was no
 // answer that could be passed on.
-func (x *exchange) attempt(ctx context.Context, at *place) (o outcome, again bool) {
+func (x *exchange) attempt(ctx context.Context, at *placement) (o outcome, again bool) {
 	defer at.release()
 	if !x.allAccept(at, time.Now()) {
 		return x.abandonAttempt()
 	}
 	var memory *reservations
-	if len(at.reserve) > 0 {
+	if len(at.memoryDemands) > 0 {
 		var err error
 		if memory, err = x.g.reserve(ctx, x.call.ID, at); err != nil {
 			x.handleReserveFailure(err)
 			return "", true
 		}
 		defer memory.end()
-		at.memory, ctx = memory, memory.sendCtx
+		at.reservations, ctx = memory, memory.sendCtx
 	}
 	if o, ok := x.mayProceed(); !ok {
 		return o, false
@@ -38,7 +38,7 @@
 	}
 	req := x.upstreamRequest(at, memory, now)
 	x.answerBegun = false
-	res, err := x.g.do(ctx, at.endpoint, req, callersRequest, x.call.ID)
+	res, err := x.g.do(ctx, at.endpoint, req, callerRequest, x.call.ID)
 	if at.endSend(err == nil) {
 		x.g.deps.Log.Logger().Info("Endpoint has rested.", "endpoint", at.endpoint.ID)
 	}
@@ -57,7 +57,7 @@
 	x.tried = append(x.tried, at.endpoint.ID)
 	x.mayRun = true
 	if verdict == Failed && x.route.Kind == catalog.Streaming {
-		x.recordOutcome(at, health.Bad) // requests to plain services may also fail through their own fault
+		x.recordOutcome(at, health.BadResponse) // requests to plain services may also fail through their own fault
 	}
 	if verdict == Failed && x.mayRepeat() {
 		x.lastError = errors.New("endpoint failed with status " + res.Status)
@@ -76,26 +76,26 @@
 }
 
 // allAccept reports whether the chosen endpoint and all of its helpers still accept requests.
-func (x *exchange) allAccept(at *place, now time.Time) bool {
+func (x *exchange) allAccept(at *placement, now time.Time) bool {
 	for _, e := range at.helpers {
-		if !x.g.state.StillTakes(e.ID, now) {
+		if !x.g.state.AcceptsRequests(e.ID, now) {
 			return false
 		}
 	}
-	return x.g.state.StillTakes(at.endpoint.ID, now)
+	return x.g.state.AcceptsRequests(at.endpoint.ID, now)
 }
 
 // handleRejection handles an answer that says that the request did not run. If the answer names
 // another endpoint, a helper, that helper is avoided from now on and the endpoint that answered may
 // be chosen again. Otherwise the next attempt would use the same helper: long prompts with a dead
 // engine among their helpers were given up after two attempts.
-func (x *exchange) handleRejection(at *place, res *http.Response, verdict Verdict) {
+func (x *exchange) handleRejection(at *placement, res *http.Response, verdict Verdict) {
 	x.lastError = errors.New("endpoint rejected the request with status " + res.Status)
-	address := x.g.deps.Protocol.AtFault(res)
+	address := x.g.deps.Protocol.FaultyEndpoint(res)
 	if address != "" && address != at.endpoint.Address {
-		if id, ok := x.g.state.AtAddress(address); ok {
+		if id, ok := x.g.state.EndpointAt(address); ok {
 			x.recordOutcomeAt(id, health.Unreachable)
-			x.unfit = append(x.unfit, id)
+			x.excluded = append(x.excluded, id)
 			x.helperFailures++
 			return
 		}
@@ -104,15 +104,15 @@
 	switch {
 	case verdict == WrongEndpoint:
 		x.recordOutcome(at, health.Replaced)
-	case x.g.state.Resting(at.endpoint.ID, time.Now()):
+	case x.g.state.InBackoff(at.endpoint.ID, time.Now()):
 		// The endpoint asked this gateway to back off, which is not a failure.
-	case hasCapacity(at, x.service, x.call.Input):
-		x.recordOutcome(at, health.Bad)
+	case hasCapacity(at, x.service, x.call.PromptTokens):
+		x.recordOutcome(at, health.BadResponse)
 	}
 }
 
 // countAttempt counts an attempt that may have reached an endpoint.
-func (x *exchange) countAttempt(at *place) {
+func (x *exchange) countAttempt(at *placement) {
 	x.attempts++
 	if !slices.Contains(x.sentEndpoints, at.endpoint.ID) {
 		x.sentEndpoints = append(x.sentEndpoints, at.endpoint.ID)
@@ -121,29 +121,29 @@
 
 // hasCapacity reports whether, as far as the gateways know, an endpoint should have accepted a
 // request: less than half of its slots and less than half of its memory were in use.
-func hasCapacity(at *place, s *catalog.Service, tokens int) bool {
+func hasCapacity(at *placement, s *catalog.Service, tokens int) bool {
 	if len(at.helpers) > 0 {
 		return false // a helper may have failed
 	}
-	if s.Engine != nil && 2*(at.before.Tokens+tokens) > s.Engine.MemoryTokens {
+	if s.Engine != nil && 2*(at.loadBefore.MemoryTokens+tokens) > s.Engine.MemoryTokens {
 		return false
 	}
-	return 2*(at.before.Short+at.before.Long) < at.endpoint.Slots
+	return 2*(at.loadBefore.Short+at.loadBefore.Long) < at.endpoint.Slots
 }
 
 // handleReserveFailure handles a failed memory reservation: the endpoints that refused it have less
 // free memory than the gateways assume.
 func (x *exchange) handleReserveFailure(err error) {
 	x.lastError = err
-	x.unsent++
+	x.unsentAttempts++
 	var failure *reserveError
 	if errors.As(err, &failure) {
-		x.unfit = append(x.unfit, failure.endpoints...)
+		x.excluded = append(x.excluded, failure.endpoints...)
 	}
 }
 
 // handleSendFailure handles an attempt that got no answer.
-func (x *exchange) handleSendFailure(ctx context.Context, at *place, err error) {
+func (x *exchange) handleSendFailure(ctx context.Context, at *placement, err error) {
 	x.recordFailure(at, err)
 	var failure *upstream.Error
 	if errors.Is(err, upstream.ErrWithdrawn) {
@@ -151,7 +151,7 @@
 		return
 	}
 	if errors.As(err, &failure) && failure.Stage == upstream.NotSent {
-		x.unsent++
+		x.unsentAttempts++
 		if ctx.Err() == nil {
 			x.recordOutcome(at, health.Unreachable)
 			x.tried = append(x.tried, at.endpoint.ID)
@@ -162,31 +162,33 @@
 	x.tried = append(x.tried, at.endpoint.ID)
 	x.mayRun = true
 	if ctx.Err() == nil {
-		x.recordOutcome(at, health.Bad)
+		x.recordOutcome(at, health.BadResponse)
 		x.handleBrokenExchange(at)
 	}
 }
 
 // recordFailure records why an exchange ended without a complete answer.
-func (x *exchange) recordFailure(at *place, err error) {
+func (x *exchange) recordFailure(at *placement, err error) {
 	x.lastError = err
-	if at.memory.endedUnused() {
+	if at.reservations.endedUnused() {
 		x.lastError = errMemoryUnused
 	}
 }
 
 // recordOutcome records what an attempt showed about the health of its endpoint.
-func (x *exchange) recordOutcome(at *place, o health.Outcome) { x.recordOutcomeAt(at.endpoint.ID, o) }
+func (x *exchange) recordOutcome(at *placement, o health.Outcome) {
+	x.recordOutcomeAt(at.endpoint.ID, o)
+}
 
 func (x *exchange) recordOutcomeAt(endpoint string, o health.Outcome) {
-	if x.g.picker.note(endpoint, o, time.Now()) {
+	if x.g.picker.recordOutcome(endpoint, o, time.Now()) {
 		x.g.deps.Log.Logger().Warn("Endpoint suspect.", "endpoint", endpoint, "request", x.call.ID, "err", x.lastError)
 	}
 }
 
 // upstreamRequest builds the request that is sent to the endpoint.
-func (x *exchange) upstreamRequest(at *place, memory *reservations, now time.Time) *upstream.Request {
-	s := Send{
+func (x *exchange) upstreamRequest(at *placement, memory *reservations, now time.Time) *upstream.Request {
+	s := AttemptFields{
 		EndpointID:  at.endpoint.ID,
 		Remaining:   x.deadline.Sub(now),
 		LastEventID: x.call.LastEventID,
@@ -205,11 +207,11 @@
 		Host:    x.r.Host,
 		Header:  x.g.deps.Protocol.Header(x.r.Header, x.call, s),
 		Body:    x.body,
-		Echo:    x.g.deps.Protocol.Echo(),
+		Echo:    x.g.deps.Protocol.EchoedHeader(),
 		MaxIdle: x.maxIdle(),
 		// An endpoint resets connections beyond the number that it accepts from all gateways
 		// together.
-		KeepIdle: idleShare(x.service.MaxConnections, x.g.limits.gatewayCount()),
+		KeepIdle: maxIdlePerGateway(x.service.MaxConnections, x.g.endpointLimits.gatewayCount()),
 		Check: func() bool {
 			now := time.Now()
 			if !x.allAccept(at, now) || !x.withinLimits(at, now) {
@@ -222,18 +224,18 @@
 	return req
 }
 
-// idlePart is the divisor for the share of an endpoint's connections that the gateways may keep
+// idleDivisor is the divisor for the share of an endpoint's connections that the gateways may keep
 // idle; the rest is left for connections in use.
-const idlePart = 2
+const idleDivisor = 2
 
-// idleShare returns how many idle connections one of the given number of gateways keeps to an
+// maxIdlePerGateway returns how many idle connections one of the given number of gateways keeps to an
 // endpoint that accepts at most this many from all of them, or zero if the endpoint sets no limit.
 // Each gateway keeps at least one, because otherwise every request would open a connection.
-func idleShare(most, gateways int) int {
+func maxIdlePerGateway(most, gateways int) int {
 	if most <= 0 {
 		return 0
 	}
-	return max(1, most/idlePart/gateways)
+	return max(1, most/idleDivisor/gateways)
 }
 
 // DefaultPriority is the priority of a usual request.
--- a/relay/audience.go
+++ b/relay/audience.go
@@ -9,10 +9,10 @@
 	"github.com/micarudder/micarudder/peers"
 )
 
-// acrossReceivers is how many gateways of another cell receive cross-cell messages besides those
+// minCrossCellReceivers is how many gateways of another cell receive cross-cell messages besides those
 // from which such messages were received: the ones that should represent that cell, and one more in
 // case one of them is gone.
-const acrossReceivers = 3
+const minCrossCellReceivers = 3
 
 // recipients are the gateways that this gateway sends messages to. The gateways of its own cell are
 // notified of each choice. Between cells, only the representatives of each cell exchange regular
@@ -26,23 +26,23 @@
 	// receive cross-cell messages.
 	remote           map[string][]netip.AddrPort
 	remoteRecipients map[string][]netip.AddrPort
-	// speaks is set when this gateway represents its cell in messages to other cells.
-	speaks bool
+	// representative is set when this gateway represents its cell in messages to other cells.
+	representative bool
 	// gateways is the number of gateways in the local cell, including this one.
 	gateways int
 }
 
 // recentPeers holds the peers from which messages were received recently.
 type recentPeers struct {
-	lately    map[string]bool // by name: heard recently
+	recent    map[string]bool // by name: heard recently
 	withStore map[string]bool // those that can reach the store
 	crossCell map[string]bool // those of other cells that sent digests
 }
 
-// newAudience returns the recipients for a gateway in a data centre. The representatives of a cell
+// newRecipients returns the recipients for a gateway in a data centre. The representatives of a cell
 // are its first two gateways, in an order of all gateways that is independent of their names, and
 // the first two that can reach the store, so that one of them may fail unnoticed.
-func newAudience(self, dataCentre string, cells cell.Map, members []peers.Member, recent recentPeers) recipients {
+func newRecipients(self, dataCentre string, cells cell.Map, members []peers.Member, recent recentPeers) recipients {
 	r := recipients{localCell: cells.Of(dataCentre), remote: make(map[string][]netip.AddrPort), remoteRecipients: make(map[string][]netip.AddrPort), gateways: 1}
 	preceding, precedingWithStore := 0, 0
 	byCell := make(map[string][]peers.Member)
@@ -54,7 +54,7 @@
 			continue
 		}
 		r.local = append(r.local, m.Address)
-		if !recent.lately[m.Name] {
+		if !recent.recent[m.Name] {
 			continue
 		}
 		r.gateways++
@@ -65,7 +65,7 @@
 			}
 		}
 	}
-	r.speaks = preceding < readers || precedingWithStore < readers
+	r.representative = preceding < storeReaders || precedingWithStore < storeReaders
 	for c, list := range byCell {
 		r.remoteRecipients[c] = selectRemoteRecipients(list, recent.crossCell)
 	}
@@ -78,7 +78,7 @@
 	slices.SortFunc(list, func(a, b peers.Member) int { return compareRank(a.Name, b.Name) })
 	var out []netip.AddrPort
 	for n, m := range list {
-		if n < acrossReceivers || crossCell[m.Name] {
+		if n < minCrossCellReceivers || crossCell[m.Name] {
 			out = append(out, m.Address)
 		}
 	}
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -23,24 +23,24 @@
 	cases := []struct {
 		name    string
 		path    string
-		fail    func(b *bench, c *net.TCPConn)
+		fail    func(b *testGateway, c *net.TCPConn)
 		begun   bool // whether an event arrives first
 		crashes uint64
 	}{
-		{"crash before the answer", "/stream/x", (*bench).crashEndpoint, false, 1},
-		{"crash inside the answer", "/stream/x", (*bench).crashEndpoint, true, 1},
-		{"crash inside an answer that cannot resume", "/story/x", (*bench).crashEndpoint, true, 1},
-		{"crash of a plain service", "/safe/x", (*bench).crashEndpoint, false, 1},
-		{"answer broken off", "/stream/x", func(_ *bench, c *net.TCPConn) { reset(c) }, true, 0},
-		{"no answer", "/safe/x", func(_ *bench, c *net.TCPConn) { reset(c) }, false, 0},
+		{"crash before the answer", "/stream/x", (*testGateway).crashEndpoint, false, 1},
+		{"crash inside the answer", "/stream/x", (*testGateway).crashEndpoint, true, 1},
+		{"crash inside an answer that cannot resume", "/story/x", (*testGateway).crashEndpoint, true, 1},
+		{"crash of a plain service", "/safe/x", (*testGateway).crashEndpoint, false, 1},
+		{"answer broken off", "/stream/x", func(_ *testGateway, c *net.TCPConn) { reset(c) }, true, 0},
+		{"no answer", "/safe/x", func(_ *testGateway, c *net.TCPConn) { reset(c) }, false, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			var b *bench
-			b = newBench(t, func(n int, w *bufio.Writer, c *net.TCPConn, _ *http.Request) {
+			var b *testGateway
+			b = newTestGateway(t, func(n int, w *bufio.Writer, c *net.TCPConn, _ *http.Request) {
 				if n > 1 {
-					answer(w, "200 OK", "", "id: 2\n\n")
+					writeAnswer(w, "200 OK", "", "id: 2\n\n")
 					return
 				}
 				if tc.begun {
@@ -49,8 +49,8 @@
 				}
 				tc.fail(b, c)
 			})
-			b.know()
-			b.ask(t.Context(), "POST", tc.path, "text", nil)
+			b.readSource()
+			b.send(t.Context(), "POST", tc.path, "text", nil)
 			is.Equal(b.gateway.meter.brokenExchanges.Get(), uint64(1))
 			is.Equal(b.gateway.meter.crashes.Get(), tc.crashes)
 		})
--- a/relay/crashfleet_test.go
+++ b/relay/crashfleet_test.go
@@ -72,7 +72,7 @@
 	for _, e := range c.gateways[0].state.Endpoints("s") {
 		c.engines[e.Address] = &scriptedEngine{Endpoint: e, listed: true, conns: make(map[net.Conn]bool)}
 	}
-	c.connect = func(_ int, address string) (net.Conn, error) { return c.dialEngine(address) }
+	c.dialOverride = func(_ int, address string) (net.Conn, error) { return c.dialEngine(address) }
 	return c
 }
 
@@ -196,8 +196,8 @@
 	gateways := slices.Clone(c.gateways)
 	c.mu.Unlock()
 	for _, g := range gateways {
-		for _, changed := range g.state.Listed(list, time.Now(), time.Now(), time.Time{}) {
-			g.memberChanged(changed)
+		for _, changed := range g.state.ApplyList(list, time.Now(), time.Now(), time.Time{}) {
+			g.handleEndpointChange(changed)
 		}
 	}
 }
@@ -274,8 +274,8 @@
 		deps := old.deps
 		deps.Metrics = metrics.NewSet()
 		g := New(old.config, deps)
-		g.state.Take(c.table.Configuration)
-		g.state.Listed(c.list(), time.Now(), time.Now(), time.Time{})
+		g.state.ApplyConfiguration(c.table.Configuration)
+		g.state.ApplyList(c.list(), time.Now(), time.Now(), time.Time{})
 		c.t.Cleanup(g.Close)
 		out = append(out, g)
 	}
--- a/relay/digest.go
+++ b/relay/digest.go
@@ -23,10 +23,10 @@
 	withoutSpare := p.cellsWithoutSpare(now)
 	for _, s := range p.state.Services() {
 		spare := p.spareEndpoints(&s, p.state.EndpointsByCell(s.Name)[localCell], now)
-		d.Short = d.Short || s.Engine != nil && len(spare) == 0
+		d.NoSpareEndpoints = d.NoSpareEndpoints || s.Engine != nil && len(spare) == 0
 		for _, e := range spare {
 			if other, ok := cells.SharedWith(e.ID, localCell, withoutSpare); ok && other == to {
-				d.Loads[e.ID] = p.book.LoadWithout(e.ID, theirs, now)
+				d.Loads[e.ID] = p.book.LoadExcluding(e.ID, theirs, now)
 			}
 		}
 	}
@@ -51,10 +51,10 @@
 		if _, limited := p.limits.limit(e.ID); limited {
 			continue // its own cell needs the requests that its rate limit permits
 		}
-		if p.state.Resting(e.ID, now) {
+		if p.state.InBackoff(e.ID, now) {
 			continue
 		}
-		if p.policy.Spare(s.Engine, e.Slots, p.book.Load(e.ID, now)) && !p.health.Suspect(e.ID, now) {
+		if p.policy.HasSpareCapacity(s.Engine, e.Slots, p.book.Load(e.ID, now)) && !p.health.Suspect(e.ID, now) {
 			out = append(out, e)
 		}
 	}
@@ -64,8 +64,8 @@
 	return out
 }
 
-// digests records the digests in a message that was sent after that time.
-func (p *picker) digests(w peers.Word, sentAfter time.Time) {
+// recordDigests records the digests in a message that was sent after that time.
+func (p *picker) recordDigests(w peers.Message, sentAfter time.Time) {
 	cells := p.state.Cells()
 	localCell := cells.Of(p.dataCentre)
 	p.mu.Lock()
@@ -75,8 +75,8 @@
 		if c == localCell {
 			continue
 		}
-		p.remoteCells[c] = remoteCell{d.DataCentre, d.Gateways, d.Short}
-		p.book.TakeDigest(c, balance.Digest{Made: sentAfter.Add(-time.Duration(d.AgeMs) * time.Millisecond), Loads: d.Loads})
+		p.remoteCells[c] = remoteCell{d.DataCentre, d.Gateways, d.NoSpareEndpoints}
+		p.book.StoreDigest(c, balance.Digest{CreatedAt: sentAfter.Add(-time.Duration(d.AgeMs) * time.Millisecond), Loads: d.Loads})
 	}
 }
 
@@ -88,8 +88,8 @@
 	for c, d := range p.book.Digests(now) {
 		other := p.remoteCells[c]
 		out = append(out, peers.Digest{
-			DataCentre: other.dataCentre, Gateways: other.gateways, Short: other.noSpare,
-			AgeMs: now.Sub(d.Made).Milliseconds(), Loads: d.Loads,
+			DataCentre: other.dataCentre, Gateways: other.gateways, NoSpareEndpoints: other.noSpare,
+			AgeMs: now.Sub(d.CreatedAt).Milliseconds(), Loads: d.Loads,
 		})
 	}
 	return out
--- a/relay/endpointlimits.go
+++ b/relay/endpointlimits.go
@@ -19,8 +19,8 @@
 	self    string // name of this gateway
 
 	mu          sync.Mutex
-	known       *ratelimit.Known
-	votes       *ratelimit.Votes
+	known       *ratelimit.LimitTable
+	votes       *ratelimit.Election
 	coordinator *ratelimit.Coordinator
 	// chosenName is the coordinator according to the last evaluation.
 	chosenName string
@@ -38,7 +38,7 @@
 func newEndpointLimits(self string) *endpointLimits {
 	l := &endpointLimits{
 		self:  self,
-		known: ratelimit.NewKnown(), votes: ratelimit.NewVotes(self), coordinator: ratelimit.NewCoordinator(),
+		known: ratelimit.NewLimitTable(), votes: ratelimit.NewElection(self), coordinator: ratelimit.NewCoordinator(),
 		gateways: 1, lastProbe: make(map[string]time.Time),
 	}
 	l.publish()
@@ -75,10 +75,10 @@
 	return l.known.Version(endpoint)
 }
 
-func (l *endpointLimits) recordAnswer(e catalog.Endpoint, sent uint64, n ratelimit.Named, now time.Time) bool {
+func (l *endpointLimits) recordAnswer(e catalog.Endpoint, sent uint64, n ratelimit.AdvertisedLimit, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	changed := l.known.Answered(e.ID, e.Born, sent, n, now)
+	changed := l.known.ApplyResponse(e.ID, e.Born, sent, n, now)
 	if changed {
 		l.publish()
 	}
@@ -93,11 +93,11 @@
 	l.publish()
 }
 
-// outdate clears the votes of other gateways, since the host was suspended.
-func (l *endpointLimits) outdate() {
+// clearVotes clears the votes of other gateways, since the host was suspended.
+func (l *endpointLimits) clearVotes() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.votes.Clear()
+	l.votes.DropVotes()
 }
 
 // chooseCoordinator returns the coordinator, and whether it has changed since the last evaluation;
@@ -141,12 +141,12 @@
 
 // fillMessage adds the limits known to this gateway and its vote to a message for the local cell;
 // regular is set for a message that is sent in any case.
-func (l *endpointLimits) fillMessage(w *peers.Word, regular bool, now time.Time) {
+func (l *endpointLimits) fillMessage(w *peers.Message, regular bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w.Limits = l.known.Tell(regular && l.fullSendDue(now), now)
+	w.Limits = l.known.Updates(regular && l.fullSendDue(now), now)
 	if l.chosenName != "" && !w.Leaving {
-		w.Coordinator = l.votes.Own(now)
+		w.Coordinator = l.votes.OwnVote(now)
 	}
 }
 
@@ -166,23 +166,23 @@
 
 // recordPeer records the vote and the limits that a gateway of the local cell sent; it returns the
 // limits that changed.
-func (l *endpointLimits) recordPeer(w peers.Word, now time.Time) (changes map[string]ratelimit.Named) {
+func (l *endpointLimits) recordPeer(w peers.Message, now time.Time) (changes map[string]ratelimit.AdvertisedLimit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	vote := w.Coordinator
 	if w.Leaving {
 		vote = 0
 	}
-	l.votes.Heard(w.From, vote, now)
+	l.votes.RecordVote(w.From, vote, now)
 	l.newcomer = l.newcomer || vote == 0 && !w.Leaving
 	for id, n := range w.Limits {
-		if !l.known.Heard(id, n, now) {
+		if !l.known.ApplyUpdate(id, n, now) {
 			continue
 		}
 		if changes == nil {
-			changes = make(map[string]ratelimit.Named)
+			changes = make(map[string]ratelimit.AdvertisedLimit)
 		}
-		changes[id] = n.Named
+		changes[id] = n.Limit
 	}
 	if len(changes) > 0 {
 		l.publish()
@@ -203,7 +203,7 @@
 
 // tryGrant decides about a request that waits at this gateway; ok is false if this gateway is not
 // the coordinator.
-func (l *endpointLimits) tryGrant(ask *ratelimit.Ask, now time.Time) (answer ratelimit.Answer, ok bool) {
+func (l *endpointLimits) tryGrant(ask *ratelimit.GrantRequest, now time.Time) (answer ratelimit.Decision, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	share := l.votes.Share(l.gateways, now)
@@ -216,10 +216,10 @@
 	}, now), true
 }
 
-func (l *endpointLimits) removeAsk(ask *ratelimit.Ask) {
+func (l *endpointLimits) removeAsk(ask *ratelimit.GrantRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.coordinator.Leave(ask)
+	l.coordinator.Remove(ask)
 }
 
 // mayProbe reports whether a request may be offered to a service's endpoints with rate limits
@@ -227,7 +227,7 @@
 func (l *endpointLimits) mayProbe(service string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.lastProbe[service]) < ratelimit.ProbeEvery {
+	if now.Sub(l.lastProbe[service]) < ratelimit.ProbeInterval {
 		return false
 	}
 	l.lastProbe[service] = now
@@ -244,45 +244,45 @@
 
 // recordLimit records what an answer says of its endpoint's rate limit, and notifies the other
 // gateways at once if that is new.
-func (g *Gateway) recordLimit(e catalog.Endpoint, sent uint64, named ratelimit.Named, request string) {
+func (g *Gateway) recordLimit(e catalog.Endpoint, sent uint64, named ratelimit.AdvertisedLimit, request string) {
 	now := time.Now()
-	if !g.limits.recordAnswer(e, sent, named, now) {
+	if !g.endpointLimits.recordAnswer(e, sent, named, now) {
 		return
 	}
 	g.logLimit(e.ID, named, "answer", request)
 	g.updateCoordinator(now)
-	g.picker.callPeers()
+	g.picker.notifyPeers()
 }
 
-// heardLimits records the limits that a peer of the local cell sent. Endpoints of other cells
+// handlePeerLimits records the limits that a peer of the local cell sent. Endpoints of other cells
 // report their limits to the gateways that send there.
-func (g *Gateway) heardLimits(w peers.Word) {
-	nothing := len(w.Limits) == 0 && w.Coordinator == 0 && !g.limits.any()
-	if nothing || g.fromAfar(w) { // true of most messages: hundreds of gateways receive thousands of them per second
+func (g *Gateway) handlePeerLimits(w peers.Message) {
+	nothing := len(w.Limits) == 0 && w.Coordinator == 0 && !g.endpointLimits.any()
+	if nothing || g.fromOtherCell(w) { // true of most messages: hundreds of gateways receive thousands of them per second
 		return
 	}
 	now := time.Now()
 	w.Limits = g.currentIncarnations(w.Limits)
-	changes := g.limits.recordPeer(w, now)
+	changes := g.endpointLimits.recordPeer(w, now)
 	for id, named := range changes {
 		g.logLimit(id, named, w.From, "")
 	}
 	if changed := g.updateCoordinator(now); changed || len(changes) > 0 {
-		g.picker.callPeers()
+		g.picker.notifyPeers()
 	}
 }
 
 // currentIncarnations returns the notices for the endpoint incarnations that this gateway knows.
 // Other gateways may not have seen yet that an endpoint was restarted, or this one may not; notices
 // for the new incarnation are sent for longer than that takes.
-func (g *Gateway) currentIncarnations(notices map[string]ratelimit.Notice) map[string]ratelimit.Notice {
-	var out map[string]ratelimit.Notice
+func (g *Gateway) currentIncarnations(notices map[string]ratelimit.LimitUpdate) map[string]ratelimit.LimitUpdate {
+	var out map[string]ratelimit.LimitUpdate
 	for id, n := range notices {
 		if e, ok := g.state.Endpoint(id); !ok || e.Born != n.Born {
 			continue
 		}
 		if out == nil {
-			out = make(map[string]ratelimit.Notice)
+			out = make(map[string]ratelimit.LimitUpdate)
 		}
 		out[id] = n
 	}
@@ -292,7 +292,7 @@
 // updateCoordinator re-evaluates which gateway grants sends to endpoints with rate limits; it
 // reports whether that has changed.
 func (g *Gateway) updateCoordinator(now time.Time) bool {
-	name, changed := g.limits.chooseCoordinator(g.leaving.Load(), now)
+	name, changed := g.endpointLimits.chooseCoordinator(g.leaving.Load(), now)
 	if changed {
 		g.deps.Log.Logger().Info("Coordinator of endpoints' limits changed.", "coordinator", name)
 	}
@@ -301,19 +301,19 @@
 
 // refreshLimits is called before each message is sent, and drops expired limits.
 func (g *Gateway) refreshLimits(r recipients, now time.Time) {
-	g.limits.expire(len(r.local)+1, func(id string) bool {
+	g.endpointLimits.expire(len(r.local)+1, func(id string) bool {
 		c, ok := g.state.CellOf(id)
 		return ok && c == r.localCell
 	}, now)
 	if g.updateCoordinator(now) {
-		g.picker.callPeers()
+		g.picker.notifyPeers()
 	}
 }
 
 // logLimit logs a change of the known limit of an endpoint. source is "answer" or the name of a
 // gateway.
-func (g *Gateway) logLimit(endpoint string, n ratelimit.Named, source, request string) {
-	if !n.Is {
+func (g *Gateway) logLimit(endpoint string, n ratelimit.AdvertisedLimit, source, request string) {
+	if !n.Set {
 		g.meter.limitsEnded.Inc()
 		g.deps.Log.Logger().Info("Endpoint limits requests no longer.", "endpoint", endpoint, "from", source, "request", request)
 		return
--- a/relay/engines_test.go
+++ b/relay/engines_test.go
@@ -43,7 +43,7 @@
 		f.down = map[string]bool{addressOf(3): true, addressOf(4): true, addressOf(5): true}
 		f.mu.Unlock()
 		for n, id := range []string{"e3", "e4", "e5"} {
-			f.gateways[n].picker.note(id, health.Unreachable, time.Now())
+			f.gateways[n].picker.recordOutcome(id, health.Unreachable, time.Now())
 		}
 		time.Sleep(500 * time.Millisecond)
 		for _, g := range f.gateways {
@@ -80,7 +80,7 @@
 		f.mu.Unlock()
 		for range 10 {
 			for i := range 60 {
-				f.gateways[0].picker.note(fmt.Sprint("e", i), health.Unreachable, time.Now())
+				f.gateways[0].picker.recordOutcome(fmt.Sprint("e", i), health.Unreachable, time.Now())
 			}
 			time.Sleep(200 * time.Millisecond)
 			for _, g := range f.gateways[1:] {
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -59,9 +59,9 @@
 	// maxDenialProofAge is the age of the proof above which a request with an unknown route or key
 	// is not denied, because a newer configuration may contain the route or key.
 	maxDenialProofAge = 2 * time.Second
-	// unsafeIdle is how long a pooled connection may have been idle to carry a request that may run
+	// maxUnsafeIdle is how long a pooled connection may have been idle to carry a request that may run
 	// only once: endpoints drop idle connections.
-	unsafeIdle = 1500 * time.Millisecond
+	maxUnsafeIdle = 1500 * time.Millisecond
 )
 
 // exchange is one caller's request in the gateway.
@@ -79,14 +79,14 @@
 	started   time.Time
 	deadline  time.Time
 
-	attempts int // attempts that may have reached an endpoint
-	unsent   int // attempts that did not reach an endpoint
+	attempts       int // attempts that may have reached an endpoint
+	unsentAttempts int // attempts that did not reach an endpoint
 	// helperFailures counts those of the attempts that did not run because a helper failed.
 	// sentEndpoints lists the endpoints that any attempt was sent to.
 	helperFailures    int
 	sentEndpoints     []string
 	tried             []string // endpoints that an attempt was sent to or that could not be reached
-	unfit             []string // endpoints that lacked memory or were reported as faulty
+	excluded          []string // endpoints that lacked memory or were reported as faulty
 	mayRun            bool     // whether an attempt may have run, or may run later
 	retryGranted      bool     // whether the next attempt needs no charge to the retry budget
 	stream            *eventStream
@@ -139,8 +139,8 @@
 	if x.service == nil {
 		return retryAfterFull
 	}
-	if rests := x.g.state.RestOf(x.service.Name, now); rests.open == 0 && rests.closed > 0 && rests.opens.After(now) {
-		return x.g.state.SendAway(x.service.Name, rests.opens, now)
+	if rests := x.g.state.ServiceBackoff(x.service.Name, now); rests.open == 0 && rests.closed > 0 && rests.opensAt.After(now) {
+		return x.g.state.BackoffRetryAfter(x.service.Name, rests.opensAt, now)
 	}
 	return retryAfterFull
 }
@@ -149,9 +149,9 @@
 func (x *exchange) run() outcome {
 	ctx, cancel := context.WithDeadline(x.r.Context(), x.deadline)
 	defer cancel()
-	x.g.picker.request(x.service.Name, x.started)
+	x.g.picker.countRequest(x.service.Name, x.started)
 	for {
-		at, o := x.place(ctx)
+		at, o := x.findPlacement(ctx)
 		if at == nil {
 			return o
 		}
@@ -186,7 +186,7 @@
 // the request waited or the process was frozen. Peers may have reported crashes while the request
 // waited for an endpoint.
 func (x *exchange) mayProceed() (outcome, bool) {
-	x.countSuspension()
+	x.deductSuspension()
 	if time.Until(x.deadline) < minRemaining {
 		return x.giveUp(outOfTime), false
 	}
@@ -202,13 +202,13 @@
 		x.retryGranted = false
 		return true
 	}
-	switch x.patience().afterSend(x.route, x.mayRun) {
-	case giveUp:
+	switch x.waitPolicy().afterSend(x.route, x.mayRun) {
+	case noRetry:
 		return false
-	case sendAgain:
+	case freeRetry:
 		return true
 	}
-	ok := x.g.picker.retry(x.service.Name, time.Now())
+	ok := x.g.picker.takeRetry(x.service.Name, time.Now())
 	if ok {
 		x.g.meter.retries.Inc()
 	}
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -30,8 +30,8 @@
 )
 
 const (
-	nearDelay = time.Millisecond     // of a message inside a data centre
-	farDelay  = 3 * time.Millisecond // of a message between two data centres
+	localDelay  = time.Millisecond     // of a message inside a data centre
+	remoteDelay = 3 * time.Millisecond // of a message between two data centres
 )
 
 // testFleet is a set of gateways in several data centres with engines, in one process under virtual
@@ -53,8 +53,8 @@
 	// cutOff gateways cannot reach any engine.
 	cutOff map[int]bool
 	dials  int // connection attempts to engines that are down
-	// connect replaces dial if it is set.
-	connect func(gateway int, address string) (net.Conn, error)
+	// dialOverride replaces dial if it is set.
+	dialOverride func(gateway int, address string) (net.Conn, error)
 }
 
 // dial connects a gateway to an engine that reports its pace and nothing else.
@@ -88,7 +88,7 @@
 func (f *testFleet) runWatch(ctx context.Context, i int) {
 	g := f.gateways[i]
 	others := slices.Delete(slices.Clone(f.members), i, i+1)
-	var list map[string]*watched
+	var list map[string]*watchedEndpoint
 	for ; ctx.Err() == nil; time.Sleep(watchInterval) {
 		now := time.Now()
 		list = g.assignedEndpoints(list, others, now)
@@ -115,17 +115,17 @@
 	t.Cleanup(func() { events.Close(time.Second) })
 	for i := range gateways {
 		dc := fmt.Sprint("dc", i%dataCentres)
-		g := New(Config{Name: fmt.Sprint("g", i), DataCentre: dc, DrainTime: time.Minute, Policy: balance.Default(), Retries: limits.WindowConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}}, Deps{Protocol: testProtocol{}, Log: events, Metrics: metrics.NewSet(), Endpoints: upstream.New(upstream.Options{
+		g := New(Config{Name: fmt.Sprint("g", i), DataCentre: dc, DrainTime: time.Minute, Policy: balance.Default(), Retries: limits.RetryWindowConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}}, Deps{Protocol: testProtocol{}, Log: events, Metrics: metrics.NewSet(), Endpoints: upstream.New(upstream.Options{
 			MaxIdle: time.Minute, IdlePerHost: 1,
 			Dialer: func(_ context.Context, address string) (net.Conn, error) {
-				if f.connect != nil {
-					return f.connect(i, address)
+				if f.dialOverride != nil {
+					return f.dialOverride(i, address)
 				}
 				return f.dial(i, address)
 			},
 		})})
-		g.state.Take(c)
-		g.state.Listed(list, time.Now(), time.Now(), time.Time{})
+		g.state.ApplyConfiguration(c)
+		g.state.ApplyList(list, time.Now(), time.Now(), time.Time{})
 		f.gateways = append(f.gateways, g)
 		f.members = append(f.members, peers.Member{Name: g.config.Name, DataCentre: dc, Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(i+1))})
 	}
@@ -145,34 +145,34 @@
 func (f *testFleet) sendMessages(ctx context.Context, i int) {
 	g := f.gateways[i]
 	time.Sleep(time.Duration(i) * 7 * time.Millisecond) // gateways are not synchronized
-	heartbeat := time.NewTicker(tellEvery)
+	heartbeat := time.NewTicker(broadcastInterval)
 	defer heartbeat.Stop()
 	for beat := 0; ctx.Err() == nil; {
-		reason := changed
+		reason := loadChanged
 		select {
 		case <-ctx.Done():
 			return
 		case <-heartbeat.C:
-			reason = due
-			if beat++; beat%digestEvery == 0 {
-				reason = dueDigests
+			reason = broadcastDue
+			if beat++; beat%broadcastsPerDigest == 0 {
+				reason = digestsDue
 			}
-		case <-g.news:
-			reason = proved
-		case <-g.picker.urgent:
+		case <-g.fullMessageDue:
+			reason = proofRead
+		case <-g.picker.sendSoon:
 		}
 		now := time.Now()
 		others := slices.Delete(slices.Clone(f.members), i, i+1)
-		a := newAudience(g.config.Name, g.config.DataCentre, g.state.Cells(), others, g.sharing.peers(now))
+		a := newRecipients(g.config.Name, g.config.DataCentre, g.state.Cells(), others, g.storeReads.recentPeers(now))
 		for _, l := range g.outgoing(a, reason, now) {
 			f.deliver(i, l, now)
 		}
-		time.Sleep(tellGap)
+		time.Sleep(minBroadcastGap)
 	}
 }
 
-func (f *testFleet) deliver(from int, l message, said time.Time) {
-	w := l.word
+func (f *testFleet) deliver(from int, l outgoingMessage, said time.Time) {
+	w := l.message
 	w.From = f.gateways[from].config.Name
 	f.mu.Lock()
 	f.messagesSent[from] += len(l.to)
@@ -184,31 +184,31 @@
 			continue
 		}
 		f.mu.Lock()
-		f.crashReports[n] += len(w.Crashes)
+		f.crashReports[n] += len(w.CrashReports)
 		f.mu.Unlock()
-		delay := nearDelay
+		delay := localDelay
 		if f.members[n].DataCentre != f.members[from].DataCentre {
-			delay = farDelay
+			delay = remoteDelay
 		}
 		w := w
 		w.Loads = maps.Clone(w.Loads) // receivers modify the map that they keep
 		time.AfterFunc(delay, func() {
 			now := time.Now()
 			g := f.gateways[n]
-			g.picker.peer(w, now)
-			g.heardCrashes(w)
-			g.heardLimits(w)
-			g.heardLeaves(w)
-			g.sharing.mu.Lock()
-			g.sharing.heardStore(w, now)
-			g.sharing.mu.Unlock()
-			g.picker.digests(w, said)
+			g.picker.recordPeer(w, now)
+			g.handleCrashReports(w)
+			g.handlePeerLimits(w)
+			g.handlePeerDrains(w)
+			g.storeReads.mu.Lock()
+			g.storeReads.recordPeerStore(w, now)
+			g.storeReads.mu.Unlock()
+			g.picker.recordDigests(w, said)
 		})
 	}
 }
 
-// setLose sets which messages are lost from now on.
-func (f *testFleet) setLose(lose func(from, to int) bool) {
+// setDrops sets which messages are lost from now on.
+func (f *testFleet) setDrops(lose func(from, to int) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.drops = lose
@@ -227,10 +227,10 @@
 func (f *testFleet) ask(ctx context.Context, gateway, tokens int) (waited time.Duration, placed, remote bool) {
 	start := time.Now()
 	x := &exchange{
-		g: f.gateways[gateway], w: httptest.NewRecorder(), r: httptest.NewRequestWithContext(ctx, "POST", "/", nil), call: Call{ID: "r", Input: tokens, Output: 300},
+		g: f.gateways[gateway], w: httptest.NewRecorder(), r: httptest.NewRequestWithContext(ctx, "POST", "/", nil), call: Call{ID: "r", PromptTokens: tokens, MaxTokens: 300},
 		table: f.table, route: &f.table.Configuration.Routes[0], service: &f.table.Configuration.Services[0], started: start, deadline: start.Add(15 * time.Second),
 	}
-	at, _ := x.place(ctx)
+	at, _ := x.findPlacement(ctx)
 	waited = time.Since(start)
 	if at == nil {
 		return waited, false, false
@@ -240,7 +240,7 @@
 	x.recordPart(at)
 	time.Sleep(time.Second)
 	at.release()
-	return waited, true, at.remote > 0
+	return waited, true, at.remoteEndpoints > 0
 }
 
 // address returns an engine's address.
@@ -251,7 +251,7 @@
 
 // simulateRead records the prefill of a prompt at its engines and returns how long the slowest part
 // takes.
-func (f *testFleet) simulateRead(at *place) time.Duration {
+func (f *testFleet) simulateRead(at *placement) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
@@ -262,7 +262,7 @@
 		} else {
 			f.busyUntil[l.endpoint] = now
 		}
-		reading := l.load.ReadMs * max(1, f.paces[f.address(l.endpoint)])
+		reading := l.load.PrefillMs * max(1, f.paces[f.address(l.endpoint)])
 		f.busyUntil[l.endpoint] = f.busyUntil[l.endpoint].Add(time.Duration(reading * float64(time.Millisecond)))
 		last = max(last, f.busyUntil[l.endpoint].Sub(now))
 	}
@@ -363,7 +363,7 @@
 	one, five := quiet(1), quiet(5)
 	is.Equal(one[len(one)/2], 20) // four messages a second to five others
 	is.Equal(five[len(five)/2], one[len(one)/2])
-	is.True(five[len(five)-1] <= one[len(one)-1]+2*4*(acrossReceivers+readers))
+	is.True(five[len(five)-1] <= one[len(one)-1]+2*4*(minCrossCellReceivers+storeReaders))
 }
 
 // TestCellSpeakerFailover: when the two speakers of a cell fall silent, other gateways speak for it
@@ -391,7 +391,7 @@
 				time.Sleep(3 * time.Second)
 				lose := c.drops(f)
 				asking := f.firstCellMembers() // before others speak
-				f.setLose(lose)
+				f.setDrops(lose)
 				time.Sleep(2 * time.Second)
 				r := f.burst(t, 24, 190_000, func(n int) int { return asking[n%len(asking)] })
 				t.Logf("%+v, %d overlapping parts", r, f.overlaps)
@@ -408,7 +408,7 @@
 	now := time.Now()
 	for i, g := range f.gateways {
 		others := slices.Delete(slices.Clone(f.members), i, i+1)
-		if newAudience(g.config.Name, g.config.DataCentre, g.state.Cells(), others, g.sharing.peers(now)).speaks {
+		if newRecipients(g.config.Name, g.config.DataCentre, g.state.Cells(), others, g.storeReads.recentPeers(now)).representative {
 			out[i] = true
 		}
 	}
--- a/relay/follow.go
+++ b/relay/follow.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// readEvery is the interval between reads of configuration and endpoints in normal operation:
+	// readInterval is the interval between reads of configuration and endpoints in normal operation:
 	// less than half of the two seconds within which a change must be in force.
-	readEvery = 800 * time.Millisecond
+	readInterval = 800 * time.Millisecond
 	// readRetryInterval is the pause after a failed read.
 	readRetryInterval = 300 * time.Millisecond
 	// readDeferral is how long a gateway leaves the store to peers that query it without reaching
@@ -22,13 +22,13 @@
 	// silentAfter is how long the store may take for one answer before peers are told that it is
 	// unavailable: twice the time of a slow answer.
 	silentAfter = 600 * time.Millisecond
-	// readTime bounds one read; a slow store answers within a quarter of it.
-	readTime = 1500 * time.Millisecond
+	// readTimeout bounds one read; a slow store answers within a quarter of it.
+	readTimeout = 1500 * time.Millisecond
 	// listTimeout bounds the read of a whole list, which is paged: 3,000 endpoints are 61 pages,
 	// too many for readTime on a host with 0.144 of a core.
 	listTimeout = 8 * time.Second
-	// askPeersAfter is the age of this gateway's proof at which it asks peers for theirs.
-	askPeersAfter = 1600 * time.Millisecond
+	// peerQueryAge is the age of this gateway's proof at which it asks peers for theirs.
+	peerQueryAge = 1600 * time.Millisecond
 	// gatewaysInterval is how often the list of gateways is read and this gateway's entry renewed:
 	// a third of the entry's lease. gatewaysFirstDelay is the delay before the first renewal, when
 	// gateways that started together have entries. Between reads gateways know each other from
@@ -41,24 +41,24 @@
 func (g *Gateway) followConfiguration() {
 	lost := false
 	for {
-		wait := readEvery
+		wait := readInterval
 		if g.shouldReadStore(g.proofAge()) {
 			sent := time.Now()
 			err := g.readConfiguration(sent)
-			g.sharing.recordRead(err, time.Now())
+			g.storeReads.recordRead(err, time.Now())
 			if (err != nil) != lost {
 				lost = err != nil
 				g.logDependency("configuration store", lost, err)
 			}
 			if err != nil {
-				g.askPeers()
+				g.queryPeers()
 				wait = readRetryInterval
 			}
-			g.tellNews()
+			g.broadcastSoon()
 		} else {
 			wait = readRetryInterval
 		}
-		if !g.pauseAwake(wait) {
+		if !g.pauseOrResume(wait) {
 			return
 		}
 	}
@@ -66,7 +66,7 @@
 
 // shouldReadStore reports whether this gateway reads the store now, given the age of its data.
 func (g *Gateway) shouldReadStore(age time.Duration) bool {
-	return g.deps.Mesh == nil || g.sharing.shouldRead(g.config.Name, age, time.Now())
+	return g.deps.Mesh == nil || g.storeReads.shouldRead(g.config.Name, age, time.Now())
 }
 
 func (g *Gateway) proofAge() time.Duration {
@@ -75,16 +75,16 @@
 }
 
 func (g *Gateway) readConfiguration(sent time.Time) error {
-	ctx, cancel := context.WithTimeout(g.ctx, readTime)
+	ctx, cancel := context.WithTimeout(g.ctx, readTimeout)
 	defer cancel()
-	g.suspendedTime()
-	if !g.suspension.after(sent) {
+	g.checkSuspension()
+	if !g.suspensions.notBeforeSuspension(sent) {
 		sent = time.Now() // the host was suspended just before
 	}
-	g.sharing.recordQuery(sent)
+	g.storeReads.recordQuery(sent)
 	silent := time.AfterFunc(silentAfter, func() {
-		g.sharing.recordRead(errSilent, time.Now())
-		g.tellNews()
+		g.storeReads.recordRead(errSilent, time.Now())
+		g.broadcastSoon()
 	})
 	defer silent.Stop()
 	c, err := g.deps.Source.Configuration(ctx)
@@ -95,14 +95,14 @@
 	}
 	if c == nil {
 		// Peers may know a newer one that an older copy of the store does not contain.
-		g.state.Prove(g.lastRead.Load(), sent)
+		g.state.RecordProof(g.lastReadVersion.Load(), sent)
 		return nil
 	}
-	g.lastRead.Store(c.Version)
-	if g.state.Take(c) {
+	g.lastReadVersion.Store(c.Version)
+	if g.state.ApplyConfiguration(c) {
 		g.deps.Log.Logger().Info("Configuration in force.", "version", c.Version, "from", "store", "read_ms", time.Since(sent).Milliseconds())
 	}
-	g.state.Prove(c.Version, sent)
+	g.state.RecordProof(c.Version, sent)
 	return nil
 }
 
@@ -120,12 +120,12 @@
 func (g *Gateway) followEndpoints() {
 	for {
 		wait := readRetryInterval
-		if g.shouldReadStore(g.sharing.endpointsAge(time.Now())) {
+		if g.shouldReadStore(g.storeReads.endpointsAge(time.Now())) {
 			if g.readEndpoints() {
-				wait = readEvery
+				wait = readInterval
 			}
 		}
-		if !g.pauseAwake(wait) {
+		if !g.pauseOrResume(wait) {
 			return
 		}
 	}
@@ -138,32 +138,32 @@
 func (g *Gateway) readEndpoints() bool {
 	ctx, cancel := context.WithTimeout(g.ctx, listTimeout)
 	defer cancel()
-	g.suspendedTime()
+	g.checkSuspension()
 	sent := time.Now()
-	g.sharing.recordQuery(sent)
-	g.sharing.cancelAtList(cancel) // a peer may have it sooner
+	g.storeReads.recordQuery(sent)
+	g.storeReads.cancelAtList(cancel) // a peer may have it sooner
 	list, err := g.deps.Source.Endpoints(ctx)
 	g.checkStoreEra()
-	if err != nil && g.sharing.endpointsAge(time.Now()) < takeOver {
+	if err != nil && g.storeReads.endpointsAge(time.Now()) < takeoverAge {
 		return true
 	}
-	g.sharing.recordRead(err, time.Now())
+	g.storeReads.recordRead(err, time.Now())
 	if err != nil {
 		g.meter.storeFailures.Inc()
 		g.deps.Log.Logger().Debug("The list of endpoints could not be read.", "err", err)
 		return false
 	}
-	g.sharing.read(list, sent)
+	g.storeReads.recordList(list, sent)
 	g.applyEndpoints()
-	g.tellNews()
+	g.broadcastSoon()
 	return true
 }
 
-func (g *Gateway) memberChanged(c EndpointChange) {
+func (g *Gateway) handleEndpointChange(c EndpointChange) {
 	e := c.Endpoint
 	g.deps.Log.Logger().Info("Endpoint changed.", "endpoint", e.ID, "change", string(c.Kind), "from", c.Source, "born", e.Born, "service", e.Service, "address", e.Address)
 	if c.Kind == changeRestarted && g.state.DrainDoubted(e) {
-		g.tasks.Go(func() { g.settleDoubtedDrain(e) })
+		g.background.Go(func() { g.settleDoubtedDrain(e) })
 	}
 	if c.Kind == changeDraining {
 		g.deps.Endpoints.Forget(e.ID) // close idle connections
@@ -171,7 +171,7 @@
 	if c.Kind == changeGone || c.Kind == changeRestarted {
 		g.deps.Endpoints.Forget(e.ID)
 		g.picker.forget(e.ID)
-		g.limits.forget(e.ID)
+		g.endpointLimits.forget(e.ID)
 	}
 }
 
@@ -182,7 +182,7 @@
 	}
 	lost := false
 	for wait := gatewaysFirstDelay; ; wait = gatewaysInterval {
-		ctx, cancel := context.WithTimeout(g.ctx, readTime)
+		ctx, cancel := context.WithTimeout(g.ctx, readTimeout)
 		list, err := g.deps.Source.Gateways(ctx)
 		cancel()
 		g.checkStoreEra()
@@ -192,7 +192,7 @@
 		}
 		if len(list) > 0 {
 			g.deps.Mesh.SetMembers(list)
-			g.listedGateways.Store(int64(len(list)))
+			g.listedGatewayCount.Store(int64(len(list)))
 			if !g.config.FirstStart {
 				g.picker.setListedGateways(len(list), time.Now()) // entries outlive their processes
 			}
--- a/relay/gateway.go
+++ b/relay/gateway.go
@@ -26,7 +26,7 @@
 	// gateway without a proof of its configuration that is newer than this refuses requests with
 	// keys. Zero: no proof is needed.
 	RevokeAfter time.Duration
-	Retries     limits.WindowConfig
+	Retries     limits.RetryWindowConfig
 	// UnusedMemory is the longest that memory may stay reserved at an endpoint without use.
 	UnusedMemory time.Duration
 	// DrainTime is the time from the stop signal to the end of the process.
@@ -62,66 +62,66 @@
 	picker *picker
 	meter  *meter
 
-	started     time.Time
-	ctx         context.Context
-	cancel      context.CancelFunc
-	tasks       sync.WaitGroup
-	inFlight    atomic.Int64
-	bodyBytes   atomic.Int64 // total size of the request bodies in memory
-	leaving     atomic.Bool
-	stopAt      atomic.Pointer[time.Time] // when the stop signal arrived
-	peers       *peerClient
-	sharing     *sharing
-	servers     *callerServers
-	crashProbes *crashProbes
-	quarantined *quarantineTable
-	suspension  *suspensionDetector
-	limits      *endpointLimits
-	grants      *peerClient
+	started        time.Time
+	ctx            context.Context
+	cancel         context.CancelFunc
+	background     sync.WaitGroup
+	inFlight       atomic.Int64
+	bodyBytes      atomic.Int64 // total size of the request bodies in memory
+	leaving        atomic.Bool
+	stoppedAt      atomic.Pointer[time.Time] // when the stop signal arrived
+	peerClient     *peerClient
+	storeReads     *storeReads
+	servers        *callerServers
+	crashProbes    *crashProbes
+	quarantine     *quarantineTable
+	suspensions    *suspensionDetector
+	endpointLimits *endpointLimits
+	grantClient    *peerClient
 	// askCoordinator requests a grant from another gateway.
 	askCoordinator func(ctx context.Context, name string, q grantQuestion) (grantAnswer, error)
 	// configurationDocument and endpointsDocument are the documents that peers request.
 	configurationDocument, endpointsDocument compressedDocument
-	// news requests that a complete message be sent to the peers soon.
-	news chan struct{}
-	// lastRead is the version of the configuration that this gateway's last own read returned.
-	lastRead atomic.Uint64
-	// listedGateways is the number of gateways in the store's newest list.
-	listedGateways atomic.Int64
+	// fullMessageDue requests that a complete message be sent to the peers soon.
+	fullMessageDue chan struct{}
+	// lastReadVersion is the version of the configuration that this gateway's last own read returned.
+	lastReadVersion atomic.Uint64
+	// listedGatewayCount is the number of gateways in the store's newest list.
+	listedGatewayCount atomic.Int64
 }
 
 // New returns a gateway whose background tasks run until Close.
 func New(c Config, d Deps) *Gateway {
-	g := &Gateway{config: c, deps: d, state: NewState(), meter: newMeter(d.Metrics), news: make(chan struct{}, 1), started: time.Now()}
+	g := &Gateway{config: c, deps: d, state: NewState(), meter: newMeter(d.Metrics), fullMessageDue: make(chan struct{}, 1), started: time.Now()}
 	g.picker = newPicker(c.Name, c.DataCentre, g.state, c.Policy, c.Retries)
 	if d.Mesh != nil {
-		g.picker.knowsFleet = g.started.Add(fleetTime)
+		g.picker.fleetKnownAt = g.started.Add(fleetDiscoveryTime)
 	}
 	g.ctx, g.cancel = context.WithCancel(context.Background())
-	g.peers = newPeerClient(d.PeerPort)
-	g.sharing = newSharing()
+	g.peerClient = newPeerClient(d.PeerPort)
+	g.storeReads = newStoreReads()
 	g.servers = newCallerServers(g)
 	g.crashProbes = newCrashProbes()
-	g.quarantined = newQuarantineTable()
-	g.suspension = newSuspensionDetector(d.Suspended)
-	g.limits = g.picker.limits
-	g.grants = newGrantClient(d.PeerPort)
-	g.askCoordinator = g.askPeerGrant
+	g.quarantine = newQuarantineTable()
+	g.suspensions = newSuspensionDetector(d.Suspended)
+	g.endpointLimits = g.picker.limits
+	g.grantClient = newGrantClient(d.PeerPort)
+	g.askCoordinator = g.requestPeerGrant
 	return g
 }
 
 // Start starts the background tasks.
 func (g *Gateway) Start() {
-	for _, task := range []func(){g.followGateways, g.tell, g.hear, g.keepQuarantined, g.pollSuspensions} {
-		g.tasks.Go(task)
+	for _, task := range []func(){g.followGateways, g.broadcastLoop, g.receivePeers, g.storeQuarantined, g.pollSuspensions} {
+		g.background.Go(task)
 	}
 	if !g.config.FirstStart {
-		g.tasks.Go(g.loadQuarantined)
+		g.background.Go(g.loadQuarantined)
 	}
-	g.tasks.Go(func() {
-		g.learn()
-		g.tasks.Go(g.followEndpoints)
-		g.tasks.Go(g.watchEndpoints)
+	g.background.Go(func() {
+		g.bootstrap()
+		g.background.Go(g.followEndpoints)
+		g.background.Go(g.watchEndpoints)
 		g.followConfiguration()
 	})
 }
@@ -143,7 +143,7 @@
 func (g *Gateway) waitForTasks() {
 	done := make(chan struct{})
 	go func() {
-		g.tasks.Wait()
+		g.background.Wait()
 		close(done)
 	}()
 	select {
--- a/relay/gateway_test.go
+++ b/relay/gateway_test.go
@@ -19,11 +19,11 @@
 
 func TestRelaysRequestUnchanged(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
-		answer(w, "203 Fine", "Seal: x\r\nTwice: 1\r\nTwice: 2\r\nKeep-Alive: timeout=5\r\n", "body")
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
+		writeAnswer(w, "203 Fine", "Seal: x\r\nTwice: 1\r\nTwice: 2\r\nKeep-Alive: timeout=5\r\n", "body")
 	})
-	b.know()
-	got := b.ask(t.Context(), "POST", "/safe/%2F/x?q=%20&q", "asked", http.Header{"Twice": {"1", "2"}})
+	b.readSource()
+	got := b.send(t.Context(), "POST", "/safe/%2F/x?q=%20&q", "asked", http.Header{"Twice": {"1", "2"}})
 	is.NoErr(got.err)
 	is.Equal(got.status, 203)
 	is.Equal(got.body, "body")
@@ -43,8 +43,8 @@
 // the first attempt.
 func TestFirstAttemptFaults(t *testing.T) {
 	reset := func(_ *bufio.Writer, c *net.TCPConn) { reset(c) }
-	full := func(w *bufio.Writer, _ *net.TCPConn) { answer(w, "503 Full", "Not-Run: 1\r\n", "") }
-	failed := func(w *bufio.Writer, _ *net.TCPConn) { answer(w, "500 Failed", "", "why") }
+	full := func(w *bufio.Writer, _ *net.TCPConn) { writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "") }
+	failed := func(w *bufio.Writer, _ *net.TCPConn) { writeAnswer(w, "500 Failed", "", "why") }
 	cut := func(w *bufio.Writer, c *net.TCPConn) {
 		_, _ = w.WriteString("HTTP/1.1 200 OK\r\nId: r1\r\nContent-Length: 9\r\n\r\nhalf")
 		_ = w.Flush()
@@ -76,19 +76,19 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(t, func(n int, w *bufio.Writer, c *net.TCPConn, _ *http.Request) {
+			b := newTestGateway(t, func(n int, w *bufio.Writer, c *net.TCPConn, _ *http.Request) {
 				if n == 1 {
 					tc.fault(w, c)
 					return
 				}
-				answer(w, "200 OK", "", "second\n\n")
+				writeAnswer(w, "200 OK", "", "second\n\n")
 			})
-			b.know()
-			got := b.ask(t.Context(), "POST", tc.path, "", nil)
+			b.readSource()
+			got := b.send(t.Context(), "POST", tc.path, "", nil)
 			is.Equal(got.status, tc.status)
 			is.Equal(got.body, tc.body)
 			is.Equal(got.err != nil, tc.broken)
-			is.Equal(b.arrivals(), tc.arrivals)
+			is.Equal(b.requestCount(), tc.arrivals)
 		})
 	}
 }
@@ -97,22 +97,22 @@
 // many attempts as its route allows.
 func TestAllEndpointsFull(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
-		answer(w, "503 Full", "Not-Run: 1\r\nSeal: x\r\n", "")
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
+		writeAnswer(w, "503 Full", "Not-Run: 1\r\nSeal: x\r\n", "")
 	})
-	b.know()
-	got := b.ask(t.Context(), "POST", "/once/", "", nil)
+	b.readSource()
+	got := b.send(t.Context(), "POST", "/once/", "", nil)
 	is.Equal(got.status, 503)
 	is.Equal(got.header.Get("Seal"), "")
 	is.True(got.header.Get("Retry-After") != "")
-	is.Equal(b.arrivals(), 2)
+	is.Equal(b.requestCount(), 2)
 }
 
 // TestStreamResumesElsewhere: a stream that breaks inside an event resumes at the other endpoint
 // after the last complete event, under the head of the first answer.
 func TestStreamResumesElsewhere(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(n int, w *bufio.Writer, c *net.TCPConn, _ *http.Request) {
+	b := newTestGateway(t, func(n int, w *bufio.Writer, c *net.TCPConn, _ *http.Request) {
 		_, _ = w.WriteString("HTTP/1.1 200 OK\r\nId: r1\r\nSeal: " + strconv.Itoa(n) + "\r\nTransfer-Encoding: chunked\r\n\r\n")
 		if n == 1 {
 			_, _ = w.WriteString("17\r\nid: 1\ndata: a\n\nid: 2\nda\r\n")
@@ -122,8 +122,8 @@
 		}
 		_, _ = w.WriteString("f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n")
 	})
-	b.know()
-	got := b.ask(t.Context(), "POST", "/stream/", "", nil)
+	b.readSource()
+	got := b.send(t.Context(), "POST", "/stream/", "", nil)
 	is.NoErr(got.err)
 	is.Equal(got.body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
 	is.Equal(got.header.Get("Seal"), "1")
@@ -135,16 +135,16 @@
 // endpoint, so that the answer does not look complete.
 func TestStreamNotResumedForever(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(n int, w *bufio.Writer, c *net.TCPConn, _ *http.Request) {
+	b := newTestGateway(t, func(n int, w *bufio.Writer, c *net.TCPConn, _ *http.Request) {
 		_, _ = w.WriteString("HTTP/1.1 200 OK\r\nId: r1\r\n\r\nid: " + strconv.Itoa(n) + "\ndata: a\n\nid:")
 		_ = w.Flush()
 		_ = c.Close()
 	})
-	b.know()
-	got := b.ask(t.Context(), "POST", "/stream/", "", nil)
+	b.readSource()
+	got := b.send(t.Context(), "POST", "/stream/", "", nil)
 	is.True(got.err != nil)
 	is.Equal(got.body, "id: 1\ndata: a\n\nid: 2\ndata: a\n\n")
-	is.Equal(b.arrivals(), 2)
+	is.Equal(b.requestCount(), 2)
 }
 
 // TestWrongEndpoint: an endpoint whose address belongs to another incarnation is not used again.
@@ -152,63 +152,63 @@
 func TestWrongEndpoint(t *testing.T) {
 	is := is.New(t)
 	wrong := ""
-	b := newBench(t, func(n int, w *bufio.Writer, _ *net.TCPConn, r *http.Request) {
+	b := newTestGateway(t, func(n int, w *bufio.Writer, _ *net.TCPConn, r *http.Request) {
 		if n == 1 {
 			wrong = r.Header.Get("Endpoint")
 		}
 		if r.Header.Get("Endpoint") == wrong {
-			answer(w, "421 Misdirected", "", "")
+			writeAnswer(w, "421 Misdirected", "", "")
 			return
 		}
-		answer(w, "200 OK", "", "")
+		writeAnswer(w, "200 OK", "", "")
 	})
-	b.know()
+	b.readSource()
 	for range 3 {
-		got := b.ask(t.Context(), "POST", "/once/", "", nil)
+		got := b.send(t.Context(), "POST", "/once/", "", nil)
 		is.Equal(got.status, 200)
 	}
-	is.Equal(b.arrivals(), 4)
+	is.Equal(b.requestCount(), 4)
 }
 
 func TestDeadline(t *testing.T) {
 	is := is.New(t)
 	hold := make(chan struct{})
-	b := newBench(t, func(int, *bufio.Writer, *net.TCPConn, *http.Request) { <-hold })
+	b := newTestGateway(t, func(int, *bufio.Writer, *net.TCPConn, *http.Request) { <-hold })
 	defer close(hold)
-	b.know()
-	got := b.ask(t.Context(), "GET", "/safe/", "", http.Header{"Wait-Ms": {"200"}})
+	b.readSource()
+	got := b.send(t.Context(), "GET", "/safe/", "", http.Header{"Wait-Ms": {"200"}})
 	is.Equal(got.status, 504)
 	left, err := strconv.Atoi(b.requestAt(0).Header.Get("Left-Ms"))
 	is.NoErr(err)
 	is.True(left <= 200)
-	got = b.ask(t.Context(), "GET", "/safe/", "", http.Header{"Wait-Ms": {"1"}})
+	got = b.send(t.Context(), "GET", "/safe/", "", http.Header{"Wait-Ms": {"1"}})
 	is.Equal(got.status, 503) // not sent, so it has not run
-	is.Equal(b.arrivals(), 1)
+	is.Equal(b.requestCount(), 1)
 }
 
 // TestReservationRefusedByOneEndpoint: a prompt that needs memory at helpers is placed again
 // without the endpoint that refused the reservation.
 func TestReservationRefusedByOneEndpoint(t *testing.T) {
 	is := is.New(t)
-	var b *bench
+	var b *testGateway
 	var mu sync.Mutex
 	refused, reserved := "", 0
-	b = newBench(t, func(_ int, w *bufio.Writer, c *net.TCPConn, r *http.Request) {
+	b = newTestGateway(t, func(_ int, w *bufio.Writer, c *net.TCPConn, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch at := c.LocalAddr().String(); {
 		case !strings.HasPrefix(r.RequestURI, "/reserve/"):
-			answer(w, "200 OK", "", "")
+			writeAnswer(w, "200 OK", "", "")
 		case refused == "" || refused == at:
 			refused = at
-			answer(w, "409 Conflict", "", "")
+			writeAnswer(w, "409 Conflict", "", "")
 		default:
 			reserved++
-			answer(w, "200 OK", "", "")
+			writeAnswer(w, "200 OK", "", "")
 		}
 	})
 	b.configureEngines(1000, "c", "d", "e", "f", "g", "h")
-	got := b.ask(t.Context(), "POST", "/once/", "", http.Header{"Tokens": {"1500"}})
+	got := b.send(t.Context(), "POST", "/once/", "", http.Header{"Tokens": {"1500"}})
 	is.Equal(got.status, 200)
 	mu.Lock()
 	defer mu.Unlock()
@@ -221,7 +221,7 @@
 	is := is.New(t)
 	var mu sync.Mutex
 	dead := ""
-	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, r *http.Request) {
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		helpers := r.Header["Helper"]
@@ -229,16 +229,16 @@
 			dead = helpers[0]
 		}
 		if slices.Contains(helpers, dead) {
-			answer(w, "503 Service Unavailable", "Not-Run: 1\r\nFault: "+dead+"\r\n", "")
+			writeAnswer(w, "503 Service Unavailable", "Not-Run: 1\r\nFault: "+dead+"\r\n", "")
 			return
 		}
-		answer(w, "200 OK", "", "")
+		writeAnswer(w, "200 OK", "", "")
 	})
 	b.configureEngines(100000, "c", "d")
-	got := b.ask(t.Context(), "POST", "/once/", "", http.Header{"Tokens": {"9000"}})
+	got := b.send(t.Context(), "POST", "/once/", "", http.Header{"Tokens": {"9000"}})
 	is.Equal(got.status, 200)
 	is.True(dead != "") // the first attempt had a helper
-	is.Equal(b.arrivals(), 2)
+	is.Equal(b.requestCount(), 2)
 	suspects := 0
 	for _, e := range b.source.endpoints {
 		if b.gateway.picker.health.Suspect(e.ID, time.Now()) {
@@ -256,7 +256,7 @@
 	var mu sync.Mutex
 	var dead []string
 	asked := make(map[string]bool)
-	b := newBench(t, func(_ int, w *bufio.Writer, c *net.TCPConn, r *http.Request) {
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, c *net.TCPConn, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		asked[c.LocalAddr().String()] = true
@@ -266,17 +266,17 @@
 		}
 		for _, helper := range helpers {
 			if slices.Contains(dead, helper) {
-				answer(w, "503 Service Unavailable", "Not-Run: 1\r\nFault: "+helper+"\r\n", "")
+				writeAnswer(w, "503 Service Unavailable", "Not-Run: 1\r\nFault: "+helper+"\r\n", "")
 				return
 			}
 		}
-		answer(w, "200 OK", "", "")
+		writeAnswer(w, "200 OK", "", "")
 	})
 	b.configureEngines(100000, "c", "d", "e", "f", "g", "h")
-	got := b.ask(t.Context(), "POST", "/once/", "", http.Header{"Tokens": {"9000"}})
+	got := b.send(t.Context(), "POST", "/once/", "", http.Header{"Tokens": {"9000"}})
 	is.Equal(got.status, 200)
 	is.Equal(len(dead), 3)
-	is.Equal(b.arrivals(), 4)
+	is.Equal(b.requestCount(), 4)
 	is.True(len(asked) <= 2)
 }
 
@@ -284,7 +284,7 @@
 // longer than its deadline.
 func TestCallerDoesNotReadAnswer(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
 		_, _ = w.WriteString("HTTP/1.1 200 OK\r\nId: r1\r\n\r\n")
 		for {
 			if _, err := w.Write(make([]byte, 64<<10)); err != nil {
@@ -292,13 +292,13 @@
 			}
 		}
 	})
-	b.know()
+	b.readSource()
 	c, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
 	is.NoErr(err)
 	defer c.Close()
 	_, err = io.WriteString(c, "GET /story/ HTTP/1.1\r\nHost: h.example\r\nId: r1\r\nKey: k\r\nWait-Ms: 200\r\n\r\n")
 	is.NoErr(err)
-	for b.arrivals() == 0 || b.gateway.inFlight.Load() > 0 {
+	for b.requestCount() == 0 || b.gateway.inFlight.Load() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -306,38 +306,38 @@
 // TestBodyMemoryLimit: bodies that exceed the memory for all bodies are refused as not run.
 func TestBodyMemoryLimit(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { answer(w, "200 OK", "", "") })
-	b.know()
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeAnswer(w, "200 OK", "", "") })
+	b.readSource()
 	b.gateway.config.BodyMemory = 10
-	is.Equal(b.ask(t.Context(), "POST", "/once/", "0123456789", nil).status, 200)
-	got := b.ask(t.Context(), "POST", "/once/", "0123456789a", nil)
+	is.Equal(b.send(t.Context(), "POST", "/once/", "0123456789", nil).status, 200)
+	got := b.send(t.Context(), "POST", "/once/", "0123456789a", nil)
 	is.Equal(got.status, 503)
 	is.True(got.header.Get("Retry-After") != "")
-	is.Equal(b.ask(t.Context(), "POST", "/once/", "0123456789", nil).status, 200)
-	is.Equal(b.arrivals(), 2)
+	is.Equal(b.send(t.Context(), "POST", "/once/", "0123456789", nil).status, 200)
+	is.Equal(b.requestCount(), 2)
 }
 
 // TestCallerGone: closing the caller's connection closes the connection to the endpoint.
 func TestCallerGone(t *testing.T) {
 	is := is.New(t)
 	arrived, closed := make(chan struct{}), make(chan struct{})
-	b := newBench(t, func(_ int, _ *bufio.Writer, c *net.TCPConn, _ *http.Request) {
+	b := newTestGateway(t, func(_ int, _ *bufio.Writer, c *net.TCPConn, _ *http.Request) {
 		close(arrived)
 		_, err := c.Read(make([]byte, 1))
 		if errors.Is(err, io.EOF) {
 			close(closed)
 		}
 	})
-	b.know()
+	b.readSource()
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-arrived
 		cancel()
 	}()
-	got := b.ask(ctx, "GET", "/safe/", "", nil)
+	got := b.send(ctx, "GET", "/safe/", "", nil)
 	is.True(got.err != nil)
 	<-closed
-	is.Equal(b.arrivals(), 1)
+	is.Equal(b.requestCount(), 1)
 }
 
 // TestShutdown: a shutdown makes the gateway not ready at once and lets requests in flight finish;
@@ -345,15 +345,15 @@
 func TestShutdown(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
-	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
 		close(arrived)
 		<-release
-		answer(w, "200 OK", "", "whole")
+		writeAnswer(w, "200 OK", "", "whole")
 	})
-	b.know()
+	b.readSource()
 	is.True(b.gateway.Ready())
-	answers := make(chan reply, 1)
-	go func() { answers <- b.ask(t.Context(), "POST", "/once/", "", nil) }()
+	answers := make(chan response, 1)
+	go func() { answers <- b.send(t.Context(), "POST", "/once/", "", nil) }()
 	<-arrived
 	stopped := make(chan error, 1)
 	go func() { stopped <- b.gateway.Shutdown(t.Context()) }()
@@ -372,21 +372,21 @@
 // process that has just started waits for it and is served. Later it is refused at once.
 func TestRequestBeforeFirstConfiguration(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { answer(w, "200 OK", "", "x") })
-	done := make(chan reply)
-	go func() { done <- b.ask(t.Context(), "POST", "/safe/x", "", nil) }()
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeAnswer(w, "200 OK", "", "x") })
+	done := make(chan response)
+	go func() { done <- b.send(t.Context(), "POST", "/safe/x", "", nil) }()
 	for b.gateway.inFlight.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	b.know()
+	b.readSource()
 	got := <-done
 	is.NoErr(got.err)
 	is.Equal(got.status, http.StatusOK)
 
-	b = newBench(t, nil)
+	b = newTestGateway(t, nil)
 	b.gateway.started = time.Now().Add(-startupWait)
-	got = b.ask(t.Context(), "POST", "/safe/x", "", nil)
+	got = b.send(t.Context(), "POST", "/safe/x", "", nil)
 	is.NoErr(got.err)
 	is.Equal(got.status, http.StatusServiceUnavailable)
-	is.Equal(b.arrivals(), 0)
+	is.Equal(b.requestCount(), 0)
 }
--- a/relay/grant.go
+++ b/relay/grant.go
@@ -80,11 +80,11 @@
 // requestGrant asks the coordinator, which may be this gateway, for a grant. A nil grant without an
 // error means that the request was refused or has to ask again.
 func (g *Gateway) requestGrant(ctx context.Context, q grantQuestion) (*grant, grantAnswer, error) {
-	asked, suspended := time.Now(), g.suspendedTime()
+	asked, suspended := time.Now(), g.checkSuspension()
 	if g.updateCoordinator(asked) {
-		g.picker.callPeers()
+		g.picker.notifyPeers()
 	}
-	name := g.limits.coordinatorName()
+	name := g.endpointLimits.coordinatorName()
 	ctx, cancel := context.WithTimeout(ctx, q.timeout())
 	defer cancel()
 	var a grantAnswer
@@ -105,15 +105,15 @@
 // after grantHoldTime.
 func (g *Gateway) decideGrant(ctx context.Context, q grantQuestion) (grantAnswer, error) {
 	received := time.Now()
-	ask := &ratelimit.Ask{
+	ask := &ratelimit.GrantRequest{
 		Service: q.Service, Endpoints: q.Endpoints, Urgency: q.Urgency, Probe: q.Probe,
 		Since: received.Add(-time.Duration(q.SinceMs) * time.Millisecond), Until: received.Add(time.Duration(q.WaitMs) * time.Millisecond),
 	}
-	defer g.limits.removeAsk(ask)
+	defer g.endpointLimits.removeAsk(ask)
 	for {
 		now := time.Now()
-		g.suspendedTime() // votes from before a suspension do not count
-		answer, ok := g.limits.tryGrant(ask, now)
+		g.checkSuspension() // votes from before a suspension do not count
+		answer, ok := g.endpointLimits.tryGrant(ask, now)
 		switch {
 		case !ok:
 			return grantAnswer{}, errNotCoordinator
@@ -137,11 +137,11 @@
 	}
 }
 
-// askPeerGrant requests a grant from another gateway.
-func (g *Gateway) askPeerGrant(ctx context.Context, name string, q grantQuestion) (a grantAnswer, err error) {
+// requestPeerGrant requests a grant from another gateway.
+func (g *Gateway) requestPeerGrant(ctx context.Context, name string, q grantQuestion) (a grantAnswer, err error) {
 	for _, m := range g.deps.Mesh.Members(time.Now()) {
 		if m.Name == name {
-			err = g.grants.post(ctx, g.peerURL(m.Address, pathGrant), q, &a)
+			err = g.grantClient.post(ctx, g.peerURL(m.Address, pathGrant), q, &a)
 			return a, err
 		}
 	}
@@ -160,7 +160,7 @@
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	g.answerPeer(w, a)
+	g.writePeerAnswer(w, a)
 }
 
 // maxIdleGrantConns is the number of idle connections to the coordinator that are kept: as many
--- a/relay/handler.go
+++ b/relay/handler.go
@@ -14,7 +14,7 @@
 
 // ServeHTTP relays one request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	x := &exchange{g: g, w: w, r: r, started: time.Now(), countedSuspension: g.suspendedTime()}
+	x := &exchange{g: g, w: w, r: r, started: time.Now(), countedSuspension: g.checkSuspension()}
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	defer x.releaseBodyMemory()
@@ -33,8 +33,8 @@
 		route = *x.route
 	}
 	x.g.deps.Log.Request("Request ended.", "request", x.call.ID, "outcome", string(o), "route", route.Name, "version", x.g.state.Version(),
-		"tokens", x.call.Input, "deadline_ms", x.call.Deadline.Milliseconds(), "objective_ms", route.Objective.Milliseconds(), "pause_ms", route.GapObjective.Milliseconds(),
-		"proof_age_ms", age.Milliseconds(), "attempts", x.attempts, "unsent", x.unsent, "tried", x.tried,
+		"tokens", x.call.PromptTokens, "deadline_ms", x.call.Deadline.Milliseconds(), "objective_ms", route.Objective.Milliseconds(), "pause_ms", route.GapObjective.Milliseconds(),
+		"proof_age_ms", age.Milliseconds(), "attempts", x.attempts, "unsent", x.unsentAttempts, "tried", x.tried,
 		"first_ms", x.firstPartMs(), "gap_ms", x.maxGap.Milliseconds(), "ms", time.Since(x.started).Milliseconds(), "fingerprint", x.knownFingerprint(), "err", x.lastError)
 }
 
@@ -57,7 +57,7 @@
 		return t
 	}
 	if left := startupWait - time.Since(x.g.started); left > 0 {
-		x.g.state.Fresh(x.r.Context(), math.MaxInt64, left)
+		x.g.state.WaitFresh(x.r.Context(), math.MaxInt64, left)
 	}
 	return x.g.state.Table()
 }
@@ -66,7 +66,7 @@
 func (x *exchange) serve() outcome {
 	if x.g.leaving.Load() {
 		x.w.Header().Set("Connection", "close")
-		if x.g.ending() {
+		if x.g.shutdownNoticed() {
 			return x.refuse(http.StatusServiceUnavailable, retryAfterStop, stopping)
 		}
 	}
@@ -90,7 +90,7 @@
 	}
 	// The service is drawn from the route's targets only once, so that a retry uses the same
 	// service.
-	x.service = x.table.Service(target(x.route))
+	x.service = x.table.Service(pickService(x.route))
 	if x.service == nil {
 		return x.refuse(http.StatusServiceUnavailable, retryAfterFull, refusedFull)
 	}
@@ -114,7 +114,7 @@
 	if x.route == nil || !sameTargets(x.route, route) {
 		x.table, x.route = table, route
 		if x.service != nil && table.Service(x.service.Name) == nil {
-			x.service = table.Service(target(route))
+			x.service = table.Service(pickService(route))
 		}
 	}
 	if !table.KeysRequired {
@@ -127,7 +127,7 @@
 	if route.Public || x.g.config.RevokeAfter == 0 {
 		return "", true
 	}
-	if !x.g.state.Fresh(x.r.Context(), x.g.config.RevokeAfter-proofMargin, proofWait) {
+	if !x.g.state.WaitFresh(x.r.Context(), x.g.config.RevokeAfter-proofMargin, proofWait) {
 		return x.refuseWithoutProof(), false
 	}
 	if x.g.state.Table() != table {
--- a/relay/harness_test.go
+++ b/relay/harness_test.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return c, err
 		}
-		c.Input = n
+		c.PromptTokens = n
 	}
 	if text := h.Get("Wait-Ms"); text != "" {
 		ms, err := strconv.Atoi(text)
@@ -52,7 +52,7 @@
 	return c, nil
 }
 
-func (testProtocol) Header(caller http.Header, _ Call, s Send) http.Header {
+func (testProtocol) Header(caller http.Header, _ Call, s AttemptFields) http.Header {
 	h := caller.Clone()
 	h.Del("Key")
 	h.Del("Content-Length")
@@ -81,17 +81,17 @@
 	return Final
 }
 
-func (testProtocol) AtFault(res *http.Response) string { return res.Header.Get("Fault") }
+func (testProtocol) FaultyEndpoint(res *http.Response) string { return res.Header.Get("Fault") }
 
 func (testProtocol) Statement(res *http.Response) (s availability.Statement, err error) {
 	if text := res.Header.Get("Limit"); text != "" {
-		s.Limit.Is = true
+		s.Limit.Set = true
 		s.Limit.PerSecond, err = strconv.ParseFloat(text, 64)
 	}
-	s.Leaving = res.Header.Get("Leaves") != ""
+	s.Draining = res.Header.Get("Leaves") != ""
 	if text := res.Header.Get("Rest-Ms"); text != "" {
 		ms, _ := strconv.Atoi(text) // 0 if it is not a number
-		s.Rest = time.Duration(ms) * time.Millisecond
+		s.Backoff = time.Duration(ms) * time.Millisecond
 	}
 	return s, err
 }
@@ -125,7 +125,7 @@
 	return &upstream.Request{Method: "POST", Target: "/release/" + id}
 }
 
-func (testProtocol) Echo() string { return "Id" }
+func (testProtocol) EchoedHeader() string { return "Id" }
 
 // testSource is a store whose content is set by the test.
 type testSource struct {
@@ -138,7 +138,7 @@
 	stored    map[quarantine.Fingerprint]quarantine.Entry
 }
 
-func (s *testSource) set(c *catalog.Configuration, err error) {
+func (s *testSource) setConfiguration(c *catalog.Configuration, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.config, s.err = c, err
@@ -165,7 +165,7 @@
 	return slices.Collect(maps.Values(s.stored)), s.err
 }
 
-func (s *testSource) KeepQuarantined(_ context.Context, e quarantine.Entry, _ time.Duration) error {
+func (s *testSource) StoreQuarantined(_ context.Context, e quarantine.Entry, _ time.Duration) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stored == nil {
@@ -175,7 +175,7 @@
 	return s.err
 }
 
-func (s *testSource) keptCount() int {
+func (s *testSource) storedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.stored)
@@ -204,8 +204,8 @@
 
 func (s *testSource) Gateways(context.Context) ([]peers.Member, error) { return nil, nil }
 
-// bench is a gateway with scripted endpoints.
-type bench struct {
+// testGateway is a gateway with scripted endpoints.
+type testGateway struct {
 	t       *testing.T
 	gateway *Gateway
 	source  *testSource
@@ -236,17 +236,17 @@
 	}
 }
 
-// newBench starts a gateway with two endpoints that run the script.
-func newBench(t *testing.T, script endpointScript) *bench {
+// newTestGateway starts a gateway with two endpoints that run the script.
+func newTestGateway(t *testing.T, script endpointScript) *testGateway {
 	t.Helper()
-	b := &bench{t: t, script: script, source: &testSource{config: testConfig(1)}, listeners: make(map[string]net.Listener)}
+	b := &testGateway{t: t, script: script, source: &testSource{config: testConfig(1)}, listeners: make(map[string]net.Listener)}
 	for _, id := range []string{"a", "b"} {
 		b.source.endpoints = append(b.source.endpoints, catalog.Endpoint{ID: id, Service: "s", Address: b.startEndpoint(script), Slots: 4})
 	}
 	events := eventlog.New(io.Discard, eventlog.Options{Level: log.InfoLevel, LinesPerSecond: 100})
 	b.gateway = New(Config{
 		Name: "g", RevokeAfter: time.Minute, DrainTime: time.Minute, Policy: balance.Default(),
-		Retries: limits.WindowConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
+		Retries: limits.RetryWindowConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 	}, Deps{
 		Protocol: testProtocol{}, Source: b.source, Log: events, Metrics: metrics.NewSet(),
 		Suspended: func() time.Duration { return time.Duration(b.suspended.Load()) },
@@ -259,32 +259,32 @@
 }
 
 // suspend adds time that the monotonic clock of the gateway's host does not count.
-func (b *bench) suspend(d time.Duration) { b.suspended.Add(int64(d)) }
+func (b *testGateway) suspend(d time.Duration) { b.suspended.Add(int64(d)) }
 
-// know makes the gateway read its source once.
-func (b *bench) know() {
+// readSource makes the gateway read its source once.
+func (b *testGateway) readSource() {
 	b.t.Helper()
 	if err := b.gateway.readConfiguration(time.Now()); err != nil {
 		b.t.Fatal(err)
 	}
 	list, _ := b.source.Endpoints(b.t.Context())
-	b.gateway.state.Listed(list, time.Now(), time.Now(), time.Time{})
+	b.gateway.state.ApplyList(list, time.Now(), time.Now(), time.Time{})
 }
 
 // configureEngines turns the service into one of engines with this much memory, adds endpoints to
 // it, and makes the gateway read its source once.
-func (b *bench) configureEngines(memoryTokens int, ids ...string) {
+func (b *testGateway) configureEngines(memoryTokens int, ids ...string) {
 	b.t.Helper()
 	config := testConfig(1)
 	config.Services[0].Engine = &catalog.Engine{Slots: 16, MemoryTokens: memoryTokens, StepMs: 1, ReadPerMs: 10, Stride: 1}
-	b.source.set(config, nil)
+	b.source.setConfiguration(config, nil)
 	for _, id := range ids {
 		b.source.endpoints = append(b.source.endpoints, catalog.Endpoint{ID: id, Service: "s", Address: b.startEndpoint(b.script), Slots: 16})
 	}
-	b.know()
+	b.readSource()
 }
 
-func (b *bench) startEndpoint(script endpointScript) string {
+func (b *testGateway) startEndpoint(script endpointScript) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.t.Fatal(err)
@@ -305,7 +305,7 @@
 	return l.Addr().String()
 }
 
-func (b *bench) serve(c *net.TCPConn, script endpointScript) {
+func (b *testGateway) serve(c *net.TCPConn, script endpointScript) {
 	defer c.Close()
 	br, bw := bufio.NewReader(c), bufio.NewWriter(c)
 	for {
@@ -331,7 +331,7 @@
 
 // crashEndpoint crashes the endpoint at the local end of c: its listener is closed and the
 // connection reset.
-func (b *bench) crashEndpoint(c *net.TCPConn) {
+func (b *testGateway) crashEndpoint(c *net.TCPConn) {
 	b.mu.Lock()
 	_ = b.listeners[c.LocalAddr().String()].Close()
 	b.mu.Unlock()
@@ -339,27 +339,27 @@
 }
 
 // requestAt returns the nth request that arrived, counted from 0.
-func (b *bench) requestAt(n int) *http.Request {
+func (b *testGateway) requestAt(n int) *http.Request {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.requests[n]
 }
 
-func (b *bench) arrivals() int {
+func (b *testGateway) requestCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.requests)
 }
 
-type reply struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
 	err    error // of reading the body
 }
 
-// ask sends a request with a valid key to the gateway.
-func (b *bench) ask(ctx context.Context, method, path, body string, header http.Header) reply {
+// send sends a request with a valid key to the gateway.
+func (b *testGateway) send(ctx context.Context, method, path, body string, header http.Header) response {
 	b.t.Helper()
 	r, err := http.NewRequestWithContext(ctx, method, b.url+path, strings.NewReader(body))
 	if err != nil {
@@ -372,15 +372,15 @@
 	}
 	res, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	defer res.Body.Close()
 	p, err := io.ReadAll(res.Body)
-	return reply{res.StatusCode, res.Header, string(p), err}
+	return response{res.StatusCode, res.Header, string(p), err}
 }
 
-// answer writes a complete answer.
-func answer(w *bufio.Writer, status, header, body string) {
+// writeAnswer writes a complete answer.
+func writeAnswer(w *bufio.Writer, status, header, body string) {
 	_, _ = w.WriteString("HTTP/1.1 " + status + "\r\nId: r1\r\n" + header + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body)
 }
 
--- a/relay/learn.go
+++ b/relay/learn.go
@@ -21,11 +21,11 @@
 	seedRetryInterval = 200 * time.Millisecond
 )
 
-// learn takes the configuration and the endpoints from one of the seed gateways, so that a
+// bootstrap takes the configuration and the endpoints from one of the seed gateways, so that a
 // restarted gateway need not read the store. If no seed has them, this gateway reads the store
 // itself. On the first start of an installation there is nothing to serve before a configuration
 // exists, so it first repeats the query as long as any seed answers.
-func (g *Gateway) learn() {
+func (g *Gateway) bootstrap() {
 	began := time.Now()
 	seeds := g.seeds()
 	for len(seeds) > 0 {
@@ -66,7 +66,7 @@
 	for _, seed := range seeds {
 		go func() {
 			a := answer{from: seed}
-			a.err = g.peers.get(ctx, g.peerURL(seed, pathProof), &a.proof)
+			a.err = g.peerClient.get(ctx, g.peerURL(seed, pathProof), &a.proof)
 			answers <- a
 		}()
 	}
@@ -86,14 +86,14 @@
 
 // fresh reports whether a gateway that takes over this proof need not read the store at once.
 func (p proofAnswer) isFresh() bool {
-	limit := takeOver.Milliseconds()
+	limit := takeoverAge.Milliseconds()
 	return p.Version > 0 && p.AgeMs < limit && p.EndpointsAgeMs >= 0 && p.EndpointsAgeMs < limit
 }
 
 // bootstrapFrom takes over the state of a peer; it reports whether that is complete and fresh.
 func (g *Gateway) bootstrapFrom(peer netip.AddrPort) bool {
 	asked := time.Now()
-	proof, err := g.askPeer(peer)
+	proof, err := g.queryPeer(peer)
 	if err == nil {
 		err = g.fetchEndpoints(peer, asked.Add(-time.Duration(proof.EndpointsAgeMs)*time.Millisecond))
 	}
