--- a/relay/leaves_test.go
+++ b/relay/leaves_test.go
@@ -22,17 +22,17 @@
 				is := is.New(t)
 				f := newLimitFleet(t, 6, 4)
 				time.Sleep(2 * time.Second)
-				f.setLose(func(int, int) bool { return lossTime > 0 })
+				f.setDrops(func(int, int) bool { return lossTime > 0 })
 				f.setAnswer("", drainHeader, 0)
-				f.gateways[0].recordAnswer(catalog.Endpoint{ID: "e0"}, 0, &http.Response{StatusCode: 200, Header: http.Header{"Leaves": {"1"}}}, callersRequest, "r")
+				f.gateways[0].recordAnswer(catalog.Endpoint{ID: "e0"}, 0, &http.Response{StatusCode: 200, Header: http.Header{"Leaves": {"1"}}}, callerRequest, "r")
 				time.Sleep(lossTime)
-				f.setLose(nil)
+				f.setDrops(nil)
 				if lossTime > 0 {
 					time.Sleep(3 * time.Second) // drain notices are repeated
 				}
 				time.Sleep(50 * time.Millisecond)
 				for _, g := range f.gateways {
-					is.True(!g.state.StillTakes("e0", time.Now()))
+					is.True(!g.state.AcceptsRequests("e0", time.Now()))
 				}
 				began := time.Now()
 				f.sendLoad(t, 50, 2*time.Second, func(n int) int { return n % 6 })
@@ -86,7 +86,7 @@
 
 // checkWithdrawn checks that a request is not sent to its placement, may be placed again, and is
 // not counted.
-func checkWithdrawn(is *is.I, x *exchange, pl *place) {
+func checkWithdrawn(is *is.I, x *exchange, pl *placement) {
 	_, again := x.attempt(x.r.Context(), pl)
 	is.True(again)
 	is.True(x.mayRepeat())
@@ -97,9 +97,9 @@
 // TestDrainAfterChoice: a request is not sent if its endpoint or one of its helpers starts draining
 // after it was chosen.
 func TestDrainAfterChoice(t *testing.T) {
-	for name, draining := range map[string]func(pl *place) string{
-		"the endpoint": func(pl *place) string { return pl.endpoint.ID },
-		"a helper":     func(pl *place) string { return pl.helpers[0].ID },
+	for name, draining := range map[string]func(pl *placement) string{
+		"the endpoint": func(pl *placement) string { return pl.endpoint.ID },
+		"a helper":     func(pl *placement) string { return pl.helpers[0].ID },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -107,7 +107,7 @@
 				f := newLimitFleet(t, 1, 4)
 				g := f.gateways[0]
 				x, _ := f.exchange(t.Context(), 0, 100_000)
-				pl, _ := x.place(t.Context())
+				pl, _ := x.findPlacement(t.Context())
 				is.True(pl != nil && len(pl.helpers) > 0)
 				g.markDraining(catalog.Endpoint{ID: draining(pl)}, "g", "")
 				checkWithdrawn(is, x, pl)
@@ -134,7 +134,7 @@
 		is.Equal(f.retryAfters, []string{"1"})
 		is.Equal(f.requestsSince(0, time.Time{})+f.requestsSince(1, time.Time{}), sent)
 		next := catalog.Endpoint{ID: "e2", Service: "s", Address: addressOf(2), DataCentre: "dc0", Slots: 10}
-		f.gateways[0].state.Listed([]catalog.Endpoint{next}, time.Now(), time.Now(), time.Time{})
+		f.gateways[0].state.ApplyList([]catalog.Endpoint{next}, time.Now(), time.Now(), time.Time{})
 		f.send(t.Context(), 0, 500)
 		is.Equal(f.answered, 5)
 	})
@@ -162,8 +162,8 @@
 				list = []catalog.Endpoint{list[0], list[1]}
 				list[0].Born = 1
 				applyList := func() {
-					for _, c := range g.state.Listed(list, time.Now(), time.Now(), time.Time{}) {
-						g.memberChanged(c)
+					for _, c := range g.state.ApplyList(list, time.Now(), time.Now(), time.Time{}) {
+						g.handleEndpointChange(c)
 					}
 				}
 				applyList()
@@ -176,10 +176,10 @@
 				began := time.Now()
 				list[0].Born = 2
 				applyList()
-				is.Equal(!g.state.StillTakes(list[0].ID, time.Now()), tc.wantQueried)
+				is.Equal(!g.state.AcceptsRequests(list[0].ID, time.Now()), tc.wantQueried)
 				time.Sleep(100 * time.Millisecond)
 				is.Equal(f.requestsSince(0, began)+f.requestsSince(1, began) > 0, tc.wantQueried)
-				is.Equal(!g.state.StillTakes(list[0].ID, time.Now()), tc.wantDraining)
+				is.Equal(!g.state.AcceptsRequests(list[0].ID, time.Now()), tc.wantDraining)
 				is.Equal(len(g.state.DrainNotices(true, time.Now())) > 0, tc.wantDraining)
 			})
 		})
--- a/relay/limitcost_test.go
+++ b/relay/limitcost_test.go
@@ -30,17 +30,17 @@
 				e := catalog.Endpoint{ID: fmt.Sprintf("i-%010d", n), Service: s.Name, Address: addressOf(n), DataCentre: fmt.Sprintf("dc%02d", n%16), Slots: 16}
 				list = append(list, e)
 				if limited > 0 && n%limited == 0 {
-					p.limits.recordAnswer(e, 0, ratelimit.Named{Is: true, PerSecond: 1.9}, now)
+					p.limits.recordAnswer(e, 0, ratelimit.AdvertisedLimit{Set: true, PerSecond: 1.9}, now)
 				}
 			}
 			p.dataCentre = "dc03"
-			p.state.Listed(list, now, now, time.Time{})
+			p.state.ApplyList(list, now, now, time.Time{})
 			for n, e := range list {
 				if interval.resting > 0 && n%interval.resting == 0 {
 					p.state.RecordBackoff(e.ID, time.Hour, now)
 				}
 			}
-			w := balance.Work{InputTokens: 500, OutputTokens: 10, LeftMs: 300, DeadlineMs: 2000}
+			w := balance.Request{InputTokens: 500, OutputTokens: 10, ObjectiveLeftMs: 300, DeadlineLeftMs: 2000}
 			b.ResetTimer()
 			for range b.N {
 				if pl, _, _ := p.pick(s, w, noWarmConns, time.Now()); pl != nil {
@@ -57,8 +57,8 @@
 	g := New(Config{Name: "g", Policy: balance.Default()}, Deps{Protocol: testProtocol{}, Log: eventlog.New(io.Discard, eventlog.Options{Level: log.ErrorLevel, LinesPerSecond: 1}),
 		Metrics: metrics.NewSet(), Endpoints: upstream.New(upstream.Options{})})
 	e := catalog.Endpoint{ID: "e"}
-	g.limits.recordAnswer(e, 0, ratelimit.Named{Is: true, PerSecond: 1e9}, time.Now())
-	g.limits.chooseCoordinator(false, time.Now().Add(-time.Minute))
+	g.endpointLimits.recordAnswer(e, 0, ratelimit.AdvertisedLimit{Set: true, PerSecond: 1e9}, time.Now())
+	g.endpointLimits.chooseCoordinator(false, time.Now().Add(-time.Minute))
 	server := httptest.NewServer(g.PeerHandler())
 	defer server.Close()
 	client := newGrantClient(0)
--- a/relay/limited.go
+++ b/relay/limited.go
@@ -24,7 +24,7 @@
 }
 
 // limitedSearch returns a search among the local cell's endpoints with rate limits.
-func (p *picker) limitedSearch(service *catalog.Service, w balance.Work, isWarm warmConnFunc, now time.Time) (s endpointSearch, endpoints []catalog.Endpoint) {
+func (p *picker) limitedSearch(service *catalog.Service, w balance.Request, isWarm warmConnFunc, now time.Time) (s endpointSearch, endpoints []catalog.Endpoint) {
 	s = endpointSearch{picker: p, service: service, work: w, isWarm: isWarm, localCell: p.state.Cells().Of(p.dataCentre), now: now}
 	if !p.limits.any() {
 		return s, nil
@@ -39,20 +39,20 @@
 
 // hasLimited reports whether the local cell has endpoints of the service with rate limits.
 func (p *picker) hasLimited(service *catalog.Service, now time.Time) bool {
-	_, endpoints := p.limitedSearch(service, balance.Work{}, nil, now)
+	_, endpoints := p.limitedSearch(service, balance.Request{}, nil, now)
 	return len(endpoints) > 0
 }
 
 // limitedCandidates returns the endpoints with rate limits that could serve the request without
 // helpers, the least loaded first.
-func (p *picker) limitedCandidates(service *catalog.Service, w balance.Work, isWarm warmConnFunc, now time.Time) (candidates []string) {
+func (p *picker) limitedCandidates(service *catalog.Service, w balance.Request, isWarm warmConnFunc, now time.Time) (candidates []string) {
 	s, endpoints := p.limitedSearch(service, w, isWarm, now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	load := make(map[string]int)
 	for _, e := range endpoints {
 		res := s.choose([]catalog.Endpoint{e}, nil)
-		if res.choice.Endpoint < 0 || res.candidates[0].Suspect || len(res.choice.Reserve) > 0 {
+		if res.choice.Endpoint < 0 || res.candidates[0].Suspect || len(res.choice.Reservations) > 0 {
 			continue
 		}
 		candidates = append(candidates, e.ID)
@@ -64,7 +64,7 @@
 
 // pickGranted counts the load of a request at the endpoint that was granted to it. It returns nil
 // if the endpoint no longer takes the request.
-func (p *picker) pickGranted(service *catalog.Service, w balance.Work, isWarm warmConnFunc, g *grant, now time.Time) *place {
+func (p *picker) pickGranted(service *catalog.Service, w balance.Request, isWarm warmConnFunc, g *grant, now time.Time) *placement {
 	s, endpoints := p.limitedSearch(service, w, isWarm, now)
 	i := slices.IndexFunc(endpoints, func(e catalog.Endpoint) bool { return e.ID == g.endpoint })
 	if i < 0 {
@@ -107,7 +107,7 @@
 )
 
 // placeWithGrant asks for a grant to send to one of the endpoints with rate limits.
-func (x *exchange) placeWithGrant(ctx context.Context, work balance.Work, mode grantMode) (pl *place, result grantResult, retryAfter time.Duration) {
+func (x *exchange) placeWithGrant(ctx context.Context, work balance.Request, mode grantMode) (pl *placement, result grantResult, retryAfter time.Duration) {
 	now := time.Now()
 	candidates := x.g.picker.limitedCandidates(x.service, work, x.hasWarmConn, now)
 	if len(candidates) == 0 {
@@ -117,7 +117,7 @@
 		Service: x.service.Name, Endpoints: candidates, Urgency: x.urgency(), SinceMs: now.Sub(x.started).Milliseconds(), Probe: mode == grantModeProbe,
 	}
 	if mode == grantModeWait {
-		q.WaitMs = max(0, x.patience().waitUntil().Sub(now).Milliseconds())
+		q.WaitMs = max(0, x.waitPolicy().waitUntil().Sub(now).Milliseconds())
 	}
 	granted, a, err := x.g.requestGrant(ctx, q)
 	switch {
@@ -134,7 +134,7 @@
 		result = grantAgain
 	}
 	if result != grantAgain && mode != grantModeProbe || err != nil {
-		x.g.deps.Log.Request("Endpoints' limits asked.", "request", x.call.ID, "coordinator", x.g.limits.coordinatorName(), "endpoints", len(candidates), "urgency", q.Urgency,
+		x.g.deps.Log.Request("Endpoints' limits asked.", "request", x.call.ID, "coordinator", x.g.endpointLimits.coordinatorName(), "endpoints", len(candidates), "urgency", q.Urgency,
 			"waited_ms", q.SinceMs, "wait_ms", q.WaitMs, "granted", a.Endpoint, "refused", a.Refused, "retry_after_ms", a.RetryAfterMs, "probe", q.Probe, "err", err)
 	}
 	return pl, result, retryAfter
@@ -142,9 +142,9 @@
 
 // limitedResult is the result for a request for which no endpoint without a rate limit was chosen.
 type limitedResult struct {
-	placement *place  // where it goes; nil if not placed yet
-	refusal   outcome // outcome of a refused request; empty if it was not refused
-	again     bool    // try again at once
+	placement *placement // where it goes; nil if not placed yet
+	refusal   outcome    // outcome of a refused request; empty if it was not refused
+	again     bool       // try again at once
 	// retryAfter is the Retry-After time in case the request may not wait; zero if there are no
 	// endpoints with rate limits.
 	retryAfter time.Duration
@@ -161,12 +161,12 @@
 
 // placeAmongLimited looks for an endpoint with a rate limit after the choice among the others
 // resulted in o.
-func (x *exchange) placeAmongLimited(ctx context.Context, work *balance.Work, o pickOutcome, now time.Time) limitedResult {
+func (x *exchange) placeAmongLimited(ctx context.Context, work *balance.Request, o pickOutcome, now time.Time) limitedResult {
 	mode := grantModeNow
 	switch {
 	case o == pickNone:
 		mode = grantModeWait
-	case o == pickWait && x.patience().mayWait(true, now):
+	case o == pickWait && x.waitPolicy().mayWait(true, now):
 		return limitedResult{}
 	}
 	pl, result, retryAfter := x.placeWithGrant(ctx, *work, mode)
@@ -181,19 +181,19 @@
 		return limitedResult{again: true}
 	case result == grantRefused:
 		return limitedResult{refusal: x.refuseLimited(retryAfter)}
-	case result == grantNoCandidate && len(work.Avoid) > 0:
-		work.Avoid = nil // better the same endpoint again than none
+	case result == grantNoCandidate && len(work.Excluded) > 0:
+		work.Excluded = nil // better the same endpoint again than none
 		return limitedResult{again: true}
 	case !x.g.picker.hasLimited(x.service, now):
 		return limitedResult{}
-	case result == grantNoCandidate && x.g.config.Policy.Oversize(x.service, *work):
+	case result == grantNoCandidate && x.g.config.Policy.ExceedsMemory(x.service, *work):
 		// The request needs several endpoints at once, and endpoints with rate limits take only
 		// requests that need one.
-		return limitedResult{refusal: x.refuseLimited(x.patience().queueRetryAfter(now))}
+		return limitedResult{refusal: x.refuseLimited(x.waitPolicy().queueRetryAfter(now))}
 	case result == grantUnavailable:
 		return limitedResult{retryAfter: retryAfterCoordinator}
 	default:
-		return limitedResult{retryAfter: x.patience().queueRetryAfter(now)}
+		return limitedResult{retryAfter: x.waitPolicy().queueRetryAfter(now)}
 	}
 }
 
@@ -203,35 +203,35 @@
 
 // probeLimited sends the request to an endpoint with a rate limit that has not been heard from for
 // a while. Otherwise no gateway would find out that the limit has ended.
-func (x *exchange) probeLimited(ctx context.Context, work balance.Work) *place {
+func (x *exchange) probeLimited(ctx context.Context, work balance.Request) *placement {
 	now := time.Now()
-	if x.mayRun || x.g.config.Policy.TakesTurns(x.service, work) || !x.g.picker.hasLimited(x.service, now) || !x.g.limits.mayProbe(x.service.Name, now) {
+	if x.mayRun || x.g.config.Policy.MustQueue(x.service, work) || !x.g.picker.hasLimited(x.service, now) || !x.g.endpointLimits.mayProbe(x.service.Name, now) {
 		return nil
 	}
 	pl, result, _ := x.placeWithGrant(ctx, work, grantModeProbe)
 	if result == grantPlaced {
-		x.g.limits.resetProbe(x.service.Name)
+		x.g.endpointLimits.resetProbe(x.service.Name)
 	}
 	return pl
 }
 
-// mayQuestion reports whether an endpoint may be queried about itself now. Such queries count
+// mayQuery reports whether an endpoint may be queried about itself now. Such queries count
 // against its rate limit too: while it has one, each query needs a grant, which is given when no
 // request needs it. An endpoint in back-off is not queried.
-func (g *Gateway) mayQuestion(e catalog.Endpoint) bool {
-	if !g.state.StillTakes(e.ID, time.Now()) {
+func (g *Gateway) mayQuery(e catalog.Endpoint) bool {
+	if !g.state.AcceptsRequests(e.ID, time.Now()) {
 		return false
 	}
-	if _, limited := g.limits.limit(e.ID); !limited {
+	if _, limited := g.endpointLimits.limit(e.ID); !limited {
 		return true
 	}
 	granted, _, err := g.requestGrant(g.ctx, grantQuestion{Service: e.Service, Endpoints: []string{e.ID}, Probe: true})
-	return err == nil && granted.valid(time.Now(), g.suspendedTime())
+	return err == nil && granted.valid(time.Now(), g.checkSuspension())
 }
 
 // refuseLimited refuses a request that no endpoint can serve within its rate limit.
 func (x *exchange) refuseLimited(retryAfter time.Duration) outcome {
-	x.g.meter.limited.Inc()
+	x.g.meter.limitRefusals.Inc()
 	if x.mayRun || x.r.Context().Err() != nil {
 		return x.giveUp(refusedLimit)
 	}
@@ -249,12 +249,12 @@
 // withinLimits reports whether a send to the placement may go out now: none of its helpers has a
 // rate limit, and if the endpoint has one, the grant is still valid. Limits may have been announced
 // since the endpoints were chosen.
-func (x *exchange) withinLimits(pl *place, now time.Time) bool {
+func (x *exchange) withinLimits(pl *placement, now time.Time) bool {
 	for _, helper := range pl.helpers {
-		if _, limited := x.g.limits.limit(helper.ID); limited {
+		if _, limited := x.g.endpointLimits.limit(helper.ID); limited {
 			return false
 		}
 	}
-	_, limited := x.g.limits.limit(pl.endpoint.ID)
-	return !limited || pl.grant.valid(now, x.g.suspendedTime())
+	_, limited := x.g.endpointLimits.limit(pl.endpoint.ID)
+	return !limited || pl.grant.valid(now, x.g.checkSuspension())
 }
--- a/relay/limitfleet_test.go
+++ b/relay/limitfleet_test.go
@@ -72,11 +72,11 @@
 		f.setLimit("0.5", engineIndexes(3)...)
 		roundRobin := func(n int) int { return n % 24 }
 		f.sendLoad(t, 40, 6*time.Second, roundRobin)
-		is.True(f.gateways[5].limits.any())
+		is.True(f.gateways[5].endpointLimits.any())
 		f.setLimit("", engineIndexes(3)...)
 		f.sendLoad(t, 40, 5*time.Second, roundRobin)
 		for _, g := range f.gateways {
-			is.True(!g.limits.any())
+			is.True(!g.endpointLimits.any())
 		}
 		is.Equal(len(f.refusalTimes), 0)
 	})
@@ -89,19 +89,19 @@
 		is := is.New(t)
 		f := newLimitFleet(t, 6, 1)
 		isolated := 5
-		f.setLose(func(from, to int) bool { return from == isolated || to == isolated })
+		f.setDrops(func(from, to int) bool { return from == isolated || to == isolated })
 		time.Sleep(2 * time.Second)
 		f.setLimit("1", 0)
 		f.send(t.Context(), 0, 500)
 		time.Sleep(50 * time.Millisecond)
 		for i, g := range f.gateways {
-			_, limited := g.limits.limit("e0")
+			_, limited := g.endpointLimits.limit("e0")
 			is.Equal(limited, i != isolated)
 		}
 		time.Sleep(5 * time.Second) // the limit is no longer sent as a recent change
-		f.setLose(nil)
-		time.Sleep(newcomerSendInterval + 2*tellEvery)
-		_, limited := f.gateways[isolated].limits.limit("e0")
+		f.setDrops(nil)
+		time.Sleep(newcomerSendInterval + 2*broadcastInterval)
+		_, limited := f.gateways[isolated].endpointLimits.limit("e0")
 		is.True(limited)
 	})
 }
@@ -132,7 +132,7 @@
 		for _, g := range f.gateways {
 			for e := range 4 {
 				endpoint, _ := g.state.Endpoint(fmt.Sprint("e", e))
-				g.limits.recordAnswer(endpoint, g.limits.version(endpoint.ID), ratelimit.Named{}, time.Now())
+				g.endpointLimits.recordAnswer(endpoint, g.endpointLimits.version(endpoint.ID), ratelimit.AdvertisedLimit{}, time.Now())
 			}
 		}
 		all.Wait()
@@ -151,17 +151,17 @@
 		f.setLimit("2", engineIndexes(4)...)
 		roundRobin := func(n int) int { return n % 6 }
 		f.sendLoad(t, 40, 4*time.Second, roundRobin)
-		first := f.gateways[0].limits.coordinatorName()
+		first := f.gateways[0].endpointLimits.coordinatorName()
 		gone := slices.IndexFunc(f.gateways, func(g *Gateway) bool { return g.config.Name == first })
 		f.mu.Lock()
 		f.silent[first] = true
 		f.mu.Unlock()
-		f.setLose(func(from, to int) bool { return from == gone || to == gone })
+		f.setDrops(func(from, to int) bool { return from == gone || to == gone })
 		others := func(n int) int { return (gone + 1 + n%5) % 6 }
 		f.sendLoad(t, 40, 2*time.Second, others)
 		from := time.Now()
 		f.sendLoad(t, 40, 8*time.Second, others)
-		is.True(f.gateways[(gone+1)%6].limits.coordinatorName() != first)
+		is.True(f.gateways[(gone+1)%6].endpointLimits.coordinatorName() != first)
 		sent := 0
 		for e := range 4 {
 			sent += f.requestsSince(e, from)
@@ -182,9 +182,9 @@
 		roundRobin := func(n int) int { return n % 6 }
 		f.sendLoad(t, 60, 4*time.Second, roundRobin)
 		from := time.Now()
-		f.setLose(func(from, to int) bool { return from%2 != to%2 })
+		f.setDrops(func(from, to int) bool { return from%2 != to%2 })
 		f.sendLoad(t, 60, 10*time.Second, roundRobin)
-		is.True(f.gateways[0].limits.coordinatorName() != f.gateways[1].limits.coordinatorName())
+		is.True(f.gateways[0].endpointLimits.coordinatorName() != f.gateways[1].endpointLimits.coordinatorName())
 		sent := 0
 		for e := range 4 {
 			sent += f.requestsSince(e, from)
@@ -230,25 +230,25 @@
 		is.True(err)
 		first.Born = 1
 		for _, g := range f.gateways {
-			g.state.Listed([]catalog.Endpoint{first}, time.Now(), time.Now(), time.Time{})
+			g.state.ApplyList([]catalog.Endpoint{first}, time.Now(), time.Now(), time.Time{})
 		}
 		time.Sleep(2 * time.Second)
 		f.setLimit("1", 0)
 		f.send(t.Context(), 0, 500)
 		time.Sleep(100 * time.Millisecond)
-		is.True(f.gateways[1].limits.any())
+		is.True(f.gateways[1].endpointLimits.any())
 		f.setLimit("", 0)
 		restarted := first
 		restarted.Born = 2
 		for _, g := range f.gateways {
-			for _, c := range g.state.Listed([]catalog.Endpoint{restarted}, time.Now(), time.Now(), time.Time{}) {
-				g.memberChanged(c)
+			for _, c := range g.state.ApplyList([]catalog.Endpoint{restarted}, time.Now(), time.Now(), time.Time{}) {
+				g.handleEndpointChange(c)
 			}
 		}
 		f.send(t.Context(), 0, 500)
 		time.Sleep(time.Second)
 		for _, g := range f.gateways {
-			is.True(!g.limits.any())
+			is.True(!g.endpointLimits.any())
 		}
 	})
 }
@@ -276,20 +276,20 @@
 				first, _ := f.gateways[0].state.Endpoint("e0")
 				first.Born = 10
 				for _, g := range f.gateways {
-					g.state.Listed([]catalog.Endpoint{first}, time.Now(), time.Now(), time.Time{})
+					g.state.ApplyList([]catalog.Endpoint{first}, time.Now(), time.Now(), time.Time{})
 				}
 				time.Sleep(2 * time.Second)
 				f.setLimit("1", 0)
 				f.send(t.Context(), 0, 500)
 				time.Sleep(20 * time.Millisecond)
-				is.True(f.gateways[1].limits.any())
+				is.True(f.gateways[1].endpointLimits.any())
 				restarted := first
 				restarted.Born = born
-				for _, c := range f.gateways[0].state.Listed([]catalog.Endpoint{restarted}, time.Now(), time.Now(), time.Time{}) {
-					f.gateways[0].memberChanged(c)
+				for _, c := range f.gateways[0].state.ApplyList([]catalog.Endpoint{restarted}, time.Now(), time.Now(), time.Time{}) {
+					f.gateways[0].handleEndpointChange(c)
 				}
 				time.Sleep(500 * time.Millisecond) // the other gateway goes on sending the old limit
-				is.True(!f.gateways[0].limits.any())
+				is.True(!f.gateways[0].endpointLimits.any())
 			})
 		})
 	}
@@ -304,18 +304,18 @@
 		g := f.gateways[0]
 		x := &exchange{g: g, w: httptest.NewRecorder(), r: hostRequest(t.Context()), table: f.table, route: &f.table.Configuration.Routes[0],
 			service: &f.table.Configuration.Services[0], started: time.Now(), deadline: time.Now().Add(time.Second)}
-		pl, _ := x.place(t.Context())
+		pl, _ := x.findPlacement(t.Context())
 		is.True(x.withinLimits(pl, time.Now()))
 		res := &http.Response{StatusCode: http.StatusOK, Header: http.Header{"Limit": {"1"}}}
-		g.recordAnswer(pl.endpoint, 0, res, ownQuestion, "")
+		g.recordAnswer(pl.endpoint, 0, res, gatewayQuery, "")
 		is.True(!x.withinLimits(pl, time.Now()))
 		_, again := x.attempt(t.Context(), pl)
 		is.True(again)
 		is.True(x.mayRepeat())
 		is.Equal(x.attempts, 0)
 		res.Header.Del("Limit")
-		g.recordAnswer(pl.endpoint, g.limits.version(pl.endpoint.ID), res, ownQuestion, "") // the answer to a gateway's own query ends no limit
-		is.True(g.limits.any())
+		g.recordAnswer(pl.endpoint, g.endpointLimits.version(pl.endpoint.ID), res, gatewayQuery, "") // the answer to a gateway's own query ends no limit
+		is.True(g.endpointLimits.any())
 	})
 }
 
@@ -323,10 +323,10 @@
 // grants.
 func TestGrantOverHTTP(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
-		answer(w, "200 OK", "Limit: 5\r\n", "x")
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
+		writeAnswer(w, "200 OK", "Limit: 5\r\n", "x")
 	})
-	b.know()
+	b.readSource()
 	server := httptest.NewServer(b.gateway.PeerHandler())
 	defer server.Close()
 	client := newGrantClient(int(netip.MustParseAddrPort(server.Listener.Addr().String()).Port()))
@@ -336,13 +336,13 @@
 	}
 	_, err := ask(grantQuestion{Service: "s", Endpoints: []string{"a"}})
 	is.True(err != nil) // no limit is known
-	is.Equal(b.ask(t.Context(), "POST", "/safe/x", "", nil).status, 200)
-	is.True(b.gateway.limits.any())
+	is.Equal(b.send(t.Context(), "POST", "/safe/x", "", nil).status, 200)
+	is.True(b.gateway.endpointLimits.any())
 	for !b.grantable() {
 		time.Sleep(10 * time.Millisecond)
 	}
 	named := "a"
-	if _, ok := b.gateway.limits.limit("a"); !ok {
+	if _, ok := b.gateway.endpointLimits.limit("a"); !ok {
 		named = "b"
 	}
 	a, err := ask(grantQuestion{Service: "s", Endpoints: []string{named}, WaitMs: 1000})
@@ -355,8 +355,8 @@
 }
 
 // grantable reports whether the gateway may grant by now.
-func (b *bench) grantable() bool {
-	l := b.gateway.limits
+func (b *testGateway) grantable() bool {
+	l := b.gateway.endpointLimits
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.votes.Share(1, time.Now()) > 0
@@ -368,11 +368,11 @@
 func TestIdleConnectionsOfAllGateways(t *testing.T) {
 	const most = 264
 	for _, gateways := range []int{1, 4, 6, 24, 100} {
-		if all := gateways * idleShare(most, gateways); all > most/idlePart {
+		if all := gateways * maxIdlePerGateway(most, gateways); all > most/idleDivisor {
 			t.Errorf("%d gateways keep %d idle connections", gateways, all)
 		}
 	}
-	if idleShare(most, 400) != 1 || idleShare(0, 400) != 0 {
+	if maxIdlePerGateway(most, 400) != 1 || maxIdlePerGateway(0, 400) != 0 {
 		t.Error("idleShare must be at least 1, and 0 (no bound) if the endpoint sets no maximum")
 	}
 }
@@ -391,7 +391,7 @@
 		from := time.Now()
 		for range 100 {
 			for _, g := range f.gateways {
-				g.picker.note("e0", health.Bad, time.Now())
+				g.picker.recordOutcome("e0", health.BadResponse, time.Now())
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
--- a/relay/limitharness_test.go
+++ b/relay/limitharness_test.go
@@ -36,7 +36,7 @@
 
 func newLimitFleetInCells(t *testing.T, dataCentres, gateways, engines int) *limitFleet {
 	f := &limitFleet{testFleet: newFleet(t, dataCentres, gateways, engines), limits: make(map[string]string), extraHeaders: make(map[string]string), statuses: make(map[string]string), arrivals: make(map[string][]time.Time), silent: make(map[string]bool)}
-	f.connect = f.dialEngine
+	f.dialOverride = f.dialEngine
 	for _, g := range f.gateways {
 		g.askCoordinator = f.askCoordinator
 	}
@@ -45,8 +45,8 @@
 
 // askCoordinator sends a grant request to another gateway.
 func (f *limitFleet) askCoordinator(ctx context.Context, name string, q grantQuestion) (grantAnswer, error) {
-	time.Sleep(nearDelay)
-	defer time.Sleep(nearDelay)
+	time.Sleep(localDelay)
+	defer time.Sleep(localDelay)
 	f.mu.Lock()
 	silent := f.silent[name]
 	f.mu.Unlock()
@@ -155,7 +155,7 @@
 	began := time.Now()
 	w := httptest.NewRecorder()
 	return &exchange{
-		g: f.gateways[gateway], w: w, r: hostRequest(ctx), call: Call{ID: "r", Input: tokens, Output: 10},
+		g: f.gateways[gateway], w: w, r: hostRequest(ctx), call: Call{ID: "r", PromptTokens: tokens, MaxTokens: 10},
 		table: f.table, route: &f.table.Configuration.Routes[0], service: &f.table.Configuration.Services[0], started: began, deadline: began.Add(15 * time.Second),
 	}, w
 }
--- a/relay/members.go
+++ b/relay/members.go
@@ -59,7 +59,7 @@
 // take new requests. It is pure: times are arguments.
 type endpointSet struct {
 	known        map[string]catalog.Endpoint // Draining is set whatever the source
-	drains       *availability.Leaves
+	drains       *availability.DrainTable
 	missingSince map[string]time.Time // entries that lapsed, and when that was noticed
 	// departed holds endpoints that were known and are gone. An older copy of the store may list
 	// them again.
@@ -83,7 +83,7 @@
 
 func newEndpointSet() *endpointSet {
 	return &endpointSet{
-		drains:          availability.NewLeaves(),
+		drains:          availability.NewDrainTable(),
 		known:           make(map[string]catalog.Endpoint),
 		missingSince:    make(map[string]time.Time),
 		departed:        make(map[string]departure),
@@ -110,9 +110,9 @@
 			m.drains.Restarted(e, m.previousIncarnationListedAt(now), now)
 		}
 		if e.Draining {
-			m.drains.Take(e, availability.FromStore, now)
+			m.drains.Add(e, availability.FromStore, now)
 		}
-		_, e.Draining = m.drains.Of(e)
+		_, e.Draining = m.drains.Lookup(e)
 		switch {
 		case !ok:
 			changes = append(changes, EndpointChange{e, changeNew, availability.FromStore})
@@ -168,9 +168,9 @@
 // clearDoubtedDrain records an answer without a drain statement of an endpoint whose drain is in
 // doubt. It reports whether the endpoint takes requests again.
 func (m *endpointSet) clearDoubtedDrain(e catalog.Endpoint) bool {
-	m.drains.TakeBack(e)
+	m.drains.RevokeUncertain(e)
 	known, ok := m.known[e.ID]
-	if _, draining := m.drains.Of(known); !ok || draining || !known.Draining {
+	if _, draining := m.drains.Lookup(known); !ok || draining || !known.Draining {
 		return false
 	}
 	known.Draining = false
@@ -183,7 +183,7 @@
 // reports whether that is new, and returns the change if the endpoint is known.
 func (m *endpointSet) markDraining(e catalog.Endpoint, source string, now time.Time) (isNew bool, changes []EndpointChange) {
 	known, ok := m.known[e.ID]
-	if ok && known.RestartedAs(e) || !m.drains.Take(e, source, now) {
+	if ok && known.RestartedAs(e) || !m.drains.Add(e, source, now) {
 		return false, nil // an earlier incarnation, or a repeated report
 	}
 	if !ok || known.Draining {
@@ -213,7 +213,7 @@
 }
 
 func (m *endpointSet) recentlyDraining(e catalog.Endpoint, now time.Time) bool {
-	drain, ok := m.drains.Of(e)
+	drain, ok := m.drains.Lookup(e)
 	return ok && now.Sub(drain.Since) < lastResortWindow
 }
 
--- a/relay/members_test.go
+++ b/relay/members_test.go
@@ -98,17 +98,17 @@
 		out[0].Born = born
 		return out
 	}
-	is.Equal(len(s.Listed(listWith(0), msAfterStart(0), msAfterStart(0), time.Time{})), 2)
-	is.Equal(len(s.Listed(listWith(5000), msAfterStart(10), msAfterStart(10), time.Time{})), 0) // it begins to report its start time
+	is.Equal(len(s.ApplyList(listWith(0), msAfterStart(0), msAfterStart(0), time.Time{})), 2)
+	is.Equal(len(s.ApplyList(listWith(5000), msAfterStart(10), msAfterStart(10), time.Time{})), 0) // it begins to report its start time
 	first, _ := s.Endpoint("a")
-	is.True(s.SameLife(first))
-	changes := s.Listed(listWith(7000), msAfterStart(20), msAfterStart(20), time.Time{})
+	is.True(s.SameIncarnation(first))
+	changes := s.ApplyList(listWith(7000), msAfterStart(20), msAfterStart(20), time.Time{})
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].Kind, changeRestarted)
 	is.Equal(changes[0].Endpoint.ID, "a")
-	is.True(!s.SameLife(first))
-	is.Equal(len(s.Listed(listWith(7000), msAfterStart(30), msAfterStart(30), time.Time{})), 0)
-	is.Equal(len(s.Listed(listWith(6000), msAfterStart(40), msAfterStart(40), time.Time{})), 1) // its clock may have been set back
+	is.True(!s.SameIncarnation(first))
+	is.Equal(len(s.ApplyList(listWith(7000), msAfterStart(30), msAfterStart(30), time.Time{})), 0)
+	is.Equal(len(s.ApplyList(listWith(6000), msAfterStart(40), msAfterStart(40), time.Time{})), 1) // its clock may have been set back
 	is.True(hashEndpoints(listWith(6000)) != hashEndpoints(listWith(7000)))
 }
 
@@ -117,7 +117,7 @@
 func TestUnconfiguredServicesDoNotMoveCells(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	s.Take(&catalog.Configuration{Version: 1, Services: []catalog.Service{{Name: "s"}}})
+	s.ApplyConfiguration(&catalog.Configuration{Version: 1, Services: []catalog.Service{{Name: "s"}}})
 	var list []catalog.Endpoint
 	add := func(service, dataCentre string, n int) {
 		for i := range n {
@@ -127,33 +127,33 @@
 	for _, dc := range []string{"d1", "d2", "d3", "d4"} {
 		add("s", dc, 30)
 	}
-	s.Listed(list, msAfterStart(0), msAfterStart(0), time.Time{})
+	s.ApplyList(list, msAfterStart(0), msAfterStart(0), time.Time{})
 	before := s.Cells().Cells()
 	is.Equal(len(before), 4)
 	add("x", "d9", 500)
-	s.Listed(list, msAfterStart(10), msAfterStart(10), time.Time{})
+	s.ApplyList(list, msAfterStart(10), msAfterStart(10), time.Time{})
 	is.Equal(s.Cells().Cells(), before)
 }
 
 func TestStateNeverGoesBack(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	is.True(s.Take(&catalog.Configuration{Version: 7}))
-	is.True(!s.Take(&catalog.Configuration{Version: 5}))
-	is.True(!s.Take(&catalog.Configuration{Version: 7}))
+	is.True(s.ApplyConfiguration(&catalog.Configuration{Version: 7}))
+	is.True(!s.ApplyConfiguration(&catalog.Configuration{Version: 5}))
+	is.True(!s.ApplyConfiguration(&catalog.Configuration{Version: 7}))
 	is.Equal(s.Version(), uint64(7))
 }
 
 func TestProof(t *testing.T) {
 	is := is.New(t)
 	s := NewState()
-	s.Prove(0, msAfterStart(0))
+	s.RecordProof(0, msAfterStart(0))
 	age, _ := s.ProofAge(msAfterStart(0))
 	is.True(age > time.Hour) // nothing is known, so nothing is proved
-	s.Take(&catalog.Configuration{Version: 7})
-	s.Prove(7, msAfterStart(100))
-	s.Prove(6, msAfterStart(200)) // of an older version
-	s.Prove(7, msAfterStart(50))  // overtaken by a newer proof
+	s.ApplyConfiguration(&catalog.Configuration{Version: 7})
+	s.RecordProof(7, msAfterStart(100))
+	s.RecordProof(6, msAfterStart(200)) // of an older version
+	s.RecordProof(7, msAfterStart(50))  // overtaken by a newer proof
 	age, _ = s.ProofAge(msAfterStart(300))
 	is.Equal(age, 200*time.Millisecond)
 }
--- a/relay/memoryuse_test.go
+++ b/relay/memoryuse_test.go
@@ -29,9 +29,9 @@
 	maxUnusedAfterLastUse = 4 * time.Second
 )
 
-// memoryBench is a gateway with four engines under virtual time; a prompt of oversizePrompt tokens
+// memoryTestGateway is a gateway with four engines under virtual time; a prompt of oversizePrompt tokens
 // needs the memory of two of them.
-type memoryBench struct {
+type memoryTestGateway struct {
 	gateway   *Gateway
 	engines   *testEngines
 	suspended atomic.Int64 // how long the gateway's host was suspended, in nanoseconds
@@ -42,14 +42,14 @@
 	oversizePrompt = 1500
 )
 
-// newMemoryBench starts the gateway; it must be called in a synctest bubble.
-func newMemoryBench(t *testing.T, play engineScript) *memoryBench {
+// newMemoryTestGateway starts the gateway; it must be called in a synctest bubble.
+func newMemoryTestGateway(t *testing.T, play engineScript) *memoryTestGateway {
 	t.Helper()
-	b := &memoryBench{engines: newTestEngines(play)}
+	b := &memoryTestGateway{engines: newTestEngines(play)}
 	events := eventlog.New(io.Discard, eventlog.Options{Level: log.InfoLevel, LinesPerSecond: 100})
 	b.gateway = New(Config{
 		Name: "g", UnusedMemory: maxUnused, DrainTime: time.Minute, Policy: balance.Default(),
-		Retries: limits.WindowConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
+		Retries: limits.RetryWindowConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 	}, Deps{
 		Protocol: testProtocol{}, Log: events, Metrics: metrics.NewSet(),
 		Suspended: func() time.Duration { return time.Duration(b.suspended.Load()) },
@@ -61,17 +61,17 @@
 	for i := range config.Routes {
 		config.Routes[i].Objective, config.Routes[i].Timeout = 4*time.Second, 15*time.Second
 	}
-	b.gateway.state.Take(config)
+	b.gateway.state.ApplyConfiguration(config)
 	var list []catalog.Endpoint
 	for i := range 4 {
 		list = append(list, catalog.Endpoint{ID: string(rune('a' + i)), Service: "s", Address: addressOf(i), Slots: 16, Born: 1})
 	}
-	b.gateway.state.Listed(list, time.Now(), time.Now(), time.Time{})
+	b.gateway.state.ApplyList(list, time.Now(), time.Now(), time.Time{})
 	return b
 }
 
 // ask sends an oversize prompt on a route and returns the answer and how long it took.
-func (b *memoryBench) ask(t *testing.T, route string) (*httptest.ResponseRecorder, time.Duration) {
+func (b *memoryTestGateway) ask(t *testing.T, route string) (*httptest.ResponseRecorder, time.Duration) {
 	start := time.Now()
 	w := httptest.NewRecorder()
 	b.askWith(t, route, w)
@@ -79,7 +79,7 @@
 }
 
 // askWith sends an oversize prompt on a route and writes the answer to w.
-func (b *memoryBench) askWith(t *testing.T, route string, w http.ResponseWriter) {
+func (b *memoryTestGateway) askWith(t *testing.T, route string, w http.ResponseWriter) {
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/"+route+"/1", strings.NewReader("x"))
 	r.Host = "h.example"
 	r.Header = http.Header{"Id": {"r1"}, "Key": {"k"}, "Tokens": {strconv.Itoa(oversizePrompt)}, "Wait-Ms": {"15000"}}
@@ -147,7 +147,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newMemoryBench(t, tc.script)
+				b := newMemoryTestGateway(t, tc.script)
 				w, took := b.ask(t, "stream")
 				t.Logf("status %d after %v, %d attempts, unused for %v", w.Code, took, b.engines.sends(), b.engines.longestUnused())
 				time.Sleep(maxUnusedAfterLastUse)
@@ -167,7 +167,7 @@
 func TestSlowPromptKeepsItsMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newMemoryBench(t, func(_ int, r *engineRun) {
+		b := newMemoryTestGateway(t, func(_ int, r *engineRun) {
 			r.waitInQueue(4500 * time.Millisecond)
 			r.setUsed(true)
 			time.Sleep(5 * time.Second)
@@ -192,7 +192,7 @@
 func TestUnusedMemoryWithoutReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newMemoryBench(t, func(n int, r *engineRun) {
+		b := newMemoryTestGateway(t, func(n int, r *engineRun) {
 			if n == 1 {
 				r.hang()
 				return
@@ -216,7 +216,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const events = 13
-		b := newMemoryBench(t, func(_ int, r *engineRun) {
+		b := newMemoryTestGateway(t, func(_ int, r *engineRun) {
 			r.setUsed(true)
 			r.writeHead()
 			for id := range events {
@@ -237,7 +237,7 @@
 func TestUnusedMemoryOfAPromptThatMayRunOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newMemoryBench(t, func(_ int, r *engineRun) { r.hang() })
+		b := newMemoryTestGateway(t, func(_ int, r *engineRun) { r.hang() })
 		w, took := b.ask(t, "story")
 		is.Equal(w.Code, http.StatusBadGateway)
 		is.True(took <= maxUnused)
@@ -269,7 +269,7 @@
 	for _, route := range []string{"stream", "story"} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			b := newMemoryBench(t, func(_ int, r *engineRun) {
+			b := newMemoryTestGateway(t, func(_ int, r *engineRun) {
 				r.setUsed(true)
 				r.writeHead()
 				r.writeEvent(1)
@@ -294,10 +294,10 @@
 func TestSuspendedGatewayDoesNotRenewMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newMemoryBench(t, nil)
+		b := newMemoryTestGateway(t, nil)
 		b.engines.alwaysUsed = true
 		first, _ := b.gateway.state.Endpoint("a")
-		memory, err := b.gateway.reserve(t.Context(), "r", &place{reserve: []wantedMemory{{first, 100}}})
+		memory, err := b.gateway.reserve(t.Context(), "r", &placement{memoryDemands: []memoryDemand{{first, 100}}})
 		is.NoErr(err)
 		time.Sleep(renewInterval + renewInterval/2)
 		reserved, _ := b.engines.orders()
--- a/relay/meter.go
+++ b/relay/meter.go
@@ -8,62 +8,62 @@
 
 // meter holds the gateway's counters and histograms.
 type meter struct {
-	set             *metrics.Set
-	storeFailures   *metrics.Counter
-	tellFailures    *metrics.Counter
-	sends           *metrics.Counter
-	retries         *metrics.Counter
-	resumes         *metrics.Counter
-	orders          *metrics.Counter
-	reserveFailures *metrics.Counter
-	memoryUnused    *metrics.Counter
-	reports         *metrics.Counter
-	brokenExchanges *metrics.Counter
-	probes          *metrics.Counter
-	crashes         *metrics.Counter
-	quarantines     *metrics.Counter
-	suspensions     *metrics.Counter
-	restores        *metrics.Counter
-	limitsNamed     *metrics.Counter
-	limitsEnded     *metrics.Counter
-	grants          *metrics.Counter
-	limited         *metrics.Counter
-	leavesTold      *metrics.Counter
-	restsAsked      *metrics.Counter
-	restRefusals    *metrics.Counter
-	firstByte       *metrics.Histogram
-	requestTime     *metrics.Histogram
-	wait            *metrics.Histogram
+	set               *metrics.Set
+	storeFailures     *metrics.Counter
+	peerSendFailures  *metrics.Counter
+	sends             *metrics.Counter
+	retries           *metrics.Counter
+	resumes           *metrics.Counter
+	orders            *metrics.Counter
+	reserveFailures   *metrics.Counter
+	memoryUnused      *metrics.Counter
+	reports           *metrics.Counter
+	brokenExchanges   *metrics.Counter
+	probes            *metrics.Counter
+	crashes           *metrics.Counter
+	quarantines       *metrics.Counter
+	suspensions       *metrics.Counter
+	restores          *metrics.Counter
+	limitsNamed       *metrics.Counter
+	limitsEnded       *metrics.Counter
+	grants            *metrics.Counter
+	limitRefusals     *metrics.Counter
+	drainsAnnounced   *metrics.Counter
+	backoffsRequested *metrics.Counter
+	backoffRefusals   *metrics.Counter
+	firstByte         *metrics.Histogram
+	requestTime       *metrics.Histogram
+	waitTime          *metrics.Histogram
 }
 
 func newMeter(set *metrics.Set) *meter {
 	return &meter{
-		set:             set,
-		storeFailures:   set.NewCounter("relay_store_failures_total"),
-		tellFailures:    set.NewCounter("relay_peer_send_failures_total"),
-		sends:           set.NewCounter("relay_sends_total"),
-		retries:         set.NewCounter("relay_retries_total"),
-		orders:          set.NewCounter("relay_orders_total"),
-		reserveFailures: set.NewCounter("relay_reserve_failures_total"),
-		memoryUnused:    set.NewCounter("relay_memory_unused_total"),
-		reports:         set.NewCounter("relay_reports_total"),
-		brokenExchanges: set.NewCounter("relay_broken_exchanges_total"),
-		probes:          set.NewCounter("relay_crash_probes_total"),
-		crashes:         set.NewCounter("relay_endpoint_crashes_total"),
-		quarantines:     set.NewCounter("relay_quarantines_total"),
-		suspensions:     set.NewCounter("relay_suspensions_total"),
-		restores:        set.NewCounter("relay_store_restores_total"),
-		limitsNamed:     set.NewCounter("relay_endpoint_limits_named_total"),
-		limitsEnded:     set.NewCounter("relay_endpoint_limits_ended_total"),
-		grants:          set.NewCounter("relay_limit_grants_total"),
-		limited:         set.NewCounter("relay_limit_refusals_total"),
-		leavesTold:      set.NewCounter("relay_endpoint_leaves_told_total"),
-		restsAsked:      set.NewCounter("relay_endpoint_rests_asked_total"),
-		restRefusals:    set.NewCounter("relay_rest_refusals_total"),
-		resumes:         set.NewCounter("relay_resumes_total"),
-		firstByte:       set.NewHistogram("relay_first_event_seconds"),
-		requestTime:     set.NewHistogram("relay_request_seconds"),
-		wait:            set.NewHistogram("relay_wait_seconds"),
+		set:               set,
+		storeFailures:     set.NewCounter("relay_store_failures_total"),
+		peerSendFailures:  set.NewCounter("relay_peer_send_failures_total"),
+		sends:             set.NewCounter("relay_sends_total"),
+		retries:           set.NewCounter("relay_retries_total"),
+		orders:            set.NewCounter("relay_orders_total"),
+		reserveFailures:   set.NewCounter("relay_reserve_failures_total"),
+		memoryUnused:      set.NewCounter("relay_memory_unused_total"),
+		reports:           set.NewCounter("relay_reports_total"),
+		brokenExchanges:   set.NewCounter("relay_broken_exchanges_total"),
+		probes:            set.NewCounter("relay_crash_probes_total"),
+		crashes:           set.NewCounter("relay_endpoint_crashes_total"),
+		quarantines:       set.NewCounter("relay_quarantines_total"),
+		suspensions:       set.NewCounter("relay_suspensions_total"),
+		restores:          set.NewCounter("relay_store_restores_total"),
+		limitsNamed:       set.NewCounter("relay_endpoint_limits_named_total"),
+		limitsEnded:       set.NewCounter("relay_endpoint_limits_ended_total"),
+		grants:            set.NewCounter("relay_limit_grants_total"),
+		limitRefusals:     set.NewCounter("relay_limit_refusals_total"),
+		drainsAnnounced:   set.NewCounter("relay_endpoint_leaves_told_total"),
+		backoffsRequested: set.NewCounter("relay_endpoint_rests_asked_total"),
+		backoffRefusals:   set.NewCounter("relay_rest_refusals_total"),
+		resumes:           set.NewCounter("relay_resumes_total"),
+		firstByte:         set.NewHistogram("relay_first_event_seconds"),
+		requestTime:       set.NewHistogram("relay_request_seconds"),
+		waitTime:          set.NewHistogram("relay_wait_seconds"),
 	}
 }
 
--- a/relay/patience.go
+++ b/relay/patience.go
@@ -76,16 +76,16 @@
 
 // fillWork sets the fields of w that depend on the remaining time. A request of a process that is
 // stopping counts as late.
-func (p waitPolicy) fillWork(w *balance.Work, ending bool, now time.Time) {
+func (p waitPolicy) fillWork(w *balance.Request, ending bool, now time.Time) {
 	waited := now.Sub(p.started)
 	firstPartLimit := p.firstPartLimit()
 	mayWait := p.objective * waitPercent / 100
 	w.Slack = mayWait - waited
-	w.Waited = min(1, float64(waited)/float64(max(1, mayWait)))
+	w.WaitedShare = min(1, float64(waited)/float64(max(1, mayWait)))
 	w.Late = waited > firstPartLimit*latePercent/100 || ending
-	w.LeftMs = float64((p.objective - waited).Milliseconds())
-	w.DeadlineMs = float64((firstPartLimit - waited).Milliseconds())
-	w.MustTake = !p.mayRefuseBusy(now)
+	w.ObjectiveLeftMs = float64((p.objective - waited).Milliseconds())
+	w.DeadlineLeftMs = float64((firstPartLimit - waited).Milliseconds())
+	w.NoRefusal = !p.mayRefuseBusy(now)
 }
 
 // mayRefuseBusy reports whether a request may be refused because all slots are taken: it has not
@@ -142,7 +142,7 @@
 }
 
 // rank returns the rank of a long prompt among those that wait.
-func (p waitPolicy) rank(oversize bool, now time.Time) balance.Rank {
+func (p waitPolicy) rank(oversize bool, now time.Time) balance.Urgency {
 	switch {
 	case now.Sub(p.started) > p.objective:
 		return balance.Late
@@ -157,9 +157,9 @@
 type retryDecision uint8
 
 const (
-	giveUp    retryDecision = iota // it must not be sent again
-	sendAgain                      // no endpoint has received it
-	askBudget                      // it may be sent again if the retry budget allows it
+	noRetry       retryDecision = iota // it must not be sent again
+	freeRetry                          // no endpoint has received it
+	budgetedRetry                      // it may be sent again if the retry budget allows it
 )
 
 // afterSend decides whether a request may be sent once more. mayRun is set when an endpoint may
@@ -167,12 +167,12 @@
 func (p waitPolicy) afterSend(r *catalog.Route, mayRun bool) retryDecision {
 	switch {
 	case p.unsent > maxUnsent, p.helperFailures > maxHelperFailures:
-		return giveUp
+		return noRetry
 	case p.sends == 0:
-		return sendAgain
+		return freeRetry
 	case p.sends-p.helperFailures >= r.MaxAttempts, mayRun && !r.Idempotent():
-		return giveUp
+		return noRetry
 	default:
-		return askBudget
+		return budgetedRetry
 	}
 }
--- a/relay/patience_test.go
+++ b/relay/patience_test.go
@@ -66,9 +66,9 @@
 			p := testWaitPolicy()
 			c.change(&p)
 			is.Equal(p.mayRefuseBusy(msAfterHead(c.ms)), c.want)
-			var w balance.Work
+			var w balance.Request
 			p.fillWork(&w, false, msAfterHead(c.ms))
-			is.Equal(w.MustTake, !c.want)
+			is.Equal(w.NoRefusal, !c.want)
 		})
 	}
 }
@@ -84,16 +84,16 @@
 // the caller limits the wait for that.
 func TestWorkTimes(t *testing.T) {
 	is := is.New(t)
-	var w balance.Work
+	var w balance.Request
 	testWaitPolicy().fillWork(&w, false, msAfterHead(525))
 	is.Equal(w.Slack, 525*time.Millisecond)
-	is.Equal(w.Waited, 0.5)
-	is.Equal(w.LeftMs, 2475.0)
-	is.Equal(w.DeadlineMs, 11475.0)
+	is.Equal(w.WaitedShare, 0.5)
+	is.Equal(w.ObjectiveLeftMs, 2475.0)
+	is.Equal(w.DeadlineLeftMs, 11475.0)
 	is.True(!w.Late)
 	testWaitPolicy().fillWork(&w, false, msAfterHead(5000))
 	is.True(w.Late)
-	is.Equal(w.Waited, 1.0)
+	is.Equal(w.WaitedShare, 1.0)
 	testWaitPolicy().fillWork(&w, true, msAfterHead(0))
 	is.True(w.Late)
 	is.Equal(testWaitPolicy().rank(false, msAfterHead(3000)), balance.InTime)
@@ -107,17 +107,17 @@
 	is := is.New(t)
 	once := &catalog.Route{Kind: catalog.Unsafe, MaxAttempts: 2}
 	safe := &catalog.Route{Kind: catalog.Safe, MaxAttempts: 2}
-	is.Equal(waitPolicy{}.afterSend(once, false), sendAgain)
-	is.Equal(waitPolicy{unsent: maxUnsent + 1}.afterSend(safe, false), giveUp)
-	is.Equal(waitPolicy{sends: 1}.afterSend(once, true), giveUp)
-	is.Equal(waitPolicy{sends: 1}.afterSend(once, false), askBudget)
-	is.Equal(waitPolicy{sends: 1}.afterSend(safe, true), askBudget)
-	is.Equal(waitPolicy{sends: 2}.afterSend(safe, false), giveUp)
+	is.Equal(waitPolicy{}.afterSend(once, false), freeRetry)
+	is.Equal(waitPolicy{unsent: maxUnsent + 1}.afterSend(safe, false), noRetry)
+	is.Equal(waitPolicy{sends: 1}.afterSend(once, true), noRetry)
+	is.Equal(waitPolicy{sends: 1}.afterSend(once, false), budgetedRetry)
+	is.Equal(waitPolicy{sends: 1}.afterSend(safe, true), budgetedRetry)
+	is.Equal(waitPolicy{sends: 2}.afterSend(safe, false), noRetry)
 	// A send that did not run because of a helper used no run of an endpoint, but the number of
 	// such sends is limited.
-	is.Equal(waitPolicy{sends: 2, helperFailures: 2}.afterSend(once, false), askBudget)
-	is.Equal(waitPolicy{sends: 2, helperFailures: 1}.afterSend(once, false), askBudget)
-	is.Equal(waitPolicy{sends: 3, helperFailures: 1}.afterSend(once, false), giveUp)
-	is.Equal(waitPolicy{sends: 2, helperFailures: 1}.afterSend(once, true), giveUp)
-	is.Equal(waitPolicy{sends: maxHelperFailures + 1, helperFailures: maxHelperFailures + 1}.afterSend(safe, false), giveUp)
+	is.Equal(waitPolicy{sends: 2, helperFailures: 2}.afterSend(once, false), budgetedRetry)
+	is.Equal(waitPolicy{sends: 2, helperFailures: 1}.afterSend(once, false), budgetedRetry)
+	is.Equal(waitPolicy{sends: 3, helperFailures: 1}.afterSend(once, false), noRetry)
+	is.Equal(waitPolicy{sends: 2, helperFailures: 1}.afterSend(once, true), noRetry)
+	is.Equal(waitPolicy{sends: maxHelperFailures + 1, helperFailures: maxHelperFailures + 1}.afterSend(safe, false), noRetry)
 }
--- a/relay/peerclient.go
+++ b/relay/peerclient.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// peerTime bounds a request to a peer, which is in the same network.
-	peerTime = 500 * time.Millisecond
+	// peerQueryTimeout bounds a request to a peer, which is in the same network.
+	peerQueryTimeout = 500 * time.Millisecond
 	// peersQueried is how many peers are queried at once.
 	peersQueried = 3
 
@@ -43,10 +43,10 @@
 		now := time.Now()
 		age, _ := g.state.ProofAge(now)
 		a := proofAnswer{Version: g.state.Version(), AgeMs: age.Milliseconds(), EndpointsAgeMs: -1}
-		if listed := g.sharing.endpointsAge(now); listed < time.Hour {
+		if listed := g.storeReads.endpointsAge(now); listed < time.Hour {
 			a.EndpointsAgeMs = listed.Milliseconds()
 		}
-		g.answerPeer(w, a)
+		g.writePeerAnswer(w, a)
 	})
 	m.HandleFunc("GET "+pathConfiguration, func(w http.ResponseWriter, _ *http.Request) {
 		t := g.state.Table()
@@ -63,7 +63,7 @@
 	return m
 }
 
-func (g *Gateway) answerPeer(w http.ResponseWriter, v any) {
+func (g *Gateway) writePeerAnswer(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
 		g.deps.Log.Logger().Debug("Sending an answer to a peer failed.", "err", err)
@@ -118,7 +118,7 @@
 
 func newPeerClient(port int) *peerClient {
 	return &peerClient{port: port, http: &http.Client{
-		Timeout:   peerTime,
+		Timeout:   peerQueryTimeout,
 		Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 5 * time.Second},
 	}}
 }
@@ -145,15 +145,15 @@
 	return trace.Wrap(json.NewDecoder(res.Body).Decode(into))
 }
 
-// askPeers gets a newer proof from peers, and the configuration that it belongs to, when the
+// queryPeers gets a newer proof from peers, and the configuration that it belongs to, when the
 // gateway's own proof is getting old. A peer counts the age of its proof from its own read. Here
 // the age counts from when the peer was queried, so that network delay or a frozen process never
 // makes a proof look newer.
-func (g *Gateway) askPeers() {
+func (g *Gateway) queryPeers() {
 	if g.deps.Mesh == nil {
 		return
 	}
-	if age, _ := g.state.ProofAge(time.Now()); age < askPeersAfter {
+	if age, _ := g.state.ProofAge(time.Now()); age < peerQueryAge {
 		return
 	}
 	members := g.deps.Mesh.Members(time.Now())
@@ -162,7 +162,7 @@
 	queried := members[:min(peersQueried, len(members))]
 	for _, m := range queried {
 		go func() {
-			g.askPeerLogged(m.Address)
+			g.queryPeerLogged(m.Address)
 			done <- struct{}{}
 		}()
 	}
@@ -171,30 +171,30 @@
 	}
 }
 
-// askPeer fetches a peer's proof and, if its version is newer, its configuration.
-func (g *Gateway) askPeer(m netip.AddrPort) (proof proofAnswer, err error) {
-	ctx, cancel := context.WithTimeout(g.ctx, 2*peerTime)
+// queryPeer fetches a peer's proof and, if its version is newer, its configuration.
+func (g *Gateway) queryPeer(m netip.AddrPort) (proof proofAnswer, err error) {
+	ctx, cancel := context.WithTimeout(g.ctx, 2*peerQueryTimeout)
 	defer cancel()
 	sent := time.Now()
-	if err := g.peers.get(ctx, g.peerURL(m, pathProof), &proof); err != nil {
+	if err := g.peerClient.get(ctx, g.peerURL(m, pathProof), &proof); err != nil {
 		return proof, err
 	}
 	if proof.Version > g.state.Version() {
 		c := new(catalog.Configuration)
-		if err := g.peers.get(ctx, g.peerURL(m, pathConfiguration), c); err != nil {
+		if err := g.peerClient.get(ctx, g.peerURL(m, pathConfiguration), c); err != nil {
 			return proof, err
 		}
-		if g.state.Take(c) {
+		if g.state.ApplyConfiguration(c) {
 			g.deps.Log.Logger().Info("Configuration in force.", "version", c.Version, "from", "peer", "peer", m, "proof_age_ms", proof.AgeMs)
 		}
 	}
-	g.state.Prove(proof.Version, sent.Add(-time.Duration(proof.AgeMs)*time.Millisecond))
+	g.state.RecordProof(proof.Version, sent.Add(-time.Duration(proof.AgeMs)*time.Millisecond))
 	return proof, nil
 }
 
-// askPeerLogged calls askPeer and logs the error, for callers that continue without an answer.
-func (g *Gateway) askPeerLogged(m netip.AddrPort) {
-	if _, err := g.askPeer(m); err != nil {
+// queryPeerLogged calls askPeer and logs the error, for callers that continue without an answer.
+func (g *Gateway) queryPeerLogged(m netip.AddrPort) {
+	if _, err := g.queryPeer(m); err != nil {
 		g.deps.Log.Logger().Warn("Reading a peer's configuration failed.", "peer", m, "err", err)
 	}
 }
--- a/relay/picker.go
+++ b/relay/picker.go
@@ -21,21 +21,21 @@
 	dataCentre string // data centre of this gateway
 	state      *State
 	policy     balance.Policy
-	window     limits.WindowConfig
-	urgent     chan struct{} // requests an early message to the peers
+	window     limits.RetryWindowConfig
+	sendSoon   chan struct{} // requests an early message to the peers
 
 	mu           sync.Mutex
-	book         *balance.Book
-	turns        *balance.Turns
+	book         *balance.LoadTracker
+	turns        *balance.PromptQueue
 	health       *health.Table
-	retryBudgets map[string]*limits.Window // by service
-	loadChanged  chan struct{}             // closed to wake the requests that wait for endpoints
+	retryBudgets map[string]*limits.RetryWindow // by service
+	loadChanged  chan struct{}                  // closed to wake the requests that wait for endpoints
 	// fleetSize is the number of gateways known to this one.
 	fleetSize int
-	// knowsFleet is the time from which fleetSize can be relied on.
-	knowsFleet  time.Time
-	remoteCells map[string]remoteCell // by cell name
-	limits      *endpointLimits       // has its own lock
+	// fleetKnownAt is the time from which fleetSize can be relied on.
+	fleetKnownAt time.Time
+	remoteCells  map[string]remoteCell // by cell name
+	limits       *endpointLimits       // has its own lock
 }
 
 // remoteCell is what the newest digest of another cell reports besides its load.
@@ -45,36 +45,36 @@
 	noSpare    bool   // whether the cell has no endpoints to spare
 }
 
-func newPicker(self, dataCentre string, state *State, policy balance.Policy, window limits.WindowConfig) *picker {
+func newPicker(self, dataCentre string, state *State, policy balance.Policy, window limits.RetryWindowConfig) *picker {
 	return &picker{
-		self: self, dataCentre: dataCentre, state: state, policy: policy, window: window, urgent: make(chan struct{}, 1),
-		book: balance.NewBook(), turns: balance.NewTurns(), health: health.NewTable(),
-		retryBudgets: make(map[string]*limits.Window), loadChanged: make(chan struct{}),
+		self: self, dataCentre: dataCentre, state: state, policy: policy, window: window, sendSoon: make(chan struct{}, 1),
+		book: balance.NewLoadTracker(), turns: balance.NewPromptQueue(), health: health.NewTable(),
+		retryBudgets: make(map[string]*limits.RetryWindow), loadChanged: make(chan struct{}),
 		remoteCells: make(map[string]remoteCell), limits: newEndpointLimits(self),
 	}
 }
 
-// place is the placement of a request on endpoints. Its load counts until it is released.
-type place struct {
-	picker   *picker
-	endpoint catalog.Endpoint
-	helpers  []catalog.Endpoint
-	reserve  []wantedMemory
-	memory   *reservations // reserved for the send; nil if none
-	grant    *grant        // permits a send to an endpoint with a limit; nil if none
-	send     availability.Send
-	before   balance.Load // load of the endpoint before this request
-	chosen   time.Time
-	pace     float64 // of the slowest of the endpoints, as known when the choice was made
+// placement is the placement of a request on endpoints. Its load counts until it is released.
+type placement struct {
+	picker        *picker
+	endpoint      catalog.Endpoint
+	helpers       []catalog.Endpoint
+	memoryDemands []memoryDemand
+	reservations  *reservations // reserved for the send; nil if none
+	grant         *grant        // permits a send to an endpoint with a limit; nil if none
+	send          availability.SentRequest
+	loadBefore    balance.Load // load of the endpoint before this request
+	chosenAt      time.Time
+	pace          float64 // of the slowest of the endpoints, as known when the choice was made
 	// candidates is the number of endpoints that were considered.
-	candidates int
-	remote     int // number of endpoints of other cells that work on the request
-	expected   balance.Expected
-	loads      []*placedLoad
+	candidates      int
+	remoteEndpoints int // number of endpoints of other cells that work on the request
+	expected        balance.Estimate
+	loads           []*placedLoad
 }
 
-// wantedMemory is memory that has to be reserved before a send.
-type wantedMemory struct {
+// memoryDemand is memory that has to be reserved before a send.
+type memoryDemand struct {
 	endpoint catalog.Endpoint
 	tokens   int
 }
@@ -98,62 +98,62 @@
 
 // assign counts the load of a choice. It returns nil if the endpoint takes no more requests at the
 // moment. The caller holds the lock.
-func (p *picker) assign(res searchResult, now time.Time) *place {
+func (p *picker) assign(res searchResult, now time.Time) *placement {
 	c := res.choice
 	send, ok := p.state.BeginSend(res.endpoints[c.Endpoint].ID, now)
 	if !ok {
 		return nil
 	}
-	chosen := &place{
-		picker: p, endpoint: res.endpoints[c.Endpoint], before: res.candidates[c.Endpoint].Load, send: send,
-		candidates: len(res.candidates), expected: c.Expected, chosen: time.Now(),
+	chosen := &placement{
+		picker: p, endpoint: res.endpoints[c.Endpoint], loadBefore: res.candidates[c.Endpoint].Load, send: send,
+		candidates: len(res.candidates), expected: c.Expected, chosenAt: time.Now(),
 	}
 	for _, i := range c.Helpers {
 		chosen.helpers = append(chosen.helpers, res.endpoints[i])
 	}
-	for _, r := range c.Reserve {
-		chosen.reserve = append(chosen.reserve, wantedMemory{res.endpoints[r.Candidate], r.Tokens})
+	for _, r := range c.Reservations {
+		chosen.memoryDemands = append(chosen.memoryDemands, memoryDemand{res.endpoints[r.Candidate], r.Tokens})
 	}
 	for _, l := range c.Loads {
 		if res.candidates[l.Candidate].Remote {
-			chosen.remote++
+			chosen.remoteEndpoints++
 		}
-		chosen.pace = max(chosen.pace, res.candidates[l.Candidate].Pace)
+		chosen.pace = max(chosen.pace, res.candidates[l.Candidate].Slowdown)
 		id := res.endpoints[l.Candidate].ID
 		p.book.Add(id, l.Load)
 		chosen.addLoad(id, l)
 	}
-	p.callPeers()
+	p.notifyPeers()
 	return chosen
 }
 
-// callPeers causes the next message to the peers to be sent soon.
-func (p *picker) callPeers() {
+// notifyPeers causes the next message to the peers to be sent soon.
+func (p *picker) notifyPeers() {
 	select {
-	case p.urgent <- struct{}{}:
+	case p.sendSoon <- struct{}{}:
 	default:
 	}
 }
 
 // joinQueue adds a prompt to those that wait for their turn to choose; leaveQueue removes it.
-func (p *picker) joinQueue(service string, rank balance.Rank, due, now time.Time) *balance.Turn {
+func (p *picker) joinQueue(service string, rank balance.Urgency, due, now time.Time) *balance.QueueEntry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.turns.Forget(now)
-	p.callPeers()
+	p.turns.ExpirePeers(now)
+	p.notifyPeers()
 	return p.turns.Join(service, rank, due, now)
 }
 
-func (p *picker) leaveQueue(t *balance.Turn) {
+func (p *picker) leaveQueue(t *balance.QueueEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.turns.Leave(t)
-	p.callPeers()
+	p.notifyPeers()
 	p.notifyWaitersLocked()
 }
 
 // isNext reports whether it is a prompt's turn to choose.
-func (p *picker) isNext(t *balance.Turn, rank balance.Rank, now time.Time) bool {
+func (p *picker) isNext(t *balance.QueueEntry, rank balance.Urgency, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.turns.First(t, rank, now)
@@ -174,8 +174,8 @@
 	}
 }
 
-// read removes the prefill load of the prompt, which has ended once the first event has arrived.
-func (pl *place) read() {
+// endPrefill removes the prefill load of the prompt, which has ended once the first event has arrived.
+func (pl *placement) endPrefill() {
 	p := pl.picker
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,27 +185,27 @@
 }
 
 // addLoad records load that was counted at an endpoint. The caller holds the lock.
-func (pl *place) addLoad(endpoint string, l balance.Placed) {
+func (pl *placement) addLoad(endpoint string, l balance.LoadShare) {
 	part := &placedLoad{endpoint: endpoint, load: l.Load}
 	pl.loads = append(pl.loads, part)
-	if l.ReadFor > 0 {
-		part.timer = time.AfterFunc(l.ReadFor, func() { pl.endPartPrefill(part) })
+	if l.PrefillFor > 0 {
+		part.timer = time.AfterFunc(l.PrefillFor, func() { pl.endPartPrefill(part) })
 	}
 }
 
 // endPartPrefill removes the prefill load of a part whose estimated time has passed.
-func (pl *place) endPartPrefill(part *placedLoad) {
+func (pl *placement) endPartPrefill(part *placedLoad) {
 	p := pl.picker
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if part.endPrefill(p.book) {
 		p.notifyWaitersLocked()
-		p.callPeers()
+		p.notifyPeers()
 	}
 }
 
 // endPrefill removes the prefill load; it reports whether it was still counted.
-func (l *placedLoad) endPrefill(book *balance.Book) bool {
+func (l *placedLoad) endPrefill(book *balance.LoadTracker) bool {
 	if l.timer != nil {
 		l.timer.Stop()
 	}
@@ -213,12 +213,12 @@
 		return false
 	}
 	l.prefillDone = true
-	book.Read(l.endpoint, l.load)
+	book.PrefillDone(l.endpoint, l.load)
 	return true
 }
 
 // removePrefill removes all prefill load; it reports whether any was still counted.
-func (pl *place) removePrefill() bool {
+func (pl *placement) removePrefill() bool {
 	removed := false
 	for _, l := range pl.loads {
 		removed = l.endPrefill(pl.picker.book) || removed
@@ -227,7 +227,7 @@
 }
 
 // release removes all load of the request.
-func (pl *place) release() {
+func (pl *placement) release() {
 	p := pl.picker
 	pl.endSend(false)
 	p.mu.Lock()
@@ -242,9 +242,9 @@
 
 // endSend records that the request was answered, or will not be; only the first call counts. It
 // reports whether this ends the gradual ramp-up of an endpoint after its back-off.
-func (pl *place) endSend(answered bool) bool {
+func (pl *placement) endSend(answered bool) bool {
 	send := pl.send
-	pl.send = availability.Send{}
+	pl.send = availability.SentRequest{}
 	return pl.picker.state.EndSend(send, answered)
 }
 
@@ -261,29 +261,29 @@
 	p.loadChanged = make(chan struct{})
 }
 
-// note records how an exchange ended; it reports whether the endpoint has just become suspect.
-func (p *picker) note(endpoint string, o health.Outcome, now time.Time) bool {
+// recordOutcome records how an exchange ended; it reports whether the endpoint has just become suspect.
+func (p *picker) recordOutcome(endpoint string, o health.Outcome, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	suspect := p.health.Note(endpoint, o, now)
+	suspect := p.health.RecordOutcome(endpoint, o, now)
 	if suspect {
-		p.callPeers() // so that other gateways need not fail there as well
+		p.notifyPeers() // so that other gateways need not fail there as well
 	}
 	return suspect
 }
 
-// reported records an endpoint's report on itself; it reports whether its pace has changed
+// recordReport records an endpoint's report on itself; it reports whether its pace has changed
 // significantly.
-func (p *picker) reported(endpoint string, r EndpointReport, now time.Time) bool {
+func (p *picker) recordReport(endpoint string, r EndpointReport, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	before := p.health.Pace(endpoint, now)
-	p.health.Reached(endpoint, now)
-	p.health.SetPace(endpoint, r.Pace, now)
-	after := p.health.Pace(endpoint, now)
+	before := p.health.Slowdown(endpoint, now)
+	p.health.RecordReachable(endpoint, now)
+	p.health.SetSlowdown(endpoint, r.Pace, now)
+	after := p.health.Slowdown(endpoint, now)
 	changed := after > significantPaceRatio*before || before > significantPaceRatio*after
 	if changed {
-		p.callPeers()
+		p.notifyPeers()
 	}
 	return changed
 }
@@ -292,25 +292,25 @@
 // the new one, above which the peers are notified at once.
 const significantPaceRatio = 1.2
 
-// noteLate records that a stream began or paused much later than expected. The next regular message
+// recordLate records that a stream began or paused much later than expected. The next regular message
 // tells the gateway that watches the endpoint: a message sent at once would add traffic when there
 // is already too much load.
-func (p *picker) noteLate(endpoint string, now time.Time) {
+func (p *picker) recordLate(endpoint string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.health.SetLate(endpoint, now)
+	p.health.RecordLateStream(endpoint, now)
 }
 
-// avoided returns the endpoints of the local cell that are avoided because several gateways failed
+// avoidedEndpoints returns the endpoints of the local cell that are avoided because several gateways failed
 // there, each with the number of those gateways.
-func (p *picker) avoided(now time.Time) map[string]int {
+func (p *picker) avoidedEndpoints(now time.Time) map[string]int {
 	localCell := p.state.Cells().Of(p.dataCentre)
 	out := make(map[string]int)
 	for _, s := range p.state.Services() {
 		endpoints := p.state.EndpointsByCell(s.Name)[localCell]
 		p.mu.Lock()
 		for _, e := range endpoints {
-			if n := p.health.Witnesses(e.ID, now); n > 0 {
+			if n := p.health.FailingGateways(e.ID, now); n > 0 {
 				out[e.ID] = n
 			}
 		}
@@ -320,10 +320,10 @@
 }
 
 // doubt returns why an endpoint should be queried.
-func (p *picker) doubt(endpoint string, now time.Time) health.Doubt {
+func (p *picker) doubt(endpoint string, now time.Time) health.QueryReason {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.health.Doubt(endpoint, now)
+	return p.health.QueryReason(endpoint, now)
 }
 
 func (p *picker) forget(endpoint string) {
@@ -332,28 +332,28 @@
 	p.health.Forget(endpoint)
 }
 
-// request counts a first send to a service; retry takes a second send from the budget and reports
+// countRequest counts a first send to a service; retry takes a second send from the budget and reports
 // whether it was available.
-func (p *picker) request(service string, now time.Time) {
+func (p *picker) countRequest(service string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.retryBudget(service).Request(now)
+	p.retryBudget(service).RecordRequest(now)
 }
 
-func (p *picker) retry(service string, now time.Time) bool {
+func (p *picker) takeRetry(service string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.retryBudget(service).Retry(now, p.gatewayCount(now))
+	return p.retryBudget(service).AllowRetry(now, p.gatewayCount(now))
 }
 
 // gatewayCount returns how many gateways share the slack of a retry budget. The caller holds the
 // lock.
 func (p *picker) gatewayCount(now time.Time) int {
-	if now.Before(p.knowsFleet) {
+	if now.Before(p.fleetKnownAt) {
 		// Many gateways may have started at this moment, and each would use the whole slack.
 		return limits.UnknownGateways
 	}
-	return max(p.fleetSize, p.book.Peers(now)+1)
+	return max(p.fleetSize, p.book.LivePeers(now)+1)
 }
 
 // setListedGateways records how many gateways a list in the store names.
@@ -361,36 +361,36 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fleetSize = max(p.fleetSize, n)
-	if now.Before(p.knowsFleet) {
-		p.knowsFleet = now
+	if now.Before(p.fleetKnownAt) {
+		p.fleetKnownAt = now
 	}
 }
 
-// fleetTime is how long a process may not know the number of gateways if it cannot read a list
+// fleetDiscoveryTime is how long a process may not know the number of gateways if it cannot read a list
 // written by earlier ones: until it has read the entries of those that started at the same time,
 // plus a margin.
-const fleetTime = gatewaysFirstDelay + time.Second
+const fleetDiscoveryTime = gatewaysFirstDelay + time.Second
 
-func (p *picker) retryBudget(service string) *limits.Window {
+func (p *picker) retryBudget(service string) *limits.RetryWindow {
 	b := p.retryBudgets[service]
 	if b == nil {
-		b = limits.NewWindow(p.window)
+		b = limits.NewRetryWindow(p.window)
 		p.retryBudgets[service] = b
 	}
 	return b
 }
 
-// peer records the load, waiting prompts and health signs that a peer sent.
-func (p *picker) peer(w peers.Word, now time.Time) {
+// recordPeer records the load, waiting prompts and health signs that a peer sent.
+func (p *picker) recordPeer(w peers.Message, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if w.Partial {
-		p.book.PeerChanged(w.From, w.DataCentre, w.Loads, now)
+		p.book.UpdatePeerLoad(w.From, w.DataCentre, w.Loads, now)
 	} else {
-		p.book.Peer(w.From, w.DataCentre, w.Loads, now)
+		p.book.SetPeerLoad(w.From, w.DataCentre, w.Loads, now)
 	}
-	p.turns.Peer(w.From, w.Waiting, now)
-	p.health.Peer(w.From, w.Signs, p.state.EndpointCount(), now)
+	p.turns.SetPeerHeads(w.From, w.Waiting, now)
+	p.health.UpdatePeer(w.From, w.Observations, p.state.EndpointCount(), now)
 	if p.turns.Waiting() > 0 {
 		p.notifyWaitersLocked()
 	}
@@ -401,19 +401,19 @@
 type ownLoad struct {
 	all     map[string]balance.Load
 	byCell  map[string]map[string]balance.Load // the entries of all at the endpoints of each cell
-	waiting map[string]balance.Claim
-	signs   map[string]health.Sign // of endpoints' health
+	waiting map[string]balance.QueueHead
+	signs   map[string]health.Observation // of endpoints' health
 }
 
 // ownLoad returns the whole load, or what has changed since the whole load was last sent.
 func (p *picker) ownLoad(whole bool, now time.Time) ownLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t := ownLoad{waiting: p.turns.Own(now), signs: p.health.Own(now), byCell: make(map[string]map[string]balance.Load)}
+	t := ownLoad{waiting: p.turns.LocalHeads(now), signs: p.health.LocalObservations(now), byCell: make(map[string]map[string]balance.Load)}
 	if whole {
-		t.all = p.book.Own()
+		t.all = p.book.Local()
 	} else {
-		t.all = p.book.Changed()
+		t.all = p.book.LocalChanges()
 	}
 	for id, l := range t.all {
 		c, ok := p.state.CellOf(id)
@@ -439,8 +439,8 @@
 	p.fleetSize = max(own, listed)
 }
 
-// target picks one of the route's services by weight.
-func target(r *catalog.Route) string {
+// pickService picks one of the route's services by weight.
+func pickService(r *catalog.Route) string {
 	sum := 0
 	for _, t := range r.Targets {
 		sum += t.Weight
--- a/relay/picker_test.go
+++ b/relay/picker_test.go
@@ -28,8 +28,8 @@
 	for i := range n {
 		list = append(list, catalog.Endpoint{ID: string(rune('a' + i)), Service: s.Name, Address: "127.0.0.1:1"})
 	}
-	state.Listed(list, time.Now(), time.Now(), time.Time{})
-	return newPicker("g", "dc", state, balance.Default(), limits.WindowConfig{}), s
+	state.ApplyList(list, time.Now(), time.Now(), time.Time{})
+	return newPicker("g", "dc", state, balance.Default(), limits.RetryWindowConfig{}), s
 }
 
 // loadAt returns the load of an endpoint. It takes the lock, since timers release load
@@ -50,22 +50,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p, s := enginePicker(4)
-		work := balance.Work{InputTokens: 100000, OutputTokens: 500, LeftMs: 2500, DeadlineMs: 10000, Slack: time.Second}
+		work := balance.Request{InputTokens: 100000, OutputTokens: 500, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second}
 		pl, _, o := p.pick(s, work, noWarmConns, time.Now())
 		is.Equal(o, picked)
 		is.True(len(pl.loads) > 1)
-		is.True(loadAt(p, pl.endpoint.ID).ReadMs > 0)
+		is.True(loadAt(p, pl.endpoint.ID).PrefillMs > 0)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		for _, l := range pl.loads {
 			load := loadAt(p, l.endpoint)
-			is.Equal(load.ReadMs, 0.0)
+			is.Equal(load.PrefillMs, 0.0)
 			is.Equal(load.Parts, 0)
 		}
 		is.Equal(loadAt(p, pl.endpoint.ID).Long, 1)
-		pl.read()
+		pl.endPrefill()
 		pl.release()
-		is.Equal(len(p.book.Own()), 0)
+		is.Equal(len(p.book.Local()), 0)
 	})
 }
 
@@ -75,17 +75,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p, s := enginePicker(4)
-		work := balance.Work{InputTokens: 100000, OutputTokens: 500, LeftMs: 2500, DeadlineMs: 10000, Slack: time.Second}
+		work := balance.Request{InputTokens: 100000, OutputTokens: 500, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second}
 		first, _, _ := p.pick(s, work, noWarmConns, time.Now())
 		first.release()
-		is.Equal(len(p.book.Own()), 0)
+		is.Equal(len(p.book.Local()), 0)
 		second, _, _ := p.pick(s, work, noWarmConns, time.Now())
-		before := p.book.Own()
+		before := p.book.Local()
 		is.Equal(len(before), len(second.loads))
 		second.release()
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
-		is.Equal(len(p.book.Own()), 0)
+		is.Equal(len(p.book.Local()), 0)
 	})
 }
 
@@ -96,17 +96,17 @@
 
 // engineBench returns a bench whose service is an engine with one slot per endpoint, all of which
 // are taken. Its routes have the given objective.
-func engineBench(t *testing.T, objective time.Duration) *bench {
-	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { answer(w, "200 OK", "", "x") })
+func engineBench(t *testing.T, objective time.Duration) *testGateway {
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeAnswer(w, "200 OK", "", "x") })
 	c := testConfig(2)
 	c.Services[0].Engine = &catalog.Engine{Slots: 1, MemoryTokens: 232000, StepMs: 1, ReadPerMs: 206, PairsPerM: 0.138, ChunkTokens: 2048, Stride: 43}
 	for i := range c.Routes {
 		c.Routes[i].Objective = objective
 	}
-	b.source.set(c, nil)
-	b.know()
-	b.gateway.picker.book.Add("a", balance.Load{Short: 5, Unread: 4})
-	b.gateway.picker.book.Add("b", balance.Load{Short: 5, Unread: 4})
+	b.source.setConfiguration(c, nil)
+	b.readSource()
+	b.gateway.picker.book.Add("a", balance.Load{Short: 5, AwaitingFirstEvent: 4})
+	b.gateway.picker.book.Add("b", balance.Load{Short: 5, AwaitingFirstEvent: 4})
 	return b
 }
 
@@ -115,11 +115,11 @@
 func TestBusyIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	b := engineBench(t, shortObjective)
-	got := b.ask(t.Context(), "POST", "/stream/x", "", http.Header{"Tokens": {"1000"}, "Wait-Ms": {"10000"}})
+	got := b.send(t.Context(), "POST", "/stream/x", "", http.Header{"Tokens": {"1000"}, "Wait-Ms": {"10000"}})
 	is.NoErr(got.err)
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.Equal(got.header.Get("Retry-After"), "3")
-	is.Equal(b.arrivals(), 0)
+	is.Equal(b.requestCount(), 0)
 }
 
 // TestBusyIsServedLate: a caller without enough time to retry, or one that resumes a stream, is
@@ -132,10 +132,10 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := engineBench(t, shortObjective)
-			got := b.ask(t.Context(), "POST", "/safe/x", "", header)
+			got := b.send(t.Context(), "POST", "/safe/x", "", header)
 			is.NoErr(got.err)
 			is.Equal(got.status, http.StatusOK)
-			is.Equal(b.arrivals(), 1)
+			is.Equal(b.requestCount(), 1)
 		})
 	}
 }
@@ -146,14 +146,16 @@
 	is := is.New(t)
 	b := engineBench(t, longObjective)
 	p := b.gateway.picker
-	p.book = balance.NewBook()
-	sendClaims := func(waiting map[string]balance.Claim) { p.peer(peers.Word{From: "p", Waiting: waiting}, time.Now()) }
+	p.book = balance.NewLoadTracker()
+	sendClaims := func(waiting map[string]balance.QueueHead) {
+		p.recordPeer(peers.Message{From: "p", Waiting: waiting}, time.Now())
+	}
 	stop := make(chan struct{})
 	stopped := make(chan struct{})
 	go func() { // the peer keeps reporting that its prompt waits
 		defer close(stopped)
 		for {
-			sendClaims(map[string]balance.Claim{"s": {Rank: balance.InTime, LeftMs: -60000}})
+			sendClaims(map[string]balance.QueueHead{"s": {Rank: balance.InTime, DueInMs: -60000}})
 			select {
 			case <-stop:
 				return
@@ -161,27 +163,27 @@
 			}
 		}
 	}()
-	done := make(chan reply)
+	done := make(chan response)
 	go func() {
-		done <- b.ask(t.Context(), "POST", "/safe/x", "", http.Header{"Tokens": {"50000"}, "Wait-Ms": {"60000"}})
+		done <- b.send(t.Context(), "POST", "/safe/x", "", http.Header{"Tokens": {"50000"}, "Wait-Ms": {"60000"}})
 	}()
 	for !hasWaitedLong(p) {
 		time.Sleep(time.Millisecond)
 	}
-	is.Equal(b.arrivals(), 0)
+	is.Equal(b.requestCount(), 0)
 	close(stop)
 	<-stopped
 	sendClaims(nil)
 	is.Equal((<-done).status, http.StatusOK)
-	is.Equal(b.arrivals(), 1)
+	is.Equal(b.requestCount(), 1)
 }
 
 // hasWaitedLong reports whether a prompt has waited for longer than peer messages take.
 func hasWaitedLong(p *picker) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	claim, ok := p.turns.Own(time.Now())["s"]
-	return ok && claim.LeftMs < (longObjective-100*time.Millisecond).Milliseconds()
+	claim, ok := p.turns.LocalHeads(time.Now())["s"]
+	return ok && claim.DueInMs < (longObjective-100*time.Millisecond).Milliseconds()
 }
 
 // TestStopRefusesWaitingPrompts: a gateway that is about to stop refuses a prompt that still waits
@@ -190,25 +192,25 @@
 	is := is.New(t)
 	b := engineBench(t, longObjective)
 	p := b.gateway.picker
-	reading := balance.Load{ReadMs: 900, Parts: 1}
+	reading := balance.Load{PrefillMs: 900, Parts: 1}
 	p.book.Add("a", reading)
 	p.book.Add("b", reading)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	done := make(chan reply)
+	done := make(chan response)
 	go func() {
-		done <- b.ask(ctx, "POST", "/stream/x", "", http.Header{"Tokens": {"50000"}, "Wait-Ms": {"60000"}})
+		done <- b.send(ctx, "POST", "/stream/x", "", http.Header{"Tokens": {"50000"}, "Wait-Ms": {"60000"}})
 	}()
 	for !hasWaitedLong(p) {
 		time.Sleep(time.Millisecond)
 	}
-	longAgo := time.Now().Add(-noticeTime - time.Second)
-	b.gateway.stopAt.Store(&longAgo)
+	longAgo := time.Now().Add(-unreadyDetectionTime - time.Second)
+	b.gateway.stoppedAt.Store(&longAgo)
 	got := <-done
 	is.NoErr(got.err)
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.Equal(got.header.Get("Retry-After"), "0.05")
-	is.Equal(b.arrivals(), 0)
+	is.Equal(b.requestCount(), 0)
 }
 
 // TestLongIsRefusedWhenItsTimeToWaitIsOver: a long prompt that no endpoint takes is refused before
@@ -221,15 +223,15 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := engineBench(t, time.Second)
-			reading := balance.Load{ReadMs: 5000, Parts: 1}
+			reading := balance.Load{PrefillMs: 5000, Parts: 1}
 			b.gateway.picker.book.Add("a", reading)
 			b.gateway.picker.book.Add("b", reading)
 			began := time.Now()
-			got := b.ask(t.Context(), "POST", "/stream/x", "", http.Header{"Tokens": {"50000"}, "Wait-Ms": {c.waitMs}})
+			got := b.send(t.Context(), "POST", "/stream/x", "", http.Header{"Tokens": {"50000"}, "Wait-Ms": {c.waitMs}})
 			is.NoErr(got.err)
 			is.Equal(got.status, http.StatusServiceUnavailable)
 			is.True(time.Since(began) < time.Second)
-			is.Equal(b.arrivals(), 0)
+			is.Equal(b.requestCount(), 0)
 			after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 			is.NoErr(err)
 			if c.retryAfter != "" {
@@ -246,16 +248,16 @@
 func TestRetriesBeforeTheFleetIsKnown(t *testing.T) {
 	is := is.New(t)
 	p, s := enginePicker(1)
-	p.window = limits.WindowConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}
+	p.window = limits.RetryWindowConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}
 	now := time.Now()
-	p.knowsFleet = now.Add(fleetTime)
-	is.True(!p.retry(s.Name, now))
+	p.fleetKnownAt = now.Add(fleetDiscoveryTime)
+	is.True(!p.takeRetry(s.Name, now))
 	for range 10 {
-		p.request(s.Name, now)
+		p.countRequest(s.Name, now)
 	}
-	is.True(p.retry(s.Name, now))
-	is.True(!p.retry(s.Name, now))
-	is.True(p.retry(s.Name, now.Add(fleetTime)))
+	is.True(p.takeRetry(s.Name, now))
+	is.True(!p.takeRetry(s.Name, now))
+	is.True(p.takeRetry(s.Name, now.Add(fleetDiscoveryTime)))
 }
 
 // TestRetriesOnceTheFleetIsListed: a restarted gateway finds the entries of all earlier gateways,
@@ -263,12 +265,12 @@
 func TestRetriesOnceTheFleetIsListed(t *testing.T) {
 	is := is.New(t)
 	p, s := enginePicker(1)
-	p.window = limits.WindowConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}
+	p.window = limits.RetryWindowConfig{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}
 	now := time.Now()
-	p.knowsFleet = now.Add(fleetTime)
+	p.fleetKnownAt = now.Add(fleetDiscoveryTime)
 	p.setListedGateways(24, now)
 	granted := 0
-	for p.retry(s.Name, now) {
+	for p.takeRetry(s.Name, now) {
 		granted++
 	}
 	is.Equal(granted, 2) // its part of the slack
--- a/relay/place.go
+++ b/relay/place.go
@@ -9,14 +9,14 @@
 	"github.com/micarudder/micarudder/catalog"
 )
 
-// queueStep is the longest pause between two evaluations of the load.
-const queueStep = 20 * time.Millisecond
+// queuePollInterval is the longest pause between two evaluations of the load.
+const queuePollInterval = 20 * time.Millisecond
 
-// patience returns the current wait and retry policy of the request.
-func (x *exchange) patience() waitPolicy {
+// waitPolicy returns the current wait and retry policy of the request.
+func (x *exchange) waitPolicy() waitPolicy {
 	return waitPolicy{
 		started: x.started, deadline: x.deadline, objective: x.route.Objective, firstPartTimeout: x.route.Patience,
-		sends: x.attempts, unsent: x.unsent, helperFailures: x.helperFailures, resumed: x.stream != nil || x.call.LastEventID != "",
+		sends: x.attempts, unsent: x.unsentAttempts, helperFailures: x.helperFailures, resumed: x.stream != nil || x.call.LastEventID != "",
 	}
 }
 
@@ -31,23 +31,23 @@
 	if x.route.Idempotent() {
 		return 0
 	}
-	return unsafeIdle
+	return maxUnsafeIdle
 }
 
 // balanceWork returns the request as input of an endpoint choice, without its time limits.
-func (x *exchange) balanceWork() balance.Work {
-	return balance.Work{
-		InputTokens: x.call.Input, OutputTokens: x.call.Output, Avoid: slices.Concat(x.tried, x.unfit),
-		Pauses: x.table.Pauses(x.service.Name), Pause: x.route.GapObjective,
+func (x *exchange) balanceWork() balance.Request {
+	return balance.Request{
+		InputTokens: x.call.PromptTokens, OutputTokens: x.call.MaxTokens, Excluded: slices.Concat(x.tried, x.excluded),
+		Gaps: x.table.Gaps(x.service.Name), MaxGap: x.route.GapObjective,
 	}
 }
 
 // logPlacement logs where the request goes and the state of that endpoint as known to this gateway.
-func (x *exchange) logPlacement(pl *place, waited time.Duration) {
-	x.g.deps.Log.Request("Endpoint chosen.", "request", x.call.ID, "endpoint", pl.endpoint.ID, "helpers", endpointIDs(pl.helpers), "reserved", len(pl.reserve),
-		"tokens", x.call.Input, "waited_ms", waited.Milliseconds(),
-		"expected_ms", int(pl.expected.FirstMs), "harm", int(pl.expected.Harm), "idle", pl.expected.Idle,
-		"read_ms", int(pl.before.ReadMs), "short", pl.before.Short, "long", pl.before.Long, "memory", pl.before.Tokens, "pace", pl.pace, "candidates", pl.candidates, "remote", pl.remote, "limit", x.g.limits.logValue(pl.endpoint.ID))
+func (x *exchange) logPlacement(pl *placement, waited time.Duration) {
+	x.g.deps.Log.Request("Endpoint chosen.", "request", x.call.ID, "endpoint", pl.endpoint.ID, "helpers", endpointIDs(pl.helpers), "reserved", len(pl.memoryDemands),
+		"tokens", x.call.PromptTokens, "waited_ms", waited.Milliseconds(),
+		"expected_ms", int(pl.expected.FirstMs), "harm", int(pl.expected.Interference), "idle", pl.expected.IdleEndpoints,
+		"read_ms", int(pl.loadBefore.PrefillMs), "short", pl.loadBefore.Short, "long", pl.loadBefore.Long, "memory", pl.loadBefore.MemoryTokens, "pace", pl.pace, "candidates", pl.candidates, "remote", pl.remoteEndpoints, "limit", x.g.endpointLimits.logValue(pl.endpoint.ID))
 }
 
 // refusalReason returns the reason for the log when a choice with this outcome leads to a refusal.
@@ -64,16 +64,16 @@
 
 // logNotPlaced logs why a request that was not sent is refused. expected is the estimate for the
 // best endpoints; it has no parts if it never was the request's turn.
-func (x *exchange) logNotPlaced(reason string, expected balance.Expected, waited time.Duration) {
-	x.g.deps.Log.Request("No endpoint chosen.", "request", x.call.ID, "why", reason, "tokens", x.call.Input, "waited_ms", waited.Milliseconds(),
-		"expected_ms", int(expected.FirstMs), "harm", int(expected.Harm), "parts", expected.Parts, "idle", expected.Idle)
+func (x *exchange) logNotPlaced(reason string, expected balance.Estimate, waited time.Duration) {
+	x.g.deps.Log.Request("No endpoint chosen.", "request", x.call.ID, "why", reason, "tokens", x.call.PromptTokens, "waited_ms", waited.Milliseconds(),
+		"expected_ms", int(expected.FirstMs), "harm", int(expected.Interference), "parts", expected.Parts, "idle", expected.IdleEndpoints)
 }
 
 // refuseUnplaced ends a request that no endpoint takes. queued is set when there are endpoints but
 // they are busy.
 func (x *exchange) refuseUnplaced(queued bool) outcome {
 	if queued && !x.mayRun && x.r.Context().Err() == nil {
-		return x.refuse(http.StatusServiceUnavailable, x.patience().queueRetryAfter(time.Now()), refusedFull)
+		return x.refuse(http.StatusServiceUnavailable, x.waitPolicy().queueRetryAfter(time.Now()), refusedFull)
 	}
 	return x.giveUp(refusedFull)
 }
--- a/relay/placing.go
+++ b/relay/placing.go
@@ -8,8 +8,8 @@
 	"github.com/micarudder/micarudder/balance"
 )
 
-// place finds an endpoint, and waits for one where that is better.
-func (x *exchange) place(ctx context.Context) (*place, outcome) {
+// findPlacement finds an endpoint, and waits for one where that is better.
+func (x *exchange) findPlacement(ctx context.Context) (*placement, outcome) {
 	p := x.startPlacement()
 	defer p.end()
 	now := p.updateWork()
@@ -23,7 +23,7 @@
 			return pl, o
 		}
 		if next == tryLater {
-			x.g.picker.waitForLoadChange(ctx, queueStep)
+			x.g.picker.waitForLoadChange(ctx, queuePollInterval)
 		}
 		if ctx.Err() != nil {
 			return nil, x.giveUp(outOfTime)
@@ -44,20 +44,20 @@
 type placementSearch struct {
 	x            *exchange
 	began        time.Time
-	work         balance.Work
+	work         balance.Request
 	oversize     bool
-	minEndpoints int           // number of endpoints that the request needs at once
-	turn         *balance.Turn // position among long prompts; nil if it needs none
+	minEndpoints int                 // number of endpoints that the request needs at once
+	turn         *balance.QueueEntry // position among long prompts; nil if it needs none
 	backoff      backoffWait
-	expected     balance.Expected // from the latest evaluation of the load
+	expected     balance.Estimate // from the latest evaluation of the load
 }
 
 func (x *exchange) startPlacement() *placementSearch {
 	p := &placementSearch{x: x, began: time.Now(), work: x.balanceWork(), backoff: backoffWait{x: x}}
-	p.oversize = x.g.config.Policy.Oversize(x.service, p.work)
+	p.oversize = x.g.config.Policy.ExceedsMemory(x.service, p.work)
 	p.minEndpoints = x.minEndpoints(p.work)
-	if x.g.config.Policy.TakesTurns(x.service, p.work) {
-		p.turn = x.g.picker.joinQueue(x.service.Name, x.patience().rank(p.oversize, p.began), x.started.Add(x.route.Objective), p.began)
+	if x.g.config.Policy.MustQueue(x.service, p.work) {
+		p.turn = x.g.picker.joinQueue(x.service.Name, x.waitPolicy().rank(p.oversize, p.began), x.started.Add(x.route.Objective), p.began)
 	}
 	return p
 }
@@ -67,14 +67,14 @@
 	if p.turn != nil {
 		p.x.g.picker.leaveQueue(p.turn)
 	}
-	p.x.g.meter.wait.UpdateDuration(p.began)
+	p.x.g.meter.waitTime.UpdateDuration(p.began)
 }
 
 // updateWork recomputes how much time the request has left.
 func (p *placementSearch) updateWork() (now time.Time) {
-	p.x.countSuspension()
+	p.x.deductSuspension()
 	now = time.Now()
-	p.x.patience().fillWork(&p.work, p.x.g.ending(), now)
+	p.x.waitPolicy().fillWork(&p.work, p.x.g.shutdownNoticed(), now)
 	if p.oversize {
 		p.work.Late = false // it takes much of many endpoints, so it keeps its turn
 	}
@@ -82,7 +82,7 @@
 }
 
 // tryPlace looks for an endpoint once.
-func (p *placementSearch) tryPlace(ctx context.Context) (pl *place, o outcome, next nextTry) {
+func (p *placementSearch) tryPlace(ctx context.Context) (pl *placement, o outcome, next nextTry) {
 	x := p.x
 	now := p.updateWork()
 	pl, found, turn := p.choose(now)
@@ -90,7 +90,7 @@
 		return p.succeed(pl, now)
 	}
 	var limited limitedResult
-	if x.g.limits.any() {
+	if x.g.endpointLimits.any() {
 		limited = x.placeAmongLimited(ctx, &p.work, found, now)
 		now = time.Now() // the call to the coordinator took time
 		switch {
@@ -105,11 +105,11 @@
 	switch {
 	case found == pickFull:
 		return p.refuse(refusalReason(found), now, func() outcome { return x.refuse(http.StatusServiceUnavailable, retryAfterBusy, refusedBusy) })
-	case x.attempts == 0 && x.g.ending():
+	case x.attempts == 0 && x.g.shutdownNoticed():
 		// The process may end before an endpoint is free.
 		return nil, x.refuse(http.StatusServiceUnavailable, retryAfterStop, stopping), tryEnded
-	case found == pickNone && len(p.work.Avoid) > 0:
-		p.work.Avoid = nil // better the same endpoint again than none
+	case found == pickNone && len(p.work.Excluded) > 0:
+		p.work.Excluded = nil // better the same endpoint again than none
 		return nil, "", tryAgain
 	}
 	switch step, retryAfter := p.backoff.next(p.minEndpoints, turn, now); step {
@@ -120,16 +120,16 @@
 	}
 	if found == pickNone && x.attempts == 0 && x.g.state.AllDraining(x.service.Name) {
 		return p.refuse("all endpoints leave", now, func() outcome {
-			return x.refuse(http.StatusServiceUnavailable, x.patience().capRetryAfter(retryAfterLeaving, now), refusedFull)
+			return x.refuse(http.StatusServiceUnavailable, x.waitPolicy().capRetryAfter(retryAfterLeaving, now), refusedFull)
 		})
 	}
 	return p.waitOrRefuse(found, limited.retryAfter, now)
 }
 
 // choose chooses an endpoint if it is the request's turn.
-func (p *placementSearch) choose(now time.Time) (pl *place, o pickOutcome, turn choiceState) {
+func (p *placementSearch) choose(now time.Time) (pl *placement, o pickOutcome, turn choiceState) {
 	picker := p.x.g.picker
-	if p.turn != nil && !p.work.Late && !picker.isNext(p.turn, p.x.patience().rank(p.oversize, now), now) {
+	if p.turn != nil && !p.work.Late && !picker.isNext(p.turn, p.x.waitPolicy().rank(p.oversize, now), now) {
 		p.backoff.leave() // others need not wait while it is not its turn
 		return nil, pickWait, choiceNotItsTurn
 	}
@@ -142,10 +142,10 @@
 
 // waitOrRefuse decides about a request for which no endpoint was found. retryAfter is the
 // Retry-After time if the request waits for endpoints with limits, otherwise zero.
-func (p *placementSearch) waitOrRefuse(found pickOutcome, retryAfter time.Duration, now time.Time) (pl *place, o outcome, next nextTry) {
+func (p *placementSearch) waitOrRefuse(found pickOutcome, retryAfter time.Duration, now time.Time) (pl *placement, o outcome, next nextTry) {
 	busy := found == pickWait || retryAfter > 0
 	switch {
-	case p.x.patience().mayWait(busy, now):
+	case p.x.waitPolicy().mayWait(busy, now):
 		return nil, "", tryLater
 	case retryAfter > 0:
 		return p.refuse("no endpoint with a rate limit took it in its time", now, func() outcome { return p.x.refuseLimited(retryAfter) })
@@ -155,14 +155,14 @@
 }
 
 // succeed ends the search with a placement.
-func (p *placementSearch) succeed(pl *place, now time.Time) (*place, outcome, nextTry) {
+func (p *placementSearch) succeed(pl *placement, now time.Time) (*placement, outcome, nextTry) {
 	p.x.logPlacement(pl, now.Sub(p.began))
 	return pl, "", tryEnded
 }
 
 // refuse ends the search without a placement. answer responds to the caller, or aborts a response
 // whose header was already sent.
-func (p *placementSearch) refuse(reason string, now time.Time, answer func() outcome) (*place, outcome, nextTry) {
+func (p *placementSearch) refuse(reason string, now time.Time, answer func() outcome) (*placement, outcome, nextTry) {
 	p.x.logNotPlaced(reason, p.expected, now.Sub(p.began))
 	return nil, answer(), tryEnded
 }
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -18,16 +18,16 @@
 
 // Call is what the head of a caller's request says besides method, path and body.
 type Call struct {
-	ID          string        // identifies this attempt of the caller
-	Deadline    time.Duration // how long the caller waits; 0: not given
-	Key         string        // empty: not given
-	Input       int           // prompt tokens
-	Output      int           // maximum number of generated tokens
-	LastEventID string        // the stream resumes after this event; empty: from the start
+	ID           string        // identifies this attempt of the caller
+	Deadline     time.Duration // how long the caller waits; 0: not given
+	Key          string        // empty: not given
+	PromptTokens int           // prompt tokens
+	MaxTokens    int           // maximum number of generated tokens
+	LastEventID  string        // the stream resumes after this event; empty: from the start
 }
 
-// Send is what the gateway adds to a request for one endpoint.
-type Send struct {
+// AttemptFields is what the gateway adds to a request for one endpoint.
+type AttemptFields struct {
 	EndpointID  string
 	Remaining   time.Duration // time until the request's deadline
 	Workspace   string
@@ -96,12 +96,12 @@
 	Call(h http.Header) (Call, error)
 	// Header returns the header for an endpoint: the caller's header without the fields that belong
 	// to its connection or to the gateway, and with the values of s.
-	Header(caller http.Header, c Call, s Send) http.Header
+	Header(caller http.Header, c Call, s AttemptFields) http.Header
 	// Verdict classifies an endpoint's answer.
 	Verdict(res *http.Response) Verdict
-	// AtFault returns the address of the endpoint because of which, according to an answer, the
+	// FaultyEndpoint returns the address of the endpoint because of which, according to an answer, the
 	// request was not run; empty: the answer names none.
-	AtFault(res *http.Response) string
+	FaultyEndpoint(res *http.Response) string
 	// Statement parses what an answer says about the availability of the endpoint that gave it. The
 	// error reports a value that cannot be read or applies only in part; the other values are
 	// valid.
@@ -117,8 +117,8 @@
 	Reserve(endpointID, id string, tokens int, hold time.Duration) *upstream.Request
 	// Release returns the order to end a reservation.
 	Release(endpointID, id string) *upstream.Request
-	// Echo returns the name of the header field that an answer repeats from its request.
-	Echo() string
+	// EchoedHeader returns the name of the header field that an answer repeats from its request.
+	EchoedHeader() string
 }
 
 // Source provides the configuration and the list of endpoints and gateways, and stores the
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -16,9 +16,9 @@
 type QuarantineStore interface {
 	// Quarantined returns all stored entries.
 	Quarantined(ctx context.Context) ([]quarantine.Entry, error)
-	// KeepQuarantined stores an entry for the given time and replaces an older one of the same
+	// StoreQuarantined stores an entry for the given time and replaces an older one of the same
 	// request.
-	KeepQuarantined(ctx context.Context, e quarantine.Entry, life time.Duration) error
+	StoreQuarantined(ctx context.Context, e quarantine.Entry, life time.Duration) error
 	// DropQuarantined removes an entry.
 	DropQuarantined(ctx context.Context, f quarantine.Fingerprint) error
 }
@@ -36,14 +36,14 @@
 
 // quarantineTable is the gateway's shared table of requests that crash endpoints.
 type quarantineTable struct {
-	// known is the number of requests in the table; while it is zero, the check of a request costs
+	// count is the number of requests in the table; while it is zero, the check of a request costs
 	// nothing.
-	known atomic.Int64
-	// speaks is set while this gateway forwards the reports of its own cell to other cells.
-	speaks atomic.Bool
-	// turn selects the other cell that is told next about quarantined requests; only the goroutine
+	count atomic.Int64
+	// representative is set while this gateway forwards the reports of its own cell to other cells.
+	representative atomic.Bool
+	// nextCell selects the other cell that is told next about quarantined requests; only the goroutine
 	// that sends peer messages uses it.
-	turn int
+	nextCell int
 	// pendingEntries holds requests whose stored entry is out of date.
 	pendingEntries chan quarantine.Fingerprint
 
@@ -60,18 +60,18 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	do(q.table)
-	q.known.Store(int64(q.table.Len()))
+	q.count.Store(int64(q.table.Len()))
 }
 
 // mayKnow reports whether the table may hold an entry for a request.
 func (q *quarantineTable) mayKnow(r *quarantine.Request) bool {
-	if q.known.Load() == 0 {
+	if q.count.Load() == 0 {
 		return false
 	}
 	head := r.Head()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.table.MayKnow(head)
+	return q.table.MayContain(head)
 }
 
 func (q *quarantineTable) verdict(f quarantine.Fingerprint, now time.Time) quarantine.Verdict {
@@ -89,7 +89,7 @@
 
 // fingerprints returns the quarantined requests.
 func (q *quarantineTable) fingerprints(now time.Time) []quarantine.Fingerprint {
-	if q.known.Load() == 0 {
+	if q.count.Load() == 0 {
 		return nil
 	}
 	q.mu.Lock()
@@ -125,12 +125,12 @@
 }
 
 // recordCrash records that the endpoint crashed while it had the request.
-func (x *exchange) recordCrash(at *place) {
+func (x *exchange) recordCrash(at *placement) {
 	g, f, now := x.g, x.requestFingerprint(), time.Now()
 	var before, after quarantine.Verdict
-	g.quarantined.change(func(t *quarantine.Table) {
+	g.quarantine.change(func(t *quarantine.Table) {
 		before = t.Verdict(f, now)
-		t.Crashed(f, quarantine.Crash{Endpoint: quarantine.IncarnationOf(at.endpoint.ID, at.endpoint.Born), Begun: x.answerBegun, At: now}, now)
+		t.RecordCrash(f, quarantine.Crash{Endpoint: quarantine.IncarnationOf(at.endpoint.ID, at.endpoint.Born), Begun: x.answerBegun, At: now}, now)
 		after = t.Verdict(f, now)
 	})
 	g.announceCrashes()
@@ -140,24 +140,24 @@
 	if !before.Quarantined() {
 		g.meter.quarantines.Inc()
 		g.deps.Log.Logger().Warn("Request quarantined.", "fingerprint", f, "request", x.call.ID, "workspace", x.fingerprintInput().Workspace, "route", x.route.Name,
-			"crashed_before", after.Before, "crashed_within", after.Within, "for", after.Until.Sub(now))
+			"crashed_before", after.CrashesBefore, "crashed_within", after.CrashesWithin, "for", after.Until.Sub(now))
 	}
-	g.keep(f)
+	g.scheduleStore(f)
 }
 
 // recordSuccess records that the endpoint completed the request. A failure that the endpoint
 // reports does not count, since the request may not have started there.
-func (x *exchange) recordSuccess(at *place) {
+func (x *exchange) recordSuccess(at *placement) {
 	g := x.g
-	if x.status/100 != 2 || !g.quarantined.mayKnow(x.fingerprintInput()) {
+	if x.status/100 != 2 || !g.quarantine.mayKnow(x.fingerprintInput()) {
 		return
 	}
 	f, now := x.requestFingerprint(), time.Now()
 	var before, after quarantine.Verdict
 	fresh := false
-	g.quarantined.change(func(t *quarantine.Table) {
+	g.quarantine.change(func(t *quarantine.Table) {
 		before = t.Verdict(f, now)
-		fresh = t.Served(f, quarantine.IncarnationOf(at.endpoint.ID, at.endpoint.Born), now)
+		fresh = t.RecordSuccess(f, quarantine.IncarnationOf(at.endpoint.ID, at.endpoint.Born), now)
 		after = t.Verdict(f, now)
 	})
 	if !fresh {
@@ -172,15 +172,15 @@
 // handleCleared logs and stores that a request is no longer quarantined. id is the request that
 // succeeded, or empty if an operator cleared it.
 func (g *Gateway) handleCleared(f quarantine.Fingerprint, v quarantine.Verdict, id string) {
-	g.deps.Log.Logger().Info("Request cleared.", "fingerprint", f, "request", id, "crashed_before", v.Before, "crashed_within", v.Within, "ended_well", v.Good)
-	g.keep(f)
+	g.deps.Log.Logger().Info("Request cleared.", "fingerprint", f, "request", id, "crashed_before", v.CrashesBefore, "crashed_within", v.CrashesWithin, "ended_well", v.Successes)
+	g.scheduleStore(f)
 }
 
 // checkQuarantine reports whether the request may be sent. A quarantined request is refused with
 // the time until it may be sent again, or, if it was sent before, with the answer that it may have
 // run.
 func (x *exchange) checkQuarantine() (outcome, bool) {
-	q := x.g.quarantined
+	q := x.g.quarantine
 	if !q.mayKnow(x.fingerprintInput()) {
 		return "", true
 	}
@@ -190,46 +190,46 @@
 		return "", true
 	}
 	x.g.deps.Log.Request("Not sent: quarantined.", "request", x.call.ID, "fingerprint", x.requestFingerprint(),
-		"crashed_before", v.Before, "crashed_within", v.Within, "for", v.Until.Sub(now))
+		"crashed_before", v.CrashesBefore, "crashed_within", v.CrashesWithin, "for", v.Until.Sub(now))
 	if x.mayRun {
 		return x.giveUp(quarantinedOutcome), false
 	}
 	return x.refuse(http.StatusServiceUnavailable, v.Until.Sub(now).Truncate(time.Second), quarantinedOutcome), false
 }
 
-// heardCrashes processes the crash reports in a peer's message.
-func (g *Gateway) heardCrashes(w peers.Word) {
-	if len(w.Crashes) == 0 {
+// handleCrashReports processes the crash reports in a peer's message.
+func (g *Gateway) handleCrashReports(w peers.Message) {
+	if len(w.CrashReports) == 0 {
 		return
 	}
 	now := time.Now()
 	var list []quarantine.Fingerprint
 	fresh := 0
-	g.quarantined.change(func(t *quarantine.Table) {
-		list, fresh = t.Hear(w.Crashes, g.fromAfar(w), now)
+	g.quarantine.change(func(t *quarantine.Table) {
+		list, fresh = t.Apply(w.CrashReports, g.fromOtherCell(w), now)
 	})
 	for _, f := range list {
-		v := g.quarantined.verdict(f, now)
+		v := g.quarantine.verdict(f, now)
 		g.deps.Log.Logger().Warn("Request quarantined.", "fingerprint", f, "peer", w.From,
-			"crashed_before", v.Before, "crashed_within", v.Within, "for", v.Until.Sub(now))
+			"crashed_before", v.CrashesBefore, "crashed_within", v.CrashesWithin, "for", v.Until.Sub(now))
 	}
-	if fresh > 0 && g.quarantined.speaks.Load() {
-		g.tellNews()
+	if fresh > 0 && g.quarantine.representative.Load() {
+		g.broadcastSoon()
 	}
 }
 
-// keep schedules an update of the stored entry of a request.
-func (g *Gateway) keep(f quarantine.Fingerprint) {
+// scheduleStore schedules an update of the stored entry of a request.
+func (g *Gateway) scheduleStore(f quarantine.Fingerprint) {
 	select {
-	case g.quarantined.pendingEntries <- f:
+	case g.quarantine.pendingEntries <- f:
 	default:
 		g.deps.Log.Logger().Warn("Quarantined request not stored: too many entries are pending.", "fingerprint", f)
 	}
 }
 
-// keepQuarantined updates the stored entries from the table until the gateway is closed. The
+// storeQuarantined updates the stored entries from the table until the gateway is closed. The
 // gateway that saw the crash does this; if it dies first, the others still know of the crash.
-func (g *Gateway) keepQuarantined() {
+func (g *Gateway) storeQuarantined() {
 	pending := make(map[quarantine.Fingerprint]bool)
 	for {
 		var retry <-chan time.Time
@@ -239,7 +239,7 @@
 		select {
 		case <-g.ctx.Done():
 			return
-		case f := <-g.quarantined.pendingEntries:
+		case f := <-g.quarantine.pendingEntries:
 			pending[f] = true
 		case <-retry:
 		}
@@ -256,13 +256,13 @@
 
 // storeEntry updates one stored entry from the table.
 func (g *Gateway) storeEntry(f quarantine.Fingerprint) error {
-	ctx, cancel := context.WithTimeout(g.ctx, readTime)
+	ctx, cancel := context.WithTimeout(g.ctx, readTimeout)
 	defer cancel()
-	e, ok := g.quarantined.entry(f, time.Now())
+	e, ok := g.quarantine.entry(f, time.Now())
 	if !ok {
 		return g.deps.Source.DropQuarantined(ctx, f)
 	}
-	return g.deps.Source.KeepQuarantined(ctx, e, storedEntryTTL)
+	return g.deps.Source.StoreQuarantined(ctx, e, storedEntryTTL)
 }
 
 // loadQuarantined loads the stored entries. A process that starts knows of no crashes, and possibly
@@ -270,7 +270,7 @@
 // store again.
 func (g *Gateway) loadQuarantined() {
 	for {
-		ctx, cancel := context.WithTimeout(g.ctx, readTime)
+		ctx, cancel := context.WithTimeout(g.ctx, readTimeout)
 		entries, err := g.deps.Source.Quarantined(ctx)
 		cancel()
 		if err == nil {
@@ -278,7 +278,7 @@
 			return
 		}
 		g.deps.Log.Logger().Warn("The quarantined requests could not be recalled.", "err", err)
-		for wait := true; wait; wait = g.proofAge() > takeOver {
+		for wait := true; wait; wait = g.proofAge() > takeoverAge {
 			if !g.pause(storeRetryDelay) {
 				return
 			}
@@ -291,9 +291,9 @@
 		return
 	}
 	now := time.Now()
-	g.quarantined.change(func(t *quarantine.Table) {
+	g.quarantine.change(func(t *quarantine.Table) {
 		for _, e := range entries {
-			t.Recall(e, now)
+			t.Restore(e, now)
 		}
 	})
 	g.deps.Log.Logger().Info("Quarantined requests recalled.", "requests", len(entries))
@@ -306,8 +306,8 @@
 // serveQuarantine lists the requests in the table.
 func (g *Gateway) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
 	var list []quarantine.Listing
-	g.quarantined.change(func(t *quarantine.Table) { list = t.List(time.Now()) })
-	g.answerPeer(w, list)
+	g.quarantine.change(func(t *quarantine.Table) { list = t.List(time.Now()) })
+	g.writePeerAnswer(w, list)
 }
 
 // serveClear clears a request for an operator.
@@ -318,7 +318,7 @@
 		return
 	}
 	known := false
-	g.quarantined.change(func(t *quarantine.Table) { known = t.Clear(f, time.Now()) })
+	g.quarantine.change(func(t *quarantine.Table) { known = t.Clear(f, time.Now()) })
 	if !known {
 		http.Error(w, "nothing stands against it", http.StatusNotFound)
 		return
@@ -329,8 +329,8 @@
 
 // announceCrashes schedules messages to the peers.
 func (g *Gateway) announceCrashes() {
-	g.picker.callPeers()
-	if g.quarantined.speaks.Load() {
-		g.tellNews()
+	g.picker.notifyPeers()
+	if g.quarantine.representative.Load() {
+		g.broadcastSoon()
 	}
 }
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -42,7 +42,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				c := newCrashFleet(t, tc.dataCentres, tc.gateways, tc.engines)
-				c.setLose(tc.drops)
+				c.setDrops(tc.drops)
 				time.Sleep(3 * time.Second)
 				r := c.run(defaultLoad)
 				t.Logf("%+v; %d attempts of the crashing request, %d engines crashed, %d harmless streams on them", r, c.sendCount(), c.crashCount(), c.brokenHarmless)
@@ -79,7 +79,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCrashFleet(t, 1, 4, 18)
-		c.setLose(func(from, to int) bool { return from == 0 || to == 0 })
+		c.setDrops(func(from, to int) bool { return from == 0 || to == 0 })
 		time.Sleep(time.Second)
 		for range 4 { // the others detect it
 			c.call(1, crashPath)
@@ -88,7 +88,7 @@
 		is.True(found >= 3)
 		c.call(0, crashPath) // this gateway does not know of it
 		is.True(c.sendCount() > found)
-		c.setLose(nil)
+		c.setDrops(nil)
 		time.Sleep(time.Second)
 		known := c.sendCount()
 		for range 4 {
@@ -104,7 +104,7 @@
 	c := newCrashFleet(t, 1, 3, 18)
 	for _, g := range c.gateways {
 		g.deps.Source = source
-		g.tasks.Go(g.keepQuarantined)
+		g.background.Go(g.storeQuarantined)
 	}
 	time.Sleep(time.Second) // until all gateways have heard from each other
 	return c, source
@@ -120,18 +120,18 @@
 			c.call(0, crashPath)
 		}
 		time.Sleep(time.Second)
-		is.Equal(source.keptCount(), 1)
+		is.Equal(source.storedCount(), 1)
 		known := c.sendCount()
 
-		source.set(nil, errors.New("store unavailable"))
+		source.setConfiguration(nil, errors.New("store unavailable"))
 		fresh := c.restartedGateways()
 		for _, g := range fresh {
-			g.tasks.Go(g.loadQuarantined)
+			g.background.Go(g.loadQuarantined)
 		}
 		time.Sleep(time.Second)
-		source.set(nil, nil)
+		source.setConfiguration(nil, nil)
 		for _, g := range fresh {
-			g.state.Prove(1, time.Now()) // a gateway reads the store again
+			g.state.RecordProof(1, time.Now()) // a gateway reads the store again
 		}
 		time.Sleep(2 * time.Second)
 		for _, g := range fresh {
@@ -154,11 +154,11 @@
 		for n := range 60 {
 			wg.Go(func() { c.call(n%3, path) })
 		}
-		verdict := func(g *Gateway) quarantine.Verdict { return g.quarantined.verdict(c.fingerprint(path), time.Now()) }
+		verdict := func(g *Gateway) quarantine.Verdict { return g.quarantine.verdict(c.fingerprint(path), time.Now()) }
 		time.Sleep(startDelay)
 		c.crashBusy(3)
 		time.Sleep(startDelay)
-		is.Equal(verdict(c.gateways[0]).Before, 1)
+		is.Equal(verdict(c.gateways[0]).CrashesBefore, 1)
 		for range 2 {
 			is.True(!verdict(c.gateways[0]).Quarantined())
 			time.Sleep(startDelay)
@@ -172,7 +172,7 @@
 			is.True(!verdict(g).Quarantined())
 			is.True(c.call(i, path))
 		}
-		is.Equal(source.keptCount(), 0)
+		is.Equal(source.storedCount(), 0)
 	})
 }
 
@@ -180,19 +180,19 @@
 // not count against the long streams that are still on it.
 func TestDrainingEndpointIsNoCrash(t *testing.T) {
 	is := is.New(t)
-	var b *bench
-	b = newBench(t, func(_ int, _ *bufio.Writer, c *net.TCPConn, _ *http.Request) {
+	var b *testGateway
+	b = newTestGateway(t, func(_ int, _ *bufio.Writer, c *net.TCPConn, _ *http.Request) {
 		list, _ := b.source.Endpoints(t.Context())
 		for i := range list {
 			list[i].Draining = true
 		}
-		b.gateway.state.Listed(list, time.Now(), time.Now(), time.Time{})
+		b.gateway.state.ApplyList(list, time.Now(), time.Now(), time.Time{})
 		b.crashEndpoint(c)
 	})
-	b.know()
-	is.Equal(b.ask(t.Context(), "POST", "/once/", "text", nil).status, 502)
+	b.readSource()
+	is.Equal(b.send(t.Context(), "POST", "/once/", "text", nil).status, 502)
 	is.Equal(b.gateway.meter.crashes.Get(), uint64(1))
-	is.Equal(b.gateway.quarantined.known.Load(), int64(0))
+	is.Equal(b.gateway.quarantine.count.Load(), int64(0))
 }
 
 // TestQuarantineAnswers: the caller of a crashing request is told that it may have run as long as
@@ -202,29 +202,29 @@
 	for _, path := range []string{"/safe/", "/once/", "/stream/", "/story/"} {
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
-			var b *bench
-			b = newBench(t, func(_ int, _ *bufio.Writer, c *net.TCPConn, _ *http.Request) {
+			var b *testGateway
+			b = newTestGateway(t, func(_ int, _ *bufio.Writer, c *net.TCPConn, _ *http.Request) {
 				time.Sleep(60 * time.Millisecond) // endpoints that crash at the same moment count once
 				b.crashEndpoint(c)
 			})
-			b.know()
+			b.readSource()
 			for id := range 4 {
 				b.source.endpoints = append(b.source.endpoints, catalog.Endpoint{ID: strconv.Itoa(id), Service: "s", Address: b.startEndpoint(b.script), Slots: 4})
 			}
-			b.know()
-			for b.arrivals() < 3 {
-				is.Equal(b.ask(t.Context(), "POST", path, "text", nil).status, 502)
+			b.readSource()
+			for b.requestCount() < 3 {
+				is.Equal(b.send(t.Context(), "POST", path, "text", nil).status, 502)
 			}
-			sent := b.arrivals()
-			got := b.ask(t.Context(), "POST", path, "text", nil)
+			sent := b.requestCount()
+			got := b.send(t.Context(), "POST", path, "text", nil)
 			is.Equal(got.status, 503)
 			seconds, err := strconv.Atoi(got.header.Get("Retry-After"))
 			is.NoErr(err)
 			is.True(seconds > 0 && seconds <= 1200)
-			is.Equal(b.arrivals(), sent)
+			is.Equal(b.requestCount(), sent)
 			// Another request of the same caller is not affected.
-			is.Equal(b.ask(t.Context(), "POST", path, "another text", nil).status, 502)
-			is.Equal(b.arrivals() > sent, true)
+			is.Equal(b.send(t.Context(), "POST", path, "another text", nil).status, 502)
+			is.Equal(b.requestCount() > sent, true)
 		})
 	}
 }
@@ -233,16 +233,16 @@
 // endpoint crashed under a request with the same head.
 func TestBodyNotHashedWithoutSuspects(t *testing.T) {
 	is := is.New(t)
-	x := &exchange{g: &Gateway{quarantined: newQuarantineTable()}, r: &http.Request{Method: "POST", Host: "h", RequestURI: "/a"}, body: []byte("text")}
+	x := &exchange{g: &Gateway{quarantine: newQuarantineTable()}, r: &http.Request{Method: "POST", Host: "h", RequestURI: "/a"}, body: []byte("text")}
 	x.checkQuarantine()
 	is.True(x.fingerprint == nil)
-	x.g.quarantined.change(func(t *quarantine.Table) {
-		t.Crashed(quarantine.Fingerprint{Head: 1, Body: 1}, quarantine.Crash{At: time.Now()}, time.Now())
+	x.g.quarantine.change(func(t *quarantine.Table) {
+		t.RecordCrash(quarantine.Fingerprint{Head: 1, Body: 1}, quarantine.Crash{At: time.Now()}, time.Now())
 	})
 	x.checkQuarantine()
 	is.True(x.fingerprint == nil)
-	x.g.quarantined.change(func(t *quarantine.Table) {
-		t.Crashed(x.fingerprintInput().Fingerprint(), quarantine.Crash{At: time.Now()}, time.Now())
+	x.g.quarantine.change(func(t *quarantine.Table) {
+		t.RecordCrash(x.fingerprintInput().Fingerprint(), quarantine.Crash{At: time.Now()}, time.Now())
 	})
 	x.checkQuarantine()
 	is.True(x.fingerprint != nil)
@@ -274,9 +274,9 @@
 		is.Equal(operator("DELETE", PathQuarantine+"/"+list[0].Fingerprint).Code, 200)
 		time.Sleep(time.Second)
 		for _, g := range c.gateways {
-			is.True(!g.quarantined.verdict(c.fingerprint(crashPath), time.Now()).Quarantined())
+			is.True(!g.quarantine.verdict(c.fingerprint(crashPath), time.Now()).Quarantined())
 		}
-		is.Equal(source.keptCount(), 0)
+		is.Equal(source.storedCount(), 0)
 	})
 }
 
@@ -294,7 +294,7 @@
 			}
 			time.Sleep(5 * time.Second)
 			for _, g := range c.gateways {
-				is.Equal(g.quarantined.verdict(c.fingerprint(crashPath), time.Now()).Quarantined(), crashes > 0)
+				is.Equal(g.quarantine.verdict(c.fingerprint(crashPath), time.Now()).Quarantined(), crashes > 0)
 			}
 			c.testFleet.mu.Lock()
 			before := slices.Clone(c.crashReports)
--- a/relay/reserve.go
+++ b/relay/reserve.go
@@ -72,14 +72,14 @@
 
 // reserve reserves memory for an attempt under ctx at every endpoint that the placement names. If
 // it fails, with a *reserveError, all of the memory is released again.
-func (g *Gateway) reserve(ctx context.Context, request string, at *place) (*reservations, error) {
+func (g *Gateway) reserve(ctx context.Context, request string, at *placement) (*reservations, error) {
 	type orderResult struct {
 		endpoint string
 		err      error
 	}
 	r := &reservations{g: g, request: request, generating: at.endpoint}
-	results := make(chan orderResult, len(at.reserve))
-	for _, want := range at.reserve {
+	results := make(chan orderResult, len(at.memoryDemands))
+	for _, want := range at.memoryDemands {
 		rv := &reservation{endpoint: want.endpoint, id: uuid.NewString(), tokens: want.tokens}
 		r.list = append(r.list, rv)
 		go func() {
@@ -127,7 +127,7 @@
 }
 
 // helpers returns the helpers of an attempt with their reservations.
-func (r *reservations) helpers(at *place) []Helper {
+func (r *reservations) helpers(at *placement) []Helper {
 	out := make([]Helper, 0, len(at.helpers))
 	for _, e := range at.helpers {
 		h := Helper{Address: e.Address}
@@ -147,14 +147,14 @@
 func (r *reservations) renew(ctx context.Context) {
 	tick := time.NewTicker(renewInterval)
 	defer tick.Stop()
-	last, suspended := time.Now(), r.g.suspendedTime()
+	last, suspended := time.Now(), r.g.checkSuspension()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		now, total := time.Now(), r.g.suspendedTime()
+		now, total := time.Now(), r.g.checkSuspension()
 		if now.Sub(last)+total-suspended >= reservationTTL {
 			// This process was stopped or suspended and the reservations have expired. A renewal
 			// would reserve the memory again, for a request that ended with them.
@@ -176,7 +176,7 @@
 // renewAll sends a renewal to every endpoint without waiting for the answers.
 func (r *reservations) renewAll(ctx context.Context) {
 	for _, rv := range r.list {
-		if !r.g.state.SameLife(rv.endpoint) {
+		if !r.g.state.SameIncarnation(rv.endpoint) {
 			continue // the endpoint has restarted without this reservation and must not reserve the memory again
 		}
 		r.background.Go(func() {
@@ -212,7 +212,7 @@
 func (r *reservations) nextReservation(now time.Time) *reservation {
 	next := r.usage.nextQuery(len(r.list))
 	for i := range r.list {
-		if rv := r.list[(next+i)%len(r.list)]; !r.g.state.Resting(rv.endpoint.ID, now) {
+		if rv := r.list[(next+i)%len(r.list)]; !r.g.state.InBackoff(rv.endpoint.ID, now) {
 			return rv
 		}
 	}
@@ -268,7 +268,7 @@
 		r.stopRenewal()
 	}
 	for _, rv := range r.list {
-		r.g.tasks.Go(func() {
+		r.g.background.Go(func() {
 			r.background.Wait() // a renewal must not arrive after the release
 			if err := r.g.sendOrder(context.WithoutCancel(r.g.ctx), rv, r.g.deps.Protocol.Release(rv.endpoint.ID, rv.id)); err != nil {
 				r.g.deps.Log.Request("Memory was not released; it lapses.", "endpoint", rv.endpoint.ID, "reservation", rv.id, "err", err)
@@ -282,7 +282,7 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	g.meter.orders.Inc()
-	res, err := g.do(ctx, r.endpoint, o, ownQuestion, "")
+	res, err := g.do(ctx, r.endpoint, o, gatewayQuery, "")
 	if err != nil {
 		return err
 	}
--- a/relay/reserve_test.go
+++ b/relay/reserve_test.go
@@ -33,15 +33,15 @@
 		list := func(born int64) []catalog.Endpoint {
 			return []catalog.Endpoint{{ID: "a", Service: "s", Address: "127.0.0.1:1", Born: born}}
 		}
-		g.state.Listed(list(1), time.Now(), time.Now(), time.Time{})
+		g.state.ApplyList(list(1), time.Now(), time.Now(), time.Time{})
 		first, _ := g.state.Endpoint("a")
-		memory, err := g.reserve(t.Context(), "r", &place{reserve: []wantedMemory{{first, 100}}})
+		memory, err := g.reserve(t.Context(), "r", &placement{memoryDemands: []memoryDemand{{first, 100}}})
 		is.NoErr(err)
 		time.Sleep(2*renewInterval + renewInterval/2)
 		reserved, released := orders.orders()
 		is.Equal(reserved, 3)
 		is.Equal(released, 0)
-		g.state.Listed(list(2), time.Now(), time.Now(), time.Time{})
+		g.state.ApplyList(list(2), time.Now(), time.Now(), time.Time{})
 		time.Sleep(3 * renewInterval)
 		reserved, _ = orders.orders()
 		is.Equal(reserved, 3)
--- a/relay/rest.go
+++ b/relay/rest.go
@@ -59,25 +59,25 @@
 // request needs at once; turn says whether it was the request's turn to choose, among long prompts
 // and in the back-off queue.
 func (r *backoffWait) next(minEndpoints int, turn choiceState, now time.Time) (step backoffStep, retryAfter time.Duration) {
-	backoff := r.x.g.state.RestOf(r.x.service.Name, now)
+	backoff := r.x.g.state.ServiceBackoff(r.x.service.Name, now)
 	opens := now
 	switch {
 	case backoff.closed == 0:
 		return backoffNone, 0
 	case backoff.open < minEndpoints:
-		opens = backoff.opens
+		opens = backoff.opensAt
 	case turn != choiceNotFirstInQueue:
 		r.leave() // the endpoints are busy with other requests, or it needs none of those in back-off
 		return backoffNone, 0
 	}
 	switch {
-	case r.x.patience().mayWaitForBackoff(opens, now):
+	case r.x.waitPolicy().mayWaitForBackoff(opens, now):
 		if turn != choiceNotItsTurn {
 			r.join()
 		}
 		return backoffWaits, 0
 	case opens.After(now):
-		return backoffRefuse, r.x.g.state.SendAway(r.x.service.Name, opens, now)
+		return backoffRefuse, r.x.g.state.BackoffRetryAfter(r.x.service.Name, opens, now)
 	default:
 		return backoffRefuse, retryAfterFull
 	}
@@ -86,7 +86,7 @@
 // refuse ends a request that cannot wait until the back-off ends.
 func (r *backoffWait) refuse(retryAfter time.Duration) outcome {
 	x := r.x
-	x.g.meter.restRefusals.Inc()
+	x.g.meter.backoffRefusals.Inc()
 	if x.mayRun || x.r.Context().Err() != nil {
 		return x.giveUp(refusedRest)
 	}
@@ -94,8 +94,8 @@
 }
 
 // minEndpoints returns how many endpoints of the service a request needs at once.
-func (x *exchange) minEndpoints(work balance.Work) int {
-	if !x.g.config.Policy.Oversize(x.service, work) {
+func (x *exchange) minEndpoints(work balance.Request) int {
+	if !x.g.config.Policy.ExceedsMemory(x.service, work) {
 		return 1
 	}
 	memory := x.service.Engine.MemoryTokens
--- a/relay/rest_test.go
+++ b/relay/rest_test.go
@@ -40,10 +40,10 @@
 		f.send(t.Context(), 0, 500)
 		f.setAnswer("", "", resting)
 		g := f.gateways[0]
-		is.True(g.state.Resting(id, time.Now()))
-		is.True(!f.gateways[1].state.Resting(id, time.Now()))
+		is.True(g.state.InBackoff(id, time.Now()))
+		is.True(!f.gateways[1].state.InBackoff(id, time.Now()))
 		is.True(!g.picker.health.Suspect(id, time.Now()))
-		is.Equal(len(g.picker.health.Own(time.Now())), 0)
+		is.Equal(len(g.picker.health.LocalObservations(time.Now())), 0)
 		time.Sleep(time.Millisecond)
 		began := time.Now()
 		f.sendLoad(t, 50, 2*time.Second, func(int) int { return 0 })
@@ -54,7 +54,7 @@
 		began = time.Now()
 		f.sendLoad(t, 50, 2*time.Second, func(int) int { return 0 })
 		is.True(f.requestsSince(resting, began) > 20) // as much as the other endpoint, except for the ramp-up
-		is.True(!g.state.backoffs.Any())
+		is.True(!g.state.backoffs.Active())
 		is.Equal(len(f.refusalTimes), 0)
 	})
 }
@@ -63,16 +63,16 @@
 // for a back-off after it was chosen.
 func TestBackoffRequestedAfterChoice(t *testing.T) {
 	requestBackoff := func(g *Gateway, id string) {
-		g.recordAnswer(catalog.Endpoint{ID: id}, 0, &http.Response{StatusCode: 503, Header: http.Header{"Rest-Ms": {"1000"}}}, callersRequest, "")
+		g.recordAnswer(catalog.Endpoint{ID: id}, 0, &http.Response{StatusCode: 503, Header: http.Header{"Rest-Ms": {"1000"}}}, callerRequest, "")
 	}
 	for name, tc := range map[string]struct {
-		endpoint func(pl *place) string
+		endpoint func(pl *placement) string
 		dialing  bool
 	}{
-		"the endpoint":         {func(pl *place) string { return pl.endpoint.ID }, false},
-		"a helper":             {func(pl *place) string { return pl.helpers[0].ID }, false},
-		"while it is dialed":   {func(pl *place) string { return pl.endpoint.ID }, true},
-		"helper, while dialed": {func(pl *place) string { return pl.helpers[0].ID }, true},
+		"the endpoint":         {func(pl *placement) string { return pl.endpoint.ID }, false},
+		"a helper":             {func(pl *placement) string { return pl.helpers[0].ID }, false},
+		"while it is dialed":   {func(pl *placement) string { return pl.endpoint.ID }, true},
+		"helper, while dialed": {func(pl *placement) string { return pl.helpers[0].ID }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -80,7 +80,7 @@
 				f := newLimitFleet(t, 1, 4)
 				g := f.gateways[0]
 				x, _ := f.exchange(t.Context(), 0, 100_000)
-				pl, _ := x.place(t.Context())
+				pl, _ := x.findPlacement(t.Context())
 				is.True(pl != nil && len(pl.helpers) > 0)
 				if tc.dialing {
 					f.onDial = func() { requestBackoff(g, tc.endpoint(pl)) }
@@ -88,7 +88,7 @@
 					requestBackoff(g, tc.endpoint(pl))
 				}
 				checkWithdrawn(is, x, pl)
-				is.Equal(len(g.picker.health.Own(time.Now())), 0)
+				is.Equal(len(g.picker.health.LocalObservations(time.Now())), 0)
 			})
 		})
 	}
@@ -124,7 +124,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLimitFleet(t, 1, 1)
-		f.answerTime = queueStep + 10*time.Millisecond // longer than a wait that misses a change of the load
+		f.answerTime = queuePollInterval + 10*time.Millisecond // longer than a wait that misses a change of the load
 		f.gateways[0].state.RecordBackoff("e0", 700*time.Millisecond, time.Now())
 		backoffEnd := time.Now().Add(700 * time.Millisecond)
 		var ended []int
@@ -174,7 +174,7 @@
 		f := newLimitFleet(t, 1, 2)
 		g := f.gateways[0]
 		for range 3 {
-			g.picker.note("e0", 1, time.Now())
+			g.picker.recordOutcome("e0", 1, time.Now())
 		}
 		time.Sleep(time.Second)
 		is.True(f.requestsSince(0, time.Time{}) > 0)
@@ -203,14 +203,14 @@
 			is := is.New(t)
 			s := NewState()
 			e := catalog.Endpoint{ID: "a", Service: "s", Address: "127.0.0.1:1", Born: 1}
-			s.Listed([]catalog.Endpoint{e}, msAfterStart(-10_000), msAfterStart(-10_000), time.Time{})
-			s.Listed([]catalog.Endpoint{e}, msAfterStart(-tc.listedMs), msAfterStart(-tc.listedMs), time.Time{})
+			s.ApplyList([]catalog.Endpoint{e}, msAfterStart(-10_000), msAfterStart(-10_000), time.Time{})
+			s.ApplyList([]catalog.Endpoint{e}, msAfterStart(-tc.listedMs), msAfterStart(-tc.listedMs), time.Time{})
 			is.True(s.RecordBackoff(e.ID, time.Minute, msAfterStart(-tc.askedMs)))
 			e.Born = 2
-			s.Listed([]catalog.Endpoint{e}, msAfterStart(0), msAfterStart(0), time.Time{})
-			is.Equal(s.Resting(e.ID, msAfterStart(0)), tc.wantBackoff)
-			s.Listed(nil, msAfterStart(1000), msAfterStart(1000), time.Time{})
-			is.True(!s.Resting(e.ID, msAfterStart(1000))) // the endpoint is gone
+			s.ApplyList([]catalog.Endpoint{e}, msAfterStart(0), msAfterStart(0), time.Time{})
+			is.Equal(s.InBackoff(e.ID, msAfterStart(0)), tc.wantBackoff)
+			s.ApplyList(nil, msAfterStart(1000), msAfterStart(1000), time.Time{})
+			is.True(!s.InBackoff(e.ID, msAfterStart(1000))) // the endpoint is gone
 		})
 	}
 }
--- a/relay/restored_test.go
+++ b/relay/restored_test.go
@@ -19,7 +19,7 @@
 func TestProofFromAnOlderCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newMemoryBench(t, nil)
+		b := newMemoryTestGateway(t, nil)
 		g := b.gateway
 		source := &testSource{era: 1}
 		g.deps.Source = source
@@ -29,9 +29,9 @@
 		}
 		proved := func() bool { return g.proofAge() == 0 }
 		older, newest := testConfig(7), testConfig(9)
-		source.set(older, nil)
+		source.setConfiguration(older, nil)
 		read()
-		source.set(newest, nil)
+		source.setConfiguration(newest, nil)
 		time.Sleep(time.Second)
 		read()
 		is.True(proved())
@@ -46,7 +46,7 @@
 		read()
 		is.True(!proved()) // the same as the last read, which returned the older one
 		source.unchanged = false
-		source.set(newest, nil)
+		source.setConfiguration(newest, nil)
 		read()
 		is.True(proved())
 		time.Sleep(time.Second)
@@ -132,24 +132,24 @@
 func TestStoreEraIsBroadcast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		reader, other := newMemoryBench(t, nil).gateway, newMemoryBench(t, nil).gateway
+		reader, other := newMemoryTestGateway(t, nil).gateway, newMemoryTestGateway(t, nil).gateway
 		broadcast := func() {
-			r := newAudience("g", "", reader.state.Cells(), []peers.Member{{Name: "o"}}, reader.sharing.peers(time.Now()))
-			for _, m := range reader.outgoing(r, changed, time.Now()) {
-				other.recordStoreEra(m.word.StoreEra, "g")
+			r := newRecipients("g", "", reader.state.Cells(), []peers.Member{{Name: "o"}}, reader.storeReads.recentPeers(time.Now()))
+			for _, m := range reader.outgoing(r, loadChanged, time.Now()) {
+				other.recordStoreEra(m.message.StoreEra, "g")
 			}
 		}
 		is.True(!reader.recordStoreEra(3, "store"))
 		broadcast()
 		is.Equal(other.state.StoreEra(), uint64(3))
-		is.True(other.state.Prove(1, time.Now()))
+		is.True(other.state.RecordProof(1, time.Now()))
 		time.Sleep(time.Second)
 		is.True(reader.recordStoreEra(4, "store"))
 		broadcast()
-		is.True(!other.state.Prove(1, time.Now()))
+		is.True(!other.state.RecordProof(1, time.Now()))
 		is.True(!other.recordStoreEra(3, "late")) // a message that was overtaken
 		time.Sleep(returnWindow)
-		is.True(other.state.Prove(1, time.Now()))
+		is.True(other.state.RecordProof(1, time.Now()))
 	})
 }
 
@@ -159,25 +159,25 @@
 func TestQuarantineIsRestored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := newMemoryBench(t, nil).gateway
+		g := newMemoryTestGateway(t, nil).gateway
 		source := &testSource{era: 1}
 		g.deps.Source = source
-		g.tasks.Go(g.keepQuarantined)
+		g.background.Go(g.storeQuarantined)
 		f := quarantine.Fingerprint{Head: 1, Body: 2}
 		for i := range 5 {
 			time.Sleep(2 * time.Second)
-			g.quarantined.change(func(table *quarantine.Table) {
-				table.Crashed(f, quarantine.Crash{Endpoint: quarantine.Incarnation(i + 1), At: time.Now()}, time.Now())
+			g.quarantine.change(func(table *quarantine.Table) {
+				table.RecordCrash(f, quarantine.Crash{Endpoint: quarantine.Incarnation(i + 1), At: time.Now()}, time.Now())
 			})
 		}
 		g.checkStoreEra()
-		g.keep(f)
+		g.scheduleStore(f)
 		synctest.Wait()
-		is.Equal(source.keptCount(), 1)
+		is.Equal(source.storedCount(), 1)
 		source.restore(nil)
-		is.Equal(source.keptCount(), 0)
+		is.Equal(source.storedCount(), 0)
 		g.checkStoreEra()
 		synctest.Wait()
-		is.Equal(source.keptCount(), 1)
+		is.Equal(source.storedCount(), 1)
 	})
 }
--- a/relay/search.go
+++ b/relay/search.go
@@ -24,7 +24,7 @@
 type endpointSearch struct {
 	*picker
 	service   *catalog.Service
-	work      balance.Work
+	work      balance.Request
 	isWarm    warmConnFunc
 	cells     map[string][]catalog.Endpoint // the service's endpoints by cell
 	localCell string                        // cell of this gateway
@@ -40,7 +40,7 @@
 
 // pick chooses an endpoint of the service and counts the load: in the local cell if that suffices,
 // otherwise with the help of other cells.
-func (p *picker) pick(service *catalog.Service, w balance.Work, isWarm warmConnFunc, now time.Time) (chosen *place, expected balance.Expected, o pickOutcome) {
+func (p *picker) pick(service *catalog.Service, w balance.Request, isWarm warmConnFunc, now time.Time) (chosen *placement, expected balance.Estimate, o pickOutcome) {
 	s := endpointSearch{
 		picker: p, service: service, work: w, isWarm: isWarm, now: now,
 		cells: p.withoutLimited(p.state.AvailableEndpoints(service.Name, now)), localCell: p.state.Cells().Of(p.dataCentre),
@@ -51,7 +51,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	res := s.choose(s.cells[s.localCell], nil)
-	if res.choice.Elsewhere() && len(s.cells) > 1 {
+	if res.choice.TryOtherCells() && len(s.cells) > 1 {
 		res = s.chooseWithRemote(res)
 	}
 	c := res.choice
@@ -76,8 +76,8 @@
 	cells := s.state.Cells()
 	for i, e := range res.endpoints {
 		res.candidates[i] = balance.Candidate{
-			ID: e.ID, Load: s.book.Load(e.ID, s.now), Rank: rank(e.ID), OwnRank: rank(s.self + e.ID),
-			Suspect: s.health.Suspect(e.ID, s.now), Pace: s.health.Pace(e.ID, s.now), Remote: i >= len(endpoints), Shared: cells.Shared(e.ID), Warm: s.isWarm(e.ID),
+			ID: e.ID, Load: s.book.Load(e.ID, s.now), Rank: rank(e.ID), LocalRank: rank(s.self + e.ID),
+			Suspect: s.health.Suspect(e.ID, s.now), Slowdown: s.health.Slowdown(e.ID, s.now), Remote: i >= len(endpoints), Shared: cells.Shared(e.ID), Connected: s.isWarm(e.ID),
 		}
 	}
 	res.choice = s.policy.Choose(s.service, s.work, res.candidates)
@@ -90,7 +90,7 @@
 	switch {
 	case len(s.cells[s.localCell]) == 0:
 		return s.chooseInAnyCell(local)
-	case s.policy.TakesTurns(s.service, s.work):
+	case s.policy.MustQueue(s.service, s.work):
 		return s.chooseWithRemoteHelpers()
 	default:
 		return s.chooseInRemoteCell(local)
--- a/relay/settings.go
+++ b/relay/settings.go
@@ -51,7 +51,7 @@
 }
 
 // minRevokeAfter allows for one read that fails and one that succeeds.
-const minRevokeAfter = 2 * readEvery
+const minRevokeAfter = 2 * readInterval
 
 // config returns the settings of the gateway itself.
 func (s *Settings) config() Config {
@@ -59,6 +59,6 @@
 		Name: s.Relay.Name, DataCentre: s.Relay.DataCentre, RevokeAfter: s.Bounds.RevokeAfter, DrainTime: s.Process.DrainTime,
 		FirstStart: s.Relay.FirstStart, UnusedMemory: s.Bounds.UnusedMemory,
 		BodyMemory: int64(s.Relay.BodyMemory),
-		Retries:    limits.WindowConfig{Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Window: s.Bounds.RetryWindow},
+		Retries:    limits.RetryWindowConfig{Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Window: s.Bounds.RetryWindow},
 	}
 }
--- a/relay/share.go
+++ b/relay/share.go
@@ -24,19 +24,19 @@
 // additional calls.
 
 const (
-	// readers is how many gateways ensure that the store is read: one reads, and one stands by in
+	// storeReaders is how many gateways ensure that the store is read: one reads, and one stands by in
 	// case the first one dies.
-	readers = 2
+	storeReaders = 2
 	// standbyAge is the age of the first reader's data at which the standby reads: one read was
 	// missed, and the message about it.
-	standbyAge = readEvery + readEvery/2
-	// takeOver is the age at which all other gateways read: the standby missed a read, too.
-	takeOver = 2*readEvery + readEvery/2
+	standbyAge = readInterval + readInterval/2
+	// takeoverAge is the age at which all other gateways read: the standby missed a read, too.
+	takeoverAge = 2*readInterval + readInterval/2
 	// peerTimeout is how long a peer counts among the readers after its last message.
 	peerTimeout = time.Second
 	// remotePeerTimeout is how long a peer of another cell that sent a digest is sent this cell's
 	// digests: four digests may be lost.
-	remotePeerTimeout = 4 * digestEvery * tellEvery
+	remotePeerTimeout = 4 * broadcastsPerDigest * broadcastInterval
 
 	pathEndpoints = "/peer/endpoints"
 )
@@ -47,8 +47,8 @@
 	Endpoints []catalog.Endpoint
 }
 
-// sharing holds what this gateway knows of its own and the other gateways' reads of the store.
-type sharing struct {
+// storeReads holds what this gateway knows of its own and the other gateways' reads of the store.
+type storeReads struct {
 	mu           sync.Mutex
 	withStore    map[string]time.Time // last message of peers that can reach the store
 	withoutStore map[string]time.Time // last message of peers that cannot
@@ -67,23 +67,23 @@
 	fetching       bool // whether something is being fetched from a peer
 }
 
-func newSharing() *sharing {
-	return &sharing{withStore: make(map[string]time.Time), withoutStore: make(map[string]time.Time), crossCell: make(map[string]time.Time)}
+func newStoreReads() *storeReads {
+	return &storeReads{withStore: make(map[string]time.Time), withoutStore: make(map[string]time.Time), crossCell: make(map[string]time.Time)}
 }
 
-// peers returns the peers that were heard recently.
-func (s *sharing) peers(now time.Time) recentPeers {
+// recentPeers returns the peers that were heard recently.
+func (s *storeReads) recentPeers(now time.Time) recentPeers {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	recent := recentPeers{lately: make(map[string]bool), withStore: make(map[string]bool), crossCell: make(map[string]bool)}
+	recent := recentPeers{recent: make(map[string]bool), withStore: make(map[string]bool), crossCell: make(map[string]bool)}
 	for name, heardAt := range s.withStore {
 		if now.Sub(heardAt) <= peerTimeout {
-			recent.lately[name], recent.withStore[name] = true, true
+			recent.recent[name], recent.withStore[name] = true, true
 		}
 	}
 	for name, heardAt := range s.withoutStore {
 		if now.Sub(heardAt) <= peerTimeout {
-			recent.lately[name] = true
+			recent.recent[name] = true
 		}
 	}
 	for name, heardAt := range s.crossCell {
@@ -96,9 +96,9 @@
 	return recent
 }
 
-// audience returns the recipients of this gateway's messages.
-func (g *Gateway) audience(now time.Time) recipients {
-	return newAudience(g.config.Name, g.config.DataCentre, g.state.Cells(), g.deps.Mesh.Members(now), g.sharing.peers(now))
+// recipients returns the recipients of this gateway's messages.
+func (g *Gateway) recipients(now time.Time) recipients {
+	return newRecipients(g.config.Name, g.config.DataCentre, g.state.Cells(), g.deps.Mesh.Members(now), g.storeReads.recentPeers(now))
 }
 
 // shouldRead reports whether this gateway reads the store again, given the age of its newest read.
@@ -106,7 +106,7 @@
 // read when both must have failed. If other gateways cannot reach the store either, this one leaves
 // it to them for a while: 103 gateways made 560 calls in the 7 s for which the store was
 // unavailable.
-func (s *sharing) shouldRead(self string, age time.Duration, now time.Time) bool {
+func (s *storeReads) shouldRead(self string, age time.Duration, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reaching := countPreceding(self, s.withStore, now)
@@ -117,13 +117,13 @@
 		s.peersLostSince = now
 	}
 	switch {
-	case s.storeLost && notReaching < readers:
+	case s.storeLost && notReaching < storeReaders:
 		return true
 	case !s.storeLost && reaching == 0:
 		return true
-	case !s.storeLost && reaching < readers && age > standbyAge:
+	case !s.storeLost && reaching < storeReaders && age > standbyAge:
 		return true
-	case age <= takeOver:
+	case age <= takeoverAge:
 		return false
 	case notReaching > 0:
 		return now.Sub(s.peersLostSince) > readDeferral && now.Sub(s.queriedAt) > readDeferral
@@ -153,14 +153,14 @@
 func rank(name string) uint64 { return xxhash.Sum64String(name) }
 
 // recordQuery records that this gateway queries the store.
-func (s *sharing) recordQuery(now time.Time) {
+func (s *storeReads) recordQuery(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.queriedAt = now
 }
 
 // recordRead records the result of a read of the store.
-func (s *sharing) recordRead(err error, now time.Time) {
+func (s *storeReads) recordRead(err error, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.storeLost = err != nil
@@ -169,9 +169,9 @@
 	}
 }
 
-// read records a list that this gateway or a peer has read from the store, by a read sent at that
+// recordList records a list that this gateway or a peer has read from the store, by a read sent at that
 // time.
-func (s *sharing) read(list []catalog.Endpoint, sent time.Time) {
+func (s *storeReads) recordList(list []catalog.Endpoint, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list.Endpoints, s.hash = list, hashEndpoints(list)
@@ -183,7 +183,7 @@
 }
 
 // cancelAtList calls cancel when a list is recorded.
-func (s *sharing) cancelAtList(cancel func()) {
+func (s *storeReads) cancelAtList(cancel func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cancelReads = append(s.cancelReads, cancel)
@@ -206,13 +206,13 @@
 }
 
 // fillReads adds to a message what this gateway has read.
-func (g *Gateway) fillReads(w *peers.Word, now time.Time) {
+func (g *Gateway) fillReads(w *peers.Message, now time.Time) {
 	age, _ := g.state.ProofAge(now)
 	w.Version, w.ProofAgeMs = g.state.Version(), age.Milliseconds()
 	if age < 0 || age > time.Hour {
 		w.ProofAgeMs = -1
 	}
-	s := g.sharing
+	s := g.storeReads
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.hash != 0 && !s.listedAt.IsZero() {
@@ -220,11 +220,11 @@
 	}
 }
 
-// heardStore records whether a peer can reach the store. A peer's failure counts like a failed read
+// recordPeerStore records whether a peer can reach the store. A peer's failure counts like a failed read
 // of this gateway, which keeps endpoints whose entries lapsed meanwhile, unless other peers can
 // reach the store: a gateway that takes its lists from these may not have read for long. The caller
 // holds the lock.
-func (s *sharing) heardStore(w peers.Word, now time.Time) {
+func (s *storeReads) recordPeerStore(w peers.Message, now time.Time) {
 	delete(s.withStore, w.From)
 	delete(s.withoutStore, w.From)
 	if len(w.Digests) > 0 {
@@ -232,7 +232,7 @@
 	}
 	switch {
 	case w.Leaving:
-	case w.NoStore:
+	case w.StoreUnreachable:
 		s.withoutStore[w.From] = now
 		if s.storeLost && !s.peerReachesStore(now) {
 			s.failedAt = now
@@ -244,7 +244,7 @@
 
 // peerReachesStore reports whether a peer that can reach the store was heard recently. The caller
 // holds the lock.
-func (s *sharing) peerReachesStore(now time.Time) bool {
+func (s *storeReads) peerReachesStore(now time.Time) bool {
 	for _, heardAt := range s.withStore {
 		if now.Sub(heardAt) <= peerTimeout {
 			return true
@@ -255,7 +255,7 @@
 
 // recordPeerProof records a peer's proof from a read sent at that time. If this gateway's last
 // failed read was well before that, the store is assumed to be reachable again.
-func (s *sharing) recordPeerProof(sent time.Time) {
+func (s *storeReads) recordPeerProof(sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.storeLost && sent.Sub(s.failedAt) > readDeferral {
@@ -264,65 +264,65 @@
 }
 
 // storeUnreachable reports whether this gateway's latest read of the store failed.
-func (s *sharing) storeUnreachable() bool {
+func (s *storeReads) storeUnreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.storeLost
 }
 
-// heardWord processes what a peer reports about its reads.
-func (g *Gateway) heardWord(w peers.Word, from netip.AddrPort) {
+// handlePeerMessage processes what a peer reports about its reads.
+func (g *Gateway) handlePeerMessage(w peers.Message, from netip.AddrPort) {
 	now := time.Now()
-	s := g.sharing
+	s := g.storeReads
 	s.mu.Lock()
-	s.heardStore(w, now)
+	s.recordPeerStore(w, now)
 	s.mu.Unlock()
-	sentAfter, ok := g.deps.Mesh.SaidAfter(w)
+	sentAfter, ok := g.deps.Mesh.SentAfter(w)
 	if !ok {
 		return
 	}
-	if !g.suspension.after(sentAfter) {
+	if !g.suspensions.notBeforeSuspension(sentAfter) {
 		return // it answers a message from before the host was suspended
 	}
 	g.recordStoreEra(w.StoreEra, w.From)
-	g.picker.digests(w, sentAfter)
+	g.picker.recordDigests(w, sentAfter)
 	g.handlePeerProof(w, sentAfter, from)
 	g.handlePeerEndpoints(w, sentAfter, from)
 }
 
 // handlePeerProof records the proof in a message that was sent after that time.
-func (g *Gateway) handlePeerProof(w peers.Word, sentAfter time.Time, from netip.AddrPort) {
+func (g *Gateway) handlePeerProof(w peers.Message, sentAfter time.Time, from netip.AddrPort) {
 	if w.ProofAgeMs < 0 {
 		return
 	}
 	if w.Version > g.state.Version() {
-		g.fetch(func() { g.askPeerLogged(from) })
+		g.fetch(func() { g.queryPeerLogged(from) })
 		return
 	}
 	sent := sentAfter.Add(-time.Duration(w.ProofAgeMs) * time.Millisecond)
-	if !g.state.Prove(w.Version, sent) {
+	if !g.state.RecordProof(w.Version, sent) {
 		return
 	}
-	g.sharing.recordPeerProof(sent)
-	if g.fromAfar(w) {
-		g.tellNews() // the local cell learns of it from this gateway
+	g.storeReads.recordPeerProof(sent)
+	if g.fromOtherCell(w) {
+		g.broadcastSoon() // the local cell learns of it from this gateway
 	}
 }
 
-// fromAfar reports whether a message came from another cell.
-func (g *Gateway) fromAfar(w peers.Word) bool {
+// fromOtherCell reports whether a message came from another cell.
+func (g *Gateway) fromOtherCell(w peers.Message) bool {
 	cells := g.state.Cells()
 	return w.DataCentre != "" && cells.Of(w.DataCentre) != cells.Of(g.config.DataCentre)
 }
 
 // handlePeerEndpoints compares the list of endpoints that the sender of a message has with the own
 // one.
-func (g *Gateway) handlePeerEndpoints(w peers.Word, sentAfter time.Time, from netip.AddrPort) {
+func (g *Gateway) handlePeerEndpoints(w peers.Message, sentAfter time.Time, from netip.AddrPort) {
 	if w.Endpoints == 0 {
 		return
 	}
 	sent := sentAfter.Add(-time.Duration(w.EndpointsAgeMs) * time.Millisecond)
-	s := g.sharing
+	s := g.storeReads
 	s.mu.Lock()
 	newer := sent.After(s.listedAt)
 	same := s.hash == w.Endpoints
@@ -342,7 +342,7 @@
 
 // fetch runs one request to a peer at a time; further ones are dropped.
 func (g *Gateway) fetch(request func()) {
-	s := g.sharing
+	s := g.storeReads
 	s.mu.Lock()
 	busy := s.fetching
 	s.fetching = true
@@ -361,13 +361,13 @@
 // fetchEndpoints fetches a peer's list. The peer may have read the store again meanwhile; then the
 // list is newer than sent.
 func (g *Gateway) fetchEndpoints(from netip.AddrPort, sent time.Time) error {
-	ctx, cancel := context.WithTimeout(g.ctx, 2*peerTime)
+	ctx, cancel := context.WithTimeout(g.ctx, 2*peerQueryTimeout)
 	defer cancel()
 	var list endpointList
-	if err := g.peers.get(ctx, g.peerURL(from, pathEndpoints), &list); err != nil {
+	if err := g.peerClient.get(ctx, g.peerURL(from, pathEndpoints), &list); err != nil {
 		return err
 	}
-	g.sharing.read(list.Endpoints, sent)
+	g.storeReads.recordList(list.Endpoints, sent)
 	g.applyEndpoints()
 	return nil
 }
@@ -381,17 +381,17 @@
 
 // applyEndpoints applies the newest list.
 func (g *Gateway) applyEndpoints() {
-	s := g.sharing
+	s := g.storeReads
 	s.mu.Lock()
 	list, sent, failed := s.list.Endpoints, s.listedAt, s.failedAt
 	s.mu.Unlock()
-	for _, c := range g.state.Listed(list, sent, time.Now(), failed) {
-		g.memberChanged(c)
+	for _, c := range g.state.ApplyList(list, sent, time.Now(), failed) {
+		g.handleEndpointChange(c)
 	}
 }
 
-// outdate makes the newest list count as very old, since the host was suspended.
-func (s *sharing) outdate(now time.Time) {
+// invalidateList makes the newest list count as very old, since the host was suspended.
+func (s *storeReads) invalidateList(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listedAt, s.suspendedAt = time.Time{}, now
@@ -400,7 +400,7 @@
 // setListedAt records when the read of the newest list was sent. The age of a read from before the
 // host's latest suspension is unknown, since the clock does not count the suspension. The caller
 // holds the lock.
-func (s *sharing) setListedAt(sent time.Time) {
+func (s *storeReads) setListedAt(sent time.Time) {
 	s.listedAt = sent
 	if sent.Before(s.suspendedAt) {
 		s.listedAt = time.Time{}
@@ -408,7 +408,7 @@
 }
 
 // endpointsAge returns the age of the newest list.
-func (s *sharing) endpointsAge(now time.Time) time.Duration {
+func (s *storeReads) endpointsAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.hash == 0 || s.listedAt.IsZero() {
@@ -419,7 +419,7 @@
 
 // serveEndpoints answers a peer that asks for the list.
 func (g *Gateway) serveEndpoints(w http.ResponseWriter, _ *http.Request) {
-	s := g.sharing
+	s := g.storeReads
 	s.mu.Lock()
 	list, hash := s.list, s.hash
 	s.mu.Unlock()
--- a/relay/share_test.go
+++ b/relay/share_test.go
@@ -24,14 +24,14 @@
 	now := time.Now()
 	const gateways = 27
 	querying := 0
-	var deferring *sharing
+	var deferring *storeReads
 	for i := range gateways {
-		s := newSharing()
+		s := newStoreReads()
 		s.recordQuery(now)
 		s.recordRead(fmt.Errorf("no answer"), now)
 		for j := range gateways {
 			if j != i {
-				s.heardStore(peers.Word{From: fmt.Sprint(j), NoStore: true}, now)
+				s.recordPeerStore(peers.Message{From: fmt.Sprint(j), StoreUnreachable: true}, now)
 			}
 		}
 		if s.shouldRead(fmt.Sprint(i), veryOld, now) {
@@ -40,12 +40,12 @@
 			deferring = s
 		}
 	}
-	is.Equal(querying, readers)
-	is.True(newSharing().shouldRead("0", veryOld, now))
+	is.Equal(querying, storeReaders)
+	is.True(newStoreReads().shouldRead("0", veryOld, now))
 	is.True(deferring.shouldRead("0", veryOld, now.Add(peerTimeout+time.Millisecond)))
 	later := now.Add(readDeferral + time.Millisecond)
 	for j := range gateways {
-		deferring.heardStore(peers.Word{From: fmt.Sprint(j), NoStore: true}, later)
+		deferring.recordPeerStore(peers.Message{From: fmt.Sprint(j), StoreUnreachable: true}, later)
 	}
 	is.True(deferring.shouldRead("g", veryOld, later))
 }
@@ -58,13 +58,13 @@
 	const gateways = 9
 	reading := func(age time.Duration, unreachableFrom string) (out []string) {
 		for i := range gateways {
-			s, self := newSharing(), fmt.Sprint(i)
+			s, self := newStoreReads(), fmt.Sprint(i)
 			if self == unreachableFrom {
 				s.recordRead(fmt.Errorf("no answer"), now)
 			}
 			for j := range gateways {
 				if j != i {
-					s.heardStore(peers.Word{From: fmt.Sprint(j), NoStore: fmt.Sprint(j) == unreachableFrom}, now)
+					s.recordPeerStore(peers.Message{From: fmt.Sprint(j), StoreUnreachable: fmt.Sprint(j) == unreachableFrom}, now)
 				}
 			}
 			if s.shouldRead(self, age, now) {
@@ -73,13 +73,13 @@
 		}
 		return out
 	}
-	first := reading(readEvery, "")
+	first := reading(readInterval, "")
 	is.Equal(len(first), 1)
 	both := reading(standbyAge+time.Millisecond, "")
 	is.Equal(len(both), 2)
 	is.True(slices.Contains(both, first[0]))
-	is.Equal(len(reading(takeOver+time.Millisecond, "")), gateways)
-	without := reading(readEvery, first[0])
+	is.Equal(len(reading(takeoverAge+time.Millisecond, "")), gateways)
+	without := reading(readInterval, first[0])
 	is.Equal(len(without), 2) // the one that cannot reach the store goes on querying it, and the next one reads
 	is.True(slices.Contains(without, first[0]))
 }
@@ -90,7 +90,7 @@
 func TestStoreRecoveryInferredFromPeerProof(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	s := newSharing()
+	s := newStoreReads()
 	s.recordRead(fmt.Errorf("no answer"), now)
 	s.recordPeerProof(now.Add(time.Second))
 	is.True(s.storeUnreachable())
@@ -104,18 +104,18 @@
 func TestPeersFailedReadsKeepEndpoints(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	s := newSharing()
+	s := newStoreReads()
 	s.recordRead(fmt.Errorf("no answer"), now)
 	later := now.Add(time.Second)
-	s.heardStore(peers.Word{From: "p", NoStore: true}, later)
+	s.recordPeerStore(peers.Message{From: "p", StoreUnreachable: true}, later)
 	is.Equal(s.failedAt, later)
 	again := later.Add(time.Second)
-	s.heardStore(peers.Word{From: "q"}, again)
-	s.heardStore(peers.Word{From: "p", NoStore: true}, again)
+	s.recordPeerStore(peers.Message{From: "q"}, again)
+	s.recordPeerStore(peers.Message{From: "p", StoreUnreachable: true}, again)
 	is.Equal(s.failedAt, later)
-	s.heardStore(peers.Word{From: "q", Leaving: true}, again)
+	s.recordPeerStore(peers.Message{From: "q", Leaving: true}, again)
 	s.recordRead(nil, again)
-	s.heardStore(peers.Word{From: "p", NoStore: true}, again)
+	s.recordPeerStore(peers.Message{From: "p", StoreUnreachable: true}, again)
 	is.Equal(s.failedAt, later)
 }
 
@@ -135,13 +135,13 @@
 // uses that one, and does not consider the store lost.
 func TestPeerListCancelsOwnRead(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, nil)
+	b := newTestGateway(t, nil)
 	source := &blockedSource{asked: make(chan struct{})}
 	b.gateway.deps.Source = source
 	done := make(chan bool)
 	go func() { done <- b.gateway.readEndpoints() }()
 	<-source.asked
-	b.gateway.sharing.read(endpoints("a"), time.Now())
+	b.gateway.storeReads.recordList(endpoints("a"), time.Now())
 	is.True(<-done)
-	is.True(!b.gateway.sharing.storeUnreachable())
+	is.True(!b.gateway.storeReads.storeUnreachable())
 }
--- a/relay/shed_test.go
+++ b/relay/shed_test.go
@@ -17,12 +17,12 @@
 // after a few rejections.
 func TestRejectionWithCapacity(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
-		answer(w, "503 Full", "Not-Run: 1\r\n", "")
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
+		writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "")
 	})
-	b.know()
+	b.readSource()
 	for range 3 {
-		_ = b.ask(t.Context(), "GET", "/safe/x", "", nil)
+		_ = b.send(t.Context(), "GET", "/safe/x", "", nil)
 	}
 	p := b.gateway.picker
 	is.True(p.health.Suspect("a", time.Now()))
@@ -35,9 +35,9 @@
 	is := is.New(t)
 	engine := &catalog.Service{Engine: &catalog.Engine{MemoryTokens: 1000}}
 	four := catalog.Endpoint{Slots: 4}
-	is.True(hasCapacity(&place{endpoint: four, before: balance.Load{Short: 1}}, &catalog.Service{}, 0))
-	is.True(!hasCapacity(&place{endpoint: four, before: balance.Load{Short: 2}}, &catalog.Service{}, 0))
-	is.True(!hasCapacity(&place{endpoint: four, before: balance.Load{Tokens: 400}}, engine, 200))
-	is.True(hasCapacity(&place{endpoint: four, before: balance.Load{Tokens: 200}}, engine, 200))
-	is.True(!hasCapacity(&place{endpoint: four, helpers: []catalog.Endpoint{four}}, engine, 200)) // a helper may have failed
+	is.True(hasCapacity(&placement{endpoint: four, loadBefore: balance.Load{Short: 1}}, &catalog.Service{}, 0))
+	is.True(!hasCapacity(&placement{endpoint: four, loadBefore: balance.Load{Short: 2}}, &catalog.Service{}, 0))
+	is.True(!hasCapacity(&placement{endpoint: four, loadBefore: balance.Load{MemoryTokens: 400}}, engine, 200))
+	is.True(hasCapacity(&placement{endpoint: four, loadBefore: balance.Load{MemoryTokens: 200}}, engine, 200))
+	is.True(!hasCapacity(&placement{endpoint: four, helpers: []catalog.Endpoint{four}}, engine, 200)) // a helper may have failed
 }
--- a/relay/state.go
+++ b/relay/state.go
@@ -26,18 +26,18 @@
 	// storeEra is the newest known era of the store; 0 if none is known.
 	storeEra  uint64
 	endpoints *endpointSet
-	backoffs  *availability.Rests
+	backoffs  *availability.BackoffTable
 	// backoffQueues hold the requests that wait until endpoints of a service end their back-off.
 	// refusedCallers counts those that were refused instead.
-	backoffQueues  map[string]*availability.Line
+	backoffQueues  map[string]*availability.WaitQueue
 	refusedCallers map[string]refusedCallers
 }
 
 // NewState returns an empty state.
 func NewState() *State {
 	return &State{
-		proofChanged: make(chan struct{}), endpoints: newEndpointSet(), backoffs: availability.NewRests(),
-		backoffQueues: make(map[string]*availability.Line), refusedCallers: make(map[string]refusedCallers),
+		proofChanged: make(chan struct{}), endpoints: newEndpointSet(), backoffs: availability.NewBackoffTable(),
+		backoffQueues: make(map[string]*availability.WaitQueue), refusedCallers: make(map[string]refusedCallers),
 	}
 }
 
@@ -52,8 +52,8 @@
 	return 0
 }
 
-// Take puts a configuration in force if it is newer, and reports whether it is.
-func (s *State) Take(c *catalog.Configuration) bool {
+// ApplyConfiguration puts a configuration in force if it is newer, and reports whether it is.
+func (s *State) ApplyConfiguration(c *catalog.Configuration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if old := s.table.Load(); old != nil && old.Version >= c.Version {
@@ -63,11 +63,11 @@
 	return true
 }
 
-// Prove records that a read sent at that time found no configuration newer than version; it reports
+// RecordProof records that a read sent at that time found no configuration newer than version; it reports
 // whether that is more recent than the previous proof. A proof for a version other than the one in
 // force is ignored. So is a read soon after the store was restored from an older copy: the
 // operators' latest writes may be missing there, so that keys which they withdrew would be valid.
-func (s *State) Prove(version uint64, sent time.Time) bool {
+func (s *State) RecordProof(version uint64, sent time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if t := s.table.Load(); t == nil || t.Version != version || !sent.After(s.proof) || sent.Before(s.suspendedAt) || s.mayMissWrites(sent) {
@@ -109,8 +109,8 @@
 	return s.storeEra
 }
 
-// Outdate drops the proof, since it was noticed now that the host had been suspended for that long.
-func (s *State) Outdate(now time.Time, suspended time.Duration) {
+// DropProof drops the proof, since it was noticed now that the host had been suspended for that long.
+func (s *State) DropProof(now time.Time, suspended time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.proof, s.suspendedAt = time.Time{}, now
@@ -128,9 +128,9 @@
 	return now.Sub(s.proof), s.proofChanged
 }
 
-// Fresh waits until there is a proof younger than limit; it reports false if patience or ctx ends
+// WaitFresh waits until there is a proof younger than limit; it reports false if patience or ctx ends
 // first.
-func (s *State) Fresh(ctx context.Context, limit, patience time.Duration) bool {
+func (s *State) WaitFresh(ctx context.Context, limit, patience time.Duration) bool {
 	var timer *time.Timer
 	for {
 		age, changed := s.ProofAge(time.Now())
@@ -220,8 +220,8 @@
 	return len(s.endpoints.known)
 }
 
-// AtAddress returns the endpoint whose entry has an address.
-func (s *State) AtAddress(address string) (id string, ok bool) {
+// EndpointAt returns the endpoint whose entry has an address.
+func (s *State) EndpointAt(address string) (id string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, e := range s.endpoints.known {
@@ -232,10 +232,10 @@
 	return "", false
 }
 
-// Listed applies a list of endpoints and returns the resulting changes. sent is when the read that
+// ApplyList applies a list of endpoints and returns the resulting changes. sent is when the read that
 // returned the list was sent; zero means long ago. storeFailed is when a read of the list last
 // failed; zero means never.
-func (s *State) Listed(list []catalog.Endpoint, sent, now, storeFailed time.Time) []EndpointChange {
+func (s *State) ApplyList(list []catalog.Endpoint, sent, now, storeFailed time.Time) []EndpointChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endpoints.services = s.endpoints.services[:0]
@@ -248,8 +248,8 @@
 	return changes
 }
 
-// SameLife reports whether e is still the running incarnation of the endpoint, as far as is known.
-func (s *State) SameLife(e catalog.Endpoint) bool {
+// SameIncarnation reports whether e is still the running incarnation of the endpoint, as far as is known.
+func (s *State) SameIncarnation(e catalog.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !e.RestartedAs(s.endpoints.known[e.ID])
--- a/relay/statements.go
+++ b/relay/statements.go
@@ -15,16 +15,16 @@
 type requestKind uint8
 
 const (
-	callersRequest requestKind = iota
-	// ownQuestion is a health check, a query or a memory order of this gateway. Its answer may
+	callerRequest requestKind = iota
+	// gatewayQuery is a health check, a query or a memory order of this gateway. Its answer may
 	// announce a rate limit, but an answer without one does not end a limit: endpoints need not
 	// repeat it there.
-	ownQuestion
+	gatewayQuery
 )
 
 // do sends a request to an endpoint and records what the answer says of that endpoint.
 func (g *Gateway) do(ctx context.Context, e catalog.Endpoint, r *upstream.Request, kind requestKind, request string) (*http.Response, error) {
-	sent := g.limits.version(e.ID)
+	sent := g.endpointLimits.version(e.ID)
 	res, err := g.deps.Endpoints.Do(ctx, e.ID, e.Address, r)
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 	if err != nil {
 		g.deps.Log.Request("What an endpoint says of itself cannot be read.", "request", request, "endpoint", e.ID, "err", err)
 	}
-	if !statement.LimitUnreadable && (statement.Limit.Is || kind == callersRequest) {
+	if !statement.LimitUnreadable && (statement.Limit.Set || kind == callerRequest) {
 		g.recordLimit(e, sent, statement.Limit, request)
 	}
 	g.recordStatement(e, statement, request)
@@ -50,14 +50,14 @@
 
 // recordStatement records whether the endpoint is draining or asks this gateway to back off.
 func (g *Gateway) recordStatement(e catalog.Endpoint, statement availability.Statement, request string) {
-	if statement.Leaving {
-		g.meter.leavesTold.Inc()
-		g.markDraining(e, availability.FromAnswer, request)
+	if statement.Draining {
+		g.meter.drainsAnnounced.Inc()
+		g.markDraining(e, availability.FromResponse, request)
 	}
-	if statement.Rest > 0 {
-		g.meter.restsAsked.Inc()
-		if g.state.RecordBackoff(e.ID, statement.Rest, time.Now()) {
-			g.deps.Log.Request("Endpoint asks for rest.", "endpoint", e.ID, "born", e.Born, "rest_ms", statement.Rest.Milliseconds(), "request", request)
+	if statement.Backoff > 0 {
+		g.meter.backoffsRequested.Inc()
+		if g.state.RecordBackoff(e.ID, statement.Backoff, time.Now()) {
+			g.deps.Log.Request("Endpoint asks for rest.", "endpoint", e.ID, "born", e.Born, "rest_ms", statement.Backoff.Milliseconds(), "request", request)
 		}
 	}
 }
@@ -71,14 +71,14 @@
 	}
 	g.deps.Log.Logger().Info("Endpoint says that it leaves.", "endpoint", e.ID, "born", e.Born, "from", source, "request", request)
 	for _, c := range changes {
-		g.memberChanged(c)
+		g.handleEndpointChange(c)
 	}
-	g.picker.callPeers()
+	g.picker.notifyPeers()
 }
 
-// heardLeaves records the endpoints that a peer reports as draining.
-func (g *Gateway) heardLeaves(w peers.Word) {
-	for id, born := range w.Leaves {
+// handlePeerDrains records the endpoints that a peer reports as draining.
+func (g *Gateway) handlePeerDrains(w peers.Message) {
+	for id, born := range w.Drains {
 		g.markDraining(catalog.Endpoint{ID: id, Born: born}, w.From, "")
 	}
 }
@@ -90,9 +90,9 @@
 // of its previous incarnation. An endpoint that cannot be asked counts as draining until it
 // answers.
 func (g *Gateway) settleDoubtedDrain(e catalog.Endpoint) {
-	query := g.question(&watched{Endpoint: e, service: g.serviceOf(e)})
+	query := g.queryRequest(&watchedEndpoint{Endpoint: e, service: g.serviceOf(e)})
 	for query != nil && g.state.DrainDoubted(e) {
-		if !g.state.Resting(e.ID, time.Now()) && g.answersNotDraining(e, query) && g.state.ClearDoubtedDrain(e) {
+		if !g.state.InBackoff(e.ID, time.Now()) && g.answersNotDraining(e, query) && g.state.ClearDoubtedDrain(e) {
 			g.deps.Log.Logger().Info("Endpoint does not leave.", "endpoint", e.ID, "born", e.Born)
 		}
 		if !g.pause(drainCheckInterval) {
@@ -104,10 +104,10 @@
 // answersNotDraining queries an endpoint; it reports whether the endpoint has answered without
 // saying that it is draining.
 func (g *Gateway) answersNotDraining(e catalog.Endpoint, query *upstream.Request) bool {
-	ctx, cancel := context.WithTimeout(g.ctx, reportTime)
+	ctx, cancel := context.WithTimeout(g.ctx, queryTimeout)
 	defer cancel()
 	g.meter.reports.Inc()
-	res, err := g.do(ctx, e, query, ownQuestion, "")
+	res, err := g.do(ctx, e, query, gatewayQuery, "")
 	if err != nil {
 		g.deps.Log.Logger().Info("It is not known whether an endpoint leaves.", "endpoint", e.ID, "born", e.Born, "err", err)
 		return false
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// noticeTime is how long the load balancer takes to notice that this gateway is not ready: two
+	// unreadyDetectionTime is how long the load balancer takes to notice that this gateway is not ready: two
 	// failed checks one second apart, and one more for timers that fire late.
-	noticeTime = 3 * time.Second
+	unreadyDetectionTime = 3 * time.Second
 	// shutdownMargin is the part of the drain time that is left for the process to exit: a freeze
 	// of a fraction of a second must not make it exceed its grace period.
 	shutdownMargin = time.Second
@@ -21,11 +21,11 @@
 // balancer must have noticed, and returns when nothing is in flight or ctx ends.
 func (g *Gateway) Shutdown(ctx context.Context) error {
 	now := time.Now()
-	g.stopAt.Store(&now)
+	g.stoppedAt.Store(&now)
 	g.leaving.Store(true)
 	g.deps.Log.Logger().Info("Stop begun.", "in_flight", g.inFlight.Load(), "drain_ms", g.config.DrainTime.Milliseconds())
 	g.servers.disableKeepAlives()
-	suspendedBefore := g.suspendedTime()
+	suspendedBefore := g.checkSuspension()
 	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for {
@@ -33,12 +33,12 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
-			if g.ending() && g.inFlight.Load() == 0 {
+			if g.shutdownNoticed() && g.inFlight.Load() == 0 {
 				g.deps.Log.Logger().Info("No requests in flight.")
 				return nil
 			}
 			// The platform counts the time for which the host was suspended towards the drain time.
-			if time.Since(now)+g.suspendedTime()-suspendedBefore > g.config.DrainTime-shutdownMargin {
+			if time.Since(now)+g.checkSuspension()-suspendedBefore > g.config.DrainTime-shutdownMargin {
 				g.deps.Log.Logger().Warn("Drain time ended with requests in flight.", "in_flight", g.inFlight.Load())
 				return nil
 			}
@@ -46,8 +46,8 @@
 	}
 }
 
-// ending reports whether the load balancer must have noticed the shutdown by now.
-func (g *Gateway) ending() bool {
-	at := g.stopAt.Load()
-	return at != nil && time.Since(*at) > noticeTime
+// shutdownNoticed reports whether the load balancer must have noticed the shutdown by now.
+func (g *Gateway) shutdownNoticed() bool {
+	at := g.stoppedAt.Load()
+	return at != nil && time.Since(*at) > unreadyDetectionTime
 }
--- a/relay/storeera.go
+++ b/relay/storeera.go
@@ -9,10 +9,10 @@
 	if !g.recordStoreEra(g.deps.Source.StoreEra(), "store") {
 		return
 	}
-	for _, f := range g.quarantined.fingerprints(time.Now()) {
-		g.keep(f)
+	for _, f := range g.quarantine.fingerprints(time.Now()) {
+		g.scheduleStore(f)
 	}
-	g.tellNews()
+	g.broadcastSoon()
 }
 
 // recordStoreEra records an era of the store; it reports whether the store was restored from an
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -73,7 +73,7 @@
 
 // relay passes an answer on to the caller. again is set if a stream broke that may resume at
 // another endpoint.
-func (x *exchange) relay(ctx context.Context, at *place, res *http.Response) (o outcome, again bool) {
+func (x *exchange) relay(ctx context.Context, at *placement, res *http.Response) (o outcome, again bool) {
 	if x.isResumable(res) {
 		return x.relayEvents(ctx, at, res)
 	}
@@ -90,12 +90,12 @@
 // relayBuffered buffers the beginning of an answer until the answer is complete or exceeds the
 // buffer. If it breaks before, the caller has seen nothing of it and the request may be sent again
 // where that is allowed.
-func (x *exchange) relayBuffered(ctx context.Context, at *place, res *http.Response) (o outcome, again bool) {
+func (x *exchange) relayBuffered(ctx context.Context, at *placement, res *http.Response) (o outcome, again bool) {
 	buffered, err := io.ReadAll(io.LimitReader(res.Body, maxBufferedBytes))
 	if err != nil {
 		x.recordFailure(at, err)
 		if ctx.Err() == nil {
-			x.recordOutcome(at, health.Bad)
+			x.recordOutcome(at, health.BadResponse)
 			x.handleBrokenExchange(at)
 		}
 		return "", true
@@ -135,7 +135,7 @@
 }
 
 // copyBody passes on a body and, if flush is set, flushes after each part.
-func (x *exchange) copyBody(at *place, body io.Reader, flush bool) error {
+func (x *exchange) copyBody(at *placement, body io.Reader, flush bool) error {
 	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := body.Read(buf)
@@ -156,7 +156,7 @@
 
 // relayEvents passes on complete events only, so that a stream that breaks inside an event can
 // resume at another endpoint.
-func (x *exchange) relayEvents(ctx context.Context, at *place, res *http.Response) (o outcome, again bool) {
+func (x *exchange) relayEvents(ctx context.Context, at *placement, res *http.Response) (o outcome, again bool) {
 	if x.stream == nil {
 		x.stream = &eventStream{}
 	}
@@ -189,7 +189,7 @@
 }
 
 // writeEvents passes on complete events, preceded by the head of the first answer.
-func (x *exchange) writeEvents(at *place, res *http.Response, events []byte) error {
+func (x *exchange) writeEvents(at *placement, res *http.Response, events []byte) error {
 	x.recordPart(at)
 	if !x.stream.headSent {
 		x.stream.headSent = true
@@ -200,10 +200,10 @@
 
 // writeToCaller writes a part of the answer to the caller and, if flush is set, flushes it. It
 // blocks while the caller does not read.
-func (x *exchange) writeToCaller(at *place, part []byte, flush bool) error {
-	if at.memory != nil {
-		at.memory.writingToCaller.Store(true)
-		defer at.memory.writingToCaller.Store(false)
+func (x *exchange) writeToCaller(at *placement, part []byte, flush bool) error {
+	if at.reservations != nil {
+		at.reservations.writingToCaller.Store(true)
+		defer at.reservations.writingToCaller.Store(false)
 	}
 	if _, err := x.w.Write(part); err != nil {
 		return err
@@ -215,13 +215,13 @@
 }
 
 // handleBrokenStream handles a stream that ended early.
-func (x *exchange) handleBrokenStream(ctx context.Context, at *place, err error) (outcome, bool) {
+func (x *exchange) handleBrokenStream(ctx context.Context, at *placement, err error) (outcome, bool) {
 	if x.r.Context().Err() != nil {
 		return callerGone, false
 	}
 	x.recordFailure(at, err)
 	if ctx.Err() == nil {
-		x.recordOutcome(at, health.Bad)
+		x.recordOutcome(at, health.BadResponse)
 		x.g.meter.resumes.Inc()
 		x.handleBrokenExchange(at)
 	}
@@ -229,15 +229,15 @@
 }
 
 // recordPart records that a part of the answer has arrived.
-func (x *exchange) recordPart(at *place) {
+func (x *exchange) recordPart(at *placement) {
 	now := time.Now()
 	x.answerBegun = true
 	if x.firstPartAt.IsZero() {
 		x.firstPartAt = now
 		x.g.meter.firstByte.UpdateDuration(x.started)
-		x.recordIfLate(at.endpoint.ID, now.Sub(at.chosen), at.expected.LatestFirst())
+		x.recordIfLate(at.endpoint.ID, now.Sub(at.chosenAt), at.expected.LateAfter())
 		for _, helper := range at.helpers { // the delay may be caused by a helper
-			x.recordIfLate(helper.ID, now.Sub(at.chosen), at.expected.LatestFirst())
+			x.recordIfLate(helper.ID, now.Sub(at.chosenAt), at.expected.LateAfter())
 		}
 	} else {
 		gap := now.Sub(x.lastPartAt)
@@ -245,23 +245,23 @@
 		x.recordIfLate(at.endpoint.ID, gap, x.route.GapObjective)
 	}
 	x.lastPartAt = now
-	if at.memory != nil {
-		at.memory.usage.recordUse(now)
+	if at.reservations != nil {
+		at.reservations.usage.recordUse(now)
 	}
-	at.read()
+	at.endPrefill()
 }
 
 // recordIfLate records an endpoint as late if a part of a stream took longer than the limit.
 func (x *exchange) recordIfLate(endpoint string, took, limit time.Duration) {
 	if limit > 0 && took > limit && x.route.Kind == catalog.Streaming {
-		x.g.picker.noteLate(endpoint, time.Now())
+		x.g.picker.recordLate(endpoint, time.Now())
 	}
 }
 
 // finishAnswer returns the outcome of an answer whose relaying ended with err.
-func (x *exchange) finishAnswer(at *place, err error) outcome {
+func (x *exchange) finishAnswer(at *placement, err error) outcome {
 	if err == nil {
-		x.recordOutcome(at, health.Good)
+		x.recordOutcome(at, health.Success)
 		x.recordSuccess(at)
 		return answered
 	}
@@ -269,8 +269,8 @@
 	if _, ok := err.(*callerWriteError); ok || x.r.Context().Err() != nil {
 		return callerGone
 	}
-	if time.Until(x.deadline) > 0 && !at.memory.endedUnused() {
-		x.recordOutcome(at, health.Bad)
+	if time.Until(x.deadline) > 0 && !at.reservations.endedUnused() {
+		x.recordOutcome(at, health.BadResponse)
 		x.handleBrokenExchange(at)
 	}
 	return x.abort()
--- a/relay/suspend.go
+++ b/relay/suspend.go
@@ -48,8 +48,8 @@
 	return total, fresh
 }
 
-// after reports whether a monotonic time is not before the newest suspension.
-func (s *suspensionDetector) after(t time.Time) bool {
+// notBeforeSuspension reports whether a monotonic time is not before the newest suspension.
+func (s *suspensionDetector) notBeforeSuspension(t time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !t.Before(s.detectedAt)
@@ -62,21 +62,21 @@
 	return s.detected
 }
 
-// suspendedTime returns how long the host was suspended in total. If that has grown since the last
+// checkSuspension returns how long the host was suspended in total. If that has grown since the last
 // check, it discards what is outdated: proofs of the configuration, the age of the list of
 // endpoints, and idle connections, which the other side may have dropped.
-func (g *Gateway) suspendedTime() time.Duration {
+func (g *Gateway) checkSuspension() time.Duration {
 	now := time.Now()
-	total, fresh := g.suspension.check(now)
+	total, fresh := g.suspensions.check(now)
 	if fresh == 0 {
 		return total
 	}
-	g.state.Outdate(now, fresh)
-	g.sharing.outdate(now)
-	g.limits.outdate()
+	g.state.DropProof(now, fresh)
+	g.storeReads.invalidateList(now)
+	g.endpointLimits.clearVotes()
 	g.deps.Endpoints.CloseIdle()
-	g.peers.http.CloseIdleConnections()
-	g.grants.http.CloseIdleConnections()
+	g.peerClient.http.CloseIdleConnections()
+	g.grantClient.http.CloseIdleConnections()
 	g.meter.suspensions.Inc()
 	g.deps.Log.Logger().Warn("Host was suspended.", "for", fresh, "in_flight", g.inFlight.Load())
 	return total
@@ -85,33 +85,33 @@
 // pollSuspensions checks for suspensions periodically, so that a gateway without requests refreshes
 // its data as soon as its host resumes.
 func (g *Gateway) pollSuspensions() {
-	if g.suspension.total == nil {
+	if g.suspensions.total == nil {
 		return
 	}
 	for g.pause(suspensionPollInterval) {
-		g.suspendedTime()
+		g.checkSuspension()
 	}
 }
 
-// pauseAwake waits for d or until a suspension of the host is detected. It reports false if the
+// pauseOrResume waits for d or until a suspension of the host is detected. It reports false if the
 // gateway was closed first.
-func (g *Gateway) pauseAwake(d time.Duration) bool {
+func (g *Gateway) pauseOrResume(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-g.suspension.nextSuspension():
+	case <-g.suspensions.nextSuspension():
 		return true
 	case <-g.ctx.Done():
 		return false
 	}
 }
 
-// countSuspension subtracts time for which the host was suspended from the time that the request
+// deductSuspension subtracts time for which the host was suspended from the time that the request
 // has left.
-func (x *exchange) countSuspension() {
-	total := x.g.suspendedTime()
+func (x *exchange) deductSuspension() {
+	total := x.g.checkSuspension()
 	if d := total - x.countedSuspension; d > 0 {
 		x.started, x.deadline = x.started.Add(-d), x.deadline.Add(-d)
 		x.countedSuspension = total
--- a/relay/suspend_test.go
+++ b/relay/suspend_test.go
@@ -22,21 +22,23 @@
 	"github.com/micarudder/micarudder/upstream"
 )
 
-func answerOK(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { answer(w, "200 OK", "", "") }
+func answerOK(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
+	writeAnswer(w, "200 OK", "", "")
+}
 
 // askWaiting sends a request with a deadline of ten seconds, which waits because no endpoint is
 // known.
-func (b *bench) askWaiting() <-chan reply {
+func (b *testGateway) askWaiting() <-chan response {
 	b.t.Helper()
 	if err := b.gateway.readConfiguration(time.Now()); err != nil {
 		b.t.Fatal(err)
 	}
-	answers := make(chan reply, 1)
-	go func() { answers <- b.ask(b.t.Context(), "POST", "/safe/", "", http.Header{"Wait-Ms": {"10000"}}) }()
+	answers := make(chan response, 1)
+	go func() { answers <- b.send(b.t.Context(), "POST", "/safe/", "", http.Header{"Wait-Ms": {"10000"}}) }()
 	for b.gateway.inFlight.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(2 * queueStep) // it has looked for an endpoint
+	time.Sleep(2 * queuePollInterval) // it has looked for an endpoint
 	return answers
 }
 
@@ -50,58 +52,58 @@
 
 	t.Run("proof from before", func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, answerOK)
-		b.know()
-		is.Equal(b.ask(t.Context(), "POST", "/safe/", "", nil).status, 200)
+		b := newTestGateway(t, answerOK)
+		b.readSource()
+		is.Equal(b.send(t.Context(), "POST", "/safe/", "", nil).status, 200)
 		b.suspend(long)
-		b.source.set(nil, away)
-		is.Equal(b.ask(t.Context(), "POST", "/safe/", "", nil).status, 503)
-		is.Equal(b.arrivals(), 1)
-		b.source.set(testConfig(1), nil)
+		b.source.setConfiguration(nil, away)
+		is.Equal(b.send(t.Context(), "POST", "/safe/", "", nil).status, 503)
+		is.Equal(b.requestCount(), 1)
+		b.source.setConfiguration(testConfig(1), nil)
 		is.NoErr(b.gateway.readConfiguration(time.Now()))
-		is.Equal(b.ask(t.Context(), "POST", "/safe/", "", nil).status, 200)
+		is.Equal(b.send(t.Context(), "POST", "/safe/", "", nil).status, 200)
 	})
 
 	t.Run("configuration read sent before", func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, answerOK)
-		b.know()
+		b := newTestGateway(t, answerOK)
+		b.readSource()
 		sent := time.Now()
 		b.suspend(long)
-		b.gateway.state.Prove(1, sent) // the answer arrived before the suspension and was read after it
-		is.Equal(b.ask(t.Context(), "POST", "/safe/", "", nil).status, 503)
+		b.gateway.state.RecordProof(1, sent) // the answer arrived before the suspension and was read after it
+		is.Equal(b.send(t.Context(), "POST", "/safe/", "", nil).status, 503)
 	})
 
 	t.Run("peer message from before", func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, answerOK)
+		b := newTestGateway(t, answerOK)
 		mesh, err := peers.Listen("g", "127.0.0.1:0")
 		is.NoErr(err)
 		defer func() { is.NoErr(mesh.Close()) }()
 		b.gateway.deps.Mesh = mesh
-		b.know()
+		b.readSource()
 		b.suspend(long)
-		w := peers.Word{From: "other", Version: 1, ProofAgeMs: 1, Heard: map[string]int64{"g": 1}}
-		b.gateway.heardWord(w, netip.AddrPort{}) // it acknowledges a message that this gateway sent before
-		is.Equal(b.ask(t.Context(), "POST", "/safe/", "", nil).status, 503)
+		w := peers.Message{From: "other", Version: 1, ProofAgeMs: 1, ClockEchoes: map[string]int64{"g": 1}}
+		b.gateway.handlePeerMessage(w, netip.AddrPort{}) // it acknowledges a message that this gateway sent before
+		is.Equal(b.send(t.Context(), "POST", "/safe/", "", nil).status, 503)
 	})
 
 	t.Run("deadline passed", func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, answerOK)
+		b := newTestGateway(t, answerOK)
 		answers := b.askWaiting()
 		b.suspend(long)
-		b.know()
+		b.readSource()
 		is.Equal((<-answers).status, 503)
-		is.Equal(b.arrivals(), 0)
+		is.Equal(b.requestCount(), 0)
 	})
 
 	t.Run("remaining time reduced", func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, answerOK)
+		b := newTestGateway(t, answerOK)
 		answers := b.askWaiting()
 		b.suspend(2 * time.Second)
-		b.know()
+		b.readSource()
 		is.Equal((<-answers).status, 200)
 		left, err := strconv.Atoi(b.requestAt(0).Header.Get("Left-Ms"))
 		is.NoErr(err)
@@ -110,18 +112,18 @@
 
 	t.Run("endpoint list from before", func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, answerOK)
-		b.know()
+		b := newTestGateway(t, answerOK)
+		b.readSource()
 		is.True(b.gateway.readEndpoints())
-		is.True(b.gateway.sharing.endpointsAge(time.Now()) < time.Minute)
+		is.True(b.gateway.storeReads.endpointsAge(time.Now()) < time.Minute)
 		sent := time.Now()
 		b.suspend(long)
-		b.gateway.suspendedTime()
-		is.True(b.gateway.sharing.endpointsAge(time.Now()) > time.Hour)
-		b.gateway.sharing.read(b.source.endpoints, sent) // the answer arrived before the suspension and was read after it
-		is.True(b.gateway.sharing.endpointsAge(time.Now()) > time.Hour)
+		b.gateway.checkSuspension()
+		is.True(b.gateway.storeReads.endpointsAge(time.Now()) > time.Hour)
+		b.gateway.storeReads.recordList(b.source.endpoints, sent) // the answer arrived before the suspension and was read after it
+		is.True(b.gateway.storeReads.endpointsAge(time.Now()) > time.Hour)
 		is.True(b.gateway.readEndpoints())
-		is.True(b.gateway.sharing.endpointsAge(time.Now()) < time.Minute)
+		is.True(b.gateway.storeReads.endpointsAge(time.Now()) < time.Minute)
 	})
 
 	t.Run("data refreshed at once", func(t *testing.T) {
@@ -137,13 +139,13 @@
 			defer g.deps.Log.Close(time.Second)
 			defer g.Close()
 			g.Start()
-			time.Sleep(readEvery / 2)
-			is.True(g.proofAge() <= readEvery/2)
+			time.Sleep(readInterval / 2)
+			is.True(g.proofAge() <= readInterval/2)
 			suspended.Add(int64(long))
 			time.Sleep(suspensionPollInterval + time.Millisecond)
 			// Without the poll, the newest read would be older than half of readEvery.
 			is.True(g.proofAge() <= suspensionPollInterval+time.Millisecond)
-			is.True(g.sharing.endpointsAge(time.Now()) <= suspensionPollInterval+time.Millisecond)
+			is.True(g.storeReads.endpointsAge(time.Now()) <= suspensionPollInterval+time.Millisecond)
 			is.Equal(g.meter.suspensions.Get(), uint64(1))
 		})
 	})
@@ -169,17 +171,17 @@
 
 	t.Run("connection from before", func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(t, answerOK)
-		b.know()
+		b := newTestGateway(t, answerOK)
+		b.readSource()
 		list, err := b.source.Endpoints(t.Context())
 		is.NoErr(err)
-		b.gateway.state.Listed(list[:1], time.Now(), time.Now(), time.Time{})
-		is.Equal(b.ask(t.Context(), "POST", "/once/", "", nil).status, 200)
-		is.Equal(b.ask(t.Context(), "POST", "/once/", "", nil).status, 200)
+		b.gateway.state.ApplyList(list[:1], time.Now(), time.Now(), time.Time{})
+		is.Equal(b.send(t.Context(), "POST", "/once/", "", nil).status, 200)
+		is.Equal(b.send(t.Context(), "POST", "/once/", "", nil).status, 200)
 		is.Equal(b.gateway.deps.Endpoints.Dials(), uint64(1))
 		b.suspend(long)
 		is.NoErr(b.gateway.readConfiguration(time.Now()))
-		is.Equal(b.ask(t.Context(), "POST", "/once/", "", nil).status, 200)
+		is.Equal(b.send(t.Context(), "POST", "/once/", "", nil).status, 200)
 		is.Equal(b.gateway.deps.Endpoints.Dials(), uint64(2))
 	})
 }
--- a/relay/takers.go
+++ b/relay/takers.go
@@ -22,10 +22,10 @@
 	if len(cells) == 0 {
 		cells = s.endpoints.lastResort(service, now)
 	}
-	if !s.backoffs.Any() {
+	if !s.backoffs.Active() {
 		return cells
 	}
-	return excluding(cells, func(e catalog.Endpoint) bool { return !s.backoffs.Open(e.ID, now) })
+	return excluding(cells, func(e catalog.Endpoint) bool { return !s.backoffs.MaySend(e.ID, now) })
 }
 
 // excluding returns the endpoints by cell without those that drop selects, and without cells that
@@ -43,16 +43,16 @@
 	return out
 }
 
-// StillTakes reports whether a request for which an endpoint was chosen may be sent there now.
-func (s *State) StillTakes(id string, now time.Time) bool {
+// AcceptsRequests reports whether a request for which an endpoint was chosen may be sent there now.
+func (s *State) AcceptsRequests(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.endpoints.acceptsRequests(id, now) && !s.backoffs.Resting(id, now)
+	return s.endpoints.acceptsRequests(id, now) && !s.backoffs.InBackoff(id, now)
 }
 
 // BeginSend counts a request for which an endpoint was chosen; ok is false if it must not be sent
 // there. The caller has to call EndSend.
-func (s *State) BeginSend(id string, now time.Time) (send availability.Send, ok bool) {
+func (s *State) BeginSend(id string, now time.Time) (send availability.SentRequest, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.endpoints.acceptsRequests(id, now) {
@@ -63,7 +63,7 @@
 
 // EndSend records that a request was answered, or will not be. It reports whether this ends the
 // gradual ramp-up of the endpoint after its back-off.
-func (s *State) EndSend(send availability.Send, answered bool) bool {
+func (s *State) EndSend(send availability.SentRequest, answered bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.backoffs.End(send, answered)
@@ -82,7 +82,7 @@
 func (s *State) DrainDoubted(e catalog.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.endpoints.drains.Doubted(e)
+	return s.endpoints.drains.Uncertain(e)
 }
 
 // ClearDoubtedDrain records an answer of such an endpoint that does not say that it is draining. It
@@ -98,7 +98,7 @@
 func (s *State) DrainNotices(everything bool, now time.Time) map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.endpoints.drains.Tell(everything, now)
+	return s.endpoints.drains.Updates(everything, now)
 }
 
 // RecordBackoff records that an endpoint asked this gateway to back off for d. It reports whether
@@ -109,14 +109,14 @@
 	if _, ok := s.endpoints.known[id]; !ok {
 		return false // the endpoint is gone
 	}
-	return s.backoffs.Ask(id, d, now)
+	return s.backoffs.Request(id, d, now)
 }
 
-// Resting reports whether an endpoint is in back-off.
-func (s *State) Resting(id string, now time.Time) bool {
+// InBackoff reports whether an endpoint is in back-off.
+func (s *State) InBackoff(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.backoffs.Resting(id, now)
+	return s.backoffs.InBackoff(id, now)
 }
 
 // clearBackoffs drops back-offs of endpoints that are gone or have restarted. listed is when the
@@ -134,28 +134,28 @@
 
 // serviceBackoff is the state of a service with respect to back-offs of its endpoints.
 type serviceBackoff struct {
-	// opens is when one more endpoint takes requests: now if one already does, or if that depends
+	// opensAt is when one more endpoint takes requests: now if one already does, or if that depends
 	// only on outstanding answers.
-	opens time.Time
+	opensAt time.Time
 	// open counts the endpoints that take requests, closed those that will after their back-off.
 	open, closed int
 }
 
-// RestOf returns the back-off state of a service.
-func (s *State) RestOf(service string, now time.Time) (r serviceBackoff) {
+// ServiceBackoff returns the back-off state of a service.
+func (s *State) ServiceBackoff(service string, now time.Time) (r serviceBackoff) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.backoffs.Any() {
+	if !s.backoffs.Active() {
 		return r
 	}
 	for _, e := range s.endpoints.usableByService[service] {
-		if s.backoffs.Open(e.ID, now) {
+		if s.backoffs.MaySend(e.ID, now) {
 			r.open++
 			continue
 		}
-		opens := s.backoffs.OpensAt(e.ID, now)
-		if r.closed == 0 || opens.Before(r.opens) {
-			r.opens = opens
+		opens := s.backoffs.NextSend(e.ID, now)
+		if r.closed == 0 || opens.Before(r.opensAt) {
+			r.opensAt = opens
 		}
 		r.closed++
 	}
@@ -167,16 +167,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.backoffQueues[service] == nil {
-		s.backoffQueues[service] = &availability.Line{}
+		s.backoffQueues[service] = &availability.WaitQueue{}
 	}
-	s.backoffQueues[service].Join(w)
+	s.backoffQueues[service].Push(w)
 }
 
 // LeaveBackoffQueue removes a request from the queue.
 func (s *State) LeaveBackoffQueue(service string, w *availability.Waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.backoffQueues[service].Leave(w)
+	s.backoffQueues[service].Remove(w)
 	if s.backoffQueues[service].Len() == 0 {
 		delete(s.backoffQueues, service)
 	}
@@ -188,7 +188,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	queue := s.backoffQueues[service]
-	return queue == nil || queue.First(w)
+	return queue == nil || queue.IsFirst(w)
 }
 
 // refusedCallers counts the requests to a service that were refused until a back-off ends.
@@ -205,10 +205,10 @@
 	maxRetrySpread = time.Second
 )
 
-// SendAway returns the Retry-After time for a caller that is refused until a back-off of the
+// BackoffRetryAfter returns the Retry-After time for a caller that is refused until a back-off of the
 // service ends. Callers are told to return one after the other, in the order in which they were
 // refused.
-func (s *State) SendAway(service string, ends, now time.Time) time.Duration {
+func (s *State) BackoffRetryAfter(service string, ends, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	refused := s.refusedCallers[service]
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -23,14 +23,14 @@
 	// failingInterval to one at which a gateway failed.
 	slowInterval    = 600 * time.Millisecond
 	failingInterval = 300 * time.Millisecond
-	// reportTime bounds a query, which takes one round trip.
-	reportTime = 400 * time.Millisecond
+	// queryTimeout bounds a query, which takes one round trip.
+	queryTimeout = 400 * time.Millisecond
 	// reassignInterval is how often this gateway recomputes which endpoints it watches.
 	reassignInterval = time.Second
 )
 
-// watched is an endpoint that this gateway queries for its health.
-type watched struct {
+// watchedEndpoint is an endpoint that this gateway queries for its health.
+type watchedEndpoint struct {
 	catalog.Endpoint
 	primary bool // if not set, the endpoint is queried only after a gateway failed there
 	// service is the service of the endpoint. Plain services give no report; only their health
@@ -46,7 +46,7 @@
 	if g.deps.Mesh == nil {
 		return
 	}
-	var list map[string]*watched
+	var list map[string]*watchedEndpoint
 	var assignedAt time.Time
 	avoided := make(map[string]bool)
 	for g.pause(watchInterval) {
@@ -62,7 +62,7 @@
 // logAvoided logs which endpoints of the own cell are avoided because several gateways failed
 // there, and which are used again. before is its previous result.
 func (g *Gateway) logAvoided(before map[string]bool, now time.Time) map[string]bool {
-	avoided := g.picker.avoided(now)
+	avoided := g.picker.avoidedEndpoints(now)
 	for id, witnesses := range avoided {
 		if !before[id] {
 			g.deps.Log.Logger().Warn("Endpoint left alone.", "endpoint", id, "gateways", witnesses)
@@ -81,36 +81,36 @@
 }
 
 // queryDue queries the endpoints that are due.
-func (g *Gateway) queryDue(list map[string]*watched, now time.Time) {
+func (g *Gateway) queryDue(list map[string]*watchedEndpoint, now time.Time) {
 	for _, e := range list {
 		if g.isDue(e, now) {
 			e.lastQueried = now
-			g.tasks.Go(func() { g.queryEndpoint(e) })
+			g.background.Go(func() { g.queryEndpoint(e) })
 		}
 	}
 }
 
 // assignedEndpoints returns the endpoints that this gateway watches, given the members that it has
 // heard from lately. before is its previous result.
-func (g *Gateway) assignedEndpoints(before map[string]*watched, members []peers.Member, now time.Time) map[string]*watched {
+func (g *Gateway) assignedEndpoints(before map[string]*watchedEndpoint, members []peers.Member, now time.Time) map[string]*watchedEndpoint {
 	cells := g.state.Cells()
 	home := cells.Of(g.config.DataCentre)
 	names := []string{g.config.Name}
-	heardLately := g.sharing.peers(now).lately
+	heardLately := g.storeReads.recentPeers(now).recent
 	for _, m := range members {
 		if heardLately[m.Name] && cells.Of(m.DataCentre) == home {
 			names = append(names, m.Name)
 		}
 	}
 	watchers := health.NewWatchers(names)
-	out := make(map[string]*watched)
+	out := make(map[string]*watchedEndpoint)
 	for _, s := range g.state.Services() {
 		for _, e := range g.state.EndpointsByCell(s.Name)[home] {
-			first, second := watchers.Of(e.ID)
+			first, second := watchers.Lookup(e.ID)
 			if first != g.config.Name && second != g.config.Name {
 				continue
 			}
-			w := &watched{Endpoint: e, primary: first == g.config.Name, service: s}
+			w := &watchedEndpoint{Endpoint: e, primary: first == g.config.Name, service: s}
 			if old := before[e.ID]; old != nil {
 				w.lastQueried = old.lastQueried
 			}
@@ -122,17 +122,17 @@
 
 // isDue reports whether an endpoint is due for a query. An endpoint without a late stream is not
 // queried while no endpoint is slow, since each query has a cost.
-func (g *Gateway) isDue(e *watched, now time.Time) bool {
+func (g *Gateway) isDue(e *watchedEndpoint, now time.Time) bool {
 	since := now.Sub(e.lastQueried)
 	if since < failingInterval {
 		return false
 	}
 	switch g.picker.doubt(e.ID, now) {
-	case health.Failing:
+	case health.RecentFailure:
 		return true
-	case health.Slow:
+	case health.PossiblySlow:
 		return e.primary && e.service.Engine != nil && since >= slowInterval
-	case health.OthersSlow:
+	case health.OtherEndpointSlow:
 		return e.primary && e.service.Engine != nil && since >= othersSlowInterval
 	default:
 		return false
@@ -142,15 +142,15 @@
 // queryEndpoint queries an endpoint and records the answer, or that there was none, as evidence of
 // its health. Any answer of its own shows that the endpoint is alive, since health checks may be
 // wrong in either direction.
-func (g *Gateway) queryEndpoint(e *watched) {
-	question := g.question(e)
-	if question == nil || !g.mayQuestion(e.Endpoint) {
+func (g *Gateway) queryEndpoint(e *watchedEndpoint) {
+	question := g.queryRequest(e)
+	if question == nil || !g.mayQuery(e.Endpoint) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(g.ctx, reportTime)
+	ctx, cancel := context.WithTimeout(g.ctx, queryTimeout)
 	defer cancel()
 	g.meter.reports.Inc()
-	res, err := g.do(ctx, e.Endpoint, question, ownQuestion, "")
+	res, err := g.do(ctx, e.Endpoint, question, gatewayQuery, "")
 	if err != nil {
 		g.recordQueryFailure(e.Endpoint, health.Unreachable, err)
 		return
@@ -168,7 +168,7 @@
 			report = parsed
 		}
 	}
-	if g.picker.reported(e.ID, report, time.Now()) {
+	if g.picker.recordReport(e.ID, report, time.Now()) {
 		g.deps.Log.Logger().Info("Endpoint's pace changed.", "endpoint", e.ID, "pace", report.Pace)
 	}
 	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDiscardedBytes)); err != nil {
@@ -178,10 +178,10 @@
 
 // fetchReport asks an endpoint with an engine for its report.
 func (g *Gateway) fetchReport(ctx context.Context, e catalog.Endpoint) (r EndpointReport, err error) {
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	g.meter.reports.Inc()
-	res, err := g.do(ctx, e, g.deps.Protocol.Report(e.ID), ownQuestion, "")
+	res, err := g.do(ctx, e, g.deps.Protocol.Report(e.ID), gatewayQuery, "")
 	if err != nil {
 		return r, err
 	}
@@ -200,8 +200,8 @@
 // maxDiscardedBytes bounds how much of an answer is read beyond the report to keep the connection.
 const maxDiscardedBytes = 64 << 10
 
-// question returns the query for an endpoint, or nil if there is none that it would answer.
-func (g *Gateway) question(e *watched) *upstream.Request {
+// queryRequest returns the query for an endpoint, or nil if there is none that it would answer.
+func (g *Gateway) queryRequest(e *watchedEndpoint) *upstream.Request {
 	switch {
 	case e.service.Engine != nil:
 		return g.deps.Protocol.Report(e.ID)
@@ -217,7 +217,7 @@
 	if g.ctx.Err() != nil {
 		return
 	}
-	if g.picker.note(e.ID, o, time.Now()) {
+	if g.picker.recordOutcome(e.ID, o, time.Now()) {
 		g.deps.Log.Logger().Warn("Endpoint suspect.", "endpoint", e.ID, "request", "", "err", err)
 	}
 }
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -28,16 +28,16 @@
 	view := make([]Candidate, n)
 	for i := range view {
 		c := idleEndpoint(fmt.Sprintf("engine-%04d", i))
-		c.LongLane = i%3 == 0
+		c.InLongLane = i%3 == 0
 		c.Running = rnd.IntN(8)
 		c.Cost = DefaultCost
 		for k := range c.Wait {
 			c.Wait[k] = time.Duration(rnd.Int64N(int64(wait) + 1))
 		}
 		held := affinity.New(450_000)
-		held.Sent(benchPrefix[:2]) // shared by all prompts
+		held.RecordSent(benchPrefix[:2]) // shared by all prompts
 		if i%10 == 0 {
-			held.Sent(benchPrefix[:rnd.IntN(len(benchPrefix))])
+			held.RecordSent(benchPrefix[:rnd.IntN(len(benchPrefix))])
 		}
 		c.Cached = held.Cached
 		view[i] = c
--- a/routing/cost.go
+++ b/routing/cost.go
@@ -4,9 +4,9 @@
 
 // DefaultCost is used for an endpoint whose cost has not been learned yet.
 var DefaultCost = Cost{
-	PrefillPerToken:  50 * time.Microsecond,
-	PrefillPerToken2: 0.0002,
-	DecodePerToken:   20 * time.Millisecond,
+	PrefillPerToken:        50 * time.Microsecond,
+	PrefillPerTokenSquared: 0.0002,
+	DecodePerToken:         20 * time.Millisecond,
 }
 
 // ChunkTokens is the number of prompt tokens that engines are assumed to
@@ -14,13 +14,13 @@
 const ChunkTokens = 1024
 
 // Known reports whether the prefill cost has been learned or configured.
-func (c Cost) Known() bool { return c.PrefillPerToken > 0 || c.PrefillPerToken2 > 0 }
+func (c Cost) Known() bool { return c.PrefillPerToken > 0 || c.PrefillPerTokenSquared > 0 }
 
 // OrDefault returns the cost with unknown values taken from DefaultCost.
 func (c Cost) OrDefault() Cost {
 	if !c.Known() {
 		c.PrefillPerToken = DefaultCost.PrefillPerToken
-		c.PrefillPerToken2 = DefaultCost.PrefillPerToken2
+		c.PrefillPerTokenSquared = DefaultCost.PrefillPerTokenSquared
 	}
 	if c.DecodePerToken <= 0 {
 		c.DecodePerToken = DefaultCost.DecodePerToken
@@ -35,7 +35,7 @@
 	cached = min(cached, prompt)
 	linear := float64(c.PrefillPerToken) * float64(prompt-cached)
 	p, q := float64(prompt), float64(cached)
-	quadratic := c.PrefillPerToken2 * float64(time.Microsecond) * (p*p - q*q)
+	quadratic := c.PrefillPerTokenSquared * float64(time.Microsecond) * (p*p - q*q)
 	return time.Duration(linear + quadratic)
 }
 
--- a/routing/filter.go
+++ b/routing/filter.go
@@ -16,7 +16,7 @@
 	FilterConnected = "not connected"
 	FilterLeaving   = "leaving"
 	FilterMemory    = "memory too small"
-	FilterResting   = "resting"
+	FilterBackoff   = "resting"
 	FilterBreaker   = "breaker open"
 	FilterExcluded  = "excluded"
 	FilterLane      = "outside the long lane"
@@ -48,7 +48,7 @@
 
 // String returns the name of the filter.
 func (f filterID) String() string {
-	return [...]string{FilterNone, FilterServes, FilterConnected, FilterLeaving, FilterMemory, FilterResting, FilterBreaker, FilterExcluded}[f]
+	return [...]string{FilterNone, FilterServes, FilterConnected, FilterLeaving, FilterMemory, FilterBackoff, FilterBreaker, FilterExcluded}[f]
 }
 
 // rejectedBy returns the first filter that rejects the evaluation's candidate.
@@ -62,7 +62,7 @@
 		return byLeaving
 	case memoryTooSmall(e):
 		return byMemory
-	case e.cand.Resting:
+	case e.cand.BackingOff:
 		return byResting
 	case breakerOpen(e):
 		return byBreaker
--- a/routing/filter_lane.go
+++ b/routing/filter_lane.go
@@ -4,5 +4,5 @@
 // work for them, judged by the tokens that are not in the endpoint's cache.
 // Short work may run on any endpoint.
 func outsideLane(e *evaluation) bool {
-	return e.long && !e.cand.LongLane
+	return e.long && !e.cand.InLongLane
 }
--- a/routing/filter_test.go
+++ b/routing/filter_test.go
@@ -10,7 +10,7 @@
 // idleEndpoint returns an eligible endpoint without load.
 func idleEndpoint(name string) Candidate {
 	return Candidate{
-		Endpoint: name, DataCentre: "cdf-a", Connected: true, LongLane: true,
+		Endpoint: name, DataCentre: "cdf-a", Connected: true, InLongLane: true,
 		Models: map[string]bool{"caption": true}, MemoryTokens: 400_000, FreeTokens: 400_000,
 	}
 }
@@ -43,10 +43,10 @@
 		{"memory too small", huge, func(c *Candidate) {}, FilterMemory},
 		{"memory unknown", huge, func(c *Candidate) { c.MemoryTokens = 0 }, ""},
 		{"memory in use", short, func(c *Candidate) { c.FreeTokens = 0 }, ""},
-		{"short outside lane", short, func(c *Candidate) { c.LongLane = false }, ""},
-		{"medium outside lane", Request{Model: "caption", PromptTokens: 5_000}, func(c *Candidate) { c.LongLane = false }, FilterLane},
-		{"long outside lane", long, func(c *Candidate) { c.LongLane = false }, FilterLane},
-		{"long but cached", withPrefix(long), func(c *Candidate) { c.LongLane, c.Cached = false, cached }, ""},
+		{"short outside lane", short, func(c *Candidate) { c.InLongLane = false }, ""},
+		{"medium outside lane", Request{Model: "caption", PromptTokens: 5_000}, func(c *Candidate) { c.InLongLane = false }, FilterLane},
+		{"long outside lane", long, func(c *Candidate) { c.InLongLane = false }, FilterLane},
+		{"long but cached", withPrefix(long), func(c *Candidate) { c.InLongLane, c.Cached = false, cached }, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -51,7 +51,7 @@
 	var age, prefill, n float64
 	step := len(view)/noiseScaleSamples + 1
 	for i := 0; i < len(view); i += step {
-		age += float64(min(view[i].Age, maxReportAge))
+		age += float64(min(view[i].LoadAge, maxReportAge))
 		prefill += float64(view[i].Cost.OrDefault().Prefill(req.PromptTokens, 0))
 		n++
 	}
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -122,8 +122,8 @@
 func (e *evaluation) setCandidate(c *Candidate) {
 	e.cand = c
 	e.slowdown = 1
-	if c.Slowness > 0 {
-		e.slowdown = c.Slowness
+	if c.SlowdownFactor > 0 {
+		e.slowdown = c.SlowdownFactor
 	}
 }
 
