--- a/routing/policy_test.go
+++ b/routing/policy_test.go
@@ -46,12 +46,12 @@
 	}{
 		{"longer wait", short, func(a, b *Candidate) { setWait(a, 200*ms); setWait(b, 100*ms) }},
 		{"wait of its own class", long, func(a, b *Candidate) { a.Wait[ClassLong], b.Wait[ClassShort] = time.Second, time.Minute }},
-		{"older report, queue partly processed since", short, func(a, b *Candidate) { setWait(a, 200*ms); setWait(b, 300*ms); b.Age = 250 * ms }},
+		{"older report, queue partly processed since", short, func(a, b *Candidate) { setWait(a, 200*ms); setWait(b, 300*ms); b.LoadAge = 250 * ms }},
 		{"work sent since the last report", short, func(a, b *Candidate) { a.Pending = 500 * ms; setWait(b, 100*ms) }},
 		{"short answer overtakes pending long work", shortAnswer, func(a, b *Candidate) { a.Pending = 100 * ms; b.Pending, b.PendingLong = time.Second, time.Second }},
 		{"prefix not cached", prefixed, func(a, b *Candidate) { b.Cached = func([]uint64) int { return 1 } }},
 		{"prefix cached but far busier", prefixed, func(a, b *Candidate) { a.Cached = func([]uint64) int { return 1 }; setWait(a, time.Second) }},
-		{"higher quadratic cost", long, func(a, b *Candidate) { a.Cost.PrefillPerToken2 = 0.0005 }},
+		{"higher quadratic cost", long, func(a, b *Candidate) { a.Cost.PrefillPerTokenSquared = 0.0005 }},
 		{"larger batch", short, func(a, b *Candidate) { a.Running = 40 }},
 		{"other data centre", tiny, func(a, b *Candidate) { a.DataCentre = "cdf-b" }},
 		{"beside long work", short, func(a, b *Candidate) { a.LongTokens = 100_000; setWait(b, 500*ms) }},
@@ -59,8 +59,8 @@
 		{"queued, but part of the wait", short, func(a, b *Candidate) { b.QueuedTokens = 9_000; setWait(a, 600*ms); setWait(b, 450*ms) }},
 		{"beside long work sent since the last report", short, func(a, b *Candidate) { a.Pending, a.PendingLong = 5*time.Second, 5*time.Second }},
 		{"long work delays many runs", long, func(a, b *Candidate) { a.Running, b.Running = 9, 1 }},
-		{"lane for long work", short, func(a, b *Candidate) { b.LongLane = false }},
-		{"ten times slower than predicted", short, func(a, b *Candidate) { a.Slowness = 10; setWait(b, 200*ms) }},
+		{"lane for long work", short, func(a, b *Candidate) { b.InLongLane = false }},
+		{"ten times slower than predicted", short, func(a, b *Candidate) { a.SlowdownFactor = 10; setWait(b, 200*ms) }},
 		{"no cost learned yet", long, func(a, b *Candidate) { a.Cost = Cost{}; b.Cost.PrefillPerToken /= 2 }},
 	}
 	for _, tc := range cases {
@@ -90,11 +90,11 @@
 		change       func(a, b *Candidate)
 		want, reason string
 	}{
-		{"lane busier", func(a, b *Candidate) { b.LongLane = false; setWait(a, 24*time.Second) }, "a", ReasonBest},
-		{"lane later than the spill factor allows", func(a, b *Candidate) { b.LongLane = false; setWait(a, 27*time.Second) }, "b", ReasonLaneLate},
-		{"lane past the deadline", func(a, b *Candidate) { b.LongLane = false; setWait(a, 40*time.Second); setWait(b, 20*time.Second) }, "b", ReasonLaneLate},
-		{"all past the deadline", func(a, b *Candidate) { b.LongLane = false; setWait(a, time.Minute); setWait(b, time.Minute) }, "a", ReasonBest},
-		{"no endpoint in the lane", func(a, b *Candidate) { b.LongLane = false; a.Leaving = true }, "b", ReasonNoLane},
+		{"lane busier", func(a, b *Candidate) { b.InLongLane = false; setWait(a, 24*time.Second) }, "a", ReasonBest},
+		{"lane later than the spill factor allows", func(a, b *Candidate) { b.InLongLane = false; setWait(a, 27*time.Second) }, "b", ReasonLaneLate},
+		{"lane past the deadline", func(a, b *Candidate) { b.InLongLane = false; setWait(a, 40*time.Second); setWait(b, 20*time.Second) }, "b", ReasonLaneLate},
+		{"all past the deadline", func(a, b *Candidate) { b.InLongLane = false; setWait(a, time.Minute); setWait(b, time.Minute) }, "a", ReasonBest},
+		{"no endpoint in the lane", func(a, b *Candidate) { b.InLongLane = false; a.Leaving = true }, "b", ReasonNoLane},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -145,7 +145,7 @@
 		t.Run(fmt.Sprint("age ", age), func(t *testing.T) {
 			view := fleet(endpoints, 0)
 			for i := range view {
-				view[i].LongLane, view[i].Running, view[i].Cached, view[i].Age = false, 0, nil, age
+				view[i].InLongLane, view[i].Running, view[i].Cached, view[i].LoadAge = false, 0, nil, age
 			}
 			rnd := rand.New(rand.NewPCG(3, 4))
 			chosen := make(map[int]int)
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -53,9 +53,9 @@
 
 // Cost holds the learned cost coefficients of an endpoint.
 type Cost struct {
-	PrefillPerToken  time.Duration
-	PrefillPerToken2 float64 // microseconds per token squared
-	DecodePerToken   time.Duration
+	PrefillPerToken        time.Duration
+	PrefillPerTokenSquared float64 // microseconds per token squared
+	DecodePerToken         time.Duration
 }
 
 // Candidate is the state of one endpoint as known to a gateway.
@@ -68,32 +68,32 @@
 	Connected   bool
 	Leaving     bool
 	BreakerOpen bool
-	// Resting is set during the back-off period that the endpoint's agent has
+	// BackingOff is set during the back-off period that the endpoint's agent has
 	// requested, in which the endpoint accepts no new work.
-	Resting  bool
-	LongLane bool // the endpoint belongs to the lane, the endpoints that take long work
+	BackingOff bool
+	InLongLane bool // the endpoint belongs to the lane, the endpoints that take long work
 
-	Queued       int
-	Running      int
-	MemoryTokens uint64
-	FreeTokens   uint64
-	QueuedTokens uint64                    // prompt tokens queued or prefilling
-	LongTokens   uint64                    // prompt tokens of long work queued or prefilling
-	Wait         [NumClasses]time.Duration // queueing delay predicted by the agent, by class
-	Cost         Cost
-	Pending      time.Duration // predicted work sent since the last report
-	PendingCount int           // number of requests in Pending
+	Queued          int
+	Running         int
+	MemoryTokens    uint64
+	FreeTokens      uint64
+	QueuedTokens    uint64                    // prompt tokens queued or prefilling
+	LongTokens      uint64                    // prompt tokens of long work queued or prefilling
+	Wait            [NumClasses]time.Duration // queueing delay predicted by the agent, by class
+	Cost            Cost
+	Pending         time.Duration // predicted work sent since the last report
+	PendingRequests int           // number of requests in Pending
 	// PendingLong is the part of Pending that is long work. Requests shorter
 	// than ClassLong overtake it.
 	PendingLong time.Duration
-	// Age is the age of the load values above.
-	Age time.Duration
+	// LoadAge is the age of the load values above.
+	LoadAge time.Duration
 	// Silence is the time since the last message from the agent; 0 means that
 	// none was received. It is ignored while the agent is connected.
 	Silence time.Duration
-	// Slowness is the ratio of actual to predicted run time, as measured by the
+	// SlowdownFactor is the ratio of actual to predicted run time, as measured by the
 	// gateway; 0 means 1.
-	Slowness float64
+	SlowdownFactor float64
 
 	// Cached returns the number of leading blocks of the prefix that the
 	// endpoint is assumed to have in its cache.
--- a/routing/score_beside.go
+++ b/routing/score_beside.go
@@ -31,7 +31,7 @@
 // long lane, where long work may arrive during its decode: a fraction of the
 // largest possible delay.
 func laneScore(e *evaluation, weight float64, horizon uint64) float64 {
-	if weight <= 0 || !e.cand.LongLane || e.class >= laneClass {
+	if weight <= 0 || !e.cand.InLongLane || e.class >= laneClass {
 		return 0
 	}
 	return weight * e.chunkDelay(horizon)
@@ -45,7 +45,7 @@
 // prefill causes to the running requests: each of their decode steps also
 // carries a chunk of the prefill until one of the two ends.
 func imposedInterferenceScore(e *evaluation, weight float64) float64 {
-	running := e.cand.Running + e.cand.PendingCount
+	running := e.cand.Running + e.cand.PendingRequests
 	if running == 0 {
 		return 0
 	}
--- a/routing/score_wait.go
+++ b/routing/score_wait.go
@@ -4,7 +4,7 @@
 // request's class, minus the age of that prediction, because the endpoint has
 // processed part of its queue since.
 func waitScore(e *evaluation) float64 {
-	return max(0, float64(e.cand.Wait[e.class]-e.cand.Age)) * e.slowdown
+	return max(0, float64(e.cand.Wait[e.class]-e.cand.LoadAge)) * e.slowdown
 }
 
 // pendingScore returns the predicted time of the work that this gateway has
--- a/routing/score_work.go
+++ b/routing/score_work.go
@@ -10,6 +10,6 @@
 // perRunning.
 func decodeScore(e *evaluation, perRunning float64, horizon uint64) float64 {
 	tokens := min(e.req.MaxTokens, horizon)
-	batch := float64(e.cand.Running + e.cand.PendingCount)
+	batch := float64(e.cand.Running + e.cand.PendingRequests)
 	return float64(e.cost.Decode(tokens)) * (1 + perRunning*batch) * e.slowdown
 }
