--- a/upstream/probe.go
+++ b/upstream/probe.go
@@ -6,28 +6,28 @@
 	"syscall"
 )
 
-// Listens is what an attempt to connect to an endpoint showed.
+// Listens is the result of a probe: whether a process listens at an endpoint's address.
 type Listens uint8
 
-// What an attempt can show.
+// The results of a probe.
 const (
-	Unknown    Listens = iota // no answer in time, or a failure on the way
-	Listening                 // it takes connections
-	NotRunning                // its host answers, and nothing listens at its address
+	ProbeUnknown   Listens = iota // no response in time, or a network failure
+	ProbeListening                // it accepts connections
+	NotRunning                    // its host refuses the connection: nothing listens at the address
 )
 
-// Probe tells whether a process listens at an endpoint's address, by a new connection. One
-// that comes about is kept for the next request.
+// Probe reports whether a process listens at an endpoint's address by opening a new
+// connection. An established connection is kept idle for the next request.
 func (c *Client) Probe(ctx context.Context, key, address string) Listens {
 	nc, err := c.options.Dialer(ctx, address)
 	switch {
 	case err == nil:
 		c.dials.Add(1)
 		c.idle.put(newConn(nc, key, address))
-		return Listening
+		return ProbeListening
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return NotRunning
 	default:
-		return Unknown
+		return ProbeUnknown
 	}
 }
--- a/upstream/silent_test.go
+++ b/upstream/silent_test.go
@@ -13,23 +13,23 @@
 	"github.com/matryer/is"
 )
 
-// silenced is a connection on which, once silent is set, nothing arrives until
-// the kernel gives it up.
-type silenced struct {
+// silenceableConn is a connection whose reads fail, once silent is set, as they do when
+// the kernel times the connection out.
+type silenceableConn struct {
 	net.Conn
 	silent *atomic.Bool
 }
 
-func (s silenced) Read(p []byte) (int, error) {
+func (s silenceableConn) Read(p []byte) (int, error) {
 	if s.silent.Load() {
 		return 0, &net.OpError{Op: "read", Err: syscall.ETIMEDOUT}
 	}
 	return s.Conn.Read(p)
 }
 
-// TestSilentConnectionsAreNotTriedInTurn: when the kept connections to an endpoint
-// go silent together while new ones work, one request fails, and the next one
-// opens a connection.
+// TestSilentConnectionsAreNotTriedInTurn guards against one failure per idle connection:
+// when the idle connections to an endpoint go silent together while new ones work, one
+// request fails and the next one opens a new connection.
 func TestSilentConnectionsAreNotTriedInTurn(t *testing.T) {
 	is := is.New(t)
 	e := listen(t, func(_ int, c *net.TCPConn) {
@@ -38,17 +38,17 @@
 			if _, err := readRequest(br); err != nil {
 				return
 			}
-			_, _ = c.Write([]byte(okAnswer))
+			_, _ = c.Write([]byte(okResponse))
 		}
 	})
-	var silent *atomic.Bool // of the connections that are opened now
+	var silent *atomic.Bool // shared by the connections opened from here on
 	client := New(Options{MaxIdle: time.Minute, IdlePerHost: 4, Dialer: func(_ context.Context, address string) (net.Conn, error) {
 		c, err := net.Dial("tcp", address)
-		return silenced{c, silent}, err
+		return silenceableConn{c, silent}, err
 	}})
 	defer client.Close()
 	silent = new(atomic.Bool)
-	ask := func() error {
+	roundTrip := func() error {
 		res, err := client.Do(t.Context(), "e", e.Addr().String(), &Request{Method: "GET", Target: "/"})
 		if err != nil {
 			return err
@@ -58,13 +58,13 @@
 	}
 	first, err := client.Do(t.Context(), "e", e.Addr().String(), &Request{Method: "GET", Target: "/"})
 	is.NoErr(err)
-	is.NoErr(ask()) // on a second connection
+	is.NoErr(roundTrip()) // on a second connection
 	_, err = io.Copy(io.Discard, first.Body)
 	is.NoErr(err)
 	is.Equal(client.Dials(), uint64(2))
 	silent.Store(true)
 	silent = new(atomic.Bool)
-	is.True(ask() != nil)
-	is.NoErr(ask())
+	is.True(roundTrip() != nil)
+	is.NoErr(roundTrip())
 	is.Equal(client.Dials(), uint64(3))
 }
--- a/upstream/socket.go
+++ b/upstream/socket.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// probeAfter and probeEvery make the kernel ask an endpoint that says
-	// nothing whether it is there; a host that lost power is found after about
-	// probeAfter + probeCount*probeEvery. One second is the least that the
-	// kernel takes.
-	probeAfter = time.Second
-	probeEvery = time.Second
-	probeCount = 2
-	// unacknowledged is how long sent bytes may stay without acknowledgement: three
-	// lost packets in a row, and well below the two seconds after which callers
-	// give a short stream up, so that it can still be sent elsewhere.
-	unacknowledged = 1200 * time.Millisecond
+	// keepAliveIdle, keepAliveInterval and keepAliveCount configure TCP keep-alive, by which
+	// the kernel probes a silent endpoint. A host that lost power is detected after about
+	// keepAliveIdle + keepAliveCount*keepAliveInterval. One second is the smallest value that
+	// the kernel accepts.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
+	// tcpUserTimeout is how long sent bytes may stay unacknowledged. It tolerates three
+	// consecutive lost packets and is well below the two seconds after which callers give up
+	// a short stream, so that the request can still be sent to another endpoint.
+	tcpUserTimeout = 1200 * time.Millisecond
 )
 
-// dialTCP opens connections that notice a silent peer.
+// dialTCP returns a dialer whose connections fail when their peer goes silent.
 func dialTCP(timeout time.Duration) func(context.Context, string) (net.Conn, error) {
 	d := &net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var err error
 			if e := raw.Control(func(fd uintptr) {
-				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 			}); e != nil {
 				return e
 			}
@@ -44,22 +44,22 @@
 	}
 }
 
-// quiet reports whether an idle connection is open and has nothing to read.
-// Bytes that arrive while no request is under way belong to no request.
-func quiet(c net.Conn) bool {
+// openAndEmpty reports whether an idle connection is open and has no bytes to read. A
+// connection with unread bytes is unusable, since they belong to no request.
+func openAndEmpty(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return true // an in-memory connection of a test
+		return true // not a socket: a connection supplied by a test
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
 		return false
 	}
-	var peek error
+	var peekErr error
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, peek = unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		var buf [1]byte
+		_, _, peekErr = unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		return true
 	})
-	return err == nil && errors.Is(peek, unix.EAGAIN)
+	return err == nil && errors.Is(peekErr, unix.EAGAIN)
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,7 +1,7 @@
-// Package upstream sends single HTTP/1.1 requests to endpoints over kept
-// connections and says exactly how far each one got. Unlike net/http's
-// transport it never sends a request again by itself: whoever calls it decides
-// that, and needs to know whether the endpoint may have run the request.
+// Package upstream sends single HTTP/1.1 requests to endpoints over persistent
+// connections and reports exactly how far each one got. Unlike http.Transport it
+// never retries a request by itself: the caller decides that, and needs to know
+// whether the endpoint may have run the request.
 package upstream
 
 import (
@@ -18,19 +18,19 @@
 	"time"
 )
 
-// Stage says how far a request got before its exchange failed.
+// Stage is how far a request got before its exchange failed.
 type Stage uint8
 
-// The stages.
+// The stages of a failed exchange.
 const (
 	// NotSent: no byte was written, so the endpoint cannot run the request.
 	NotSent Stage = iota
-	// Sent: some of the request was written and no answer came; the endpoint
-	// may have run it.
+	// Sent: writing had begun and no valid response head arrived; the endpoint may
+	// have run the request.
 	Sent
 )
 
-// String returns the stage as it stands in logs.
+// String returns the stage as it is written in logs.
 func (s Stage) String() string {
 	if s == NotSent {
 		return "not-sent"
@@ -53,80 +53,80 @@
 // Request is one request to an endpoint.
 type Request struct {
 	Method string
-	Target string // path and query, exactly as the caller wrote them
+	Target string // path and query, unchanged from the caller's request
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Echo is a header that a valid answer repeats with the request's value;
-	// answers with another value belong to another request and are skipped.
+	// Echo names a header that a valid response repeats with the request's value.
+	// Responses with another value belong to another request and are skipped.
 	// Empty: no check.
 	Echo string
-	// MaxIdle is how long a kept connection may have been idle to be used for
-	// this request; zero: any.
+	// MaxIdle is how long a connection may have been idle to be reused for this
+	// request, below Options.MaxIdle; zero: Options.MaxIdle.
 	MaxIdle time.Duration
-	// KeepIdle is the most connections that are kept without use to the endpoint after this request, below
-	// Options.IdlePerHost; zero: as many as that.
+	// KeepIdle is the largest number of idle connections to the endpoint that are kept after
+	// this request, below Options.IdlePerHost; zero: Options.IdlePerHost.
 	KeepIdle int
-	// Check is called when there is a connection, right before anything is written; the request is not sent where it reports false.
-	// Nil: it is sent.
+	// Check is called once a connection is available, right before the first byte is written.
+	// If it returns false, the request is not sent and Do fails with ErrWithdrawn. Nil: no check.
 	Check func() bool
 }
 
-// ErrWithdrawn is the cause of an exchange that Request.Check ended.
-var ErrWithdrawn = errors.New("the request was withdrawn before it was sent")
+// ErrWithdrawn is the cause of an exchange that Request.Check canceled.
+var ErrWithdrawn = errors.New("request canceled by its check before it was sent")
 
-// Options bounds a Client.
+// Options configures a Client.
 type Options struct {
 	DialTimeout time.Duration
-	MaxIdle     time.Duration // longest that a connection is kept without use
-	IdlePerHost int           // most connections kept without use to one endpoint
+	MaxIdle     time.Duration // longest time that an idle connection is kept
+	IdlePerHost int           // largest number of idle connections kept to one endpoint
 	Dialer      func(ctx context.Context, address string) (net.Conn, error)
 }
 
 const (
 	readBuffer  = 8 << 10
 	writeBuffer = 4 << 10
-	// keepAliveMargin is taken off the idle time that an endpoint announces,
-	// for the way there and late timers.
-	keepAliveMargin = time.Second
-	// maxSurplus is the number of answers to other requests that are skipped
-	// on one connection before it is given up.
-	maxSurplus = 4
+	// idleTimeoutMargin is subtracted from the idle timeout that an endpoint advertises,
+	// to allow for network delay and late timers.
+	idleTimeoutMargin = time.Second
+	// maxMismatched is the number of responses to other requests that are skipped while
+	// one response is awaited; after one more the exchange fails and its connection is closed.
+	maxMismatched = 4
 )
 
-// Client sends requests. Its methods may be called concurrently.
+// Client sends requests. Its methods are safe for concurrent use.
 type Client struct {
 	options Options
 	idle    pool
 	dials   atomic.Uint64
 }
 
-// New returns a client.
+// New returns a client. Without a Dialer in its options it dials TCP.
 func New(o Options) *Client {
 	if o.Dialer == nil {
 		o.Dialer = dialTCP(o.DialTimeout)
 	}
-	return &Client{options: o, idle: pool{perKey: o.IdlePerHost, conns: make(map[string][]*conn)}}
+	return &Client{options: o, idle: pool{maxPerKey: o.IdlePerHost, conns: make(map[string][]*conn)}}
 }
 
-// Dials returns how many connections were opened.
+// Dials returns the number of connections opened so far.
 func (c *Client) Dials() uint64 { return c.dials.Load() }
 
-// Close closes every idle connection.
+// Close closes all idle connections; those in use are closed after their exchange.
 func (c *Client) Close() { c.idle.closeAll() }
 
-// CloseIdle closes all idle connections; the client goes on.
+// CloseIdle closes all idle connections; the client stays usable.
 func (c *Client) CloseIdle() { c.idle.closeIdle() }
 
-// Forget closes the idle connections to an endpoint that is gone.
+// Forget closes the idle connections to an endpoint.
 func (c *Client) Forget(key string) { c.idle.closeKey(key) }
 
-// Do sends one request to the endpoint named key at address and returns the
-// answer whose head has arrived. Cancelling ctx closes the connection, also
-// while the answer's body is read. The body must be read to its end or closed.
-// A failure is always an *Error.
+// Do sends one request to the endpoint named key at address and returns its
+// response once the head has arrived. Cancelling ctx closes the connection, also
+// while the response body is read. The body must be read to its end or closed.
+// Errors are always of type *Error.
 func (c *Client) Do(ctx context.Context, key, address string, r *Request) (*http.Response, error) {
-	conn, err := c.conn(ctx, key, address, r.MaxIdle)
+	conn, err := c.acquire(ctx, key, address, r.MaxIdle)
 	if err != nil {
 		return nil, &Error{Stage: NotSent, Err: err}
 	}
@@ -139,39 +139,40 @@
 		return nil, &Error{Stage: NotSent, Err: ErrWithdrawn}
 	}
 	conn.watch(ctx)
-	conn.keepIdle = r.KeepIdle
+	conn.maxIdleConns = r.KeepIdle
 	conn.send(r)
-	res, err := conn.head(r)
+	res, err := conn.readHead(r)
 	if err != nil {
 		conn.close()
-		c.idle.suspect(key, err)
+		c.idle.closeOnTimeout(key, err)
 		if cause := ctx.Err(); cause != nil {
 			err = cause
 		}
 		return nil, &Error{Stage: Sent, Err: err}
 	}
-	conn.idleLimit = announcedIdle(res)
+	conn.idleTimeout = idleTimeout(res)
 	res.Body = &body{ReadCloser: res.Body, conn: conn, pool: &c.idle, reusable: reusable(res)}
 	return res, nil
 }
 
-// Kept reports whether a request to the endpoint that allows connections to be idle for so
-// long would use a kept one; zero: any. It may prove closed when it is taken.
+// Kept reports whether a request to the endpoint with this MaxIdle would reuse an idle
+// connection. That connection may turn out to be closed when it is taken.
 func (c *Client) Kept(key string, maxIdle time.Duration) bool {
-	return c.idle.has(key, c.maxIdle(maxIdle))
+	return c.idle.hasIdle(key, c.maxIdle(maxIdle))
 }
 
-func (c *Client) maxIdle(wanted time.Duration) time.Duration {
-	if wanted == 0 {
+// maxIdle returns the idle time allowed by both the request and the options.
+func (c *Client) maxIdle(requested time.Duration) time.Duration {
+	if requested == 0 {
 		return c.options.MaxIdle
 	}
-	return min(wanted, c.options.MaxIdle)
+	return min(requested, c.options.MaxIdle)
 }
 
-// conn takes a kept connection that is still sound or opens one.
-func (c *Client) conn(ctx context.Context, key, address string, maxIdle time.Duration) (*conn, error) {
-	if kept := c.idle.take(key, address, c.maxIdle(maxIdle)); kept != nil {
-		return kept, nil
+// acquire takes a usable idle connection or opens a new one.
+func (c *Client) acquire(ctx context.Context, key, address string, maxIdle time.Duration) (*conn, error) {
+	if idle := c.idle.take(key, address, c.maxIdle(maxIdle)); idle != nil {
+		return idle, nil
 	}
 	nc, err := c.options.Dialer(ctx, address)
 	if err != nil {
@@ -181,14 +182,14 @@
 	return newConn(nc, key, address), nil
 }
 
-// reusable reports whether the answer allows another request on its connection.
+// reusable reports whether the response allows another request on its connection.
 func reusable(res *http.Response) bool {
 	return !res.Close && (res.ContentLength >= 0 || len(res.TransferEncoding) > 0)
 }
 
-// announcedIdle returns how long the endpoint keeps the connection without use,
-// less a margin; zero when it does not say.
-func announcedIdle(res *http.Response) time.Duration {
+// idleTimeout returns the idle timeout that the endpoint advertises in the Keep-Alive
+// header, less a margin; zero when it advertises none.
+func idleTimeout(res *http.Response) time.Duration {
 	_, after, ok := strings.Cut(res.Header.Get("Keep-Alive"), "timeout=")
 	if !ok {
 		return 0
@@ -196,29 +197,30 @@
 	digits, _, _ := strings.Cut(after, ",")
 	seconds, err := strconv.Atoi(strings.TrimSpace(digits))
 	if err != nil || seconds < 0 {
-		return 0 // not a time; the client's own bound holds
+		return 0 // malformed; the client's own limit applies
 	}
-	announced := time.Duration(seconds) * time.Second
-	return max(announced-keepAliveMargin, announced/2, time.Nanosecond)
+	timeout := time.Duration(seconds) * time.Second
+	return max(timeout-idleTimeoutMargin, timeout/2, time.Nanosecond)
 }
 
 // conn is one connection to an endpoint.
 type conn struct {
 	net.Conn
-	key       string
-	address   string
-	br        *bufio.Reader
-	written   atomic.Bool // the whole of the last request was written
-	stopWatch func() bool
-	idleSince time.Time
-	idleLimit time.Duration // announced by the endpoint; 0: none
-	keepIdle  int           // see Request.KeepIdle
+	key          string
+	address      string
+	br           *bufio.Reader
+	written      atomic.Bool // the last request was written completely
+	stopWatch    func() bool
+	idleSince    time.Time
+	idleTimeout  time.Duration // advertised by the endpoint; 0: none
+	maxIdleConns int           // Request.KeepIdle of the last request
 }
 
 func newConn(nc net.Conn, key, address string) *conn {
 	return &conn{Conn: nc, key: key, address: address, br: bufio.NewReaderSize(nc, readBuffer)}
 }
 
+// close closes the connection and stops watching the context.
 func (c *conn) close() {
 	c.unwatch()
 	_ = c.Conn.Close()
@@ -229,7 +231,8 @@
 	c.stopWatch = context.AfterFunc(ctx, func() { _ = c.Conn.Close() })
 }
 
-// unwatch reports false when the connection was closed by its context.
+// unwatch stops watching the context. It returns false when the context's end has already
+// closed the connection.
 func (c *conn) unwatch() bool {
 	if c.stopWatch == nil {
 		return true
@@ -239,13 +242,13 @@
 	return stop()
 }
 
-// send writes the request. A long body is written beside the reading of the
-// answer, since an endpoint may answer before it has read all of it.
+// send writes the request. A long body is written concurrently with reading the
+// response, since an endpoint may respond before it has read all of it.
 func (c *conn) send(r *Request) {
 	c.written.Store(false)
 	head := encodeHead(r)
 	if len(head)+len(r.Body) <= writeBuffer {
-		c.finishWrite(append(head, r.Body...))
+		c.writeSync(append(head, r.Body...))
 		return
 	}
 	go func() {
@@ -256,16 +259,17 @@
 	}()
 }
 
-func (c *conn) finishWrite(p []byte) {
-	// A failed write shows up as a failed read of the answer, which may still
-	// have arrived before the endpoint closed the connection.
+// writeSync writes p before it returns.
+func (c *conn) writeSync(p []byte) {
+	// A write error is not returned: it also fails the read of the response, and a response
+	// may have arrived before the endpoint closed the connection.
 	if _, err := c.Conn.Write(p); err == nil {
 		c.written.Store(true)
 	}
 }
 
-// encodeHead returns the request line and the header fields. Values were
-// checked when the caller's head was parsed.
+// encodeHead returns the request line and the header fields. It does not validate header
+// values; they were checked when the caller's request head was parsed.
 func encodeHead(r *Request) []byte {
 	var b strings.Builder
 	b.WriteString(r.Method)
@@ -282,7 +286,7 @@
 			b.WriteString("\r\n")
 		}
 	}
-	if len(r.Body) > 0 || bodyExpected(r.Method) {
+	if len(r.Body) > 0 || sendsContentLength(r.Method) {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(r.Body)))
 		b.WriteString("\r\n")
@@ -291,16 +295,16 @@
 	return []byte(b.String())
 }
 
-// bodyExpected reports whether a request of the method states its length even
-// when it is empty.
-func bodyExpected(method string) bool {
+// sendsContentLength reports whether a request of the method carries a Content-Length
+// even when its body is empty.
+func sendsContentLength(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// head reads the head of the answer to r, skipping interim answers and answers
-// that belong to other requests.
-func (c *conn) head(r *Request) (*http.Response, error) {
-	surplus := 0
+// readHead reads the head of the response to r, skipping interim (1xx) responses and
+// responses that belong to other requests.
+func (c *conn) readHead(r *Request) (*http.Response, error) {
+	mismatched := 0
 	for {
 		res, err := http.ReadResponse(c.br, &http.Request{Method: r.Method})
 		if err != nil {
@@ -312,52 +316,53 @@
 		if r.Echo == "" || res.Header.Get(r.Echo) == r.Header.Get(r.Echo) {
 			return res, nil
 		}
-		surplus++
-		if surplus > maxSurplus {
-			return nil, errors.New("only answers to other requests came")
+		mismatched++
+		if mismatched > maxMismatched {
+			return nil, errors.New("received only responses to other requests")
 		}
 		if _, err := io.Copy(io.Discard, res.Body); err != nil {
 			return nil, err
 		}
 		if !reusable(res) {
-			return nil, errors.New("an answer to another request came, and the connection ended")
+			return nil, errors.New("received a response to another request, and the connection cannot be reused")
 		}
 	}
 }
 
-// body is an answer's body; it gives the connection back at its end.
+// body is a response body; at its end it returns the connection to the pool.
 type body struct {
 	io.ReadCloser
 	conn     *conn
 	pool     *pool
 	reusable bool
-	over     bool
+	ended    bool
 }
 
 // Read implements io.Reader.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil {
-		b.end(err == io.EOF)
-		b.pool.suspect(b.conn.key, err)
+		b.finish(err == io.EOF)
+		b.pool.closeOnTimeout(b.conn.key, err)
 	}
 	return n, err
 }
 
-// Close ends the exchange; a body that was not read to its end costs the
-// connection.
+// Close ends the exchange. If the body was not read to its end, the connection is
+// closed.
 func (b *body) Close() error {
-	b.end(false)
+	b.finish(false)
 	return nil
 }
 
-func (b *body) end(whole bool) {
-	if b.over {
+// finish returns the connection to the pool, or closes it when it cannot be reused.
+func (b *body) finish(complete bool) {
+	if b.ended {
 		return
 	}
-	b.over = true
+	b.ended = true
 	open := b.conn.unwatch()
-	if !whole || !open || !b.reusable || !b.conn.written.Load() || b.conn.br.Buffered() > 0 {
+	if !complete || !open || !b.reusable || !b.conn.written.Load() || b.conn.br.Buffered() > 0 {
 		_ = b.conn.Conn.Close()
 		return
 	}
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -17,24 +17,25 @@
 )
 
 const (
-	okAnswer = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 2\r\n\r\nhi"
-	testTime = 10 * time.Second
+	okResponse  = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 2\r\n\r\nhi"
+	testTimeout = 10 * time.Second
 )
 
-// endpoint is a scripted endpoint: serve is called for each connection with its
-// number, counted from 1.
-type endpoint struct {
+// scriptedEndpoint is a TCP listener that counts its connections; see listen.
+type scriptedEndpoint struct {
 	net.Listener
-	conns atomic.Int32
+	accepted atomic.Int32
 }
 
-func listen(t *testing.T, serve func(n int, c *net.TCPConn)) *endpoint {
+// listen starts an endpoint that calls serve for each connection with its number, counted
+// from 1.
+func listen(t *testing.T, serve func(n int, c *net.TCPConn)) *scriptedEndpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &endpoint{Listener: l}
+	e := &scriptedEndpoint{Listener: l}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -42,13 +43,13 @@
 			if err != nil {
 				return
 			}
-			go serve(int(e.conns.Add(1)), c.(*net.TCPConn))
+			go serve(int(e.accepted.Add(1)), c.(*net.TCPConn))
 		}
 	}()
 	return e
 }
 
-// readRequest reads one request with its body.
+// readRequest reads one request including its body.
 func readRequest(br *bufio.Reader) (*http.Request, error) {
 	r, err := http.ReadRequest(br)
 	if err != nil {
@@ -60,16 +61,16 @@
 }
 
 func newClient() *Client {
-	return New(Options{DialTimeout: testTime, MaxIdle: testTime, IdlePerHost: 4})
+	return New(Options{DialTimeout: testTimeout, MaxIdle: testTimeout, IdlePerHost: 4})
 }
 
 func get(id string) *Request {
 	return &Request{Method: "GET", Target: "/a/b?c=%2f", Host: "h.example", Header: http.Header{"Request-Id": {id}}, Echo: "Request-Id"}
 }
 
-// exchange sends r and reads the whole answer.
-func exchange(c *Client, e *endpoint, r *Request) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), testTime)
+// exchange sends r to e and returns the whole response body.
+func exchange(c *Client, e *scriptedEndpoint, r *Request) (string, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	res, err := c.Do(ctx, "e", e.Addr().String(), r)
 	if err != nil {
@@ -80,6 +81,7 @@
 	return string(p), err
 }
 
+// stage returns the stage of an *Error, and 255 for any other error.
 func stage(err error) Stage {
 	var failure *Error
 	if !errors.As(err, &failure) {
@@ -96,14 +98,14 @@
 		if err == nil {
 			got <- r
 		}
-		_, _ = io.WriteString(c, okAnswer)
+		_, _ = io.WriteString(c, okResponse)
 	})
 	r := get("r1")
 	r.Method, r.Body = "POST", []byte("body")
 	r.Header["X-Twice"] = []string{"1", "2"}
-	answer, err := exchange(newClient(), e, r)
+	response, err := exchange(newClient(), e, r)
 	is.NoErr(err)
-	is.Equal(answer, "hi")
+	is.Equal(response, "hi")
 	sent := <-got
 	is.Equal(sent.RequestURI, "/a/b?c=%2f")
 	is.Equal(sent.Host, "h.example")
@@ -113,16 +115,16 @@
 
 func TestKeptConnection(t *testing.T) {
 	cases := []struct {
-		name   string
-		answer string
-		close  bool // the endpoint closes after its answer
-		conns  int32
+		name     string
+		response string
+		close    bool // the endpoint closes after its response
+		conns    int32
 	}{
-		{"kept", okAnswer, false, 1},
-		{"closed while idle", okAnswer, true, 2},
-		{"announced close", strings.Replace(okAnswer, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1), false, 2},
-		{"announced no idle time", strings.Replace(okAnswer, "\r\n\r\n", "\r\nKeep-Alive: timeout=0\r\n\r\n", 1), false, 2},
-		{"bytes after the answer", okAnswer + "HTTP/1.1 200 OK\r\n", false, 2},
+		{"reused", okResponse, false, 1},
+		{"closed while idle", okResponse, true, 2},
+		{"close announced", strings.Replace(okResponse, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1), false, 2},
+		{"idle timeout of zero advertised", strings.Replace(okResponse, "\r\n\r\n", "\r\nKeep-Alive: timeout=0\r\n\r\n", 1), false, 2},
+		{"bytes after the response", okResponse + "HTTP/1.1 200 OK\r\n", false, 2},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -135,10 +137,10 @@
 						return
 					}
 					if n > 1 {
-						_, _ = io.WriteString(c, okAnswer)
+						_, _ = io.WriteString(c, okResponse)
 						continue
 					}
-					_, _ = io.WriteString(c, tc.answer)
+					_, _ = io.WriteString(c, tc.response)
 					if tc.close {
 						_ = c.Close()
 						close(closed)
@@ -153,29 +155,29 @@
 				<-closed
 				waitClosed(t, client)
 			}
-			answer, err := exchange(client, e, get("r1"))
+			response, err := exchange(client, e, get("r1"))
 			is.NoErr(err)
-			is.Equal(answer, "hi")
-			is.Equal(e.conns.Load(), tc.conns)
+			is.Equal(response, "hi")
+			is.Equal(e.accepted.Load(), tc.conns)
 		})
 	}
 }
 
-// waitClosed waits until the close of the kept connection has arrived.
+// waitClosed waits until the close of the idle connection has arrived.
 func waitClosed(t *testing.T, c *Client) {
 	t.Helper()
 	c.idle.mu.Lock()
-	kept := c.idle.conns["e"][0].Conn
+	idle := c.idle.conns["e"][0].Conn
 	c.idle.mu.Unlock()
-	_ = kept.SetReadDeadline(time.Now().Add(testTime))
-	if _, err := kept.Read(make([]byte, 1)); err != io.EOF {
-		t.Fatalf("the kept connection was not closed: %v", err)
+	_ = idle.SetReadDeadline(time.Now().Add(testTimeout))
+	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
+		t.Fatalf("idle connection was not closed: %v", err)
 	}
-	_ = kept.SetReadDeadline(time.Time{})
+	_ = idle.SetReadDeadline(time.Time{})
 }
 
-// TestResetIsNotSentAgain: a request whose connection breaks before an answer is
-// reported, never repeated by the client itself.
+// TestResetIsNotSentAgain: a request whose connection is reset before a response arrives
+// fails with Sent; the client never retries it by itself.
 func TestResetIsNotSentAgain(t *testing.T) {
 	is := is.New(t)
 	var requests atomic.Int32
@@ -190,7 +192,7 @@
 				_ = c.Close()
 				return
 			}
-			_, _ = io.WriteString(c, okAnswer)
+			_, _ = io.WriteString(c, okResponse)
 		}
 	})
 	client := newClient()
@@ -199,7 +201,7 @@
 	_, err = exchange(client, e, get("r1"))
 	is.Equal(stage(err), Sent)
 	is.Equal(requests.Load(), int32(2))
-	is.Equal(e.conns.Load(), int32(1))
+	is.Equal(e.accepted.Load(), int32(1))
 }
 
 func TestNotSent(t *testing.T) {
@@ -210,19 +212,19 @@
 	is.Equal(stage(err), NotSent)
 }
 
-func TestSurplusAnswers(t *testing.T) {
-	other := strings.Replace(okAnswer, "r1", "other", 1)
+func TestMismatchedResponses(t *testing.T) {
+	other := strings.Replace(okResponse, "r1", "other", 1)
 	cases := []struct {
-		name   string
-		answer string
-		want   string
-		fails  bool
+		name     string
+		response string
+		want     string
+		fails    bool
 	}{
-		{"before the answer", other + okAnswer, "hi", false},
-		{"interim answer", "HTTP/1.1 103 Early Hints\r\n\r\n" + okAnswer, "hi", false},
-		{"without end", "HTTP/1.1 200 OK\r\nRequest-Id: other\r\n\r\nhi", "", true},
-		{"no answer at all", "garbage\r\n\r\n", "", true},
-		{"too many", strings.Repeat(other, maxSurplus+1) + okAnswer, "", true},
+		{"before the response", other + okResponse, "hi", false},
+		{"interim response", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, "hi", false},
+		{"unframed response to another request", "HTTP/1.1 200 OK\r\nRequest-Id: other\r\n\r\nhi", "", true},
+		{"no response at all", "garbage\r\n\r\n", "", true},
+		{"too many", strings.Repeat(other, maxMismatched+1) + okResponse, "", true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -231,29 +233,29 @@
 				if _, err := readRequest(bufio.NewReader(c)); err != nil {
 					return
 				}
-				_, _ = io.WriteString(c, tc.answer)
+				_, _ = io.WriteString(c, tc.response)
 				_ = c.Close()
 			})
-			answer, err := exchange(newClient(), e, get("r1"))
+			response, err := exchange(newClient(), e, get("r1"))
 			if tc.fails {
 				is.Equal(stage(err), Sent)
 				return
 			}
 			is.NoErr(err)
-			is.Equal(answer, tc.want)
+			is.Equal(response, tc.want)
 		})
 	}
 }
 
-func TestBrokenAnswers(t *testing.T) {
+func TestTruncatedResponses(t *testing.T) {
 	cases := []struct {
-		name   string
-		answer string
-		reset  bool
-		whole  bool
+		name     string
+		response string
+		reset    bool
+		complete bool
 	}{
-		{"length not reached", "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 9\r\n\r\nhi", false, false},
-		{"chunk not ended", "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", false, false},
+		{"shorter than its length", "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 9\r\n\r\nhi", false, false},
+		{"chunked without end", "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", false, false},
 		{"unframed, closed", "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\n\r\nhi", false, true},
 		{"unframed, reset", "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\n\r\nhi", true, false},
 	}
@@ -265,68 +267,68 @@
 				if _, err := readRequest(bufio.NewReader(c)); err != nil {
 					return
 				}
-				_, _ = io.WriteString(c, tc.answer)
-				<-seen // a reset may overtake bytes that were not read
+				_, _ = io.WriteString(c, tc.response)
+				<-seen // a reset discards bytes that the client has not read yet
 				if tc.reset {
 					_ = c.SetLinger(0)
 				}
 				_ = c.Close()
 			})
-			ctx, cancel := context.WithTimeout(t.Context(), testTime)
+			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
 			res, err := newClient().Do(ctx, "e", e.Addr().String(), get("r1"))
 			is.NoErr(err)
-			two := make([]byte, 2)
-			_, err = io.ReadFull(res.Body, two)
+			received := make([]byte, 2)
+			_, err = io.ReadFull(res.Body, received)
 			is.NoErr(err)
 			close(seen)
 			_, err = res.Body.Read(make([]byte, 1))
-			is.Equal(err == io.EOF, tc.whole)
+			is.Equal(err == io.EOF, tc.complete)
 		})
 	}
 }
 
-// TestEarlyAnswer: an answer that comes before the whole body was read is passed
-// on, and its connection carries no other request.
-func TestEarlyAnswer(t *testing.T) {
+// TestEarlyResponse: a response that arrives before the endpoint has read the whole request
+// body is returned, and its connection is not reused.
+func TestEarlyResponse(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	e := listen(t, func(n int, c *net.TCPConn) {
 		br := bufio.NewReader(c)
 		if n > 1 {
 			if _, err := readRequest(br); err == nil {
-				_, _ = io.WriteString(c, okAnswer)
+				_, _ = io.WriteString(c, okResponse)
 			}
 			return
 		}
 		if _, err := http.ReadRequest(br); err != nil {
 			return
 		}
-		_, _ = io.WriteString(c, okAnswer)
+		_, _ = io.WriteString(c, okResponse)
 		<-release
 	})
 	defer close(release)
 	client := newClient()
 	r := get("r1")
-	r.Method, r.Body = "POST", make([]byte, 64<<20) // more than all buffers on the way
-	answer, err := exchange(client, e, r)
+	r.Method, r.Body = "POST", make([]byte, 64<<20) // more than all buffers between client and endpoint hold
+	response, err := exchange(client, e, r)
 	is.NoErr(err)
-	is.Equal(answer, "hi")
+	is.Equal(response, "hi")
 	_, err = exchange(client, e, get("r1"))
 	is.NoErr(err)
-	is.Equal(e.conns.Load(), int32(2))
+	is.Equal(e.accepted.Load(), int32(2))
 }
 
-// TestCancelReachesEndpoint: the end of the caller's context closes the
-// connection, before and after the head of the answer.
+// TestCancelReachesEndpoint: canceling the caller's context closes the connection, both
+// before and after the response head.
 func TestCancelReachesEndpoint(t *testing.T) {
-	for _, answer := range []string{"", "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 9\r\n\r\nhi"} {
+	for _, response := range []string{"", "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 9\r\n\r\nhi"} {
 		is := is.New(t)
 		arrived, closed := make(chan struct{}), make(chan struct{})
 		e := listen(t, func(_ int, c *net.TCPConn) {
 			br := bufio.NewReader(c)
 			_, _ = readRequest(br)
-			_, _ = io.WriteString(c, answer)
+			_, _ = io.WriteString(c, response)
 			close(arrived)
 			_, _ = br.ReadByte()
 			close(closed)
@@ -347,8 +349,8 @@
 	}
 }
 
-// TestMaxIdle: a request that may run only once uses no connection that was idle
-// for long.
+// TestMaxIdle: a request with MaxIdle, as sent when it may run only once, reuses no
+// connection that was idle for longer.
 func TestMaxIdle(t *testing.T) {
 	is := is.New(t)
 	e := listen(t, func(_ int, c *net.TCPConn) {
@@ -357,7 +359,7 @@
 			if _, err := readRequest(br); err != nil {
 				return
 			}
-			_, _ = io.WriteString(c, okAnswer)
+			_, _ = io.WriteString(c, okResponse)
 		}
 	})
 	client := newClient()
@@ -367,10 +369,11 @@
 	r.MaxIdle = time.Nanosecond
 	_, err = exchange(client, e, r)
 	is.NoErr(err)
-	is.Equal(e.conns.Load(), int32(2))
+	is.Equal(e.accepted.Load(), int32(2))
 }
 
-// TestKeepIdle: of connections that end together only as many are kept without use as the request allows.
+// TestKeepIdle: of connections whose exchanges end together, only as many stay idle as the
+// requests allow.
 func TestKeepIdle(t *testing.T) {
 	is := is.New(t)
 	e := listen(t, func(_ int, c *net.TCPConn) {
@@ -379,7 +382,7 @@
 			if _, err := readRequest(br); err != nil {
 				return
 			}
-			if _, err := io.WriteString(c, okAnswer); err != nil {
+			if _, err := io.WriteString(c, okResponse); err != nil {
 				return
 			}
 		}
