--- a/slo/burn.go
+++ b/slo/burn.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Burn is the state of one pair of windows.
-type Burn struct {
+// BurnRates holds the burn rates over one pair of windows and whether its alert fires.
+type BurnRates struct {
 	Window
-	// LongBurn and ShortBurn say how many times faster than allowed the budget
-	// is spent over each window.
+	// LongBurn and ShortBurn are the burn rates over each window: how many times
+	// faster than allowed the error budget is spent.
 	LongBurn  float64 `json:"long_burn"`
 	ShortBurn float64 `json:"short_burn"`
-	// Covered is the part of the long window that the samples reach back over;
-	// the burn rates are those of what is covered.
+	// Covered is how far back into the long window the samples reach; the burn
+	// rates are computed over the covered part only.
 	Covered time.Duration `json:"covered_ns"`
 	Firing  bool          `json:"firing"`
 }
@@ -22,13 +22,13 @@
 type Row struct {
 	Objective
 	Target
-	Events float64 `json:"events"` // over the longest window
-	Bad    float64 `json:"bad"`
-	Burns  []Burn  `json:"burns"`
+	Events float64     `json:"events"` // over the longest window
+	Bad    float64     `json:"bad"`
+	Burns  []BurnRates `json:"burns"`
 }
 
-// Firing returns the most urgent severity of the row's windows that fire; ""
-// when none does.
+// Firing returns the most urgent severity among the row's windows that fire, or
+// "" when none does.
 func (r Row) Firing() Severity {
 	out := Severity("")
 	for _, b := range r.Burns {
@@ -39,73 +39,77 @@
 	return out
 }
 
-// Report computes the rows of all objectives and targets seen, ordered by
-// objective, workspace and class. Samples must be ordered by time.
+// Report computes one row for each objective and each target found in the
+// samples, ordered by objective, workspace and class. Samples must be ordered by
+// time.
 func Report(samples []Sample, now time.Time, objectives []Objective, windows []Window) []Row {
-	steps := increases(samples)
+	incs := increments(samples)
 	var out []Row
 	for _, o := range objectives {
-		for _, t := range targets(steps, o.Indicator) {
-			out = append(out, row(steps, now, o, t, windows))
+		for _, t := range targets(incs, o.Indicator) {
+			out = append(out, newRow(incs, now, o, t, windows))
 		}
 	}
 	return out
 }
 
-// step is the increase of all gateways' counters that ends at a moment.
-type step struct {
+// increment is the increase of the counters of all gateways between two samples.
+type increment struct {
 	from, to time.Time
 	tallies  map[Indicator]Tallies
 }
 
-// increases turns samples into steps. A gateway missing from a sample is
-// compared with the last sample that has it, so that nothing it counted
-// meanwhile is lost; a gateway seen for the first time gives a base only.
-func increases(samples []Sample) []step {
+// increments returns the increase between consecutive samples. A gateway missing
+// from a sample is compared with the last sample that has it, so that nothing it
+// counted in between is lost; a gateway's first sample serves only as a baseline.
+func increments(samples []Sample) []increment {
 	last := make(map[string]Counters)
-	var out []step
+	var out []increment
 	for i, s := range samples {
-		st := step{to: s.At, tallies: make(map[Indicator]Tallies)}
+		inc := increment{to: s.At, tallies: make(map[Indicator]Tallies)}
 		for name, now := range s.Gateways {
 			if old, ok := last[name]; ok {
-				st.add(now, old)
+				inc.add(now, old)
 			}
 			last[name] = now
 		}
 		if i > 0 {
-			st.from = samples[i-1].At
-			out = append(out, st)
+			inc.from = samples[i-1].At
+			out = append(out, inc)
 		}
 	}
 	return out
 }
 
-func (st step) add(now, old Counters) {
+// add adds the increase from old to now to every target that it counts for.
+func (inc increment) add(now, old Counters) {
 	for ind, byTarget := range now {
-		if st.tallies[ind] == nil {
-			st.tallies[ind] = make(Tallies)
+		if inc.tallies[ind] == nil {
+			inc.tallies[ind] = make(Tallies)
 		}
 		for t, v := range byTarget {
-			d := v.since(old[ind][t])
-			for _, key := range widenings(t) {
-				sum := st.tallies[ind][key]
+			d := v.increaseSince(old[ind][t])
+			for _, key := range aggregates(t) {
+				sum := inc.tallies[ind][key]
 				sum.add(d)
-				st.tallies[ind][key] = sum
+				inc.tallies[ind][key] = sum
 			}
 		}
 	}
 }
 
-// widenings returns the targets that an event of t counts for.
-func widenings(t Target) []Target {
+// aggregates returns the targets to which an event of t is added: t itself, its
+// workspace over all classes, its class over all workspaces, and the total.
+func aggregates(t Target) []Target {
 	return []Target{t, {t.Workspace, All}, {All, t.Class}, {All, All}}
 }
 
-func targets(steps []step, ind Indicator) []Target {
+// targets returns the targets that have increments of the indicator, in report order.
+func targets(incs []increment, ind Indicator) []Target {
 	seen := make(map[Target]bool)
 	var out []Target
-	for _, st := range steps {
-		for t := range st.tallies[ind] {
+	for _, inc := range incs {
+		for t := range inc.tallies[ind] {
 			if !seen[t] {
 				seen[t] = true
 				out = append(out, t)
@@ -116,10 +120,10 @@
 	return out
 }
 
-// classOrder sorts classes by length, not by name.
+// classOrder ranks classes by prompt length; by name, 128k would precede 32k.
 var classOrder = map[string]int{All: 0, "4k": 1, "32k": 2, "128k": 3, "1M": 4}
 
-// less puts the widest targets first.
+// less orders targets by workspace and class, with All first in each.
 func (t Target) less(o Target) bool {
 	if t.Workspace != o.Workspace {
 		if t.Workspace == All || o.Workspace == All {
@@ -130,12 +134,13 @@
 	return classOrder[t.Class] < classOrder[o.Class]
 }
 
-func row(steps []step, now time.Time, o Objective, t Target, windows []Window) Row {
+// newRow computes the report row of one objective and target.
+func newRow(incs []increment, now time.Time, o Objective, t Target, windows []Window) Row {
 	r := Row{Objective: o, Target: t}
 	for _, w := range windows {
-		long, covered := sum(steps, now, w.Long, o.Indicator, t)
-		short, _ := sum(steps, now, w.Short, o.Indicator, t)
-		b := Burn{Window: w, LongBurn: o.rate(long), ShortBurn: o.rate(short), Covered: covered}
+		long, covered := sumWindow(incs, now, w.Long, o.Indicator, t)
+		short, _ := sumWindow(incs, now, w.Short, o.Indicator, t)
+		b := BurnRates{Window: w, LongBurn: o.rate(long), ShortBurn: o.rate(short), Covered: covered}
 		b.Firing = b.LongBurn >= w.Rate && b.ShortBurn >= w.Rate
 		r.Burns = append(r.Burns, b)
 		if long.Total >= r.Events {
@@ -145,34 +150,36 @@
 	return r
 }
 
-// sum adds up the steps inside the window before now, and tells how far back
-// they reach. Of a step that began before the window the same part counts as
-// of its time, so that sparse samples do not stretch a short window.
-func sum(steps []step, now time.Time, window time.Duration, ind Indicator, t Target) (Tally, time.Duration) {
+// sumWindow adds up the increments in the window before now and returns how far
+// back they reach. An increment that began before the window counts in proportion
+// to the part of its time inside the window, so that sparse samples do not extend
+// a short window.
+func sumWindow(incs []increment, now time.Time, window time.Duration, ind Indicator, t Target) (Tally, time.Duration) {
 	var out Tally
 	covered := time.Duration(0)
-	for _, st := range steps {
-		part := st.inside(now, window)
-		if part <= 0 {
+	for _, inc := range incs {
+		fraction := inc.overlap(now, window)
+		if fraction <= 0 {
 			continue
 		}
-		out.add(st.tallies[ind][t].times(part))
-		covered = max(covered, now.Sub(st.from))
+		out.add(inc.tallies[ind][t].scale(fraction))
+		covered = max(covered, now.Sub(inc.from))
 	}
 	return out, min(covered, window)
 }
 
-// inside returns which part of the step lies inside the window before now.
-func (st step) inside(now time.Time, window time.Duration) float64 {
-	length := st.to.Sub(st.from)
-	age := now.Sub(st.to)
+// overlap returns the fraction of the increment's time that lies in the window before now.
+func (inc increment) overlap(now time.Time, window time.Duration) float64 {
+	length := inc.to.Sub(inc.from)
+	age := now.Sub(inc.to)
 	if age < 0 || age >= window || length <= 0 {
 		return 0
 	}
 	return min(1, float64(window-age)/float64(length))
 }
 
-// rate returns how many times faster than allowed the budget is spent.
+// rate returns the burn rate: the fraction of bad events divided by the fraction that the
+// objective allows. It is 0 when there are no events or no budget.
 func (o Objective) rate(t Tally) float64 {
 	budget := 1 - o.Good
 	if t.Total <= 0 || budget <= 0 {
@@ -181,13 +188,13 @@
 	return t.Bad / t.Total / budget
 }
 
-// Series returns the burn rate of one objective and target over the samples,
-// each over the window before it, for a plot.
+// Series returns the burn rate of one objective and target at each sample, computed
+// over the window before it, for plotting.
 func Series(samples []Sample, o Objective, t Target, window time.Duration) (at []time.Time, rate []float64) {
-	steps := increases(samples)
-	for _, st := range steps {
-		v, _ := sum(steps, st.to, window, o.Indicator, t)
-		at = append(at, st.to)
+	incs := increments(samples)
+	for _, inc := range incs {
+		v, _ := sumWindow(incs, inc.to, window, o.Indicator, t)
+		at = append(at, inc.to)
 		rate = append(rate, o.rate(v))
 	}
 	return at, rate
--- a/slo/burn_test.go
+++ b/slo/burn_test.go
@@ -30,7 +30,7 @@
 	return slo.Sample{At: t0.Add(time.Duration(minute) * time.Minute), Gateways: gateways}
 }
 
-func one(minute int, total, bad float64) slo.Sample {
+func singleGateway(minute int, total, bad float64) slo.Sample {
 	return sample(minute, map[string]slo.Counters{"a": outcomes(total, bad)})
 }
 
@@ -44,18 +44,18 @@
 		covered     time.Duration
 		firing      slo.Severity
 	}{
-		{"exactly the budget", []slo.Sample{one(0, 0, 0), one(4, 1000, 10)}, 4, 1, 1, 1000, 4 * time.Minute, ""},
-		{"counts before the first sample are no events", []slo.Sample{one(0, 500, 500), one(4, 1500, 510)}, 4, 1, 1, 1000, 4 * time.Minute, ""},
-		{"fast burn still going on", []slo.Sample{one(0, 0, 0), one(55, 1000, 100), one(60, 1100, 120)}, 60, 120.0 / 11, 20, 1100, time.Hour, slo.Page},
-		{"fast burn that is over", []slo.Sample{one(0, 0, 0), one(30, 1000, 500), one(60, 2000, 500)}, 60, 25, 0, 2000, time.Hour, ""},
-		{"short burst that does not matter yet", []slo.Sample{one(0, 0, 0), one(55, 10000, 0), one(60, 10100, 50)}, 60, 50.0 / 101, 50, 10100, time.Hour, ""},
-		{"what left the window does not count", []slo.Sample{one(0, 0, 0), one(1, 1000, 1000), one(61, 2000, 1000)}, 61, 0, 0, 1000, time.Hour, ""},
-		{"a step longer than the window counts in part", []slo.Sample{one(0, 0, 0), one(100, 1000, 110)}, 100, 11, 11, 600, time.Hour, slo.Page},
-		{"a bad event seen before its total", []slo.Sample{one(0, 100, 0), one(2, 100, 3), one(4, 200, 3)}, 4, 0, 0, 100, 4 * time.Minute, ""},
-		{"a restarted gateway counts from zero", []slo.Sample{one(0, 0, 0), one(2, 1000, 0), one(4, 100, 2)}, 4, 2.0 / 11, 2.0 / 11, 1100, 4 * time.Minute, ""},
-		{"no traffic", []slo.Sample{one(0, 7, 1), one(4, 7, 1)}, 4, 0, 0, 0, 4 * time.Minute, ""},
-		{"a gateway that was away for a sample loses nothing", []slo.Sample{one(0, 0, 0), sample(2, nil), one(4, 1000, 10)}, 4, 1, 1, 1000, 4 * time.Minute, ""},
-		{"gateways add up", []slo.Sample{
+		{"exactly the budget", []slo.Sample{singleGateway(0, 0, 0), singleGateway(4, 1000, 10)}, 4, 1, 1, 1000, 4 * time.Minute, ""},
+		{"counts before the first sample are ignored", []slo.Sample{singleGateway(0, 500, 500), singleGateway(4, 1500, 510)}, 4, 1, 1, 1000, 4 * time.Minute, ""},
+		{"fast burn that continues", []slo.Sample{singleGateway(0, 0, 0), singleGateway(55, 1000, 100), singleGateway(60, 1100, 120)}, 60, 120.0 / 11, 20, 1100, time.Hour, slo.Page},
+		{"fast burn that is over", []slo.Sample{singleGateway(0, 0, 0), singleGateway(30, 1000, 500), singleGateway(60, 2000, 500)}, 60, 25, 0, 2000, time.Hour, ""},
+		{"short burst below the long window's rate", []slo.Sample{singleGateway(0, 0, 0), singleGateway(55, 10000, 0), singleGateway(60, 10100, 50)}, 60, 50.0 / 101, 50, 10100, time.Hour, ""},
+		{"events older than the window are ignored", []slo.Sample{singleGateway(0, 0, 0), singleGateway(1, 1000, 1000), singleGateway(61, 2000, 1000)}, 61, 0, 0, 1000, time.Hour, ""},
+		{"an increment longer than the window counts in proportion", []slo.Sample{singleGateway(0, 0, 0), singleGateway(100, 1000, 110)}, 100, 11, 11, 600, time.Hour, slo.Page},
+		{"a bad event seen before its total", []slo.Sample{singleGateway(0, 100, 0), singleGateway(2, 100, 3), singleGateway(4, 200, 3)}, 4, 0, 0, 100, 4 * time.Minute, ""},
+		{"a restarted gateway counts from zero", []slo.Sample{singleGateway(0, 0, 0), singleGateway(2, 1000, 0), singleGateway(4, 100, 2)}, 4, 2.0 / 11, 2.0 / 11, 1100, 4 * time.Minute, ""},
+		{"no traffic", []slo.Sample{singleGateway(0, 7, 1), singleGateway(4, 7, 1)}, 4, 0, 0, 0, 4 * time.Minute, ""},
+		{"a gateway missing from one sample loses no events", []slo.Sample{singleGateway(0, 0, 0), sample(2, nil), singleGateway(4, 1000, 10)}, 4, 1, 1, 1000, 4 * time.Minute, ""},
+		{"gateways are summed", []slo.Sample{
 			sample(0, map[string]slo.Counters{"a": outcomes(10, 0), "b": outcomes(900, 900)}),
 			sample(4, map[string]slo.Counters{"a": outcomes(510, 5), "b": outcomes(1400, 905)}),
 		}, 4, 1, 1, 1000, 4 * time.Minute, ""},
@@ -80,11 +80,11 @@
 func TestReportWithoutIncrease(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(slo.Report(nil, t0, good99, window)), 0)
-	is.Equal(len(slo.Report([]slo.Sample{one(0, 5, 5)}, t0, good99, window)), 0)
+	is.Equal(len(slo.Report([]slo.Sample{singleGateway(0, 5, 5)}, t0, good99, window)), 0)
 }
 
-// The sum over workspaces and classes equals the total, whatever the order in
-// which gateways restart, and no burn rate is negative.
+// TestReportAddsUp checks, with counters that rise and fall at random as on gateway restarts,
+// that the sum over workspaces and classes equals the total and no burn rate is negative.
 func TestReportAddsUp(t *testing.T) {
 	classes := []string{"4k", "32k"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -111,7 +111,7 @@
 			}
 		}
 		if math.Abs(sum-rows[0].Events) > rounding {
-			t.Fatalf("parts %v, total %v", sum, rows[0].Events)
+			t.Fatalf("sum over workspaces and classes %v, total %v", sum, rows[0].Events)
 		}
 	})
 }
@@ -157,10 +157,10 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := slo.Read(bytes.NewReader([]byte(text)), map[string]time.Duration{"4k": time.Second})
 		if (err == nil) == (c == nil) {
-			t.Fatal("counters and error disagree")
+			t.Fatal("want either counters or an error")
 		}
 		if _, err := json.Marshal(c); err != nil {
-			t.Fatal("counters that no history can keep:", err)
+			t.Fatal("counters cannot be encoded as JSON:", err)
 		}
 	})
 }
--- a/slo/metrics.go
+++ b/slo/metrics.go
@@ -12,26 +12,26 @@
 	"github.com/prometheus/common/model"
 )
 
-// The metrics of a gateway that are read.
+// The gateway metrics that Read uses.
 const (
 	metricRequests = "rudder_requests_total"
 	metricBuckets  = "rudder_first_token_seconds_bucket"
-	metricCompared = "rudder_compared_total" // short requests with a known time alone
-	metricSlowed   = "rudder_slowed_total"   // of these, slowed down beyond the goal
+	metricCompared = "rudder_compared_total" // short requests compared with the predicted time of their prefill alone
+	metricSlowed   = "rudder_slowed_total"   // those of metricCompared slowed down beyond the goal
 )
 
-// maxCounter bounds a counter's value; what is not from 0 to it is passed over.
+// maxCounter is the largest accepted counter value; values outside [0, maxCounter] are ignored.
 const maxCounter = 1 << 62
 
-// Values of the outcome label that are not bad.
+// Values of the outcome label that do not count as bad.
 const (
 	outcomeOK       = "ok"
-	outcomeCanceled = "canceled" // given up by the caller: no event
+	outcomeCanceled = "canceled" // given up by the caller; not counted at all
 )
 
-// Read reads a gateway's metrics in the text exposition format. goals give the
-// longest good time to first token by class; a class without one is left out.
-// A histogram's bucket that a goal divides counts as bad.
+// Read parses a gateway's metrics in the text exposition format. goals holds the
+// longest acceptable time to first token by class; classes without a goal are left
+// out of FirstToken. A histogram bucket whose range contains the goal counts as bad.
 func Read(r io.Reader, goals map[string]time.Duration) (Counters, error) {
 	p := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := p.TextToMetricFamilies(r)
@@ -39,33 +39,37 @@
 		return nil, trace.Wrap(err)
 	}
 	c := Counters{FirstToken: {}, Slowdown: {}, Outcomes: {}}
-	each(families[metricRequests], c.request)
-	each(families[metricBuckets], func(l labels, v float64) { c.bucket(l, v, goals) })
-	each(families[metricCompared], func(l labels, v float64) { c.count(Slowdown, l, Tally{Total: v}) })
-	each(families[metricSlowed], func(l labels, v float64) { c.count(Slowdown, l, Tally{Bad: v}) })
+	forEachValue(families[metricRequests], c.addRequest)
+	forEachValue(families[metricBuckets], func(l labels, v float64) { c.addBucket(l, v, goals) })
+	forEachValue(families[metricCompared], func(l labels, v float64) { c.add(Slowdown, l, Tally{Total: v}) })
+	forEachValue(families[metricSlowed], func(l labels, v float64) { c.add(Slowdown, l, Tally{Bad: v}) })
 	return c, nil
 }
 
+// labels are the labels of one metric sample.
 type labels map[string]string
 
-func (c Counters) count(ind Indicator, l labels, t Tally) {
+// add adds a tally to the indicator's target that the labels name.
+func (c Counters) add(ind Indicator, l labels, t Tally) {
 	key := Target{Workspace: l["workspace"], Class: l["class"]}
 	sum := c[ind][key]
 	sum.add(t)
 	c[ind][key] = sum
 }
 
-func (c Counters) request(l labels, v float64) {
+// addRequest counts requests by their outcome label.
+func (c Counters) addRequest(l labels, v float64) {
 	switch l["outcome"] {
 	case outcomeCanceled:
 	case outcomeOK:
-		c.count(Outcomes, l, Tally{Total: v})
+		c.add(Outcomes, l, Tally{Total: v})
 	default:
-		c.count(Outcomes, l, Tally{Total: v, Bad: v})
+		c.add(Outcomes, l, Tally{Total: v, Bad: v})
 	}
 }
 
-func (c Counters) bucket(l labels, v float64, goals map[string]time.Duration) {
+// addBucket counts a bucket of the first-token histogram against the goal of its class.
+func (c Counters) addBucket(l labels, v float64, goals map[string]time.Duration) {
 	goal, ok := goals[l["class"]]
 	upper, valid := upperBound(l["vmrange"])
 	if !ok || !valid {
@@ -75,10 +79,10 @@
 	if upper > goal.Seconds() {
 		t.Bad = v
 	}
-	c.count(FirstToken, l, t)
+	c.add(FirstToken, l, t)
 }
 
-// upperBound returns the end of a bucket's range, written LOW...HIGH.
+// upperBound returns the upper end of a bucket's range, which is written LOW...HIGH.
 func upperBound(vmrange string) (float64, bool) {
 	_, hi, ok := strings.Cut(vmrange, "...")
 	if !ok {
@@ -88,7 +92,8 @@
 	return v, err == nil
 }
 
-func each(f *dto.MetricFamily, do func(labels, float64)) {
+// forEachValue calls do for each sample of the family whose value is in [0, maxCounter].
+func forEachValue(f *dto.MetricFamily, do func(labels, float64)) {
 	for _, m := range f.GetMetric() {
 		l := make(labels, len(m.GetLabel()))
 		for _, p := range m.GetLabel() {
@@ -100,7 +105,7 @@
 	}
 }
 
-// value returns a sample's value whatever type the exposition declares.
+// value returns the value of a counter or of an untyped sample, and 0 for other types.
 func value(m *dto.Metric) float64 {
 	if m.Counter != nil {
 		return m.Counter.GetValue()
--- a/slo/objectives.go
+++ b/slo/objectives.go
@@ -6,14 +6,14 @@
 	"github.com/micarudder/micarudder/settings"
 )
 
-// Config is the objectives file.
+// Config is the contents of an objectives file.
 type Config struct {
 	FirstToken struct {
-		Good float64       `key:"good" default:"0.99" min:"0" max:"0.99999" help:"part of first tokens within the goal"`
-		G4k  time.Duration `key:"goal_4k" default:"1s" min:"1ms" help:"goal of prompts to 4k tokens"`
-		G32k time.Duration `key:"goal_32k" default:"4s" min:"1ms" help:"goal of prompts to 32k tokens"`
-		G128 time.Duration `key:"goal_128k" default:"20s" min:"1ms" help:"goal of prompts to 128k tokens"`
-		G1M  time.Duration `key:"goal_1m" default:"5m" min:"1ms" help:"goal of longer prompts"`
+		Good     float64       `key:"good" default:"0.99" min:"0" max:"0.99999" help:"part of first tokens within the goal"`
+		Goal4k   time.Duration `key:"goal_4k" default:"1s" min:"1ms" help:"goal of prompts to 4k tokens"`
+		Goal32k  time.Duration `key:"goal_32k" default:"4s" min:"1ms" help:"goal of prompts to 32k tokens"`
+		Goal128k time.Duration `key:"goal_128k" default:"20s" min:"1ms" help:"goal of prompts to 128k tokens"`
+		Goal1M   time.Duration `key:"goal_1m" default:"5m" min:"1ms" help:"goal of longer prompts"`
 	} `section:"first_token"`
 	Slowdown struct {
 		Good float64 `key:"good" default:"0.95" min:"0" max:"0.99999" help:"part of short requests not slowed down beyond the gateways' goal"`
@@ -24,7 +24,7 @@
 	Windows map[string]WindowConfig `section:"window *"`
 }
 
-// WindowConfig is one pair of windows.
+// WindowConfig is one pair of windows as configured; see Window.
 type WindowConfig struct {
 	Long     time.Duration `key:"long" required:"true" min:"1s" help:"the window that says that it matters"`
 	Short    time.Duration `key:"short" required:"true" min:"1s" help:"the window that says that it goes on"`
@@ -32,15 +32,15 @@
 	Severity string        `key:"severity" default:"page" allowed:"page|ticket" help:"how soon to act"`
 }
 
-// DefaultWindows are used when the file names none: a month's budget spent by
-// 2 % in an hour, 5 % in six hours, 10 % in three days.
+// DefaultWindows are used when the file defines none. They fire when 2 % of a
+// month's error budget is spent in an hour, 5 % in six hours or 10 % in three days.
 var DefaultWindows = []Window{
 	{Long: time.Hour, Short: 5 * time.Minute, Rate: 14.4, Severity: Page},
 	{Long: 6 * time.Hour, Short: 30 * time.Minute, Rate: 6, Severity: Page},
 	{Long: 72 * time.Hour, Short: 6 * time.Hour, Rate: 1, Severity: Ticket},
 }
 
-// ReadConfig reads an objectives file.
+// ReadConfig reads and checks an objectives file.
 func ReadConfig(file string) (*Config, error) {
 	c := new(Config)
 	if err := settings.Load(file, c); err != nil {
@@ -53,12 +53,13 @@
 func DefaultConfig() *Config {
 	c := new(Config)
 	if err := settings.Defaults(c); err != nil {
-		panic(err) // a mistake in a field's tag
+		panic(err) // only an invalid struct tag causes this
 	}
 	return c
 }
 
-// Check implements settings.Checker.
+// Check implements settings.Checker. The short window of a pair must not be longer than the
+// long one.
 func (c *Config) Check() []*settings.Mistake {
 	var out []*settings.Mistake
 	for name, w := range c.Windows {
@@ -69,7 +70,7 @@
 	return out
 }
 
-// Objectives returns the objectives in the order of reports.
+// Objectives returns the objectives in report order.
 func (c *Config) Objectives() []Objective {
 	return []Objective{
 		{FirstToken, c.FirstToken.Good},
@@ -78,7 +79,7 @@
 	}
 }
 
-// WindowList returns the windows, the shortest first.
+// WindowList returns the configured windows, shortest long window first, or DefaultWindows.
 func (c *Config) WindowList() []Window {
 	if len(c.Windows) == 0 {
 		return DefaultWindows
@@ -91,8 +92,8 @@
 	return out
 }
 
-// Goals returns the goal of the first token by class.
+// Goals returns the longest acceptable time to first token by class.
 func (c *Config) Goals() map[string]time.Duration {
 	f := c.FirstToken
-	return map[string]time.Duration{"4k": f.G4k, "32k": f.G32k, "128k": f.G128, "1M": f.G1M}
+	return map[string]time.Duration{"4k": f.Goal4k, "32k": f.Goal32k, "128k": f.Goal128k, "1M": f.Goal1M}
 }
--- a/slo/slo.go
+++ b/slo/slo.go
@@ -1,6 +1,7 @@
 // Package slo computes how fast workspaces burn their error budgets, over
 // several windows and for several objectives, from counters sampled at the
-// gateways. It is pure: samples, objectives and the time are arguments.
+// gateways. The computation has no side effects: samples, objectives and the
+// time are arguments.
 package slo
 
 import (
@@ -9,26 +10,26 @@
 	"time"
 )
 
-// Indicator names what an objective is about.
+// Indicator names a service level indicator.
 type Indicator string
 
 // The indicators.
 const (
 	FirstToken Indicator = "first-token" // the first token came within the goal of its class
 	Slowdown   Indicator = "slowdown"    // a short request was not slowed down beyond the goal
-	Outcomes   Indicator = "outcomes"    // the request got its whole answer
+	Outcomes   Indicator = "outcomes"    // the request received its complete response
 )
 
-// All stands in a Target for every workspace or every class together.
+// All stands in a Target for all workspaces or all classes together.
 const All = "all"
 
-// Target is what a burn rate is computed for.
+// Target is the workspace and class that a burn rate is computed for.
 type Target struct {
 	Workspace string `json:"workspace"`
 	Class     string `json:"class"` // 4k, 32k, 128k, 1M or all
 }
 
-// Tally counts events of one indicator since a gateway started.
+// Tally counts the events of one indicator, since a gateway's start or over a period.
 type Tally struct {
 	Total float64 `json:"total"`
 	Bad   float64 `json:"bad"`
@@ -37,16 +38,16 @@
 // Counters are one gateway's tallies by indicator and target.
 type Counters map[Indicator]Tallies
 
-// Tallies are tallies by target. Their JSON form is a list of entries.
+// Tallies are tallies by target. Their JSON form is a list of entries, ordered by target.
 type Tallies map[Target]Tally
 
-// entry is one tally with its target, as written in JSON.
+// entry is the JSON form of one tally with its target.
 type entry struct {
 	Target
 	Tally
 }
 
-// MarshalJSON implements json.Marshaler; entries are ordered.
+// MarshalJSON implements json.Marshaler.
 func (ts Tallies) MarshalJSON() ([]byte, error) {
 	list := make([]entry, 0, len(ts))
 	for t, v := range ts {
@@ -69,15 +70,15 @@
 	return nil
 }
 
-// Sample is what the gateways that answered counted at one moment.
+// Sample holds the counters of the gateways that responded, taken at one time.
 type Sample struct {
 	At       time.Time           `json:"at"`
 	Gateways map[string]Counters `json:"gateways"`
 }
 
-// Window is a pair of windows and the burn rate at which both together call
-// for attention: the long one says that it matters, the short one that it is
-// still going on.
+// Window is a pair of windows and the burn rate at or above which, in both of
+// them, an alert fires: the long window shows that the burn is significant, the
+// short one that it still continues.
 type Window struct {
 	Long     time.Duration `json:"long_ns"`
 	Short    time.Duration `json:"short_ns"`
@@ -85,31 +86,32 @@
 	Severity Severity      `json:"severity"`
 }
 
-// Severity says how soon somebody has to act.
+// Severity is the urgency of an alert.
 type Severity string
 
-// The severities.
+// The severities, the most urgent first.
 const (
 	Page   Severity = "page"
 	Ticket Severity = "ticket"
 )
 
-// Objective is the part of an indicator's events that has to be good.
+// Objective is the fraction of an indicator's events that must be good.
 type Objective struct {
 	Indicator Indicator `json:"indicator"`
-	Good      float64   `json:"good"` // from 0 to below 1
+	Good      float64   `json:"good"` // in [0, 1)
 }
 
+// add adds o to t.
 func (t *Tally) add(o Tally) {
 	t.Total += o.Total
 	t.Bad += o.Bad
 }
 
-// since returns the increase from an earlier tally of the same gateway. A
-// counter that went back belongs to a gateway that has restarted and counted
-// from zero. A gateway's counters are not read at one moment, so that a bad
-// event can show before its total; it is then counted with the total.
-func (t Tally) since(old Tally) Tally {
+// increaseSince returns the increase since an earlier tally of the same gateway. A
+// counter that decreased belongs to a gateway that restarted and counts from zero
+// again. A gateway's counters are not read atomically, so a bad event can be seen
+// before its total; the increase of Bad is therefore limited to that of Total.
+func (t Tally) increaseSince(old Tally) Tally {
 	if t.Total < old.Total || t.Bad < old.Bad {
 		return t
 	}
@@ -118,8 +120,10 @@
 	return d
 }
 
-func (t Tally) times(f float64) Tally { return Tally{Total: t.Total * f, Bad: t.Bad * f} }
+// scale returns t multiplied by f.
+func (t Tally) scale(f float64) Tally { return Tally{Total: t.Total * f, Bad: t.Bad * f} }
 
+// sortWindows sorts by the long window, shortest first.
 func sortWindows(ws []Window) {
 	sort.Slice(ws, func(i, j int) bool { return ws[i].Long < ws[j].Long })
 }
