--- a/document/delta.go
+++ b/document/delta.go
@@ -11,15 +11,16 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// HistoryLen is the number of plan ids that a document keeps of the
-// generations before it.
+// HistoryLen is the largest number of preceding generations whose plan ids a
+// document records.
 const HistoryLen = 256
 
-// ErrBase is returned by Apply when the delta does not lead on from the base;
-// the caller needs the whole document instead.
-var ErrBase = errors.New("document: the delta belongs to another base")
+// ErrBase is returned by Apply when the delta was not made from the given base;
+// the caller has to fetch the full document instead.
+var ErrBase = errors.New("document: delta was made from a different base document")
 
-// History returns the history of the document that follows base.
+// History returns the history of the document that follows base: the plan id of
+// base and those of its own history, newest first, at most HistoryLen.
 func History(base *rudderv1.Document) []string {
 	if base.GetGeneration() == 0 {
 		return nil
@@ -28,9 +29,9 @@
 	return h[:min(len(h), HistoryLen)]
 }
 
-// Diff returns what turns base into next. Both are left unchanged.
+// Diff returns the delta from base to next. It does not modify either.
 func Diff(base, next *rudderv1.Document) *rudderv1.DocumentDelta {
-	changed := sorted(next)
+	changed := sortedCopy(next)
 	d := &rudderv1.DocumentDelta{
 		BaseGeneration: base.GetGeneration(),
 		BasePlanId:     base.GetPlanId(),
@@ -49,9 +50,10 @@
 	return d
 }
 
-// Apply returns the document that the delta leads to from base, which is left
-// unchanged. Its lists are ordered by name. It returns ErrBase when the delta
-// was made from another base or the result is not what its maker had.
+// Apply returns the document that results from applying the delta to base, which
+// it does not modify. The lists of the result are ordered by name. It returns
+// ErrBase when the delta was made from another base or the checksum of the result
+// differs from the one in the delta.
 func Apply(base *rudderv1.Document, d *rudderv1.DocumentDelta) (*rudderv1.Document, error) {
 	if base.GetGeneration() != d.GetBaseGeneration() || base.GetPlanId() != d.GetBasePlanId() || d.GetChanged() == nil {
 		return nil, ErrBase
@@ -72,6 +74,7 @@
 	return next, nil
 }
 
+// checksum returns a hash of the deterministic encoding of d, or 0 when d cannot be encoded.
 func checksum(d *rudderv1.Document) uint64 {
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(d)
 	if err != nil {
@@ -80,17 +83,19 @@
 	return xxhash.Sum64(raw)
 }
 
-// entry is one named element of a document's lists.
+// entry is a named element of one of a document's lists.
 type entry interface {
 	proto.Message
 	GetName() string
 }
 
+// sortList sorts a list by name.
 func sortList[T entry](list []T) {
 	slices.SortStableFunc(list, func(a, b T) int { return cmp.Compare(a.GetName(), b.GetName()) })
 }
 
-func sorted(d *rudderv1.Document) *rudderv1.Document {
+// sortedCopy returns a copy of d with all lists sorted by name.
+func sortedCopy(d *rudderv1.Document) *rudderv1.Document {
 	c := proto.CloneOf(d)
 	sortList(c.Models)
 	sortList(c.Workspaces)
@@ -100,6 +105,7 @@
 	return c
 }
 
+// byName returns the entries of a list by name.
 func byName[T entry](list []T) map[string]T {
 	m := make(map[string]T, len(list))
 	for _, e := range list {
@@ -108,9 +114,9 @@
 	return m
 }
 
-// diffList returns the entries that differ from the base's and the names that
-// are gone.
-func diffList[T entry](base, next []T) (changed []T, gone []string) {
+// diffList returns the entries of next that are new or differ from base, and the
+// sorted names of the entries that next no longer has.
+func diffList[T entry](base, next []T) (changed []T, removed []string) {
 	old, now := byName(base), byName(next)
 	for _, e := range next {
 		if b, ok := old[e.GetName()]; !ok || !proto.Equal(b, e) {
@@ -119,24 +125,25 @@
 	}
 	for _, e := range base {
 		if _, ok := now[e.GetName()]; !ok {
-			gone = append(gone, e.GetName())
+			removed = append(removed, e.GetName())
 		}
 	}
-	slices.Sort(gone)
-	return changed, gone
+	slices.Sort(removed)
+	return changed, removed
 }
 
-func applyList[T entry](base, changed []T, gone []string) []T {
-	drop := make(map[string]bool, len(gone)+len(changed))
-	for _, name := range gone {
-		drop[name] = true
+// applyList returns base without the removed entries and with the changed ones, sorted by name.
+func applyList[T entry](base, changed []T, removed []string) []T {
+	replaced := make(map[string]bool, len(removed)+len(changed))
+	for _, name := range removed {
+		replaced[name] = true
 	}
 	for _, e := range changed {
-		drop[e.GetName()] = true
+		replaced[e.GetName()] = true
 	}
 	out := changed
 	for _, e := range base {
-		if !drop[e.GetName()] {
+		if !replaced[e.GetName()] {
 			out = append(out, e)
 		}
 	}
--- a/document/delta_test.go
+++ b/document/delta_test.go
@@ -12,7 +12,7 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// drawDocument returns a document whose entries are in any order.
+// drawDocument returns a random document whose lists are in random order.
 func drawDocument(t *rapid.T, generation uint64) *rudderv1.Document {
 	d := &rudderv1.Document{Generation: generation, PlanId: fmt.Sprint("p", rapid.IntRange(0, 3).Draw(t, "plan"))}
 	names := func(label string) []string {
@@ -36,8 +36,8 @@
 	return d
 }
 
-// TestDelta: applied to its base a delta gives the later document; applied to
-// anything else it is refused.
+// TestDelta checks that a delta applied to its base gives the next document, and
+// applied to any other document gives the same one or an error.
 func TestDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, next := drawDocument(t, 7), drawDocument(t, 8)
@@ -47,13 +47,13 @@
 		}
 		delta := Diff(base, next)
 		got, err := Apply(base, delta)
-		if err != nil || !proto.Equal(got, sorted(next)) {
+		if err != nil || !proto.Equal(got, sortedCopy(next)) {
 			t.Fatalf("%v\n%v\n%v", err, got, next)
 		}
 		other := drawDocument(t, 7)
 		got, err = Apply(other, delta)
-		if err == nil && !proto.Equal(got, sorted(next)) {
-			t.Fatalf("accepted on another base: %v", got)
+		if err == nil && !proto.Equal(got, sortedCopy(next)) {
+			t.Fatalf("applied to another base with a different result: %v", got)
 		}
 	})
 }
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -15,6 +15,7 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
+// withHosts returns a document with n hosts.
 func withHosts(n int, name func(i int) string) *rudderv1.Document {
 	d := &rudderv1.Document{Generation: 3, PlanId: "p"}
 	for i := range n {
@@ -23,16 +24,17 @@
 	return d
 }
 
-func TestBothForms(t *testing.T) {
+// TestEncodeRoundTrip covers the uncompressed and the compressed form.
+func TestEncodeRoundTrip(t *testing.T) {
 	for _, n := range []int{0, 1, 10_000} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
 			d := withHosts(n, func(i int) string { return fmt.Sprintf("host-%05d", i) })
-			// A newer release's field, whose bytes must survive.
+			// A field written by a newer release must be preserved byte for byte.
 			d.ProtoReflect().SetUnknown(protowire.AppendString(protowire.AppendTag(nil, 99, protowire.BytesType), "kept"))
 			value, err := Encode(d)
 			is.NoErr(err)
-			is.Equal(bytes.HasPrefix(value, gzipMagic), proto.Size(d) > PlainLimit)
+			is.Equal(bytes.HasPrefix(value, gzipMagic), proto.Size(d) > CompressionThreshold)
 			again, err := Encode(d)
 			is.NoErr(err)
 			is.Equal(value, again)
@@ -53,15 +55,15 @@
 	is.Equal(coded.Code, result.DocumentTooBig)
 }
 
-func TestDamaged(t *testing.T) {
+func TestDecodeDamagedValue(t *testing.T) {
 	is := is.New(t)
-	whole, err := Encode(withHosts(10_000, func(i int) string { return fmt.Sprintf("host-%05d", i) }))
+	intact, err := Encode(withHosts(10_000, func(i int) string { return fmt.Sprintf("host-%05d", i) }))
 	is.NoErr(err)
-	flipped := bytes.Clone(whole)
+	flipped := bytes.Clone(intact)
 	flipped[len(flipped)/2] ^= 0xff
 	for name, value := range map[string][]byte{
-		"cut": whole[:len(whole)/2], "magic only": gzipMagic, "flipped": flipped, "no document": {0xff, 0xff},
-		"bomb": compress(make([]byte, maxDecoded+1)),
+		"truncated": intact[:len(intact)/2], "magic only": gzipMagic, "byte flipped": flipped, "not a document": {0xff, 0xff},
+		"decompression bomb": compress(make([]byte, maxDecompressed+1)),
 	} {
 		if _, err := Decode(value); err == nil {
 			t.Errorf("%s: accepted", name)
