--- a/plan/breaks.go
+++ b/plan/breaks.go
@@ -9,49 +9,54 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// The kinds of broken promises; a break's name is its kind, a colon and what
-// it concerns. placement.BelowFloor makes the names of the first kind.
+// The kinds of violations. The name of a violation is its kind, which ends in a
+// colon, and its subject. placement.BelowFloor returns the names of violations of
+// floors.
 const (
-	breakNoEndpoint   = "no-endpoint:"       // a declared model ends without a live endpoint
-	breakUnserved     = "unserved:"          // a model is served nowhere for a time
-	breakLastModel    = "last-model:"        // a workspace ends without a served model
-	breakWorkspace    = "workspace-removed:" // a workspace and its keys go
-	breakKeysReplaced = "keys-replaced:"     // no key of a workspace stays valid
-	breakService      = "service-unserved:"  // a service ends without an endpoint
+	violationNoEndpoint       = "no-endpoint:"       // a declared model has no live endpoint after the change
+	violationUnserved         = "unserved:"          // no endpoint serves a model during part of the change
+	violationLastModel        = "last-model:"        // a workspace has no served model after the change
+	violationWorkspaceRemoved = "workspace-removed:" // a workspace and its keys are removed
+	violationKeysReplaced     = "keys-replaced:"     // none of a workspace's keys stays valid
+	violationServiceUnserved  = "service-unserved:"  // a service has no live endpoint after the change
 )
 
-// breaks lists the promises that the change would break, ordered by name.
-func breaks(base, next *rudderv1.Document, run outcome, view placement.View) []Break {
-	c := &checker{base: base, next: next, run: run, view: view, found: make(map[string]string)}
-	c.floors()
-	c.models()
-	c.workspaces()
-	c.services()
-	var out []Break
+// violations returns the violations of the change from base to next, ordered by name.
+func violations(base, next *rudderv1.Document, sim simulation, view placement.View) []Violation {
+	c := &checker{base: base, next: next, sim: sim, view: view, found: make(map[string]string)}
+	c.checkFloors()
+	c.checkModels()
+	c.checkWorkspaces()
+	c.checkServices()
+	var out []Violation
 	for name, detail := range c.found {
-		out = append(out, Break{Name: name, Detail: detail})
+		out = append(out, Violation{Name: name, Detail: detail})
 	}
-	slices.SortFunc(out, func(a, b Break) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b Violation) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
+// checker collects the violations of one change.
 type checker struct {
 	base, next *rudderv1.Document
-	run        outcome
+	sim        simulation
 	view       placement.View
-	found      map[string]string
+	found      map[string]string // violation details by name
 }
 
+// add records a violation; an earlier one of the same name is replaced.
 func (c *checker) add(name, format string, args ...any) {
 	c.found[name] = fmt.Sprintf(format, args...)
 }
 
-func (c *checker) floors() {
-	for _, s := range c.run.stuck {
+// checkFloors finds models below their floor, at the lowest point of the change
+// or after it, and endpoints that floors prevent from changing.
+func (c *checker) checkFloors() {
+	for _, s := range c.sim.blocked {
 		name := placement.BelowFloor(s.Model, s.DataCentre)
 		c.add(name, "endpoint %s can only change by taking %s below its floor", s.Endpoint, s.Model)
 	}
-	for _, x := range c.run.capacity {
+	for _, x := range c.sim.capacity {
 		name := placement.BelowFloor(x.Model, x.DataCentre)
 		switch {
 		case x.Lowest < min(x.Floor, x.Before):
@@ -62,9 +67,9 @@
 	}
 }
 
-// total sums up a model's capacity over the data centres.
-func (c *checker) total(model string) (before, lowest, after int) {
-	for _, x := range c.run.capacity {
+// totalCapacity returns a model's capacity summed over the data centres.
+func (c *checker) totalCapacity(model string) (before, lowest, after int) {
+	for _, x := range c.sim.capacity {
 		if x.Model == model {
 			before += x.Before
 			lowest += x.Lowest
@@ -74,19 +79,23 @@
 	return before, lowest, after
 }
 
-func (c *checker) models() {
+// checkModels finds declared models that no endpoint serves after the change or at some point
+// during it.
+func (c *checker) checkModels() {
 	for _, m := range c.next.GetModels() {
-		before, lowest, after := c.total(m.Name)
+		before, lowest, after := c.totalCapacity(m.Name)
 		switch {
 		case after == 0:
-			c.add(breakNoEndpoint+m.Name, "no live endpoint would hold the model")
+			c.add(violationNoEndpoint+m.Name, "no live endpoint would hold the model")
 		case before > 0 && lowest == 0:
-			c.add(breakUnserved+m.Name, "no endpoint serves the model for a time")
+			c.add(violationUnserved+m.Name, "no endpoint serves the model for a time")
 		}
 	}
 }
 
-func (c *checker) workspaces() {
+// checkWorkspaces finds workspaces that are removed, lose all their keys or lose
+// their last served model.
+func (c *checker) checkWorkspaces() {
 	next := make(map[string]*rudderv1.Workspace)
 	for _, w := range c.next.GetWorkspaces() {
 		next[w.Name] = w
@@ -94,46 +103,49 @@
 	for _, old := range c.base.GetWorkspaces() {
 		w := next[old.Name]
 		if w == nil {
-			c.add(breakWorkspace+old.Name, "its callers would be refused")
+			c.add(violationWorkspaceRemoved+old.Name, "its callers would be refused")
 			continue
 		}
 		if len(old.KeyDigests) > 0 && !overlap(old.KeyDigests, w.KeyDigests) {
-			c.add(breakKeysReplaced+old.Name, "no key stays valid; add the new key first and drop the old one later")
+			c.add(violationKeysReplaced+old.Name, "no key stays valid; add the new key first and drop the old one later")
 		}
-		if c.served(old.Models, true) && !c.served(w.Models, false) {
-			c.add(breakLastModel+old.Name, "it would have no served model left")
+		if c.anyServed(old.Models, true) && !c.anyServed(w.Models, false) {
+			c.add(violationLastModel+old.Name, "it would have no served model left")
 		}
 	}
 }
 
+// overlap reports whether a and b have an element in common.
 func overlap(a, b []string) bool {
 	return slices.ContainsFunc(a, func(x string) bool { return slices.Contains(b, x) })
 }
 
-// served tells whether any of the models has capacity before or after.
-func (c *checker) served(models []string, atStart bool) bool {
+// anyServed reports whether any of the models has capacity before the change, or after it if
+// beforeChange is false.
+func (c *checker) anyServed(models []string, beforeChange bool) bool {
 	for _, m := range models {
-		before, _, after := c.total(m)
-		if atStart && before > 0 || !atStart && after > 0 {
+		before, _, after := c.totalCapacity(m)
+		if beforeChange && before > 0 || !beforeChange && after > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *checker) services() {
+// checkServices finds services that a workspace uses and no live endpoint offers.
+func (c *checker) checkServices() {
 	users := make(map[string]string)
 	for _, w := range c.next.GetWorkspaces() {
 		for _, s := range w.Services {
 			users[s] = w.Name
 		}
 	}
-	gone := leavingHosts(c.next)
+	leaving := leavingHosts(c.next)
 	for service, user := range users {
 		if !slices.ContainsFunc(c.next.GetEndpoints(), func(e *rudderv1.Endpoint) bool {
-			return e.Service == service && !e.Leaving && !gone[e.Host] && c.view[e.Name].Serving
+			return e.Service == service && !e.Leaving && !leaving[e.Host] && c.view[e.Name].Serving
 		}) {
-			c.add(breakService+service, "workspace %s uses it and no live endpoint would offer it", user)
+			c.add(violationServiceUnserved+service, "workspace %s uses it and no live endpoint would offer it", user)
 		}
 	}
 }
--- a/plan/capacity.go
+++ b/plan/capacity.go
@@ -9,23 +9,25 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// spot is one model in one data centre.
-type spot struct{ model, dc string }
+// modelSite is a model in a data centre.
+type modelSite struct{ model, dc string }
 
-// tally counts serving endpoints.
-type tally map[spot]int
+// servingCounts is the number of endpoints that serve each model in each data centre.
+type servingCounts map[modelSite]int
 
-// count counts what the view's serving endpoints hold.
-func count(d *rudderv1.Document, view placement.View) tally {
-	out := make(tally)
+// countServing counts the serving endpoints of the view in all data centres of the document.
+func countServing(d *rudderv1.Document, view placement.View) servingCounts {
+	out := make(servingCounts)
 	for _, dc := range placement.DataCentres(d) {
-		maps.Copy(out, countIn(d, dc, view))
+		maps.Copy(out, countServingIn(d, dc, view))
 	}
 	return out
 }
 
-func countIn(d *rudderv1.Document, dc string, view placement.View) tally {
-	out := make(tally)
+// countServingIn counts the serving endpoints of the view in one data centre. An
+// endpoint counts once for each model that it holds and has finished loading.
+func countServingIn(d *rudderv1.Document, dc string, view placement.View) servingCounts {
+	out := make(servingCounts)
 	for _, e := range d.GetEndpoints() {
 		h := view[e.Name]
 		if e.DataCentre != dc || !h.Serving {
@@ -35,15 +37,15 @@
 		for _, m := range h.Models {
 			if !m.Loading && !names[m.Name] {
 				names[m.Name] = true
-				out[spot{m.Name, dc}]++
+				out[modelSite{m.Name, dc}]++
 			}
 		}
 	}
 	return out
 }
 
-// lower keeps the smaller count of every spot in a data centre.
-func (t tally) lower(dc string, now tally) {
+// keepMin lowers each count of a data centre to the one in now, if that is smaller.
+func (t servingCounts) keepMin(dc string, now servingCounts) {
 	for s, n := range t {
 		if s.dc == dc {
 			t[s] = min(n, now[s])
@@ -51,27 +53,29 @@
 	}
 }
 
-// capacities lists every spot that either document asks for or that is held.
-func capacities(base, next *rudderv1.Document, before, lowest, after tally) []Capacity {
-	wanted := make(tally)
-	spots := make(map[spot]bool)
+// capacities returns the capacity of every model in every data centre where
+// either document asks for replicas or an endpoint serves it before the change,
+// ordered by model and data centre.
+func capacities(base, next *rudderv1.Document, before, lowest, after servingCounts) []Capacity {
+	wanted := make(servingCounts)
+	sites := make(map[modelSite]bool)
 	for s := range before {
-		spots[s] = true
+		sites[s] = true
 	}
 	for _, d := range []*rudderv1.Document{base, next} {
 		for _, m := range d.GetModels() {
 			for dc := range m.Replicas {
-				spots[spot{m.Name, dc}] = true
+				sites[modelSite{m.Name, dc}] = true
 			}
 		}
 	}
 	for _, m := range next.GetModels() {
 		for dc, n := range m.Replicas {
-			wanted[spot{m.Name, dc}] = int(n)
+			wanted[modelSite{m.Name, dc}] = int(n)
 		}
 	}
 	var out []Capacity
-	for s := range spots {
+	for s := range sites {
 		out = append(out, Capacity{
 			Model: s.model, DataCentre: s.dc,
 			Before: before[s], Lowest: min(lowest[s], before[s]), After: after[s],
@@ -84,8 +88,9 @@
 	return out
 }
 
-// declaredFloor is the floor as declared, whatever is forced.
-func declaredFloor(d *rudderv1.Document, s spot) int {
+// declaredFloor returns the declared floor, limited to the number of replicas.
+// Forcing the floor does not change it.
+func declaredFloor(d *rudderv1.Document, s modelSite) int {
 	for _, m := range d.GetModels() {
 		if m.Name == s.model {
 			return int(min(m.Floor, m.Replicas[s.dc]))
--- a/plan/confirm_test.go
+++ b/plan/confirm_test.go
@@ -15,8 +15,9 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// memory is a store with one key; writes end with the given error.
-type memory struct {
+// memoryStore is an in-memory store with one key. Reads fail with readErr and
+// writes with writeErr, if set.
+type memoryStore struct {
 	metastore.Store
 	entry    metastore.Entry
 	readErr  error
@@ -24,7 +25,7 @@
 	writes   int
 }
 
-func (m *memory) Get(context.Context, string) (metastore.Entry, error) {
+func (m *memoryStore) Get(context.Context, string) (metastore.Entry, error) {
 	if m.readErr != nil {
 		return metastore.Entry{}, m.readErr
 	}
@@ -34,7 +35,7 @@
 	return m.entry, nil
 }
 
-func (m *memory) CompareAndSwap(_ context.Context, key string, expect int64, value []byte, _ metastore.LeaseID) (metastore.Entry, error) {
+func (m *memoryStore) CompareAndSwap(_ context.Context, key string, expect int64, value []byte, _ metastore.LeaseID) (metastore.Entry, error) {
 	m.writes++
 	if m.writeErr != nil {
 		return m.entry, m.writeErr
@@ -46,7 +47,8 @@
 	return m.entry, nil
 }
 
-func (m *memory) put(t *testing.T, d *rudderv1.Document) {
+// put stores the document at a new revision.
+func (m *memoryStore) put(t *testing.T, d *rudderv1.Document) {
 	t.Helper()
 	value, err := document.Encode(d)
 	if err != nil {
@@ -55,6 +57,7 @@
 	m.entry = metastore.Entry{Value: value, Revision: m.entry.Revision + 1}
 }
 
+// newPlan returns a plan over base whose only declaration is a service.
 func newPlan(t *testing.T, base *rudderv1.Document, service string) *Plan {
 	t.Helper()
 	p, err := Make(base, &rudderv1.Document{Services: []*rudderv1.Service{{Name: service}}}, Options{Operator: "jana"})
@@ -64,25 +67,25 @@
 	return p
 }
 
-var when = time.Unix(1_772_000_000, 0)
+var acceptedAt = time.Unix(1_772_000_000, 0)
 
-// TestRepeatedConfirm: the first plan stays recognised over many later ones,
-// and once it is out of the history a repeat is still harmless.
+// TestRepeatedConfirm: repeating Confirm recognises the first plan as superseded while the
+// history records it. Once it does not, a repeat is harmless and reports an unknown outcome.
 func TestRepeatedConfirm(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	store := new(memory)
+	store := new(memoryStore)
 	first := newPlan(t, nil, "first")
-	r, err := Confirm(ctx, store, first, when)
+	r, err := Confirm(ctx, store, first, acceptedAt)
 	is.NoErr(err)
 	is.Equal(*r, Receipt{Code: result.OK, PlanID: first.ID, Generation: 1, Current: 1})
 	for i := range document.HistoryLen {
 		base, _, err := Accepted(ctx, store)
 		is.NoErr(err)
-		_, err = Confirm(ctx, store, newPlan(t, base, fmt.Sprint("s", i)), when)
+		_, err = Confirm(ctx, store, newPlan(t, base, fmt.Sprint("s", i)), acceptedAt)
 		is.NoErr(err)
 		writes := store.writes
-		r, err := Confirm(ctx, store, first, when)
+		r, err := Confirm(ctx, store, first, acceptedAt)
 		is.NoErr(err)
 		is.Equal(*r, Receipt{Code: result.PlanSuperseded, PlanID: first.ID, Generation: 1, Current: uint64(i + 2)})
 		is.Equal(store.writes, writes)
@@ -91,66 +94,66 @@
 	is.NoErr(err)
 	is.Equal(len(base.History), document.HistoryLen)
 	is.Equal(base.Operator, "jana")
-	is.Equal(base.AcceptedUnixMs, when.UnixMilli())
-	_, err = Confirm(ctx, store, newPlan(t, base, "last"), when)
+	is.Equal(base.AcceptedUnixMs, acceptedAt.UnixMilli())
+	_, err = Confirm(ctx, store, newPlan(t, base, "last"), acceptedAt)
 	is.NoErr(err)
-	_, err = Confirm(ctx, store, first, when)
+	_, err = Confirm(ctx, store, first, acceptedAt)
 	var stale *StaleError
 	is.True(errors.As(err, &stale))
-	is.Equal(stale.Known(), result.MayHaveRun) // no longer recorded, and said so
+	is.Equal(stale.Known(), result.MayHaveRun) // the history no longer records the plan
 }
 
 func TestConfirmFaults(t *testing.T) {
 	base := &rudderv1.Document{Generation: 7, PlanId: "p7", History: []string{"p6"}}
 	cases := []struct {
 		name   string
-		store  func(t *testing.T, m *memory)
+		store  func(t *testing.T, m *memoryStore)
 		want   result.Code
 		writes int
 	}{
-		{"accepted", func(*testing.T, *memory) {}, 0, 1},
-		{"unreadable", func(_ *testing.T, m *memory) { m.readErr = metastore.ErrUnavailable }, result.PlanUnknown, 0},
-		{"damaged value", func(_ *testing.T, m *memory) { m.entry.Value = []byte{0xff} }, result.PlanUnknown, 0},
-		{"refused before sending", func(_ *testing.T, m *memory) { m.writeErr = metastore.ErrUnavailable }, result.PlatformAway, 1},
-		{"too large", func(_ *testing.T, m *memory) { m.writeErr = metastore.ErrTooLarge }, result.DocumentTooBig, 1},
-		{"answer lost", func(_ *testing.T, m *memory) { m.writeErr = metastore.ErrUnknown }, result.PlanUnknown, 1},
-		{"deadline", func(_ *testing.T, m *memory) { m.writeErr = context.DeadlineExceeded }, result.PlanUnknown, 1},
-		{"base written anew", func(_ *testing.T, m *memory) { m.writeErr = metastore.ErrConflict }, result.PlanUnknown, 1},
-		{"store restored", func(t *testing.T, m *memory) {
+		{"accepted", func(*testing.T, *memoryStore) {}, 0, 1},
+		{"unreadable", func(_ *testing.T, m *memoryStore) { m.readErr = metastore.ErrUnavailable }, result.PlanUnknown, 0},
+		{"damaged value", func(_ *testing.T, m *memoryStore) { m.entry.Value = []byte{0xff} }, result.PlanUnknown, 0},
+		{"unavailable before sending", func(_ *testing.T, m *memoryStore) { m.writeErr = metastore.ErrUnavailable }, result.PlatformAway, 1},
+		{"too large", func(_ *testing.T, m *memoryStore) { m.writeErr = metastore.ErrTooLarge }, result.DocumentTooBig, 1},
+		{"response lost", func(_ *testing.T, m *memoryStore) { m.writeErr = metastore.ErrUnknown }, result.PlanUnknown, 1},
+		{"deadline", func(_ *testing.T, m *memoryStore) { m.writeErr = context.DeadlineExceeded }, result.PlanUnknown, 1},
+		{"base at a new revision", func(_ *testing.T, m *memoryStore) { m.writeErr = metastore.ErrConflict }, result.PlanUnknown, 1},
+		{"store restored", func(t *testing.T, m *memoryStore) {
 			m.put(t, &rudderv1.Document{Generation: 6, PlanId: "p6"})
 		}, result.GenerationBack, 0},
-		{"store emptied", func(_ *testing.T, m *memory) { m.entry = metastore.Entry{} }, result.GenerationBack, 0},
-		{"other history of the same length", func(t *testing.T, m *memory) {
+		{"store emptied", func(_ *testing.T, m *memoryStore) { m.entry = metastore.Entry{} }, result.GenerationBack, 0},
+		{"other history of the same length", func(t *testing.T, m *memoryStore) {
 			m.put(t, &rudderv1.Document{Generation: 7, PlanId: "other"})
 		}, result.PlanStale, 0},
-		{"other plan", func(t *testing.T, m *memory) {
+		{"other plan", func(t *testing.T, m *memoryStore) {
 			m.put(t, &rudderv1.Document{Generation: 8, PlanId: "other", History: []string{"p7"}})
 		}, result.PlanStale, 0},
-		{"other plan long ago", func(t *testing.T, m *memory) {
+		{"other plan long ago", func(t *testing.T, m *memoryStore) {
 			m.put(t, &rudderv1.Document{Generation: 10, PlanId: "p10", History: []string{"p9", "other", "p7"}})
 		}, result.PlanStale, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			m := new(memory)
+			m := new(memoryStore)
 			m.put(t, base)
 			c.store(t, m)
-			_, err := Confirm(context.Background(), m, newPlan(t, base, "x"), when)
+			_, err := Confirm(context.Background(), m, newPlan(t, base, "x"), acceptedAt)
 			is.Equal(codeOf(err), c.want)
 			is.Equal(m.writes, c.writes)
 		})
 	}
 }
 
-// TestStaleNamesTheDifference: the loser learns what the winner changed and
-// where both meant different things.
+// TestStaleNamesTheDifference: a StaleError lists what the accepted plan changed and
+// the sections that both plans changed differently.
 func TestStaleNamesTheDifference(t *testing.T) {
 	is := is.New(t)
-	store := new(memory)
-	base := fleet()
+	store := new(memoryStore)
+	base := testDocument()
 	store.put(t, base)
-	mine, theirs := fleet(), fleet()
+	mine, theirs := testDocument(), testDocument()
 	mine.Models[0].Version = "2"
 	mine.Workspaces[0].Weight = 5
 	theirs.Models[0].Version = "3"
@@ -159,9 +162,9 @@
 	is.NoErr(err)
 	b, err := Make(base, mine, Options{})
 	is.NoErr(err)
-	_, err = Confirm(context.Background(), store, a, when)
+	_, err = Confirm(context.Background(), store, a, acceptedAt)
 	is.NoErr(err)
-	_, err = Confirm(context.Background(), store, b, when)
+	_, err = Confirm(context.Background(), store, b, acceptedAt)
 	var stale *StaleError
 	is.True(errors.As(err, &stale))
 	is.Equal(stale.Current, uint64(4))
--- a/plan/diff.go
+++ b/plan/diff.go
@@ -10,7 +10,7 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// Action says what happens to a declared thing.
+// Action is what a change does to a section.
 type Action string
 
 // The actions of a change.
@@ -20,34 +20,35 @@
 	Alter  Action = "change"
 )
 
-// Change is one section of the declarations that differs.
+// Change is a section of the declarations that differs between two documents.
 type Change struct {
 	Action  Action  `json:"action"`
-	Section string  `json:"section"` // as in the declarations, such as "model rudder-llm"
+	Section string  `json:"section"` // title in the declarations, such as "model rudder-llm"
 	Fields  []Field `json:"fields,omitempty"`
 }
 
-// Field is one key that differs; an empty text means that the key is absent.
+// Field is a key that differs; an empty value means that the key is absent.
 type Field struct {
 	Key  string `json:"key"`
 	From string `json:"from,omitempty"`
 	To   string `json:"to,omitempty"`
 }
 
-// Diff compares two documents section by section in their canonical form.
+// Diff compares the rendered declarations of two documents section by section and
+// returns the changes in the order of sectionOrder, then by title.
 func Diff(from, to *rudderv1.Document) []Change {
 	a, b := sections(from), sections(to)
 	var out []Change
-	for _, title := range titles(a, b) {
+	for _, title := range sortedTitles(a, b) {
 		x, inA := a[title]
 		y, inB := b[title]
 		switch {
 		case !inB:
 			out = append(out, Change{Action: Remove, Section: title})
 		case !inA:
-			out = append(out, Change{Action: Add, Section: title, Fields: fields(nil, y)})
+			out = append(out, Change{Action: Add, Section: title, Fields: diffFields(nil, y)})
 		default:
-			if f := fields(x, y); len(f) > 0 {
+			if f := diffFields(x, y); len(f) > 0 {
 				out = append(out, Change{Action: Alter, Section: title, Fields: f})
 			}
 		}
@@ -55,7 +56,7 @@
 	return out
 }
 
-// sections splits the canonical form into keys by section title.
+// sections parses the rendered declarations of d into values by section title and key.
 func sections(d *rudderv1.Document) map[string]map[string]string {
 	out := make(map[string]map[string]string)
 	if d == nil {
@@ -74,9 +75,11 @@
 	return out
 }
 
-var kinds = []string{"placement", "model", "adapter", "service", "workspace", "host", "endpoint"}
+// sectionOrder is the order of changes by kind of section.
+var sectionOrder = []string{"placement", "model", "adapter", "service", "workspace", "host", "endpoint"}
 
-func titles(a, b map[string]map[string]string) []string {
+// sortedTitles returns the section titles of a and b by kind, then by title.
+func sortedTitles(a, b map[string]map[string]string) []string {
 	var out []string
 	for t := range a {
 		out = append(out, t)
@@ -88,7 +91,7 @@
 	}
 	rank := func(t string) int {
 		kind, _, _ := strings.Cut(t, " ")
-		return slices.Index(kinds, kind)
+		return slices.Index(sectionOrder, kind)
 	}
 	slices.SortFunc(out, func(x, y string) int {
 		return cmp.Or(cmp.Compare(rank(x), rank(y)), cmp.Compare(x, y))
@@ -96,7 +99,8 @@
 	return out
 }
 
-func fields(from, to map[string]string) []Field {
+// diffFields returns the keys that differ between two sections, ordered by key.
+func diffFields(from, to map[string]string) []Field {
 	var out []Field
 	for key, v := range to {
 		if from[key] != v {
--- a/plan/make_test.go
+++ b/plan/make_test.go
@@ -13,7 +13,8 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-func drawFleet(t *rapid.T) *rudderv1.Document {
+// drawDocument returns a random document with one data centre.
+func drawDocument(t *rapid.T) *rudderv1.Document {
 	d := &rudderv1.Document{Generation: 1, PlanId: "p"}
 	n := rapid.IntRange(1, 6).Draw(t, "endpoints")
 	for i := range n {
@@ -31,11 +32,12 @@
 	return d
 }
 
-// TestPlannedCapacity: whatever changes and whatever the endpoints hold, a
-// model that falls below its floor is named, and forcing the names is enough.
+// TestPlannedCapacity: for random documents and endpoint states, every model that
+// falls below its floor is named as a violation, and forcing all named violations
+// makes the plan acceptable.
 func TestPlannedCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		base, next := drawFleet(t), drawFleet(t)
+		base, next := drawDocument(t), drawDocument(t)
 		var view placement.View
 		if rapid.Bool().Draw(t, "live") {
 			view = make(placement.View)
@@ -49,17 +51,17 @@
 		}
 		p, _ := Make(base, next, Options{View: view})
 		var names []string
-		for _, b := range p.Breaks {
+		for _, b := range p.Violations {
 			names = append(names, b.Name)
 		}
 		for _, c := range p.Capacity {
 			low := c.Lowest < min(c.Floor, c.Before) || c.After < c.Floor
 			if low && !slices.Contains(names, placement.BelowFloor(c.Model, c.DataCentre)) {
-				t.Fatalf("%+v is not named in %v", c, names)
+				t.Fatalf("%+v is below its floor and not named in %v", c, names)
 			}
 		}
-		// Forcing a floor lets more happen, which may break more; each name
-		// comes up once, so this ends.
+		// Forcing a floor allows further steps, which may cause further violations. Each
+		// name appears once, so the loop ends.
 		for range len(next.Models) + 2 {
 			p, err := Make(base, next, Options{View: view, Force: names})
 			if err == nil {
@@ -68,7 +70,7 @@
 			if codeOf(err) != result.PlanBreaks {
 				t.Fatalf("forced %v: %v", names, err)
 			}
-			for _, b := range p.Breaks {
+			for _, b := range p.Violations {
 				if !b.Forced {
 					names = append(names, b.Name)
 				}
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -1,6 +1,6 @@
 // Package plan turns declarations into a plan that an operator can read and
-// confirm. Make and its parts are pure; Confirm is the one write that accepts
-// a plan, a compare-and-swap on platform.KeyDocument.
+// confirm. Make and the functions it uses have no side effects. Confirm accepts
+// a plan with a single write, a compare-and-swap on metastore.KeyDocument.
 package plan
 
 import (
@@ -16,42 +16,43 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// Plan is a proposed next document with what carrying it out would do.
+// Plan is a proposed next document together with the effects of carrying it out.
 type Plan struct {
-	ID             string     `json:"id"`
-	BaseGeneration uint64     `json:"base_generation"`
-	BasePlan       string     `json:"base_plan"` // plan id of the base generation
-	Operator       string     `json:"operator,omitempty"`
-	Forced         []string   `json:"forced,omitempty"`
-	Assumed        bool       `json:"assumed"`                 // no live view: the base was taken as fully in force
-	New            []string   `json:"new_endpoints,omitempty"` // not declared in the base; taken as there and empty
-	Changes        []Change   `json:"changes"`
-	Steps          []Step     `json:"steps"`
-	Capacity       []Capacity `json:"capacity"`
-	Breaks         []Break    `json:"breaks,omitempty"`
-	Content        []byte     `json:"content"`                // the next document, without generation, ids and history
-	BaseContent    []byte     `json:"base_content,omitempty"` // the same of the base, to show what a racing operator changed
+	ID             string      `json:"id"`
+	BaseGeneration uint64      `json:"base_generation"`
+	BasePlanID     string      `json:"base_plan"` // plan id of the base generation
+	Operator       string      `json:"operator,omitempty"`
+	Forced         []string    `json:"forced,omitempty"`
+	Assumed        bool        `json:"assumed"`                 // made without a live view, as if the base were fully in force
+	NewEndpoints   []string    `json:"new_endpoints,omitempty"` // not declared in the base; assumed to be up and empty
+	Changes        []Change    `json:"changes"`
+	Steps          []Step      `json:"steps"`
+	Capacity       []Capacity  `json:"capacity"`
+	Violations     []Violation `json:"breaks,omitempty"`
+	Content        []byte      `json:"content"`                // the next document, without generation, ids and history
+	BaseContent    []byte      `json:"base_content,omitempty"` // the base in the same form, to show what a concurrent operator changed
 	next           *rudderv1.Document
 }
 
-// Break is a promise that the plan would break.
-type Break struct {
-	Name   string `json:"name"` // to be given to force it
+// Violation is a guarantee to callers that the plan would break. Operators see it
+// as a broken promise.
+type Violation struct {
+	Name   string `json:"name"` // the name by which an operator forces it
 	Detail string `json:"detail"`
 	Forced bool   `json:"forced"`
 }
 
-// Options are the operator's choices for one plan.
+// Options are the inputs of Make besides the documents.
 type Options struct {
 	Operator string
-	Force    []string       // names of breaks that the operator accepts
-	View     placement.View // what the endpoints hold; nil when unknown
+	Force    []string       // names of the violations that the operator accepts
+	View     placement.View // the state of the endpoints; nil when unknown
 }
 
-// Make compares the declarations in next with the accepted document base (nil
-// when there is none) and returns the plan. When the plan breaks a promise
-// that is not forced, the error has code result.PlanBreaks and the plan is
-// returned with it; a forced name that the plan does not break is refused with
+// Make compares the declarations in next with the accepted document base (nil if
+// there is none) and returns the plan. If the plan has a violation that is not
+// forced, the error has code result.PlanBreaks and the plan is returned with it.
+// A forced name that is not a violation of the plan is refused with
 // result.BadRequest.
 func Make(base, next *rudderv1.Document, o Options) (*Plan, error) {
 	if base == nil {
@@ -60,7 +61,7 @@
 	next = normalise(base, next, o)
 	p := &Plan{
 		BaseGeneration: base.Generation,
-		BasePlan:       base.PlanId,
+		BasePlanID:     base.PlanId,
 		Operator:       o.Operator,
 		Forced:         next.Forced,
 		Assumed:        o.View == nil,
@@ -69,58 +70,60 @@
 	}
 	view := o.View
 	if view == nil {
-		view = assume(base)
+		view = assumedView(base)
 	}
-	view, p.New = withNew(view, base, next)
-	run := simulate(base, next, view)
-	p.Steps = run.steps
-	p.Capacity = run.capacity
-	p.Breaks = breaks(base, next, run, view)
+	view, p.NewEndpoints = addNewEndpoints(view, base, next)
+	sim := simulate(base, next, view)
+	p.Steps = sim.steps
+	p.Capacity = sim.capacity
+	p.Violations = violations(base, next, sim, view)
 	if len(next.Forced) > 0 {
-		p.addUnforced(base, view)
+		p.addViolationsWithoutForce(base, view)
 	}
-	if err := p.seal(base); err != nil {
+	if err := p.encodeContents(base); err != nil {
 		return nil, err
 	}
-	return p, p.judge(o.Force)
+	return p, p.checkForced(o.Force)
 }
 
-// addUnforced adds the breaks of the same change without force: a forced floor
-// can make way for a change that then breaks nothing more.
-func (p *Plan) addUnforced(base *rudderv1.Document, view placement.View) {
-	plain := proto.CloneOf(p.next)
-	plain.Forced = nil
-	for _, b := range breaks(base, plain, simulate(base, plain, view), view) {
-		if !slices.ContainsFunc(p.Breaks, func(x Break) bool { return x.Name == b.Name }) {
-			p.Breaks = append(p.Breaks, b)
+// addViolationsWithoutForce adds the violations of the same change without force.
+// A forced floor can make way for a change that then breaks nothing more; its
+// name would otherwise be refused as not broken by the plan.
+func (p *Plan) addViolationsWithoutForce(base *rudderv1.Document, view placement.View) {
+	withoutForce := proto.CloneOf(p.next)
+	withoutForce.Forced = nil
+	for _, b := range violations(base, withoutForce, simulate(base, withoutForce, view), view) {
+		if !slices.ContainsFunc(p.Violations, func(x Violation) bool { return x.Name == b.Name }) {
+			p.Violations = append(p.Violations, b)
 		}
 	}
-	slices.SortFunc(p.Breaks, func(a, b Break) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(p.Violations, func(a, b Violation) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// judge refuses breaks that are not forced and forced names that break nothing.
-func (p *Plan) judge(force []string) error {
-	var open, idle []string
-	for i := range p.Breaks {
-		b := &p.Breaks[i]
+// checkForced marks the forced violations. It returns an error if a violation is
+// not forced or if a forced name is not a violation of the plan.
+func (p *Plan) checkForced(force []string) error {
+	var unforced, unused []string
+	for i := range p.Violations {
+		b := &p.Violations[i]
 		b.Forced = slices.Contains(force, b.Name)
 		if !b.Forced {
-			open = append(open, b.Name)
+			unforced = append(unforced, b.Name)
 		}
 	}
 	for _, name := range force {
-		if !slices.ContainsFunc(p.Breaks, func(b Break) bool { return b.Name == name }) {
-			idle = append(idle, name)
+		if !slices.ContainsFunc(p.Violations, func(b Violation) bool { return b.Name == name }) {
+			unused = append(unused, name)
 		}
 	}
-	if len(open) > 0 {
-		return result.New(result.PlanBreaks, "not forced: "+strings.Join(open, ", "))
+	if len(unforced) > 0 {
+		return result.New(result.PlanBreaks, "not forced: "+strings.Join(unforced, ", "))
 	}
-	if len(idle) > 0 {
-		return result.New(result.BadRequest, fmt.Sprintf("forced, but not broken by this plan: %s", strings.Join(idle, ", ")))
+	if len(unused) > 0 {
+		return result.New(result.BadRequest, fmt.Sprintf("forced, but not broken by this plan: %s", strings.Join(unused, ", ")))
 	}
 	return nil
 }
 
-// Empty tells whether the plan changes nothing.
+// Empty reports whether the plan changes nothing.
 func (p *Plan) Empty() bool { return len(p.Changes) == 0 }
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -17,9 +17,9 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// fleet returns an accepted document: model m on three of four engines, a
-// service, and a workspace that uses both.
-func fleet() *rudderv1.Document {
+// testDocument returns an accepted document: model m with three replicas on four engines,
+// a service, and a workspace that uses both.
+func testDocument() *rudderv1.Document {
 	d := &rudderv1.Document{
 		Generation: 3, PlanId: "p3", History: []string{"p2", "p1"},
 		Models:     []*rudderv1.Model{{Name: "m", Version: "1", Weights: "m/1", Replicas: map[string]uint32{"a": 3}, Floor: 2}},
@@ -35,7 +35,7 @@
 	return d
 }
 
-func TestBreaks(t *testing.T) {
+func TestViolations(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(d *rudderv1.Document)
@@ -44,9 +44,9 @@
 		{"nothing", func(*rudderv1.Document) {}, nil},
 		{"upgrade", func(d *rudderv1.Document) { d.Models[0].Version = "2" }, nil},
 		{"upgrade at the floor", func(d *rudderv1.Document) { d.Models[0].Version, d.Models[0].Floor = "2", 3 }, []string{"below-floor:m@a"}},
-		{"spare endpoint leaves", func(d *rudderv1.Document) { d.Endpoints[spare(d)].Leaving = true }, nil},
+		{"spare endpoint leaves", func(d *rudderv1.Document) { d.Endpoints[spareEndpoint(d)].Leaving = true }, nil},
 		{"hosts leave", func(d *rudderv1.Document) {
-			i := spare(d)
+			i := spareEndpoint(d)
 			d.Hosts[(i+1)%4].Leaving, d.Hosts[(i+2)%4].Leaving = true, true
 		}, []string{"below-floor:m@a"}},
 		{"all engines leave", func(d *rudderv1.Document) {
@@ -54,17 +54,17 @@
 				e.Leaving = true
 			}
 		}, []string{"below-floor:m@a", "last-model:w", "no-endpoint:m"}},
-		{"model goes", func(d *rudderv1.Document) { d.Models = nil }, []string{"last-model:w"}},
-		{"model goes from its user", func(d *rudderv1.Document) { d.Workspaces[0].Models = nil }, []string{"last-model:w"}},
+		{"model removed", func(d *rudderv1.Document) { d.Models = nil }, []string{"last-model:w"}},
+		{"model removed from its workspace", func(d *rudderv1.Document) { d.Workspaces[0].Models = nil }, []string{"last-model:w"}},
 		{"model without room", func(d *rudderv1.Document) {
 			for i := range 4 {
 				d.Models = append(d.Models, &rudderv1.Model{Name: fmt.Sprintf("n%d", i), Replicas: map[string]uint32{"a": 1}})
 			}
 			d.Models[0].Floor = 1
 		}, []string{"no-endpoint:"}},
-		{"workspace goes", func(d *rudderv1.Document) { d.Workspaces = nil }, []string{"workspace-removed:w"}},
-		{"one key goes", func(d *rudderv1.Document) { d.Workspaces[0].KeyDigests = []string{"k2", "k3"} }, nil},
-		{"all keys go", func(d *rudderv1.Document) { d.Workspaces[0].KeyDigests = []string{"k3"} }, []string{"keys-replaced:w"}},
+		{"workspace removed", func(d *rudderv1.Document) { d.Workspaces = nil }, []string{"workspace-removed:w"}},
+		{"one key removed", func(d *rudderv1.Document) { d.Workspaces[0].KeyDigests = []string{"k2", "k3"} }, nil},
+		{"all keys replaced", func(d *rudderv1.Document) { d.Workspaces[0].KeyDigests = []string{"k3"} }, []string{"keys-replaced:w"}},
 		{"service endpoint leaves", func(d *rudderv1.Document) { d.Endpoints[4].Leaving = true }, []string{"service-unserved:s"}},
 		{"model moves to an empty data centre", func(d *rudderv1.Document) {
 			d.Endpoints = append(d.Endpoints, &rudderv1.Endpoint{Name: "b0", Host: "h0", DataCentre: "b", Role: "mixed"})
@@ -74,12 +74,12 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			base, next := fleet(), fleet()
+			base, next := testDocument(), testDocument()
 			c.change(next)
 			p, err := Make(base, next, Options{})
 			is.True(p != nil)
 			var got []string
-			for _, b := range p.Breaks {
+			for _, b := range p.Violations {
 				got = append(got, b.Name)
 			}
 			match := len(got) == len(c.want)
@@ -87,10 +87,10 @@
 				match = match && strings.HasPrefix(got[i], c.want[i])
 			}
 			if !match {
-				t.Fatalf("breaks %v, want %v", got, c.want)
+				t.Fatalf("violations %v, want %v", got, c.want)
 			}
 			is.Equal(codeOf(err) == result.PlanBreaks, len(got) > 0)
-			// Forced by their names, all go through; the plan says so.
+			// With all violations forced the plan is accepted and records their names.
 			forced, err := Make(base, next, Options{Force: got})
 			is.NoErr(err)
 			is.Equal(forced.Next().Forced, slices.Compact(slices.Sorted(slices.Values(got))))
@@ -101,13 +101,14 @@
 	}
 }
 
-// spare returns the index of the engine that holds nothing.
-func spare(d *rudderv1.Document) int {
+// spareEndpoint returns the index of the engine that holds no model.
+func spareEndpoint(d *rudderv1.Document) int {
 	live := map[string]bool{"e0": true, "e1": true, "e2": true, "e3": true}
 	assigned := placement.Assign(d, live)
 	return slices.IndexFunc(d.Endpoints, func(e *rudderv1.Endpoint) bool { return len(assigned[e.Name]) == 0 })
 }
 
+// codeOf returns the result code of err, or 0 if it has none.
 func codeOf(err error) result.Code {
 	var coded *result.Err
 	if errors.As(err, &coded) {
@@ -118,7 +119,7 @@
 
 func TestLiveView(t *testing.T) {
 	is := is.New(t)
-	view := assume(fleet())
+	view := assumedView(testDocument())
 	for name, h := range view {
 		if len(h.Models) > 0 {
 			h.Models = []engine.Model{{Name: "m", Version: "1", Loading: true}}
@@ -126,27 +127,27 @@
 			break
 		}
 	}
-	p, err := Make(fleet(), fleet(), Options{View: view})
+	p, err := Make(testDocument(), testDocument(), Options{View: view})
 	is.NoErr(err)
 	is.Equal(p.Assumed, false)
 	is.Equal(p.Capacity, []Capacity{{Model: "m", DataCentre: "a", Before: 2, Lowest: 2, After: 3, Floor: 2, Wanted: 3}})
-	// Endpoints of the base that no gateway sees are lost, new ones are taken as there.
-	next := fleet()
+	// Endpoints of the base that no gateway reports count as lost; new ones are assumed to be up.
+	next := testDocument()
 	next.Endpoints = append(next.Endpoints, &rudderv1.Endpoint{Name: "new", Host: "h0", DataCentre: "a", Role: "mixed"})
-	p, err = Make(fleet(), next, Options{View: placement.View{}})
+	p, err = Make(testDocument(), next, Options{View: placement.View{}})
 	is.Equal(codeOf(err), result.PlanBreaks)
-	is.Equal(p.New, []string{"new"})
+	is.Equal(p.NewEndpoints, []string{"new"})
 	is.Equal(p.Capacity[0].After, 1)
 }
 
-// TestUnknownFieldsAreKept: what a newer release wrote into the base stays.
+// TestUnknownFieldsAreKept: unknown fields that a newer release wrote into the base are preserved.
 func TestUnknownFieldsAreKept(t *testing.T) {
 	is := is.New(t)
 	extra := protowire.AppendString(protowire.AppendTag(nil, 99, protowire.BytesType), "newer")
-	base := fleet()
+	base := testDocument()
 	base.ProtoReflect().SetUnknown(extra)
 	base.Models[0].ProtoReflect().SetUnknown(extra)
-	next := fleet()
+	next := testDocument()
 	next.Models[0].Version = "2"
 	p, err := Make(base, next, Options{})
 	is.NoErr(err)
@@ -160,9 +161,9 @@
 
 func TestDecodeRefusesAlteredPlans(t *testing.T) {
 	is := is.New(t)
-	next := fleet()
+	next := testDocument()
 	next.Models[0].Version = "2"
-	p, err := Make(fleet(), next, Options{})
+	p, err := Make(testDocument(), next, Options{})
 	is.NoErr(err)
 	data, err := p.Encode()
 	is.NoErr(err)
@@ -175,7 +176,7 @@
 	}
 	// A refused plan cannot be confirmed.
 	next.Models[0].Floor = 3
-	p, err = Make(fleet(), next, Options{})
+	p, err = Make(testDocument(), next, Options{})
 	is.Equal(codeOf(err), result.PlanBreaks)
 	data, err = p.Encode()
 	is.NoErr(err)
--- a/plan/race_test.go
+++ b/plan/race_test.go
@@ -19,86 +19,89 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// explore runs fn once for every sequence of choices and returns the count.
-// pick(n) returns the next choice, from 0 to n-1.
-func explore(fn func(pick func(n int) int)) int {
-	type step struct{ at, of int }
-	var path []step
+// enumerate runs fn once for every sequence of choices and returns the number of
+// runs. pick(n) returns the next choice, from 0 to n-1.
+func enumerate(fn func(pick func(n int) int)) int {
+	type choice struct{ taken, options int }
+	var path []choice
 	for runs := 1; ; runs++ {
 		depth := 0
 		fn(func(n int) int {
 			if depth == len(path) {
-				path = append(path, step{0, n})
+				path = append(path, choice{0, n})
 			}
 			depth++
-			return path[depth-1].at
+			return path[depth-1].taken
 		})
-		for len(path) > 0 && path[len(path)-1].at == path[len(path)-1].of-1 {
+		for len(path) > 0 && path[len(path)-1].taken == path[len(path)-1].options-1 {
 			path = path[:len(path)-1]
 		}
 		if len(path) == 0 {
 			return runs
 		}
-		path[len(path)-1].at++
+		path[len(path)-1].taken++
 	}
 }
 
-// call is one call of an operator to the store, waiting to be served.
+// call is an operator's call to the store that is waiting to be served.
 type call struct {
-	write bool
-	value []byte
-	from  int64 // expected revision
-	reply chan answer
+	write          bool
+	value          []byte
+	expectRevision int64 // of a write
+	reply          chan response
 }
 
-type answer struct {
+// response is the result of a call.
+type response struct {
 	entry metastore.Entry
 	err   error
 }
 
-// operator confirms its plan through calls that the world serves one by one.
+// operator confirms its plan through calls that a faultyStore serves one at a time.
 type operator struct {
-	name     string
-	plan     *Plan
-	calls    chan call // closed when the operator is done
-	verdicts []string
-	losses   int // answers that may still be lost
-	pending  *call
+	name       string
+	plan       *Plan
+	calls      chan call // closed when the operator is done
+	verdicts   []string
+	faultsLeft int // faults that may still be injected into its calls
+	pending    *call
 }
 
 func (o *operator) Get(context.Context, string) (metastore.Entry, error) {
-	return o.ask(call{})
+	return o.do(call{})
 }
 
 func (o *operator) CompareAndSwap(_ context.Context, _ string, expect int64, value []byte, _ metastore.LeaseID) (metastore.Entry, error) {
-	return o.ask(call{write: true, value: value, from: expect})
+	return o.do(call{write: true, value: value, expectRevision: expect})
 }
 
-func (o *operator) ask(c call) (metastore.Entry, error) {
-	c.reply = make(chan answer)
+// do submits a call and waits for its response.
+func (o *operator) do(c call) (metastore.Entry, error) {
+	c.reply = make(chan response)
 	o.calls <- c
 	a := <-c.reply
 	return a.entry, a.err
 }
 
-// store gives an operator the rest of the interface, which Confirm must not use.
-type store struct {
+// operatorStore is the store that Confirm uses. Methods other than Get and
+// CompareAndSwap panic: Confirm must not use them.
+type operatorStore struct {
 	metastore.Store
 	*operator
 }
 
-func (s store) Get(ctx context.Context, key string) (metastore.Entry, error) {
+func (s operatorStore) Get(ctx context.Context, key string) (metastore.Entry, error) {
 	return s.operator.Get(ctx, key)
 }
 
-func (s store) CompareAndSwap(ctx context.Context, key string, expect int64, value []byte, l metastore.LeaseID) (metastore.Entry, error) {
+func (s operatorStore) CompareAndSwap(ctx context.Context, key string, expect int64, value []byte, l metastore.LeaseID) (metastore.Entry, error) {
 	return s.operator.CompareAndSwap(ctx, key, expect, value, l)
 }
 
-// run confirms, and asks again as long as the answer tells it to.
-func (o *operator) run(asks int) {
-	for range asks {
-		_, err := Confirm(context.Background(), store{operator: o}, o.plan, time.Unix(0, 0))
+// run confirms the plan, and repeats up to attempts times while the result tells it to.
+func (o *operator) run(attempts int) {
+	for range attempts {
+		_, err := Confirm(context.Background(), operatorStore{operator: o}, o.plan, time.Unix(0, 0))
 		v := verdict(err)
 		o.verdicts = append(o.verdicts, v)
 		if v != "unknown" && v != "away" {
@@ -108,6 +111,7 @@
 	close(o.calls)
 }
 
+// verdict returns the result of Confirm as it stands in the golden file.
 func verdict(err error) string {
 	var coded *result.Err
 	switch {
@@ -126,36 +130,39 @@
 	}
 }
 
-// world is the store with its faults.
-type world struct {
-	value    []byte
-	revision int64
-	late     []call         // lost writes that may still take effect
-	effects  map[string]int // times that a plan took effect
+// faultyStore is a store with one key that injects faults.
+type faultyStore struct {
+	value        []byte
+	revision     int64
+	delayed      []call         // writes whose response was lost and that may still take effect
+	timesApplied map[string]int // how often each plan took effect
 }
 
-func (w *world) entry() metastore.Entry {
+// entry returns the stored entry.
+func (w *faultyStore) entry() metastore.Entry {
 	return metastore.Entry{Key: metastore.KeyDocument, Value: w.value, Revision: w.revision}
 }
 
-func (w *world) swap(c call) answer {
-	if c.from != w.revision {
-		return answer{w.entry(), metastore.ErrConflict}
+// swap performs a compare-and-swap.
+func (w *faultyStore) swap(c call) response {
+	if c.expectRevision != w.revision {
+		return response{w.entry(), metastore.ErrConflict}
 	}
 	w.value, w.revision = c.value, w.revision+1
 	d, err := document.Decode(c.value)
 	if err != nil {
 		panic(err)
 	}
-	w.effects[d.PlanId]++
-	return answer{entry: w.entry()}
+	w.timesApplied[d.PlanId]++
+	return response{entry: w.entry()}
 }
 
-// serve answers one call, with or without a fault.
-func (w *world) serve(o *operator, pick func(int) int) {
+// serve answers the operator's pending call, with or without a fault as pick
+// chooses.
+func (w *faultyStore) serve(o *operator, pick func(int) int) {
 	c := *o.pending
-	if o.losses == 0 {
-		c.reply <- w.plain(c)
+	if o.faultsLeft == 0 {
+		c.reply <- w.serveWithoutFault(c)
 		return
 	}
 	faults := 2
@@ -164,38 +171,39 @@
 	}
 	fault := pick(faults)
 	if fault > 0 {
-		o.losses--
+		o.faultsLeft--
 	}
 	switch {
 	case fault == 0:
-		c.reply <- w.plain(c)
+		c.reply <- w.serveWithoutFault(c)
 	case !c.write:
-		c.reply <- answer{err: metastore.ErrUnavailable}
-	case fault == 1: // refused before it was sent
-		c.reply <- answer{err: metastore.ErrUnavailable}
-	case fault == 2: // takes effect, answer lost
+		c.reply <- response{err: metastore.ErrUnavailable}
+	case fault == 1: // unavailable before it was sent
+		c.reply <- response{err: metastore.ErrUnavailable}
+	case fault == 2: // takes effect, response lost
 		w.swap(c)
-		c.reply <- answer{err: metastore.ErrUnknown}
-	case fault == 3: // lost on the way
-		c.reply <- answer{err: metastore.ErrUnknown}
-	case fault == 4: // answer lost, takes effect later
-		w.late = append(w.late, c)
-		c.reply <- answer{err: metastore.ErrUnknown}
+		c.reply <- response{err: metastore.ErrUnknown}
+	case fault == 3: // request lost
+		c.reply <- response{err: metastore.ErrUnknown}
+	case fault == 4: // response lost, takes effect later
+		w.delayed = append(w.delayed, c)
+		c.reply <- response{err: metastore.ErrUnknown}
 	}
 }
 
-func (w *world) plain(c call) answer {
+// serveWithoutFault returns the response to a call without a fault.
+func (w *faultyStore) serveWithoutFault(c call) response {
 	if c.write {
 		return w.swap(c)
 	}
 	if w.revision == 0 {
-		return answer{err: metastore.ErrNotFound}
+		return response{err: metastore.ErrNotFound}
 	}
-	return answer{entry: w.entry()}
+	return response{entry: w.entry()}
 }
 
-// advance waits until the operator has a call to serve or is done.
-func (o *operator) advance() {
+// awaitCall waits until the operator has a pending call or is done.
+func (o *operator) awaitCall() {
 	c, ok := <-o.calls
 	o.pending = &c
 	if !ok {
@@ -203,12 +211,13 @@
 	}
 }
 
-// play runs the operators to their end along one sequence of choices.
-func (w *world) play(ops []*operator, asks int, pick func(int) int) {
+// runOperators runs the operators until all are done, in the interleaving that pick
+// chooses. Delayed writes that were not applied by then are applied at the end.
+func (w *faultyStore) runOperators(ops []*operator, attempts int, pick func(int) int) {
 	for _, o := range ops {
 		o.calls = make(chan call)
-		go o.run(asks)
-		o.advance()
+		go o.run(attempts)
+		o.awaitCall()
 	}
 	for {
 		var ready []*operator
@@ -220,26 +229,27 @@
 		if len(ready) == 0 {
 			break
 		}
-		i := pick(len(ready) + len(w.late))
+		i := pick(len(ready) + len(w.delayed))
 		if i >= len(ready) {
-			w.land(i - len(ready))
+			w.applyDelayed(i - len(ready))
 			continue
 		}
 		w.serve(ready[i], pick)
-		ready[i].advance()
+		ready[i].awaitCall()
 	}
-	for len(w.late) > 0 {
-		w.land(0)
+	for len(w.delayed) > 0 {
+		w.applyDelayed(0)
 	}
 }
 
-func (w *world) land(i int) {
-	c := w.late[i]
-	w.late = slices.Delete(w.late, i, i+1)
+// applyDelayed performs the delayed write with index i.
+func (w *faultyStore) applyDelayed(i int) {
+	c := w.delayed[i]
+	w.delayed = slices.Delete(w.delayed, i, i+1)
 	w.swap(c)
 }
 
-// twoPlans returns a store with generation 7 and two different plans over it.
+// twoPlans returns an encoded document of generation 7 and two different plans over it.
 func twoPlans(t *testing.T) ([]byte, *Plan, *Plan) {
 	t.Helper()
 	base := &rudderv1.Document{Generation: 7, PlanId: "p7", History: []string{"p6", "p5"}}
@@ -257,20 +267,19 @@
 	return value, plans[0], plans[1]
 }
 
-// TestRace enumerates every interleaving of the store calls of two operators,
-// with one lost answer for each of them at every step, a lost write taking
-// effect at once, never, or at any later point, and each operator asking up to
-// three times. Each run ends with a last ask of both without faults, and one more
-// after a later plan was accepted.
+// TestRace enumerates every interleaving of the store calls of two operators that confirm up
+// to three times each. Each operator gets at most one fault: a failed read, a write not sent, or
+// a write without response that takes effect at once, never or at any later point. After each
+// run both confirm again without faults, and once more after a later plan was accepted.
 func TestRace(t *testing.T) {
 	is := is.New(t)
 	value, pa, pb := twoPlans(t)
 	table := make(map[string]int)
-	runs := explore(func(pick func(int) int) {
-		w := &world{value: value, revision: 1, effects: make(map[string]int)}
-		a := &operator{name: "a", plan: pa, losses: 1}
-		b := &operator{name: "b", plan: pb, losses: 1}
-		w.play([]*operator{a, b}, 3, pick)
+	runs := enumerate(func(pick func(int) int) {
+		w := &faultyStore{value: value, revision: 1, timesApplied: make(map[string]int)}
+		a := &operator{name: "a", plan: pa, faultsLeft: 1}
+		b := &operator{name: "b", plan: pb, faultsLeft: 1}
+		w.runOperators([]*operator{a, b}, 3, pick)
 		checkRace(t, w, a, b)
 		table[fmt.Sprintf("%-28s | %-28s | %s", strings.Join(a.verdicts, ", "), strings.Join(b.verdicts, ", "), w.winner(a, b))]++
 	})
@@ -284,33 +293,34 @@
 	is.True(runs > 1000)
 }
 
-func (w *world) winner(a, b *operator) string {
+// winner returns whose plan took effect, as it stands in the golden file.
+func (w *faultyStore) winner(a, b *operator) string {
 	switch {
-	case w.effects[a.plan.ID] > 0:
+	case w.timesApplied[a.plan.ID] > 0:
 		return "a       "
-	case w.effects[b.plan.ID] > 0:
+	case w.timesApplied[b.plan.ID] > 0:
 		return "b       "
 	default:
 		return "none    "
 	}
 }
 
-// checkRace holds what the operators were told against what happened.
-func checkRace(t *testing.T, w *world, ops ...*operator) {
+// checkRace compares what the operators were told with what took effect.
+func checkRace(t *testing.T, w *faultyStore, ops ...*operator) {
 	t.Helper()
 	total := 0
 	for _, o := range ops {
-		n := w.effects[o.plan.ID]
+		n := w.timesApplied[o.plan.ID]
 		total += n
 		last := o.verdicts[len(o.verdicts)-1]
 		if n > 1 || last == "accepted" && n != 1 || last == "stale" && n != 0 {
 			t.Fatalf("%s was told %v, its plan took effect %d times", o.name, o.verdicts, n)
 		}
-		// With the faults over, asking again gives the final answer.
+		// Without faults, another attempt returns the final result.
 		r := &operator{name: o.name, plan: o.plan}
-		w.play([]*operator{r}, 1, func(int) int { return 0 })
+		w.runOperators([]*operator{r}, 1, func(int) int { return 0 })
 		final := r.verdicts[0]
-		if n == 1 && final != "accepted" || n == 0 && w.effects[o.plan.ID] == 0 && final != "stale" {
+		if n == 1 && final != "accepted" || n == 0 && w.timesApplied[o.plan.ID] == 0 && final != "stale" {
 			t.Fatalf("%s was told %v at last, its plan took effect %d times", o.name, final, n)
 		}
 	}
@@ -320,21 +330,21 @@
 	}
 }
 
-// checkLater accepts one more plan and asks again for the earlier ones.
-func checkLater(t *testing.T, w *world, ops ...*operator) {
+// checkLater accepts one more plan and confirms the earlier ones again.
+func checkLater(t *testing.T, w *faultyStore, ops ...*operator) {
 	t.Helper()
 	d, err := document.Decode(w.value)
 	if err != nil || d.Generation != 8 {
 		t.Fatalf("generation %d, %v", d.GetGeneration(), err)
 	}
-	later := &Plan{ID: "later", BaseGeneration: 8, BasePlan: d.PlanId, next: new(rudderv1.Document)}
-	w.play([]*operator{{plan: later}}, 1, func(int) int { return 0 })
+	later := &Plan{ID: "later", BaseGeneration: 8, BasePlanID: d.PlanId, next: new(rudderv1.Document)}
+	w.runOperators([]*operator{{plan: later}}, 1, func(int) int { return 0 })
 	revision := w.revision
 	for _, o := range ops {
 		r := &operator{plan: o.plan}
-		w.play([]*operator{r}, 1, func(int) int { return 0 })
+		w.runOperators([]*operator{r}, 1, func(int) int { return 0 })
 		want := "stale"
-		if w.effects[o.plan.ID] == 1 {
+		if w.timesApplied[o.plan.ID] == 1 {
 			want = "accepted" // and superseded since
 		}
 		if r.verdicts[0] != want || w.revision != revision {
--- a/plan/restore.go
+++ b/plan/restore.go
@@ -11,30 +11,30 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// Restore writes doc, the highest document that the gateways hold, back into a
-// store that fell behind it, unchanged and with at most one compare-and-swap.
-// It may be repeated at any time. A store that holds a plan which doc does not
-// descend from is left alone unless discard is that plan's id.
+// Restore writes doc, the highest document that the gateways hold, back unchanged
+// into a store that fell behind it, with at most one compare-and-swap. It may be
+// repeated at any time. If the store holds a plan that is not an ancestor of doc,
+// Restore does not overwrite it unless discard is that plan's id.
 //
 // Errors are *result.Err with code PlatformAway (this call changed nothing),
-// PlanUnknown (ask again), PlanStale (the store moved on or holds another
-// history) or DocumentTooBig.
+// PlanUnknown (repeat the call), PlanStale (the store is not behind doc, changed
+// concurrently or holds another history) or DocumentTooBig.
 func Restore(ctx context.Context, store metastore.Store, doc *rudderv1.Document, discard string) (*Receipt, error) {
 	cur, revision, err := Accepted(ctx, store)
 	if err != nil {
 		return nil, result.New(result.PlatformAway, err.Error())
 	}
-	done := &Receipt{Code: result.OK, PlanID: doc.PlanId, Generation: doc.Generation, Current: doc.Generation}
+	receipt := &Receipt{Code: result.OK, PlanID: doc.PlanId, Generation: doc.Generation, Current: doc.Generation}
 	if cur.Generation == doc.Generation && cur.PlanId == doc.PlanId {
-		return done, nil
+		return receipt, nil
 	}
 	if cur.Generation >= doc.Generation {
 		return nil, result.New(result.PlanStale, fmt.Sprintf(
 			"the platform holds generation %d, the gateways %d: there is nothing to restore", cur.Generation, doc.Generation))
 	}
-	if !descends(doc, cur) && cur.PlanId != discard {
+	if !descendsFrom(doc, cur) && cur.PlanId != discard {
 		return nil, result.New(result.PlanStale, fmt.Sprintf(
-			"generation %d of plan %s in the platform is not one that the gateways' document follows; name the plan to discard it", cur.Generation, cur.PlanId))
+			"generation %d of plan %s in the platform is not an ancestor of the gateways' document; name the plan to discard it", cur.Generation, cur.PlanId))
 	}
 	value, err := document.Encode(doc)
 	if err != nil {
@@ -43,24 +43,24 @@
 	_, err = store.CompareAndSwap(ctx, metastore.KeyDocument, revision, value, 0)
 	switch {
 	case err == nil:
-		return done, nil
+		return receipt, nil
 	case errors.Is(err, metastore.ErrUnavailable):
 		return nil, result.New(result.PlatformAway, "this call changed nothing")
 	case errors.Is(err, metastore.ErrConflict):
-		return nil, result.New(result.PlanStale, "the platform's document changed meanwhile; ask again")
+		return nil, result.New(result.PlanStale, "the platform's document changed concurrently; ask again")
 	case errors.Is(err, metastore.ErrTooLarge):
 		return nil, result.New(result.DocumentTooBig, fmt.Sprintf("%d bytes", len(value)))
 	}
 	cur, _, err = Accepted(ctx, store)
 	if err == nil && cur.Generation == doc.Generation && cur.PlanId == doc.PlanId {
-		return done, nil
+		return receipt, nil
 	}
-	return nil, result.New(result.PlanUnknown, "the answer to the write was lost; ask again")
+	return nil, result.New(result.PlanUnknown, "the response to the write was lost; ask again")
 }
 
-// descends tells whether old is one of the documents that doc follows, as far
-// as its history tells.
-func descends(doc, old *rudderv1.Document) bool {
+// descendsFrom reports whether old is an ancestor of doc, as far as doc's history
+// reaches. An empty store is an ancestor of every document.
+func descendsFrom(doc, old *rudderv1.Document) bool {
 	if old.Generation == 0 {
 		return true
 	}
--- a/plan/restore_test.go
+++ b/plan/restore_test.go
@@ -21,23 +21,23 @@
 		want     result.Code
 		after    string // plan id in the store
 	}{
-		{"older", &rudderv1.Document{Generation: 7, PlanId: "p7"}, nil, "", 0, "p9"},
+		{"ancestor", &rudderv1.Document{Generation: 7, PlanId: "p7"}, nil, "", 0, "p9"},
 		{"emptied", nil, nil, "", 0, "p9"},
-		{"in place", doc, nil, "", 0, "p9"},
+		{"already restored", doc, nil, "", 0, "p9"},
 		{"newer", &rudderv1.Document{Generation: 10, PlanId: "p10"}, nil, "", result.PlanStale, "p10"},
-		{"other of the same generation", &rudderv1.Document{Generation: 9, PlanId: "q"}, nil, "q", result.PlanStale, "q"},
+		{"other plan of the same generation", &rudderv1.Document{Generation: 9, PlanId: "q"}, nil, "q", result.PlanStale, "q"},
 		{"other history", &rudderv1.Document{Generation: 8, PlanId: "q8"}, nil, "", result.PlanStale, "q8"},
-		{"other history, wrong name", &rudderv1.Document{Generation: 8, PlanId: "q8"}, nil, "p8", result.PlanStale, "q8"},
+		{"other history, wrong plan discarded", &rudderv1.Document{Generation: 8, PlanId: "q8"}, nil, "p8", result.PlanStale, "q8"},
 		{"other history, discarded", &rudderv1.Document{Generation: 8, PlanId: "q8"}, nil, "q8", 0, "p9"},
-		{"before the history", &rudderv1.Document{Generation: 6, PlanId: "p6"}, nil, "", result.PlanStale, "p6"},
-		{"refused", &rudderv1.Document{Generation: 7, PlanId: "p7"}, metastore.ErrUnavailable, "", result.PlatformAway, "p7"},
-		{"raced", &rudderv1.Document{Generation: 7, PlanId: "p7"}, metastore.ErrConflict, "", result.PlanStale, "p7"},
-		{"answer lost", &rudderv1.Document{Generation: 7, PlanId: "p7"}, metastore.ErrUnknown, "", result.PlanUnknown, "p7"},
+		{"older than the history", &rudderv1.Document{Generation: 6, PlanId: "p6"}, nil, "", result.PlanStale, "p6"},
+		{"unavailable", &rudderv1.Document{Generation: 7, PlanId: "p7"}, metastore.ErrUnavailable, "", result.PlatformAway, "p7"},
+		{"changed concurrently", &rudderv1.Document{Generation: 7, PlanId: "p7"}, metastore.ErrConflict, "", result.PlanStale, "p7"},
+		{"response lost", &rudderv1.Document{Generation: 7, PlanId: "p7"}, metastore.ErrUnknown, "", result.PlanUnknown, "p7"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			m := &memory{writeErr: c.writeErr}
+			m := &memoryStore{writeErr: c.writeErr}
 			if c.stored != nil {
 				m.put(t, c.stored)
 			}
--- a/plan/seal.go
+++ b/plan/seal.go
@@ -16,96 +16,102 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// idBytes is the length of a plan id before it is written in hex.
+// idBytes is the length of a plan id in bytes, before hex encoding.
 const idBytes = 16
 
-// bare returns the document's content alone: without generation, ids, history,
-// time and operator, which are set when it is accepted.
-func bare(d *rudderv1.Document) *rudderv1.Document {
+// contentOnly returns a copy of the document without the fields that are set when
+// it is accepted: generation, plan id, history, time and operator.
+func contentOnly(d *rudderv1.Document) *rudderv1.Document {
 	c := proto.CloneOf(d)
 	c.Generation, c.PlanId, c.AcceptedUnixMs, c.Operator = 0, "", 0, ""
 	c.History = nil
 	return c
 }
 
-// normalise prepares the next content: bare, with the forced names, and with
-// every field that a newer release wrote into the base.
+// normalise prepares the next document's content: without the fields set on
+// acceptance, with the sorted forced names, and with all unknown fields that a
+// newer release wrote into the base.
 func normalise(base, next *rudderv1.Document, o Options) *rudderv1.Document {
-	n := bare(next)
+	n := contentOnly(next)
 	n.Forced = slices.Sorted(slices.Values(o.Force))
 	n.Forced = slices.Compact(n.Forced)
-	keepUnknown(base, n)
+	preserveUnknownFields(base, n)
 	return n
 }
 
-func keepUnknown(base, next *rudderv1.Document) {
-	copyUnknown(base.ProtoReflect(), next.ProtoReflect())
-	carry(base.Models, next.Models)
-	carry(base.Services, next.Services)
-	carry(base.Workspaces, next.Workspaces)
-	carry(base.Hosts, next.Hosts)
-	carry(base.Endpoints, next.Endpoints)
+// preserveUnknownFields copies the unknown fields of base and its elements to next.
+func preserveUnknownFields(base, next *rudderv1.Document) {
+	copyUnknownFields(base.ProtoReflect(), next.ProtoReflect())
+	preserveUnknownInList(base.Models, next.Models)
+	preserveUnknownInList(base.Services, next.Services)
+	preserveUnknownInList(base.Workspaces, next.Workspaces)
+	preserveUnknownInList(base.Hosts, next.Hosts)
+	preserveUnknownInList(base.Endpoints, next.Endpoints)
 	if base.Placement != nil && next.Placement != nil {
-		copyUnknown(base.Placement.ProtoReflect(), next.Placement.ProtoReflect())
+		copyUnknownFields(base.Placement.ProtoReflect(), next.Placement.ProtoReflect())
 	}
 }
 
-type entry interface {
+// namedMessage is a message with a name, by which list elements are matched.
+type namedMessage interface {
 	proto.Message
 	GetName() string
 }
 
-func carry[T entry](base, next []T) {
+// preserveUnknownInList copies unknown fields between elements of the same name.
+func preserveUnknownInList[T namedMessage](base, next []T) {
 	byName := make(map[string]T, len(base))
 	for _, b := range base {
 		byName[b.GetName()] = b
 	}
 	for _, n := range next {
 		if b, ok := byName[n.GetName()]; ok {
-			copyUnknown(b.ProtoReflect(), n.ProtoReflect())
+			copyUnknownFields(b.ProtoReflect(), n.ProtoReflect())
 		}
 	}
 }
 
-func copyUnknown(from, to protoreflect.Message) {
+// copyUnknownFields copies unknown fields unless the target has some of its own.
+func copyUnknownFields(from, to protoreflect.Message) {
 	if len(from.GetUnknown()) > 0 && len(to.GetUnknown()) == 0 {
 		to.SetUnknown(slices.Clone(from.GetUnknown()))
 	}
 }
 
-// seal encodes both contents and derives the plan's id from them.
-func (p *Plan) seal(base *rudderv1.Document) error {
+// encodeContents encodes the next content and the base content and sets the plan's id.
+func (p *Plan) encodeContents(base *rudderv1.Document) error {
 	var err error
 	if p.Content, err = document.Encode(p.next); err != nil {
 		return err
 	}
 	if p.BaseGeneration > 0 {
-		if p.BaseContent, err = document.Encode(bare(base)); err != nil {
+		if p.BaseContent, err = document.Encode(contentOnly(base)); err != nil {
 			return err
 		}
 	}
-	p.ID = p.digest()
+	p.ID = p.computeID()
 	return nil
 }
 
-// digest covers what is accepted: the base it follows and the content. Two
-// operators who plan the same change over the same base get the same id.
-func (p *Plan) digest() string {
+// computeID returns the plan's id, a hash of the base's generation and plan id and
+// of the next content. Two operators who plan the same change over the same base
+// get the same id.
+func (p *Plan) computeID() string {
 	h := sha256.New()
 	var n [8]byte
 	binary.BigEndian.PutUint64(n[:], p.BaseGeneration)
 	_, _ = h.Write(n[:])
-	binary.BigEndian.PutUint64(n[:], uint64(len(p.BasePlan)))
+	binary.BigEndian.PutUint64(n[:], uint64(len(p.BasePlanID)))
 	_, _ = h.Write(n[:])
-	_, _ = h.Write([]byte(p.BasePlan))
+	_, _ = h.Write([]byte(p.BasePlanID))
 	_, _ = h.Write(p.Content)
 	return hex.EncodeToString(h.Sum(nil)[:idBytes])
 }
 
-// Next returns the content that the plan proposes.
+// Next returns a copy of the content that the plan proposes.
 func (p *Plan) Next() *rudderv1.Document { return proto.CloneOf(p.next) }
 
-// Encode writes the plan as indented JSON.
+// Encode returns the plan as indented JSON.
 func (p *Plan) Encode() ([]byte, error) {
 	b, err := json.MarshalIndent(p, "", "  ")
 	if err != nil {
@@ -114,21 +120,22 @@
 	return append(b, '\n'), nil
 }
 
-// Decode reads a plan and checks that its content belongs to its id. Its
-// errors have code result.BadRequest.
+// Decode parses a plan and checks that its content matches its id; errors have code
+// result.BadRequest. A plan with violations that are not forced is refused with
+// code result.PlanBreaks.
 func Decode(data []byte) (*Plan, error) {
 	p := new(Plan)
 	if err := json.Unmarshal(data, p); err != nil {
-		return nil, result.New(result.BadRequest, "no plan: "+err.Error())
+		return nil, result.New(result.BadRequest, "cannot parse plan: "+err.Error())
 	}
-	if p.ID != p.digest() {
-		return nil, result.New(result.BadRequest, fmt.Sprintf("plan %s was altered or cut short", p.ID))
+	if p.ID != p.computeID() {
+		return nil, result.New(result.BadRequest, fmt.Sprintf("plan %s does not match its id: it was modified or truncated", p.ID))
 	}
 	var err error
 	if p.next, err = document.Decode(p.Content); err != nil {
 		return nil, result.New(result.BadRequest, err.Error())
 	}
-	for _, b := range p.Breaks {
+	for _, b := range p.Violations {
 		if !slices.Contains(p.next.Forced, b.Name) {
 			return nil, result.New(result.PlanBreaks, "not forced: "+b.Name)
 		}
--- a/plan/simulate.go
+++ b/plan/simulate.go
@@ -10,8 +10,8 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// Step is one order in the sequence that the plan expects. Steps of the same
-// round and data centre may be under way at once; data centres do not wait
+// Step is an order to an endpoint in the sequence that the plan expects. Steps of
+// the same round and data centre may run concurrently; data centres do not wait
 // for each other.
 type Step struct {
 	Round      int              `json:"round"`
@@ -24,8 +24,8 @@
 	Role       string           `json:"role,omitempty"`
 }
 
-// Capacity counts the endpoints that serve a model in one data centre before,
-// during and after the change.
+// Capacity is the number of endpoints that serve a model in a data centre before
+// the change, at its lowest point and after it.
 type Capacity struct {
 	Model      string `json:"model"`
 	DataCentre string `json:"data_centre"`
@@ -36,20 +36,21 @@
 	Wanted     int    `json:"wanted"`
 }
 
-// outcome is the result of a simulated change.
-type outcome struct {
+// simulation is the result of simulating a change.
+type simulation struct {
 	steps    []Step
 	capacity []Capacity
-	stuck    []placement.Blocked // unloads that floors forbid for good
+	blocked  []placement.Blocked // unloads that floors prevent permanently
 }
 
-// maxRounds bounds the simulation: each round gives at least one order, and an
+// maxRounds limits the simulation: each round gives at least one order, and an
 // endpoint needs few.
 const maxRounds = 100_000
 
-// withNew adds the endpoints that no gateway can know yet, since the base does
-// not declare them, as there and empty. It returns their names too.
-func withNew(view placement.View, base, next *rudderv1.Document) (placement.View, []string) {
+// addNewEndpoints returns the view with the endpoints that next declares and base
+// does not. No gateway can know them yet, so they are assumed to be up and empty.
+// It also returns their names.
+func addNewEndpoints(view placement.View, base, next *rudderv1.Document) (placement.View, []string) {
 	out := maps.Clone(view)
 	known := make(map[string]bool)
 	for _, e := range base.GetEndpoints() {
@@ -66,9 +67,9 @@
 	return out, names
 }
 
-// assume is the view in which the base is in force on every endpoint that it
-// declares.
-func assume(base *rudderv1.Document) placement.View {
+// assumedView returns the view in which base is fully in force on every endpoint
+// that it declares.
+func assumedView(base *rudderv1.Document) placement.View {
 	view := make(placement.View)
 	live := make(map[string]bool)
 	for _, e := range base.GetEndpoints() {
@@ -78,14 +79,15 @@
 	for name, list := range placement.Assign(base, live) {
 		h := view[name]
 		for _, a := range list {
-			h.Models = append(h.Models, loaded(a))
+			h.Models = append(h.Models, loadedModel(a))
 		}
 		view[name] = h
 	}
 	return view
 }
 
-func loaded(a placement.Assignment) engine.Model {
+// loadedModel returns the state of an assigned model that is loaded with its adapters.
+func loadedModel(a placement.Assignment) engine.Model {
 	m := engine.Model{Name: a.Model, Version: a.Version}
 	for _, x := range a.Adapters {
 		m.Adapters = append(m.Adapters, x.ID)
@@ -93,18 +95,19 @@
 	return m
 }
 
-// simulate carries the change out on a copy of the view.
-func simulate(base, next *rudderv1.Document, view placement.View) outcome {
-	var out outcome
-	gone := leavingHosts(next)
-	before := count(base, view)
-	cur := settle(next, view, gone)
-	lowest := count(next, cur)
+// simulate carries out the change from base to next on a copy of the view, in one
+// data centre after the other.
+func simulate(base, next *rudderv1.Document, view placement.View) simulation {
+	var out simulation
+	leaving := leavingHosts(next)
+	before := countServing(base, view)
+	cur := startingView(next, view, leaving)
+	lowest := countServing(next, cur)
 	assigned := placement.Assign(next, cur.Live())
 	for _, dc := range placement.DataCentres(next) {
-		out.zone(next, dc, assigned, cur, lowest)
+		out.simulateDataCentre(next, dc, assigned, cur, lowest)
 	}
-	after := count(next, cur)
+	after := countServing(next, cur)
 	out.capacity = capacities(base, next, before, lowest, after)
 	slices.SortStableFunc(out.steps, func(a, b Step) int {
 		return cmp.Or(cmp.Compare(a.DataCentre, b.DataCentre), cmp.Compare(a.Round, b.Round), cmp.Compare(a.Endpoint, b.Endpoint))
@@ -112,10 +115,10 @@
 	return out
 }
 
-// settle copies the view as it is the moment the next document is in force:
-// endpoints that leave or are no longer declared serve nothing, and orders in
-// progress have ended.
-func settle(next *rudderv1.Document, view placement.View, gone map[string]bool) placement.View {
+// startingView returns a copy of the view as of the moment when next takes effect:
+// endpoints that are leaving do not serve, endpoints that are no longer declared
+// are left out, and orders in progress have finished.
+func startingView(next *rudderv1.Document, view placement.View, leaving map[string]bool) placement.View {
 	out := make(placement.View, len(view))
 	for _, e := range next.GetEndpoints() {
 		h, ok := view[e.Name]
@@ -127,13 +130,13 @@
 		for i := range h.Models {
 			h.Models[i].Loading = false
 		}
-		h.Serving = h.Serving && !e.Leaving && !gone[e.Host]
+		h.Serving = h.Serving && !e.Leaving && !leaving[e.Host]
 		out[e.Name] = h
 	}
 	return out
 }
 
-// leavingHosts returns the names of the hosts that the document lets go.
+// leavingHosts returns the names of the hosts that the document declares as leaving.
 func leavingHosts(d *rudderv1.Document) map[string]bool {
 	out := make(map[string]bool)
 	for _, h := range d.GetHosts() {
@@ -144,29 +147,32 @@
 	return out
 }
 
-func (out *outcome) zone(next *rudderv1.Document, dc string, assigned placement.Assigned, cur placement.View, lowest tally) {
+// simulateDataCentre carries out the change in one data centre round by round until
+// no order is possible. It updates the view cur and the lowest counts.
+func (out *simulation) simulateDataCentre(next *rudderv1.Document, dc string, assigned placement.Assigned, cur placement.View, lowest servingCounts) {
 	for round := 1; round <= maxRounds; round++ {
 		steps, blocked := placement.Next(next, dc, assigned, cur)
 		if len(steps) == 0 {
-			out.stuck = append(out.stuck, slices.DeleteFunc(blocked, func(b placement.Blocked) bool { return b.Waits })...)
+			out.blocked = append(out.blocked, slices.DeleteFunc(blocked, func(b placement.Blocked) bool { return b.Waits })...)
 			return
 		}
 		for _, s := range steps {
-			out.steps = append(out.steps, fromOrder(round, s))
+			out.steps = append(out.steps, newStep(round, s))
 			cur[s.Endpoint] = apply(cur[s.Endpoint], s.Order)
 		}
-		lowest.lower(dc, countIn(next, dc, cur))
+		lowest.keepMin(dc, countServingIn(next, dc, cur))
 	}
 }
 
-func fromOrder(round int, s placement.Step) Step {
+// newStep returns the plan step for an order given in a round.
+func newStep(round int, s placement.Step) Step {
 	return Step{
 		Round: round, DataCentre: s.DataCentre, Endpoint: s.Endpoint, Kind: s.Order.Kind,
 		Model: s.Order.Model, Version: s.Order.Version, Adapter: s.Order.Adapter, Role: s.Order.Role,
 	}
 }
 
-// apply returns what the endpoint holds once the order is done.
+// apply returns the state of the endpoint after the order is done.
 func apply(h placement.Held, o engine.Order) placement.Held {
 	h.Models = slices.Clone(h.Models)
 	at := slices.IndexFunc(h.Models, func(m engine.Model) bool { return m.Name == o.Model && m.Version == o.Version })
--- a/plan/size_test.go
+++ b/plan/size_test.go
@@ -13,7 +13,7 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// The size that the fleet is planned to reach.
+// The planned fleet size.
 const (
 	largeWorkspaces  = 400
 	largeModels      = 40
@@ -21,7 +21,7 @@
 	largeDataCentres = 16
 )
 
-// largeDocument returns a document of that size with a full history.
+// largeDocument returns a document of that fleet size with a full history.
 func largeDocument() *rudderv1.Document {
 	d := &rudderv1.Document{Generation: 1000, PlanId: largeID("plan", 1000)[:2*idBytes]}
 	for i := range document.HistoryLen {
@@ -63,19 +63,21 @@
 	return d
 }
 
+// largeID returns a pseudo-random id in hex.
 func largeID(kind string, i int) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s-%d", kind, i))
 	return hex.EncodeToString(sum[:])
 }
 
-// upgraded returns the document with a new version of one model.
-func upgraded(d *rudderv1.Document) *rudderv1.Document {
+// withNewModelVersion returns a copy of the document with a new version of one model.
+func withNewModelVersion(d *rudderv1.Document) *rudderv1.Document {
 	next := proto.CloneOf(d)
 	next.Models[0].Version = "2026.04"
 	return next
 }
 
-// TestLargeDocument holds the stored size against the platform's limit.
+// TestLargeDocument checks that a document of the planned fleet size is stored in a quarter
+// of the platform's size limit and that a change to one model gives a delta of at most 1000 bytes.
 func TestLargeDocument(t *testing.T) {
 	d := largeDocument()
 	stored, err := document.Encode(d)
@@ -84,21 +86,21 @@
 	}
 	back, err := document.Decode(stored)
 	if err != nil || !proto.Equal(d, back) {
-		t.Fatalf("does not come back: %v", err)
+		t.Fatalf("decoded document differs: %v", err)
 	}
 	ini := declaration.Render(d)
-	t.Logf("plain %d bytes, stored %d bytes, declarations %d bytes", proto.Size(d), len(stored), len(ini))
-	next := upgraded(d)
+	t.Logf("uncompressed %d bytes, stored %d bytes, declarations %d bytes", proto.Size(d), len(stored), len(ini))
+	next := withNewModelVersion(d)
 	next.Generation, next.PlanId, next.History = d.Generation+1, largeID("plan", 1001)[:2*idBytes], document.History(d)
 	delta := document.Diff(d, next)
-	t.Logf("one model's version: delta %d bytes", proto.Size(delta))
+	t.Logf("delta for a new version of one model: %d bytes", proto.Size(delta))
 	const deltaLimit = 1000
 	if proto.Size(delta) > deltaLimit {
-		t.Fatalf("a delta of %d bytes, the limit is %d", proto.Size(delta), deltaLimit)
+		t.Fatalf("delta is %d bytes, the limit is %d", proto.Size(delta), deltaLimit)
 	}
-	const limit = 250_000 // a quarter of what the platform takes
+	const limit = 250_000 // a quarter of the platform's limit
 	if len(stored) > limit {
-		t.Fatalf("%d bytes stored, the limit is %d", len(stored), limit)
+		t.Fatalf("stored document is %d bytes, the limit is %d", len(stored), limit)
 	}
 }
 
@@ -113,7 +115,7 @@
 
 func BenchmarkMakeLarge(b *testing.B) {
 	d := largeDocument()
-	next := upgraded(d)
+	next := withNewModelVersion(d)
 	for b.Loop() {
 		p, err := Make(d, next, Options{})
 		if err != nil {
--- a/plan/text.go
+++ b/plan/text.go
@@ -7,8 +7,8 @@
 	"text/tabwriter"
 )
 
-// WriteText writes the plan for people: what changes, the capacity during the
-// change, the orders by data centre and round, and the broken promises.
+// WriteText writes the plan as text: the changes, the capacity during the change,
+// the orders by data centre and round, and the violations.
 func (p *Plan) WriteText(w io.Writer) {
 	fmt.Fprintf(w, "plan %s over generation %d\n", p.ID, p.BaseGeneration)
 	if p.Empty() {
@@ -18,17 +18,17 @@
 	if p.Assumed {
 		fmt.Fprintln(w, "no gateway was asked: the base is taken as in force on every declared endpoint")
 	}
-	if len(p.New) > 0 {
-		fmt.Fprintf(w, "taken as there and empty, since no gateway knows them yet: %d endpoints\n", len(p.New))
+	if len(p.NewEndpoints) > 0 {
+		fmt.Fprintf(w, "taken as there and empty, since no gateway knows them yet: %d endpoints\n", len(p.NewEndpoints))
 	}
 	fmt.Fprintln(w, "\nchanges:")
 	WriteChanges(w, p.Changes)
 	p.writeCapacity(w)
 	p.writeSteps(w)
-	p.writeBreaks(w)
+	p.writeViolations(w)
 }
 
-// WriteChanges writes one line for each section and an indented one for each key.
+// WriteChanges writes one line for each section and an indented line for each of its keys.
 func WriteChanges(w io.Writer, changes []Change) {
 	sign := map[Action]string{Add: "+", Remove: "-", Alter: "~"}
 	for _, c := range changes {
@@ -43,6 +43,7 @@
 	}
 }
 
+// orNone returns s, or a placeholder for an absent value.
 func orNone(s string) string {
 	if s == "" {
 		return "(none)"
@@ -50,6 +51,7 @@
 	return s
 }
 
+// writeCapacity writes the capacity table.
 func (p *Plan) writeCapacity(w io.Writer) {
 	if len(p.Capacity) == 0 {
 		return
@@ -63,6 +65,7 @@
 	_ = t.Flush()
 }
 
+// writeSteps writes the orders by data centre and round.
 func (p *Plan) writeSteps(w io.Writer) {
 	if len(p.Steps) == 0 {
 		fmt.Fprintln(w, "\nno endpoint changes what it holds")
@@ -88,12 +91,13 @@
 	return strings.TrimRight(text+" "+s.Adapter+s.Role, " ")
 }
 
-func (p *Plan) writeBreaks(w io.Writer) {
-	if len(p.Breaks) == 0 {
+// writeViolations writes each violation and whether it is forced.
+func (p *Plan) writeViolations(w io.Writer) {
+	if len(p.Violations) == 0 {
 		return
 	}
 	fmt.Fprintln(w, "\nbroken promises:")
-	for _, b := range p.Breaks {
+	for _, b := range p.Violations {
 		state := "refused; force it by this name"
 		if b.Forced {
 			state = "forced"
