--- a/metastore/address_test.go
+++ b/metastore/address_test.go
@@ -11,34 +11,35 @@
 	"github.com/micarudder/micarudder/metastore"
 )
 
-// second is the address of a second door to the same service.
-const second = "10.0.0.2:2379"
+// secondAddress is another address of the same service.
+const secondAddress = "10.0.0.2:2379"
 
-func twoAddresses(o *metastore.Options) { o.Addresses = []string{address, second} }
+func twoAddresses(o *metastore.Options) { o.Addresses = []string{address, secondAddress} }
 
-// TestAddresses: what certainly had no effect is tried at the next address; a
-// write that may have had one is not, but the next call goes elsewhere.
+// TestAddresses: a call that certainly had no effect is retried at the next
+// address. A write that may have had an effect is not retried, but the next
+// call goes to the other address.
 func TestAddresses(t *testing.T) {
 	cases := []struct {
 		name        string
-		begin       func(b *bench)
+		begin       func(b *fixture)
 		read, write error
 	}{
-		{"first refuses", func(b *bench) { b.net.remove(address) }, nil, nil},
-		{"first hangs", func(b *bench) {
+		{"first refuses connections", func(b *fixture) { b.net.remove(address) }, nil, nil},
+		{"first hangs", func(b *fixture) {
 			b.net.remove(address)
 			hanging := standin.NewServer(standin.Config{})
 			hanging.SetFaults(standin.Faults{Outage: standin.OutageHang})
 			b.serve(address, hanging.Handler())
 		}, nil, metastore.ErrUnknown},
-		{"first fails", answering(http.StatusBadGateway, ""), nil, metastore.ErrUnknown},
-		{"first refuses the call", answering(http.StatusTooManyRequests, ""), metastore.ErrUnavailable, metastore.ErrUnavailable},
+		{"first fails", respondingWith(http.StatusBadGateway, ""), nil, metastore.ErrUnknown},
+		{"first rejects the call", respondingWith(http.StatusTooManyRequests, ""), metastore.ErrUnavailable, metastore.ErrUnavailable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t, standin.Config{}, twoAddresses)
-				b.serve(second, b.server.Handler())
+				b := newFixture(t, standin.Config{}, twoAddresses)
+				b.serve(secondAddress, b.server.Handler())
 				e := b.create("k", "old")
 				c.begin(b)
 				synctest.Wait()
@@ -56,17 +57,17 @@
 				start := time.Now()
 				_, err = writer.Get(t.Context(), "k")
 				b.NoErr(err)
-				b.Equal(time.Since(start), time.Duration(0)) // the good address is kept
+				b.Equal(time.Since(start), time.Duration(0)) // the working address is tried first
 			})
 		})
 	}
 }
 
-// TestRedirect: a redirect would send a write twice without the client's
-// knowledge, so it is not followed.
+// TestRedirect: following a redirect would send a write a second time without
+// the client noticing, so redirects are not followed.
 func TestRedirect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, standin.Config{}, nil)
+		b := newFixture(t, standin.Config{}, nil)
 		b.net.remove(address)
 		mux := http.NewServeMux()
 		mux.Handle("/v3/kv/txn", http.RedirectHandler("/moved", http.StatusTemporaryRedirect))
@@ -79,19 +80,19 @@
 	})
 }
 
-// TestLimiters: reads, writes and keep-alives have shares of their own, and
-// what cannot be sent in time is refused at once.
+// TestLimiters: reads, writes and keep-alives have separate rate limiters, and
+// a call that cannot be sent before its deadline fails immediately.
 func TestLimiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, standin.Config{}, func(o *metastore.Options) { o.ReadRate, o.WriteRate, o.LeaseRate = 2, 1, 1 })
-		id, err := b.client.Grant(t.Context(), time.Minute) // the one write at once
+		b := newFixture(t, standin.Config{}, func(o *metastore.Options) { o.ReadRate, o.WriteRate, o.LeaseRate = 2, 1, 1 })
+		id, err := b.client.Grant(t.Context(), time.Minute) // uses up the burst of one write
 		b.NoErr(err)
 		start := time.Now()
 		for range 4 {
 			_, err := b.client.Get(t.Context(), "k")
 			b.True(errors.Is(err, metastore.ErrNotFound))
 		}
-		b.Equal(time.Since(start), time.Second) // two at once, two more at two a second
+		b.Equal(time.Since(start), time.Second) // a burst of two, then two more at two per second
 		for range 3 {
 			go func() { _, _ = b.client.CompareAndSwap(t.Context(), "k", 0, nil, 0) }()
 		}
@@ -101,7 +102,7 @@
 		b.True(errors.Is(err, metastore.ErrUnavailable))
 		b.Equal(time.Since(start), time.Duration(0))
 		_, err = b.client.KeepAlive(t.Context(), id)
-		b.NoErr(err) // not held up by the writes
+		b.NoErr(err) // not delayed by the writes
 	})
 }
 
@@ -118,18 +119,18 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := metastore.NewClient(c.options); err == nil {
-				t.Fatal("accepted")
+				t.Fatal("invalid options accepted")
 			}
 		})
 	}
 }
 
-// TestHosts: the list lags, and a host in a state not known here takes no new
-// work.
+// TestHosts: the list lags behind, and a host in an unknown state is reported
+// as leaving, so that it gets no new work.
 func TestHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one := metastore.Host{Name: "h1", DataCentre: "cdf-a", State: metastore.HostLive, Address: "10.1.0.1:7000"}
-		b := newBench(t, standin.Config{Hosts: []metastore.Host{one}, HostLag: 30 * time.Second}, nil)
+		b := newFixture(t, standin.Config{Hosts: []metastore.Host{one}, HostLag: 30 * time.Second}, nil)
 		list := func() []metastore.Host {
 			hosts, err := b.client.Hosts(t.Context())
 			b.NoErr(err)
--- a/metastore/bench_test.go
+++ b/metastore/bench_test.go
@@ -15,7 +15,8 @@
 // unlimited is a rate that no benchmark reaches.
 const unlimited = 1e9
 
-// dialService serves a stand-in on loopback and returns a client of it.
+// dialService serves a stand-in on loopback and returns a client of it and its
+// URL.
 func dialService(b *testing.B) (*metastore.Client, string) {
 	s := httptest.NewServer(standin.NewServer(standin.Config{}).Handler())
 	b.Cleanup(s.Close)
@@ -33,7 +34,8 @@
 	return c, s.URL
 }
 
-// BenchmarkPlainRange is the same call without the client, to compare with.
+// BenchmarkPlainRange makes the same call as BenchmarkGet without the client,
+// as a baseline.
 func BenchmarkPlainRange(b *testing.B) {
 	_, url := dialService(b)
 	for b.Loop() {
--- a/metastore/client.go
+++ b/metastore/client.go
@@ -16,24 +16,25 @@
 	"golang.org/x/time/rate"
 )
 
-// maxReply bounds the bytes of one answer.
-const maxReply = 64 << 20
+// maxResponseBytes bounds the size of one response.
+const maxResponseBytes = 64 << 20
 
-// errLimited is the cause when the client's own limiter refuses a call.
-var errLimited = errors.New("over this client's share of the rate")
+// errRateLimited is the cause when the client's own rate limiter rejects a
+// call.
+var errRateLimited = errors.New("client-side rate limit exceeded")
 
-// Client is the Store and HostLister over net/http. It is safe for concurrent
-// use and holds no goroutine between calls.
+// Client implements Store and HostLister over net/http. It is safe for
+// concurrent use and runs no goroutine between calls.
 type Client struct {
-	options   Options
-	http      *http.Client
-	bases     []string
-	preferred atomic.Int64 // index of the address that answered last
-	reads     *rate.Limiter
-	writes    *rate.Limiter
-	leases    *rate.Limiter
-	counters  *counters
-	heard     atomic.Pointer[time.Time]
+	options     Options
+	http        *http.Client
+	baseURLs    []string
+	preferred   atomic.Int64 // index of the address to try first
+	reads       *rate.Limiter
+	writes      *rate.Limiter
+	leases      *rate.Limiter
+	counters    *counters
+	lastContact atomic.Pointer[time.Time]
 
 	mu      sync.Mutex
 	history history
@@ -45,15 +46,15 @@
 	_ Contact    = (*Client)(nil)
 )
 
-// NewClient returns a client; it makes no call. Settings that cannot work are
-// refused with trace.BadParameter.
+// NewClient returns a client without making a call. Invalid options are
+// rejected with trace.BadParameter.
 func NewClient(o Options) (*Client, error) {
 	if err := o.check(); err != nil {
 		return nil, err
 	}
 	o = o.withDefaults()
 	own := *o.HTTPClient
-	own.Timeout = 0 // a watch has no end; attempts have their own timeout
+	own.Timeout = 0 // a watch is unbounded; each attempt has its own timeout
 	own.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	c := &Client{
 		options:  o,
@@ -64,26 +65,26 @@
 		counters: newCounters(o.Metrics),
 	}
 	for _, a := range o.Addresses {
-		c.bases = append(c.bases, baseURL(a))
+		c.baseURLs = append(c.baseURLs, baseURL(a))
 	}
 	return c, nil
 }
 
-// contact notes that the service was heard.
-func (c *Client) contact() {
+// recordContact records the time of a response or watch frame.
+func (c *Client) recordContact() {
 	now := time.Now()
-	c.heard.Store(&now)
+	c.lastContact.Store(&now)
 }
 
 // Heard implements Contact.
 func (c *Client) Heard() time.Time {
-	if at := c.heard.Load(); at != nil {
+	if at := c.lastContact.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
-// request is one call before it has an address.
+// request is a call that has not been assigned an address yet.
 type request struct {
 	kind   Kind
 	method string
@@ -91,50 +92,51 @@
 	body   []byte
 }
 
-// post returns the request that carries message as JSON.
-func post(kind Kind, path string, message any) (request, error) {
+// postRequest returns a POST request with message encoded as JSON.
+func postRequest(kind Kind, path string, message any) (request, error) {
 	body, err := json.Marshal(message)
 	if err != nil {
-		return request{}, &CallError{Kind: kind, Ending: ErrUnavailable, Cause: err}
+		return request{}, &CallError{Kind: kind, Outcome: ErrUnavailable, Cause: err}
 	}
 	return request{kind: kind, method: http.MethodPost, path: path, body: body}, nil
 }
 
-// call sends message, decodes the answer with decode and judges its state.
-func (c *Client) call(ctx context.Context, kind Kind, path string, message any, decode func([]byte) (answer, error)) error {
-	r, err := post(kind, path, message)
+// call sends message, decodes the response with decode and checks the store
+// state that the response reports.
+func (c *Client) call(ctx context.Context, kind Kind, path string, message any, decode func([]byte) (storeState, error)) error {
+	r, err := postRequest(kind, path, message)
 	if err != nil {
 		return err
 	}
-	sent := c.mark()
-	var a answer
+	atSend := c.baseline()
+	var state storeState
 	err = c.roundTrip(ctx, r, func(data []byte) error {
 		var err error
-		a, err = decode(data)
+		state, err = decode(data)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	return c.observe(kind, sent, a)
+	return c.observe(kind, atSend, state)
 }
 
-// roundTrip makes one attempt, or one per address as long as the request
-// certainly had no effect.
+// roundTrip makes one attempt. It goes on to the next address only if the
+// address failed and the request certainly had no effect.
 func (c *Client) roundTrip(ctx context.Context, r request, decode func([]byte) error) error {
 	var err error
 	first := int(c.preferred.Load())
-	for i := range c.bases {
-		index := (first + i) % len(c.bases)
-		err = c.attempt(ctx, r, c.bases[index], decode)
+	for i := range c.baseURLs {
+		index := (first + i) % len(c.baseURLs)
+		err = c.attempt(ctx, r, c.baseURLs[index], decode)
 		if err == nil {
 			c.preferred.Store(int64(index))
 			return nil
 		}
-		if !away(err) {
+		if !addressFailed(err) {
 			return err
 		}
-		c.preferred.Store(int64((index + 1) % len(c.bases)))
+		c.preferred.Store(int64((index + 1) % len(c.baseURLs)))
 		if !errors.Is(err, ErrUnavailable) || ctx.Err() != nil {
 			return err
 		}
@@ -142,59 +144,61 @@
 	return err
 }
 
-// away reports whether the service cannot be reached at an address. What it
-// or the limiter refused would be refused at another one as well.
-func away(err error) bool {
-	var refusal *statusError
-	if errors.As(err, &refusal) {
-		return refusal.status >= http.StatusInternalServerError
+// addressFailed reports whether err is a failure of the address rather than a
+// rejection of the request. A request that the service or the rate limiter
+// rejected would be rejected at any other address too.
+func addressFailed(err error) bool {
+	var statusErr *statusError
+	if errors.As(err, &statusErr) {
+		return statusErr.status >= http.StatusInternalServerError
 	}
-	return !errors.Is(err, errLimited)
+	return !errors.Is(err, errRateLimited)
 }
 
-// attempt makes one call at one address.
+// attempt makes one call to one address.
 func (c *Client) attempt(ctx context.Context, r request, base string, decode func([]byte) error) error {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Timeout)
 	defer cancel()
-	if err := c.admit(ctx, r.kind); err != nil {
+	if err := c.awaitLimiter(ctx, r.kind); err != nil {
 		return err
 	}
 	start := time.Now()
-	rep := c.exchange(ctx, r, base, decode)
-	err := c.judge(r.kind, base, rep)
-	c.counters.attempt(r.kind, err, start)
+	result := c.exchange(ctx, r, base, decode)
+	err := c.callError(r.kind, base, result)
+	c.counters.recordAttempt(r.kind, err, start)
 	return err
 }
 
-// judge turns a reply into the call's error.
-func (c *Client) judge(kind Kind, base string, rep reply) error {
-	end := ending(kind.writes(), rep)
-	if end == nil {
-		c.contact()
+// callError converts the result of an attempt to an error; it is nil for a
+// success.
+func (c *Client) callError(kind Kind, base string, result attemptResult) error {
+	outcome := classify(kind.writes(), result)
+	if outcome == nil {
+		c.recordContact()
 		return nil
 	}
-	cause := rep.err
+	cause := result.err
 	if cause == nil {
-		cause = &statusError{status: rep.status, message: rep.message}
+		cause = &statusError{status: result.status, message: result.message}
 	}
-	return &CallError{Kind: kind, Address: base, Ending: end, Cause: cause}
+	return &CallError{Kind: kind, Address: base, Outcome: outcome, Cause: cause}
 }
 
-// admit waits for the limiter and refuses at once what cannot be sent before
-// the deadline.
-func (c *Client) admit(ctx context.Context, kind Kind) error {
+// awaitLimiter waits for the rate limiter. A call that cannot be sent before
+// its deadline fails immediately.
+func (c *Client) awaitLimiter(ctx context.Context, kind Kind) error {
 	if err := c.limiter(kind).Wait(ctx); err != nil {
-		c.counters.refused[kind].Inc()
-		cause := fmt.Errorf("%w: %w", errLimited, err)
+		c.counters.rateLimited[kind].Inc()
+		cause := fmt.Errorf("%w: %w", errRateLimited, err)
 		if ctx.Err() != nil {
 			cause = ctx.Err()
 		}
-		return &CallError{Kind: kind, Ending: ErrUnavailable, Cause: cause}
+		return &CallError{Kind: kind, Outcome: ErrUnavailable, Cause: cause}
 	}
 	return nil
 }
 
-// limiter returns the share of the rate that calls of this kind use.
+// limiter returns the rate limiter for calls of this kind.
 func (c *Client) limiter(kind Kind) *rate.Limiter {
 	switch {
 	case kind == KindKeepAlive:
@@ -206,76 +210,77 @@
 	}
 }
 
-// exchange sends the request and reads and decodes the whole answer.
-func (c *Client) exchange(ctx context.Context, r request, base string, decode func([]byte) error) reply {
+// exchange sends the request and reads and decodes the whole response.
+func (c *Client) exchange(ctx context.Context, r request, base string, decode func([]byte) error) attemptResult {
 	res, sent, err := c.send(ctx, r, base)
 	if err != nil {
-		return reply{sent: sent, err: err}
+		return attemptResult{sent: sent, err: err}
 	}
 	defer res.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxReply+1))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes+1))
 	if err != nil {
-		return reply{sent: true, err: err}
+		return attemptResult{sent: true, err: err}
 	}
 	if res.StatusCode != http.StatusOK {
-		return reply{sent: true, status: res.StatusCode, message: errorMessage(data)}
+		return attemptResult{sent: true, status: res.StatusCode, message: errorMessage(data)}
 	}
-	if len(data) > maxReply {
-		return reply{sent: true, err: fmt.Errorf("answer over %d bytes", maxReply)}
+	if len(data) > maxResponseBytes {
+		return attemptResult{sent: true, err: fmt.Errorf("response exceeds %d bytes", maxResponseBytes)}
 	}
 	if err := decode(data); err != nil {
-		return reply{sent: true, err: err}
+		return attemptResult{sent: true, err: err}
 	}
-	return reply{sent: true, status: res.StatusCode}
+	return attemptResult{sent: true, status: res.StatusCode}
 }
 
-// send sends the request; sent reports whether any of it may have left.
+// send sends the request; sent reports whether any part of it may have been
+// transmitted.
 func (c *Client) send(ctx context.Context, r request, base string) (res *http.Response, sent bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, r.method, base+r.path, nil)
 	if err != nil {
 		return nil, false, err
 	}
-	var left atomic.Bool
+	var readStarted atomic.Bool
 	if r.body != nil {
 		req.Header.Set("Content-Type", "application/json")
 		req.ContentLength = int64(len(r.body))
-		req.Body = newTracked(r.body, &left)
-		req.GetBody = func() (io.ReadCloser, error) { return newTracked(r.body, &left), nil }
+		req.Body = newTrackedBody(r.body, &readStarted)
+		req.GetBody = func() (io.ReadCloser, error) { return newTrackedBody(r.body, &readStarted), nil }
 	}
 	res, err = c.http.Do(req)
-	return res, left.Load(), err
+	return res, readStarted.Load(), err
 }
 
-// tracked is a request body that notes when its first byte is taken. The
-// transport takes it only once it has a connection.
-type tracked struct {
+// trackedBody is a request body that records when the transport starts to read
+// it. The transport does so only once it has a connection.
+type trackedBody struct {
 	*bytes.Reader
-	left *atomic.Bool
+	readStarted *atomic.Bool
 }
 
-// newTracked returns a body not yet read. The transport asks for a second one
-// only when nothing of the first was processed, so the note is cleared.
-func newTracked(body []byte, left *atomic.Bool) *tracked {
-	left.Store(false)
-	return &tracked{Reader: bytes.NewReader(body), left: left}
+// newTrackedBody returns an unread body and clears readStarted: the transport
+// asks for a second body only if nothing of the first one was processed.
+func newTrackedBody(body []byte, readStarted *atomic.Bool) *trackedBody {
+	readStarted.Store(false)
+	return &trackedBody{Reader: bytes.NewReader(body), readStarted: readStarted}
 }
 
 // Read implements io.Reader.
-func (t *tracked) Read(p []byte) (int, error) {
-	t.left.Store(true)
+func (t *trackedBody) Read(p []byte) (int, error) {
+	t.readStarted.Store(true)
 	return t.Reader.Read(p)
 }
 
-// WriteTo implements io.WriterTo, which io.Copy prefers over Read.
-func (t *tracked) WriteTo(w io.Writer) (int64, error) {
-	t.left.Store(true)
+// WriteTo implements io.WriterTo, which io.Copy prefers to Read.
+func (t *trackedBody) WriteTo(w io.Writer) (int64, error) {
+	t.readStarted.Store(true)
 	return t.Reader.WriteTo(w)
 }
 
 // Close implements io.Closer.
-func (t *tracked) Close() error { return nil }
+func (t *trackedBody) Close() error { return nil }
 
-// statusError is an answer that is not a success.
+// statusError is a response with a status other than 200.
 type statusError struct {
 	status  int
 	message string
@@ -286,7 +291,7 @@
 	return fmt.Sprintf("status %d: %s", e.status, e.message)
 }
 
-// errorMessage extracts the service's text from an error's body.
+// errorMessage extracts the message of an error response.
 func errorMessage(data []byte) string {
 	var e etcdjson.Error
 	if json.Unmarshal(data, &e) != nil {
@@ -295,27 +300,28 @@
 	return e.Message
 }
 
-// mark returns what is known of the store's state now.
-func (c *Client) mark() mark {
+// baseline returns the store state known at this moment.
+func (c *Client) baseline() baseline {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.history.mark()
+	return c.history.baseline()
 }
 
-// observe judges an answer against the history.
-func (c *Client) observe(kind Kind, sent mark, a answer) error {
+// observe checks the state that a response reports against the states seen
+// before.
+func (c *Client) observe(kind Kind, atSend baseline, state storeState) error {
 	c.mu.Lock()
-	seen := c.history.high
-	foreign := c.history.foreign(a)
-	v := c.history.observe(sent, a, time.Now())
+	seen := c.history.highest
+	otherCluster := c.history.otherCluster(state)
+	v := c.history.observe(atSend, state, time.Now())
 	c.mu.Unlock()
 	if v == current {
 		return nil
 	}
-	c.counters.older.Inc()
+	c.counters.staleResponses.Inc()
 	if v == restored {
 		c.counters.restores.Inc()
-		c.options.OnRestore(seen, a.revision)
+		c.options.OnRestore(seen, state.revision)
 	}
-	return &RestoredError{Kind: kind, Seen: seen, Now: a.revision, OtherCluster: foreign, Confirmed: v == restored}
+	return &RestoredError{Kind: kind, Seen: seen, Now: state.revision, OtherCluster: otherCluster, Confirmed: v == restored}
 }
--- a/metastore/follow.go
+++ b/metastore/follow.go
@@ -8,56 +8,57 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// A follower waits a random time between zero and twice an interval before it
-// reconnects. The interval grows from followFirst to followMax, so that after
-// a long outage the fleet's followers come back evenly over 2*followMax, and
-// after a short break over 2*followFirst. A connection counts as good, and
-// the interval starts over, once it has lasted followSteady.
+// Backoff of Follow. Before reconnecting it waits a random time between zero
+// and twice the interval. The interval grows from followInitialInterval to
+// followMaxInterval, so that all followers reconnect spread evenly over
+// 2*followMaxInterval after a long outage, and over 2*followInitialInterval
+// after a short interruption. The interval is reset once a connection has
+// lasted followResetAfter.
 const (
-	followFirst  = time.Second
-	followMax    = 10 * time.Second
-	followSteady = 10 * time.Second
+	followInitialInterval = time.Second
+	followMaxInterval     = 10 * time.Second
+	followResetAfter      = 10 * time.Second
 )
 
-// Change is one report of Follow.
+// Change is one event reported by Follow.
 type Change struct {
 	Entry Entry // a nil Value means that the key was deleted
-	// Restored says that the store has gone back to an older state than Seen.
-	// Entry is then empty; the reports that follow belong to the restored
-	// history, whose revisions rise again from a lower one.
+	// Restored says that the store has reverted to a state older than revision
+	// Seen. Entry is then empty. The changes that follow belong to the restored
+	// history, whose revisions rise again from a lower value.
 	Restored bool
 	Seen     int64
 }
 
-// Follow calls fn for the key's current value, if its revision is above
-// after, and for each later change, reconnecting for ever. The revisions
-// reported rise strictly between two reports of a restored store; old values,
-// from wherever they come, are not reported. It returns only when ctx ends.
+// Follow calls fn with the key's current value, if its revision is above after,
+// and with each later change, and reconnects indefinitely. Between two reports
+// of a restored store the reported revisions strictly increase; stale values
+// are not reported, wherever they come from. Follow returns only when ctx ends.
 func Follow(ctx context.Context, store Store, key string, after int64, fn func(Change)) error {
-	f := follower{key: key, last: after, fn: fn}
+	f := follower{key: key, lastRevision: after, fn: fn}
 	wait := followBackOff()
 	for {
 		start := time.Now()
-		err := store.Watch(ctx, key, f.last, f.report)
+		err := store.Watch(ctx, key, f.lastRevision, f.report)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if time.Since(start) >= followSteady {
+		if time.Since(start) >= followResetAfter {
 			wait.Reset()
-			f.suspicion = suspicion{}
+			f.restoreDetector = restoreDetector{}
 		}
-		f.ended(err)
+		f.watchEnded(err)
 		if err := sleep(ctx, wait.NextBackOff()); err != nil {
 			return err
 		}
 	}
 }
 
-// followBackOff returns the waits of one follower.
+// followBackOff returns the reconnect backoff of one Follow call.
 func followBackOff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = followFirst
-	b.MaxInterval = followMax
+	b.InitialInterval = followInitialInterval
+	b.MaxInterval = followMaxInterval
 	b.RandomizationFactor = 1
 	b.Multiplier = 2
 	return b
@@ -75,22 +76,22 @@
 	}
 }
 
-// follower is the state that outlives the connections of one Follow.
+// follower is the state of one Follow call that is kept across connections.
 type follower struct {
-	key     string
-	last    int64
-	deleted bool
-	fn      func(Change)
-	suspicion
+	key          string
+	lastRevision int64
+	deleted      bool
+	fn           func(Change)
+	restoreDetector
 }
 
-// report passes on an entry that is newer than all before.
+// report passes an entry on if it is newer than every entry before it.
 func (f *follower) report(e Entry) {
-	if e.Revision <= f.last {
+	if e.Revision <= f.lastRevision {
 		return
 	}
-	f.last = e.Revision
-	f.suspicion = suspicion{}
+	f.lastRevision = e.Revision
+	f.restoreDetector = restoreDetector{}
 	if e.Value == nil && f.deleted {
 		return
 	}
@@ -98,22 +99,23 @@
 	f.fn(Change{Entry: e})
 }
 
-// ended looks at why a watch ended. Only older answers in a row, over some
-// time, mean that the store was restored; one may come from a lagging replica.
-func (f *follower) ended(err error) {
-	var back *RestoredError
-	if !errors.As(err, &back) {
+// watchEnded evaluates why a watch ended. A restore is assumed only after
+// several consecutive stale responses over some time, since a single one may
+// come from a lagging replica.
+func (f *follower) watchEnded(err error) {
+	var restoredErr *RestoredError
+	if !errors.As(err, &restoredErr) {
 		return
 	}
-	if back.Now >= f.last && !back.OtherCluster {
+	if restoredErr.Now >= f.lastRevision && !restoredErr.OtherCluster {
 		return
 	}
-	if !f.confirm(time.Now()) {
+	if !f.recordStale(time.Now()) {
 		return
 	}
-	seen := f.last
-	f.last = 0
+	seen := f.lastRevision
+	f.lastRevision = 0
 	f.deleted = false
-	f.suspicion = suspicion{}
+	f.restoreDetector = restoreDetector{}
 	f.fn(Change{Restored: true, Seen: seen})
 }
--- a/metastore/follow_test.go
+++ b/metastore/follow_test.go
@@ -12,15 +12,15 @@
 	"github.com/micarudder/micarudder/metastore"
 )
 
-// followed is what one Follow has reported.
-type followed struct {
+// followLog records the changes that one Follow call has reported.
+type followLog struct {
 	lines []string
 	last  int64
 }
 
-// follow follows "k" until the test ends.
-func (b *bench) follow(after int64) *followed {
-	f := &followed{last: after}
+// follow follows key "k" until the test ends.
+func (b *fixture) follow(after int64) *followLog {
+	f := &followLog{last: after}
 	ctx, cancel := context.WithCancel(b.t.Context())
 	b.t.Cleanup(cancel)
 	go func() {
@@ -34,48 +34,48 @@
 				b.t.Errorf("revision %d after %d", c.Entry.Revision, f.last)
 			}
 			f.last = c.Entry.Revision
-			f.lines = append(f.lines, show(c.Entry))
+			f.lines = append(f.lines, valueText(c.Entry))
 		})
 	}()
 	synctest.Wait()
 	return f
 }
 
-// longest is the longest wait of a follower before it reconnects, and the time
-// that the first answers take.
-const longest = 21 * time.Second
+// maxReconnectTime is the longest wait of a follower before it reconnects, plus
+// time for the first responses.
+const maxReconnectTime = 21 * time.Second
 
-// followCases are what happens between the values "1" and "3" of a key.
+// followCases are the events between the values "1" and "3" of a key.
 var followCases = []struct {
-	name  string
-	meet  func(b *bench, e metastore.Entry) metastore.Entry
-	lines []string
+	name   string
+	change func(b *fixture, e metastore.Entry) metastore.Entry
+	lines  []string
 }{
-	{"nothing", func(_ *bench, e metastore.Entry) metastore.Entry { return e }, []string{"1", "3"}},
-	{"outage with a change in it", func(b *bench, e metastore.Entry) metastore.Entry {
+	{"nothing", func(_ *fixture, e metastore.Entry) metastore.Entry { return e }, []string{"1", "3"}},
+	{"a change during an outage", func(b *fixture, e metastore.Entry) metastore.Entry {
 		for _, o := range []standin.Outage{standin.OutageReset, standin.OutageRefuse, standin.OutageHang} {
 			b.server.SetFaults(standin.Faults{Outage: o})
 			time.Sleep(time.Hour)
 		}
 		b.server.SetFaults(standin.Faults{})
 		e = b.swap(e, "2")
-		time.Sleep(longest)
+		time.Sleep(maxReconnectTime)
 		return e
 	}, []string{"1", "2", "3"}},
-	{"a watch that delivers old values", func(b *bench, e metastore.Entry) metastore.Entry {
+	{"a watch that delivers stale values", func(b *fixture, e metastore.Entry) metastore.Entry {
 		b.server.SetFaults(standin.Faults{Watch: standin.WatchOld})
 		e = b.swap(e, "2")
 		synctest.Wait()
 		return e
 	}, []string{"1", "2", "3"}},
-	{"a watch that stays open and silent", func(b *bench, e metastore.Entry) metastore.Entry {
+	{"a watch that stays open but delivers nothing", func(b *fixture, e metastore.Entry) metastore.Entry {
 		b.server.SetFaults(standin.Faults{Watch: standin.WatchPaused})
 		e = b.swap(e, "2")
 		time.Sleep(12 * time.Second)
 		b.server.SetFaults(standin.Faults{})
 		return e
 	}, []string{"1", "2", "3"}},
-	{"a paused watch that goes on", func(b *bench, e metastore.Entry) metastore.Entry {
+	{"a paused watch that resumes", func(b *fixture, e metastore.Entry) metastore.Entry {
 		b.server.SetFaults(standin.Faults{Watch: standin.WatchPaused})
 		e = b.swap(e, "2")
 		time.Sleep(time.Second)
@@ -83,31 +83,31 @@
 		synctest.Wait()
 		return e
 	}, []string{"1", "2", "3"}},
-	{"deletion during an outage", func(b *bench, e metastore.Entry) metastore.Entry {
+	{"deletion during an outage", func(b *fixture, e metastore.Entry) metastore.Entry {
 		b.server.SetFaults(standin.Faults{Outage: standin.OutageReset})
 		synctest.Wait()
 		b.server.SetFaults(standin.Faults{})
 		b.NoErr(b.client.Delete(b.t.Context(), "k", e.Revision))
-		time.Sleep(longest)
+		time.Sleep(maxReconnectTime)
 		b.server.SetFaults(standin.Faults{Outage: standin.OutageReset})
 		synctest.Wait()
-		b.server.SetFaults(standin.Faults{}) // a second break does not report it again
-		time.Sleep(longest)
+		b.server.SetFaults(standin.Faults{}) // a second disconnect does not report the deletion again
+		time.Sleep(maxReconnectTime)
 		return metastore.Entry{Key: "k"}
 	}, []string{"1", "deleted", "3"}},
-	{"reads from a lagging replica", func(b *bench, e metastore.Entry) metastore.Entry {
+	{"reads from a lagging replica", func(b *fixture, e metastore.Entry) metastore.Entry {
 		b.server.Snapshot()
 		e = b.swap(e, "2")
 		synctest.Wait()
 		b.server.SetFaults(standin.Faults{OldReads: true})
 		for before := b.server.Counts().Range; b.server.Counts().Range < before+2; {
-			time.Sleep(time.Millisecond) // two old answers do not confirm a restore
+			time.Sleep(time.Millisecond) // two stale responses do not confirm a restore
 		}
 		b.server.SetFaults(standin.Faults{})
-		time.Sleep(longest)
+		time.Sleep(maxReconnectTime)
 		return e
 	}, []string{"1", "2", "3"}},
-	{"a store restored to an older value", func(b *bench, e metastore.Entry) metastore.Entry {
+	{"a store restored to an older value", func(b *fixture, e metastore.Entry) metastore.Entry {
 		b.server.Snapshot()
 		b.swap(e, "2")
 		synctest.Wait()
@@ -115,7 +115,7 @@
 		time.Sleep(time.Minute)
 		return e
 	}, []string{"1", "2", "restored after 3", "1", "3"}},
-	{"a store restored and then written beyond the old revision", func(b *bench, e metastore.Entry) metastore.Entry {
+	{"a store restored and then written beyond the old revision", func(b *fixture, e metastore.Entry) metastore.Entry {
 		b.server.Snapshot()
 		b.swap(e, "2")
 		synctest.Wait()
@@ -126,7 +126,7 @@
 		time.Sleep(time.Minute)
 		return e
 	}, []string{"1", "2", "restored after 3", "1", "3"}},
-	{"a store restored into a new cluster that has the same revisions", func(b *bench, e metastore.Entry) metastore.Entry {
+	{"a store restored into a new cluster that has the same revisions", func(b *fixture, e metastore.Entry) metastore.Entry {
 		b.server.Snapshot()
 		b.swap(e, "2")
 		synctest.Wait()
@@ -137,7 +137,7 @@
 		time.Sleep(time.Minute)
 		return e
 	}, []string{"1", "2", "restored after 3", "another 2", "3"}},
-	{"a store restored to a time without the key", func(b *bench, e metastore.Entry) metastore.Entry {
+	{"a store restored to a time without the key", func(b *fixture, e metastore.Entry) metastore.Entry {
 		b.NoErr(b.client.Delete(b.t.Context(), "k", e.Revision))
 		b.server.Snapshot()
 		b.create("k", "2")
@@ -152,10 +152,10 @@
 	for _, c := range followCases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t, standin.Config{}, nil)
+				b := newFixture(t, standin.Config{}, nil)
 				e := b.create("k", "1")
 				f := b.follow(0)
-				e = c.meet(b, e)
+				e = c.change(b, e)
 				b.swap(e, "3")
 				synctest.Wait()
 				b.Equal(f.lines, c.lines)
@@ -164,13 +164,14 @@
 	}
 }
 
-// TestRestoredStore: a client does not use older answers until it is sure that
-// they are the store's new history, and tells of it once.
+// TestRestoredStore: a client does not use stale responses until it has
+// confirmed that they are the store's new history, and it reports each restore
+// once.
 func TestRestoredStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var told []int64
-		b := newBench(t, standin.Config{}, func(o *metastore.Options) {
-			o.OnRestore = func(seen, now int64) { told = append(told, seen, now) }
+		var restores []int64
+		b := newFixture(t, standin.Config{}, func(o *metastore.Options) {
+			o.OnRestore = func(seen, now int64) { restores = append(restores, seen, now) }
 		})
 		e := b.create("k", "1")
 		b.server.Snapshot()
@@ -179,26 +180,26 @@
 		_, err := b.client.Get(t.Context(), "claim")
 		b.True(errors.Is(err, metastore.ErrRestored))
 		b.True(errors.Is(err, metastore.ErrUnavailable))
-		b.True(!errors.Is(err, metastore.ErrNotFound)) // the claim must not look free
+		b.True(!errors.Is(err, metastore.ErrNotFound)) // the claim must not appear to be free
 		time.Sleep(3 * time.Second)
 		_, err = b.client.CompareAndSwap(t.Context(), "claim", 0, []byte("yours"), 0)
 		b.True(errors.Is(err, metastore.ErrRestored))
 		b.True(errors.Is(err, metastore.ErrUnknown))
 		_, err = b.client.Get(t.Context(), "k")
-		b.NoErr(err) // the swap has brought the store up to the revision seen
-		b.Equal(len(told), 0)
+		b.NoErr(err) // the swap raised the store to the highest revision seen
+		b.Equal(len(restores), 0)
 
 		b.swap(e, "2")
 		b.swap(metastore.Entry{Key: "claim", Revision: claim.Revision}, "yours again")
 		b.True(b.server.Restore())
-		var back *metastore.RestoredError
+		var restoredErr *metastore.RestoredError
 		for i := range 3 {
 			_, err = b.client.Get(t.Context(), "claim")
-			b.True(errors.As(err, &back))
-			b.Equal(back.Confirmed, i == 2)
+			b.True(errors.As(err, &restoredErr))
+			b.Equal(restoredErr.Confirmed, i == 2)
 			time.Sleep(1500 * time.Millisecond)
 		}
-		b.Equal(told, []int64{claim.Revision + 2, claim.Revision - 1})
+		b.Equal(restores, []int64{claim.Revision + 2, claim.Revision - 1})
 		_, err = b.client.Get(t.Context(), "claim")
 		b.True(errors.Is(err, metastore.ErrNotFound))
 	})
--- a/metastore/golden_test.go
+++ b/metastore/golden_test.go
@@ -16,9 +16,9 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// transcript notes every request with its answer as they are on the wire. The
-// lines of one request stand together, since two answers written at the same
-// moment have no order.
+// transcript records every request and its response as sent on the wire. It
+// groups the lines by request, since two responses written at the same moment
+// have no defined order.
 type transcript struct {
 	mu        sync.Mutex
 	exchanges []*bytes.Buffer
@@ -35,8 +35,8 @@
 	return lines
 }
 
-// note adds to the lines of one request.
-func (t *transcript) note(lines *bytes.Buffer, format string, args ...any) {
+// add appends to the lines of one request.
+func (t *transcript) add(lines *bytes.Buffer, format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	fmt.Fprintf(lines, format, args...)
@@ -59,37 +59,38 @@
 	lines := t.begin("%s %s %s\n", r.Method, r.URL, body)
 	defer func() {
 		if p := recover(); p != nil {
-			t.note(lines, "  connection closed\n")
+			t.add(lines, "  connection closed\n")
 			panic(p)
 		}
 	}()
-	t.inner.ServeHTTP(&noted{ResponseWriter: w, transcript: t, lines: lines}, r)
+	t.inner.ServeHTTP(&recordingWriter{ResponseWriter: w, transcript: t, lines: lines}, r)
 }
 
-// noted is an answer that is noted as it is written.
-type noted struct {
+// recordingWriter is a response writer that records the response as it is
+// written.
+type recordingWriter struct {
 	http.ResponseWriter
 	transcript *transcript
 	lines      *bytes.Buffer
 }
 
-func (n *noted) WriteHeader(status int) {
-	n.transcript.note(n.lines, "  %d\n", status)
+func (n *recordingWriter) WriteHeader(status int) {
+	n.transcript.add(n.lines, "  %d\n", status)
 	n.ResponseWriter.WriteHeader(status)
 }
 
-func (n *noted) Write(p []byte) (int, error) {
-	n.transcript.note(n.lines, "  %s", p)
+func (n *recordingWriter) Write(p []byte) (int, error) {
+	n.transcript.add(n.lines, "  %s", p)
 	return n.ResponseWriter.Write(p)
 }
 
-func (n *noted) Unwrap() http.ResponseWriter { return n.ResponseWriter }
+func (n *recordingWriter) Unwrap() http.ResponseWriter { return n.ResponseWriter }
 
-// TestGoldenSession pins the protocol: a holder of a lease and a follower
-// through a lost answer and a break of the connection.
+// TestGoldenSession pins the protocol for a lease holder and a follower,
+// including a lost response and a broken connection.
 func TestGoldenSession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, standin.Config{Hosts: []metastore.Host{
+		b := newFixture(t, standin.Config{Hosts: []metastore.Host{
 			{Name: "h1", DataCentre: "hall-mlynska", State: metastore.HostLive, Address: "10.1.0.1:7000"},
 		}}, nil)
 		record := &transcript{inner: b.server.Handler()}
@@ -97,44 +98,44 @@
 		b.serve(address, record)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		say := func(what string) { record.begin("# %s\n", what) }
+		section := func(what string) { record.begin("# %s\n", what) }
 
-		say("hosts, a missing key and a list")
+		section("hosts, a missing key and a list")
 		_, err := b.client.Hosts(ctx)
 		b.NoErr(err)
 		_, _ = b.client.Get(ctx, "k")
 		_, err = b.client.List(ctx, "p/")
 		b.NoErr(err)
 
-		say("a lease with a key")
+		section("a lease with a key")
 		l, err := metastore.Acquire(ctx, b.client, 10*time.Second)
 		b.NoErr(err)
 		e, err := b.client.CompareAndSwap(ctx, "k", 0, []byte("1"), l.ID())
 		b.NoErr(err)
 		b.NoErr(l.Renew(ctx))
 
-		say("a watch and a change")
+		section("a watch and a change")
 		go func() { _ = b.client.Watch(ctx, "k", e.Revision, func(metastore.Entry) {}) }()
 		synctest.Wait()
 		e = b.swap(e, "2")
 		synctest.Wait()
 
-		say("a conflict")
+		section("a conflict")
 		_, _ = b.client.CompareAndSwap(ctx, "k", 1, []byte("3"), 0)
 
-		say("a write that is applied and whose answer is lost")
+		section("a write that is applied and whose answer is lost")
 		b.server.SetFaults(standin.Faults{LoseApplied: 1})
 		e, err = metastore.Settle(ctx, b.client, "k", e.Revision, []byte("4"), l.ID(), func(e metastore.Entry) bool { return string(e.Value) == "4" })
 		b.NoErr(err)
 		synctest.Wait()
 
-		say("no leader")
+		section("no leader")
 		b.server.SetFaults(standin.Faults{Outage: standin.OutageRefuse})
 		synctest.Wait()
 		_, _ = b.client.Get(ctx, "k")
 		b.server.SetFaults(standin.Faults{})
 
-		say("a watch that learns of a deletion")
+		section("a watch that learns of a deletion")
 		b.NoErr(l.Release(ctx))
 		go func() { _ = b.client.Watch(ctx, "k", e.Revision, func(metastore.Entry) {}) }()
 		synctest.Wait()
--- a/metastore/harness_test.go
+++ b/metastore/harness_test.go
@@ -13,8 +13,8 @@
 	"github.com/micarudder/micarudder/metastore"
 )
 
-// pipeNet is a network of net.Pipe connections, since a synctest bubble must
-// not wait on real sockets.
+// pipeNet is a network of net.Pipe connections, since goroutines in a synctest
+// bubble must not block on real sockets.
 type pipeNet struct {
 	mu    sync.Mutex
 	ports map[string]*pipeListener
@@ -71,7 +71,7 @@
 	return l
 }
 
-// remove makes nothing listen at an address and closes its connections.
+// remove stops listening at an address and closes its connections.
 func (n *pipeNet) remove(address string) {
 	n.mu.Lock()
 	l := n.ports[address]
@@ -83,7 +83,7 @@
 	}
 }
 
-// dial refuses an address on which nothing listens.
+// dial connects to a listener; it fails if nothing listens at the address.
 func (n *pipeNet) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.ports[address]
@@ -102,11 +102,11 @@
 	}
 }
 
-// address is where the service of a bench listens.
+// address is where the service of a fixture listens.
 const address = "10.0.0.1:2379"
 
-// bench is a service with one client, in a bubble.
-type bench struct {
+// fixture is a stand-in service with one client, in a synctest bubble.
+type fixture struct {
 	*is.I
 	t       *testing.T
 	net     *pipeNet
@@ -115,10 +115,10 @@
 	options metastore.Options
 }
 
-// newBench serves a stand-in until the test ends. It has to be called in the
-// bubble.
-func newBench(t *testing.T, config standin.Config, change func(*metastore.Options)) *bench {
-	b := &bench{I: is.New(t), t: t, net: &pipeNet{ports: map[string]*pipeListener{}}, server: standin.NewServer(config)}
+// newFixture serves a stand-in until the test ends. It must be called inside
+// the bubble.
+func newFixture(t *testing.T, config standin.Config, change func(*metastore.Options)) *fixture {
+	b := &fixture{I: is.New(t), t: t, net: &pipeNet{ports: map[string]*pipeListener{}}, server: standin.NewServer(config)}
 	b.serve(address, b.server.Handler())
 	b.options = metastore.Options{
 		Addresses: []string{address},
@@ -134,8 +134,8 @@
 	return b
 }
 
-// serve answers at an address until the test ends.
-func (b *bench) serve(address string, h http.Handler) {
+// serve serves h at an address until the test ends.
+func (b *fixture) serve(address string, h http.Handler) {
 	l := b.net.listen(address)
 	s := &http.Server{Handler: h}
 	go func() { _ = s.Serve(l) }()
@@ -143,7 +143,7 @@
 }
 
 // newClient returns another client with the same options.
-func (b *bench) newClient() *metastore.Client {
+func (b *fixture) newClient() *metastore.Client {
 	transport := &http.Transport{DialContext: b.net.dial}
 	b.t.Cleanup(transport.CloseIdleConnections)
 	o := b.options
@@ -153,8 +153,8 @@
 	return c
 }
 
-// create writes a key that does not exist yet.
-func (b *bench) create(key, value string) metastore.Entry {
+// create creates a key.
+func (b *fixture) create(key, value string) metastore.Entry {
 	b.t.Helper()
 	e, err := b.client.CompareAndSwap(b.t.Context(), key, 0, []byte(value), 0)
 	b.NoErr(err)
@@ -162,7 +162,7 @@
 }
 
 // swap replaces the value of e.
-func (b *bench) swap(e metastore.Entry, value string) metastore.Entry {
+func (b *fixture) swap(e metastore.Entry, value string) metastore.Entry {
 	b.t.Helper()
 	e, err := b.client.CompareAndSwap(b.t.Context(), e.Key, e.Revision, []byte(value), 0)
 	b.NoErr(err)
--- a/metastore/history.go
+++ b/metastore/history.go
@@ -2,90 +2,93 @@
 
 import "time"
 
-// An older answer may come from a replica that lags; only several in a row,
-// over some time, mean that the store was restored.
+// Thresholds for detecting a restored store. A stale response may come from a
+// lagging replica, so a restore is assumed only after restoreMinResponses
+// consecutive stale responses that span at least restoreMinDuration.
 const (
-	restoreReplies = 3
-	restoreAfter   = 2 * time.Second
+	restoreMinResponses = 3
+	restoreMinDuration  = 2 * time.Second
 )
 
-// verdict is what history says about one answer.
-type verdict int
+// freshness is how the state of a response compares with the states seen
+// before.
+type freshness int
 
 const (
-	current  verdict = iota
-	old              // older than one seen before; not to be used
-	restored         // the store's history starts anew at this answer
+	current  freshness = iota
+	stale              // older than a state seen before; the response must not be used
+	restored           // the store was restored; its history restarts at this response
 )
 
-// suspicion counts the older answers in a row.
-type suspicion struct {
-	older int
-	since time.Time
+// restoreDetector counts consecutive stale responses.
+type restoreDetector struct {
+	staleCount int
+	since      time.Time
 }
 
-// confirm counts one more and reports whether they are enough.
-func (s *suspicion) confirm(now time.Time) bool {
-	if s.older == 0 {
+// recordStale counts one stale response and reports whether a restore is now
+// confirmed.
+func (s *restoreDetector) recordStale(now time.Time) bool {
+	if s.staleCount == 0 {
 		s.since = now
 	}
-	s.older++
-	return s.older >= restoreReplies && now.Sub(s.since) >= restoreAfter
+	s.staleCount++
+	return s.staleCount >= restoreMinResponses && now.Sub(s.since) >= restoreMinDuration
 }
 
-// history decides whether answers belong to the store's latest state. It
-// relies on three properties of the service: an answer to a request is never
-// older than an answer received before the request was sent, a write that took
-// effect is newer than it, and all answers name the same cluster.
+// history decides whether responses belong to the store's latest state. It
+// relies on three properties of the service: a response is never older than any
+// response received before its request was sent; a write that took effect is
+// newer than those; and all responses name the same cluster.
 type history struct {
-	high    int64  // highest revision seen
-	cluster string // empty until the first answer
-	epoch   int    // counts the restores
-	suspicion
+	highest int64  // highest revision seen so far
+	cluster string // empty before the first response
+	epoch   int    // number of restores so far
+	restoreDetector
 }
 
-// mark is what was known when a request was sent.
-type mark struct {
-	high  int64
-	epoch int
+// baseline is the known store state at the moment a request is sent.
+type baseline struct {
+	highest int64
+	epoch   int
 }
 
-// answer is what an answer says about the store's state.
-type answer struct {
+// storeState is what a response reports about the state of the store.
+type storeState struct {
 	revision int64
 	cluster  string
-	wrote    bool // the revision is that of the request's own change
+	wrote    bool // revision is that of the change made by the request itself
 }
 
-// mark returns what is known now.
-func (h *history) mark() mark { return mark{high: h.high, epoch: h.epoch} }
+// baseline returns the known store state.
+func (h *history) baseline() baseline { return baseline{highest: h.highest, epoch: h.epoch} }
 
-// observe judges the answer to a request that was sent at m.
-func (h *history) observe(m mark, a answer, now time.Time) verdict {
-	if !h.foreign(a) && a.revision >= h.lowest(m, a) {
-		h.high = max(h.high, a.revision)
-		h.cluster = a.cluster
-		h.suspicion = suspicion{}
+// observe classifies the response to a request that was sent at baseline base.
+func (h *history) observe(base baseline, s storeState, now time.Time) freshness {
+	if !h.otherCluster(s) && s.revision >= h.minRevision(base, s) {
+		h.highest = max(h.highest, s.revision)
+		h.cluster = s.cluster
+		h.restoreDetector = restoreDetector{}
 		return current
 	}
-	if !h.confirm(now) {
-		return old
+	if !h.recordStale(now) {
+		return stale
 	}
-	*h = history{high: a.revision, cluster: a.cluster, epoch: h.epoch + 1}
+	*h = history{highest: s.revision, cluster: s.cluster, epoch: h.epoch + 1}
 	return restored
 }
 
-// foreign reports whether an answer comes from another cluster, as a restored
-// one is.
-func (h *history) foreign(a answer) bool { return h.cluster != "" && a.cluster != h.cluster }
+// otherCluster reports whether a response comes from another cluster than
+// before, as it does after a restore into a new cluster.
+func (h *history) otherCluster(s storeState) bool { return h.cluster != "" && s.cluster != h.cluster }
 
-// lowest returns the lowest revision that an answer may have.
-func (h *history) lowest(m mark, a answer) int64 {
-	if m.epoch != h.epoch {
+// minRevision returns the lowest revision that a response may have.
+func (h *history) minRevision(base baseline, s storeState) int64 {
+	if base.epoch != h.epoch {
 		return 0
 	}
-	if a.wrote {
-		return m.high + 1
+	if s.wrote {
+		return base.highest + 1
 	}
-	return m.high
+	return base.highest
 }
--- a/metastore/hosts.go
+++ b/metastore/hosts.go
@@ -7,14 +7,14 @@
 	"net/http"
 )
 
-// The labels of the host list.
+// Labels of the host list.
 const (
 	labelHost       = "host"
 	labelDataCentre = "data_centre"
 	labelState      = "state"
 )
 
-// targetGroup is one element of Prometheus' HTTP service discovery format.
+// targetGroup is one element of the Prometheus HTTP service discovery format.
 type targetGroup struct {
 	Targets []string          `json:"targets"`
 	Labels  map[string]string `json:"labels"`
@@ -32,8 +32,8 @@
 	return hosts, err
 }
 
-// decodeHosts reads a host list. A host in an unknown state counts as leaving,
-// so that nothing new is placed on it.
+// decodeHosts decodes a host list. A host in an unknown state is treated as
+// leaving, so that nothing new is placed on it.
 func decodeHosts(data []byte) ([]Host, error) {
 	var groups []targetGroup
 	if err := json.Unmarshal(data, &groups); err != nil {
@@ -42,17 +42,17 @@
 	hosts := []Host{}
 	for _, g := range groups {
 		if g.Labels[labelHost] == "" {
-			return nil, fmt.Errorf("targets %v without the label %q", g.Targets, labelHost)
+			return nil, fmt.Errorf("host list: targets %v have no label %q", g.Targets, labelHost)
 		}
 		for _, t := range g.Targets {
-			hosts = append(hosts, hostOf(t, g.Labels))
+			hosts = append(hosts, hostFromTarget(t, g.Labels))
 		}
 	}
 	return hosts, nil
 }
 
-// hostOf returns the host of one target.
-func hostOf(target string, labels map[string]string) Host {
+// hostFromTarget returns the host of one target.
+func hostFromTarget(target string, labels map[string]string) Host {
 	state := HostState(labels[labelState])
 	if state != HostLive {
 		state = HostLeaving
--- a/metastore/lease.go
+++ b/metastore/lease.go
@@ -7,53 +7,54 @@
 	"time"
 )
 
-// A holder gives its lease up one leaseMarginPart-th of the TTL earlier than
-// the service does, for clocks that run at different speeds and for the time
-// that an action begun at the last moment needs to take effect. It renews a
-// lease leaseRenewals times per TTL.
+// Timing of leases. A holder treats its lease as expired TTL/leaseMarginDivisor
+// before the service does. The margin covers clocks that run at different
+// rates and the time that an action begun at the last moment needs to take
+// effect. The holder renews the lease leaseRenewalsPerTTL times per TTL.
 const (
-	leaseMarginPart = 8
-	leaseRenewals   = 4
+	leaseMarginDivisor  = 8
+	leaseRenewalsPerTTL = 4
 )
 
-// Lease is a lease as its holder may rely on it. Its end is reckoned from the
-// moment the request was sent, on the local clock, so that a holder that was
-// paused finds itself without the lease as soon as it asks. It is final: a
-// lease that has lapsed here is never held again, even if the service still
-// knows it.
+// Lease is the holder's view of a lease. Expiry is computed on the local clock
+// from the moment the request was sent, so a holder that was paused finds the
+// lease expired as soon as it checks. Expiry is final: a lease that has expired
+// here is never held again, even if the service still knows it.
 //
-// Held is necessary before an action, not sufficient: a holder may be paused
-// between the two. What acts on the order must check a fencing number.
+// A check of Held before an action is necessary but not sufficient, since the
+// holder may be paused between the check and the action. Whatever carries the
+// action out must check a fencing number.
 type Lease struct {
 	store Store
 	id    LeaseID
 	ttl   time.Duration
 
-	mu    sync.Mutex
-	until end
+	mu       sync.Mutex
+	deadline deadline
 }
 
-// end is when a lease ends, by either clock; zero when it was given up.
-type end struct {
+// deadline is the expiry of a lease on the monotonic and on the wall clock; it
+// is zero once the lease was released or lost.
+type deadline struct {
 	monotonic time.Time
 	wall      time.Time
 }
 
-// endAt returns the end at t, a reading of time.Now or one reckoned from it.
-func endAt(t time.Time) end { return end{monotonic: t, wall: t.Round(0)} }
+// newDeadline returns the deadline at t, which must derive from time.Now.
+func newDeadline(t time.Time) deadline { return deadline{monotonic: t, wall: t.Round(0)} }
 
-// remaining returns the time from now to the end, or zero. The monotonic clock
-// stands still while a machine is suspended and the wall clock may be set, so
-// the shorter of the two counts.
-func (e end) remaining(now time.Time) time.Duration {
+// remaining returns the time from now to the deadline, or zero if it has
+// passed. The monotonic clock stops while a machine is suspended and the wall
+// clock may be set, so the shorter of the two times counts.
+func (e deadline) remaining(now time.Time) time.Duration {
 	if e.monotonic.IsZero() {
 		return 0
 	}
 	return max(0, min(e.monotonic.Sub(now), e.wall.Sub(now.Round(0))))
 }
 
-// Acquire creates a lease. A ttl below one second is rounded up by the
-// service but not by the holder.
+// Acquire creates a lease. The service rounds a ttl below one second up; the
+// holder does not.
 func Acquire(ctx context.Context, store Store, ttl time.Duration) (*Lease, error) {
 	sent := time.Now()
 	id, err := store.Grant(ctx, ttl)
@@ -61,66 +62,67 @@
 		return nil, err
 	}
 	l := &Lease{store: store, id: id, ttl: ttl}
-	l.until = endAt(l.last(sent, ttl))
+	l.deadline = newDeadline(l.expiry(sent, ttl))
 	return l, nil
 }
 
-// ID returns the service's name of the lease.
+// ID returns the id that the service gave the lease.
 func (l *Lease) ID() LeaseID { return l.id }
 
-// Held reports whether the lease is held at now, a reading of time.Now.
+// Held reports whether the lease is held at now, which must come from time.Now.
 func (l *Lease) Held(now time.Time) bool { return l.Remaining(now) > 0 }
 
-// Remaining returns for how long after now the lease is held, or zero.
+// Remaining returns how long after now the lease is held, or zero.
 func (l *Lease) Remaining(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.until.remaining(now)
+	return l.deadline.remaining(now)
 }
 
-// Renew prolongs the lease by one call. ErrLeaseGone means that it has lapsed
-// for good; after any other error it is held as long as before.
+// Renew renews the lease with one call. ErrLeaseGone means that it has finally
+// expired; after any other error its deadline is unchanged.
 func (l *Lease) Renew(ctx context.Context) error {
 	sent := time.Now()
 	if !l.Held(sent) {
 		return ErrLeaseGone
 	}
-	left, err := l.store.KeepAlive(ctx, l.id)
+	remaining, err := l.store.KeepAlive(ctx, l.id)
 	if errors.Is(err, ErrLeaseGone) {
-		l.giveUp()
+		l.invalidate()
 	}
 	if err != nil {
 		return err
 	}
-	return l.prolong(sent, left, time.Now())
+	return l.extend(sent, remaining, time.Now())
 }
 
-// prolong moves the end unless the lease has lapsed during the call.
-func (l *Lease) prolong(sent time.Time, left time.Duration, now time.Time) error {
+// extend moves the deadline unless the lease has expired during the call.
+func (l *Lease) extend(sent time.Time, remaining time.Duration, now time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.until.remaining(now) == 0 {
-		l.until = end{}
+	if l.deadline.remaining(now) == 0 {
+		l.deadline = deadline{}
 		return ErrLeaseGone
 	}
-	if t := l.last(sent, left); t.After(l.until.monotonic) {
-		l.until = endAt(t)
+	if t := l.expiry(sent, remaining); t.After(l.deadline.monotonic) {
+		l.deadline = newDeadline(t)
 	}
 	return nil
 }
 
-// last returns the last moment of a lease that had left to go when sent.
-func (l *Lease) last(sent time.Time, left time.Duration) time.Time {
-	return sent.Add(min(left, l.ttl) - l.ttl/leaseMarginPart)
+// expiry returns when the holder must treat the lease as expired, given its
+// remaining time to live when the request was sent.
+func (l *Lease) expiry(sent time.Time, remaining time.Duration) time.Time {
+	return sent.Add(min(remaining, l.ttl) - l.ttl/leaseMarginDivisor)
 }
 
-// Keep renews the lease until it has lapsed (ErrLeaseGone) or ctx ends.
+// Keep renews the lease until it has expired (ErrLeaseGone) or ctx ends.
 func (l *Lease) Keep(ctx context.Context) error {
 	for {
-		if err := sleep(ctx, l.step()); err != nil {
+		if err := sleep(ctx, l.renewInterval()); err != nil {
 			return err
 		}
-		if err := l.renewInStep(ctx); errors.Is(err, ErrLeaseGone) {
+		if err := l.renewWithTimeout(ctx); errors.Is(err, ErrLeaseGone) {
 			return err
 		}
 		if !l.Held(time.Now()) {
@@ -129,28 +131,31 @@
 	}
 }
 
-// step returns the time of one wait or renewal: never beyond the lease's end.
-func (l *Lease) step() time.Duration {
-	return min(l.ttl/leaseRenewals, l.Remaining(time.Now()))
+// renewInterval returns the length of one wait or the timeout of one renewal;
+// it never extends beyond the lease's deadline.
+func (l *Lease) renewInterval() time.Duration {
+	return min(l.ttl/leaseRenewalsPerTTL, l.Remaining(time.Now()))
 }
 
-// renewInStep renews by a call that takes no longer than a step.
-func (l *Lease) renewInStep(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, l.step())
+// renewWithTimeout renews the lease with a call that takes at most one renewal
+// interval.
+func (l *Lease) renewWithTimeout(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, l.renewInterval())
 	defer cancel()
 	return l.Renew(ctx)
 }
 
-// Release gives the lease up at once and then tells the service, which deletes
-// the keys attached to it. If that fails they go when the lease lapses.
+// Release drops the lease locally and then revokes it at the service, which
+// deletes the keys attached to it. If the revocation fails, they are deleted
+// when the lease expires.
 func (l *Lease) Release(ctx context.Context) error {
-	l.giveUp()
+	l.invalidate()
 	return l.store.Revoke(ctx, l.id)
 }
 
-// giveUp ends the lease for the holder.
-func (l *Lease) giveUp() {
+// invalidate makes the lease count as expired for the holder.
+func (l *Lease) invalidate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.until = end{}
+	l.deadline = deadline{}
 }
--- a/metastore/leases.go
+++ b/metastore/leases.go
@@ -11,17 +11,18 @@
 	"github.com/micarudder/micarudder/internal/etcdjson"
 )
 
-var errNoLease = errors.New("answer without a lease")
+var errNoLease = errors.New("response contains no lease")
 
-// Grant implements Store. The service counts in seconds: ttl is rounded up.
+// Grant implements Store. The service counts in whole seconds, so ttl is
+// rounded up.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	seconds := etcdjson.Int64((ttl + time.Second - 1) / time.Second)
 	req := etcdjson.GrantRequest{TTL: seconds}
 	var res etcdjson.GrantResponse
-	err := c.call(ctx, KindGrant, etcdjson.PathGrant, req, func(data []byte) (answer, error) {
+	err := c.call(ctx, KindGrant, etcdjson.PathGrant, req, func(data []byte) (storeState, error) {
 		var err error
 		res, err = decodeGrant(data, seconds)
-		return answerOf(res.Header), err
+		return stateFromHeader(res.Header), err
 	})
 	if err != nil {
 		return 0, err
@@ -29,14 +30,14 @@
 	return LeaseID(res.ID), nil
 }
 
-// KeepAlive implements Store. Its remaining time is in whole seconds.
+// KeepAlive implements Store. The remaining time is in whole seconds.
 func (c *Client) KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error) {
 	req := etcdjson.KeepAliveRequest{ID: etcdjson.Int64(id)}
 	var res etcdjson.KeepAliveResponse
-	err := c.call(ctx, KindKeepAlive, etcdjson.PathKeepAlive, req, func(data []byte) (answer, error) {
+	err := c.call(ctx, KindKeepAlive, etcdjson.PathKeepAlive, req, func(data []byte) (storeState, error) {
 		var err error
 		res, err = decodeKeepAlive(data)
-		return answerOf(res.Header), err
+		return stateFromHeader(res.Header), err
 	})
 	if err != nil {
 		return 0, err
@@ -50,16 +51,17 @@
 // Revoke implements Store.
 func (c *Client) Revoke(ctx context.Context, id LeaseID) error {
 	req := etcdjson.RevokeRequest{ID: etcdjson.Int64(id)}
-	return c.call(ctx, KindRevoke, etcdjson.PathRevoke, req, func(data []byte) (answer, error) {
+	return c.call(ctx, KindRevoke, etcdjson.PathRevoke, req, func(data []byte) (storeState, error) {
 		var res etcdjson.RevokeResponse
 		if err := json.Unmarshal(data, &res); err != nil {
-			return answer{}, err
+			return storeState{}, err
 		}
-		return answerOf(res.Header), checkRevision(res.Header)
+		return stateFromHeader(res.Header), checkRevision(res.Header)
 	})
 }
 
-// decodeGrant reads the answer to a grant of at least seconds.
+// decodeGrant decodes the response to a grant; the lease must last at least the
+// requested seconds.
 func decodeGrant(data []byte, seconds etcdjson.Int64) (etcdjson.GrantResponse, error) {
 	var res etcdjson.GrantResponse
 	if err := json.Unmarshal(data, &res); err != nil {
@@ -69,15 +71,16 @@
 		return res, errNoLease
 	}
 	if res.TTL < seconds {
-		return res, fmt.Errorf("lease of %d seconds instead of %d", res.TTL, seconds)
+		return res, fmt.Errorf("lease granted for %d s, requested %d s", res.TTL, seconds)
 	}
 	return res, checkRevision(res.Header)
 }
 
-// maxTTL is the longest remaining time, in seconds, that is believed.
+// maxTTL is the longest remaining time, in seconds, that is accepted from the
+// service.
 const maxTTL = 10 * 365 * 24 * 3600
 
-// decodeKeepAlive reads the first line of the answer to a keep-alive.
+// decodeKeepAlive decodes the first line of the response to a keep-alive.
 func decodeKeepAlive(data []byte) (etcdjson.KeepAliveResponse, error) {
 	var frame etcdjson.KeepAliveFrame
 	if err := json.NewDecoder(bytes.NewReader(data)).Decode(&frame); err != nil {
@@ -90,7 +93,7 @@
 		return etcdjson.KeepAliveResponse{}, errNoLease
 	}
 	if frame.Result.TTL > maxTTL {
-		return etcdjson.KeepAliveResponse{}, fmt.Errorf("remaining time of %d seconds", frame.Result.TTL)
+		return etcdjson.KeepAliveResponse{}, fmt.Errorf("implausible remaining lease time of %d s", frame.Result.TTL)
 	}
 	return *frame.Result, checkRevision(frame.Result.Header)
 }
--- a/metastore/linear_test.go
+++ b/metastore/linear_test.go
@@ -14,29 +14,29 @@
 	"pgregory.net/rapid"
 )
 
-// attempt is one write and what its writer was told.
-type attempt struct {
-	value    string
-	expect   int64
-	settled  bool
-	revision int64
-	err      error
+// writeAttempt is one write and the result that its writer received.
+type writeAttempt struct {
+	value      string
+	expect     int64
+	usedSettle bool
+	revision   int64
+	err        error
 }
 
-// race is several writers at one key while faults come and go.
-type race struct {
-	b        *bench
+// writerRace runs several writers on one key while faults come and go.
+type writerRace struct {
+	b        *fixture
 	mu       sync.Mutex
-	attempts []attempt
+	attempts []writeAttempt
 }
 
-// write reads the key and swaps it, as an operator does.
-func (r *race) write(ctx context.Context, c *metastore.Client, value string, settle bool) {
+// write reads the key and swaps its value, as an operator does.
+func (r *writerRace) write(ctx context.Context, c *metastore.Client, value string, settle bool) {
 	e, err := c.Get(ctx, "k")
 	if err != nil && !errors.Is(err, metastore.ErrNotFound) {
 		return
 	}
-	a := attempt{value: value, expect: e.Revision, settled: settle}
+	a := writeAttempt{value: value, expect: e.Revision, usedSettle: settle}
 	if settle {
 		same := func(e metastore.Entry) bool { return string(e.Value) == value }
 		e, a.err = metastore.Settle(ctx, c, "k", a.expect, []byte(value), 0, same)
@@ -49,8 +49,8 @@
 	r.attempts = append(r.attempts, a)
 }
 
-// writer makes writes at the given times.
-func (r *race) writer(ctx context.Context, name int, pauses []int, settle bool) {
+// writer makes one write after each of the given pauses, in milliseconds.
+func (r *writerRace) writer(ctx context.Context, name int, pauses []int, settle bool) {
 	c := r.b.newClient()
 	for i, ms := range pauses {
 		time.Sleep(time.Duration(ms) * time.Millisecond)
@@ -58,8 +58,8 @@
 	}
 }
 
-// disturb switches the faults in turn.
-func (r *race) disturb(faults []standin.Faults) {
+// injectFaults switches through the faults, 400 ms each.
+func (r *writerRace) injectFaults(faults []standin.Faults) {
 	for _, f := range faults {
 		r.b.server.SetFaults(f)
 		time.Sleep(400 * time.Millisecond)
@@ -67,22 +67,23 @@
 	r.b.server.SetFaults(standin.Faults{})
 }
 
-// check compares what the writers were told with what the key went through.
-func (r *race) check(rt *rapid.T, chain map[string]int64, previous map[int64]int64) {
+// verify compares the results that the writers received with the history of the
+// key.
+func (r *writerRace) verify(rt *rapid.T, revisionOf map[string]int64, previousOf map[int64]int64) {
 	for _, a := range r.attempts {
-		at, applied := chain[a.value]
+		at, applied := revisionOf[a.value]
 		switch {
 		case a.err == nil && (!applied || at != a.revision):
-			rt.Fatalf("%+v was told applied; the key says %v at %d", a, applied, at)
-		case a.err == nil && previous[at] != a.expect:
-			rt.Fatalf("%+v replaced revision %d", a, previous[at])
+			rt.Fatalf("%+v was reported as applied; the history has applied=%v at revision %d", a, applied, at)
+		case a.err == nil && previousOf[at] != a.expect:
+			rt.Fatalf("%+v replaced revision %d instead of the expected one", a, previousOf[at])
 		case a.err != nil && !errors.Is(a.err, metastore.ErrUnknown) && applied:
-			rt.Fatalf("%+v was told not applied; it was, at %d", a, at)
+			rt.Fatalf("%+v was reported as not applied; the history has it at revision %d", a, at)
 		}
 	}
 }
 
-// drawFaults draws the faults of one race; all end by themselves.
+// drawFaults draws the faults of one race; every one of them ends.
 func drawFaults(rt *rapid.T) []standin.Faults {
 	return rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) standin.Faults {
 		return standin.Faults{
@@ -95,19 +96,20 @@
 	}), 0, 6).Draw(rt, "faults")
 }
 
-// bubbled hides a test's deadline, which must not be asked for in a bubble.
-type bubbled struct{ rapid.TB }
+// noDeadlineTB hides a test's Deadline method, which must not be called in a
+// synctest bubble.
+type noDeadlineTB struct{ rapid.TB }
 
-// TestSwapsAreLinear: whatever the faults, each write is in the key's history
-// exactly where its writer was told, or not at all where it was told so, and
-// no write replaces another than the one it expected.
-func TestSwapsAreLinear(t *testing.T) {
+// TestSwapsAreLinearizable: under any faults each write is in the key's history
+// at the revision that its writer was told, or not in it if the writer was told
+// so, and each write replaces only the revision that it expected.
+func TestSwapsAreLinearizable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(bubbled{t}, func(rt *rapid.T) {
-			b := newBench(t, standin.Config{}, nil)
+		rapid.Check(noDeadlineTB{t}, func(rt *rapid.T) {
+			b := newFixture(t, standin.Config{}, nil)
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
-			r := &race{b: b}
+			r := &writerRace{b: b}
 			var done sync.WaitGroup
 			for name := range rapid.IntRange(2, 4).Draw(rt, "writers") {
 				pauses := rapid.SliceOfN(rapid.IntRange(0, 500), 1, 5).Draw(rt, "pauses")
@@ -115,27 +117,27 @@
 				done.Go(func() { r.writer(ctx, name, pauses, settle) })
 			}
 			faults := drawFaults(rt)
-			done.Go(func() { r.disturb(faults) })
+			done.Go(func() { r.injectFaults(faults) })
 			done.Wait()
-			time.Sleep(10 * time.Second) // late writes take effect
-			chain, previous := b.history(rt)
-			r.check(rt, chain, previous)
+			time.Sleep(10 * time.Second) // lets late writes take effect
+			revisionOf, previousOf := b.keyHistory(rt)
+			r.verify(rt, revisionOf, previousOf)
 		})
 	})
 }
 
-// history returns the revision of each value that the key "k" has had, and the
-// revision before each revision.
-func (b *bench) history(rt *rapid.T) (chain map[string]int64, previous map[int64]int64) {
-	chain, previous = map[string]int64{}, map[int64]int64{}
+// keyHistory returns the revision of each value that key "k" has had, and the
+// previous revision for each revision.
+func (b *fixture) keyHistory(rt *rapid.T) (revisionOf map[string]int64, previousOf map[int64]int64) {
+	revisionOf, previousOf = map[string]int64{}, map[int64]int64{}
 	last := int64(0)
 	for _, e := range b.server.History("k") {
-		if _, twice := chain[string(e.Value)]; twice {
+		if _, twice := revisionOf[string(e.Value)]; twice {
 			rt.Fatalf("%q was written twice", e.Value)
 		}
-		chain[string(e.Value)] = e.Revision
-		previous[e.Revision] = last
+		revisionOf[string(e.Value)] = e.Revision
+		previousOf[e.Revision] = last
 		last = e.Revision
 	}
-	return chain, previous
+	return revisionOf, previousOf
 }
--- a/metastore/metrics_test.go
+++ b/metastore/metrics_test.go
@@ -11,12 +11,12 @@
 	"github.com/micarudder/micarudder/metastore"
 )
 
-// TestMetrics: each call is counted once under its result, and every name is
-// on the operators' page.
+// TestMetrics: each call is counted once under its result, and the operators'
+// page documents every metric.
 func TestMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		set := metrics.NewSet()
-		b := newBench(t, standin.Config{}, func(o *metastore.Options) { o.Metrics = set })
+		b := newFixture(t, standin.Config{}, func(o *metastore.Options) { o.Metrics = set })
 		b.create("k", "1")
 		b.server.Snapshot()
 		b.create("claim", "1")
@@ -40,7 +40,7 @@
 			`rudder_platform_restores_total 0`,
 		} {
 			if !strings.Contains(text.String(), line+"\n") {
-				t.Errorf("no line %s", line)
+				t.Errorf("metrics have no line %s", line)
 			}
 		}
 		page, err := os.ReadFile("../docs/ops/platform.md")
@@ -48,7 +48,7 @@
 		for _, name := range set.ListMetricNames() {
 			name, _, _ = strings.Cut(name, "{")
 			if !strings.Contains(string(page), "`"+name) {
-				t.Errorf("%s is not on the page", name)
+				t.Errorf("metric %s is not documented in docs/ops/platform.md", name)
 			}
 		}
 	})
--- a/metastore/options.go
+++ b/metastore/options.go
@@ -11,7 +11,7 @@
 	"golang.org/x/time/rate"
 )
 
-// MaxValue is the largest value in bytes that the service takes.
+// MaxValue is the largest value, in bytes, that the service accepts.
 const MaxValue = 1_000_000
 
 // Defaults of Options.
@@ -24,35 +24,37 @@
 	DefaultHostsPath  = "/hosts"
 )
 
-// Options configure a Client. Zero values stand for the defaults.
+// Options configure a Client. Zero values select the defaults.
 type Options struct {
-	// Addresses of the service, as host:port or as a URL. Required.
+	// Addresses of the service, as host:port or as URLs. Required.
 	Addresses []string
 	// HTTPClient makes the calls; redirects are never followed.
 	HTTPClient *http.Client
-	// Timeout bounds one attempt, the wait for the limiter included. A read
-	// may make one attempt per address.
+	// Timeout bounds one attempt, including the wait for the rate limiter. A
+	// call may make one attempt per address.
 	Timeout time.Duration
-	// ReadRate and WriteRate are this client's share of the service's rates,
-	// in calls a second; a burst of one second's calls is let through.
+	// ReadRate and WriteRate are this client's share of the service's rate
+	// limits, in calls per second. A burst of one second's worth of calls is
+	// allowed.
 	ReadRate  float64
 	WriteRate float64
-	// LeaseRate is a share of its own for keep-alives, so that a flood of
-	// writes cannot starve a lease.
+	// LeaseRate is a separate share for keep-alives, so that a flood of writes
+	// cannot delay the renewal of a lease.
 	LeaseRate float64
-	// WatchCheck is the time between two checks that a silent watch is still
+	// WatchCheck is the interval between two checks that an idle watch is still
 	// being served. Each check is one read without the value.
 	WatchCheck time.Duration
 	// HostsPath is the path of the host list.
 	HostsPath string
-	// Metrics receives the client's counters; nil keeps them private.
+	// Metrics receives the client's metrics; if it is nil, they are not
+	// exported.
 	Metrics *metrics.Set
-	// OnRestore is called once each time the store is found to have been
-	// restored: seen is the highest revision known before, now the one after.
+	// OnRestore is called once for each detected restore of the store: seen is
+	// the highest revision known before it, now the revision after it.
 	OnRestore func(seen, now int64)
 }
 
-// withDefaults fills in the zero fields.
+// withDefaults replaces zero fields by their defaults.
 func (o Options) withDefaults() Options {
 	o.Timeout = orDefault(o.Timeout, DefaultTimeout)
 	o.ReadRate = orDefault(o.ReadRate, DefaultReadRate)
@@ -72,7 +74,7 @@
 	return o
 }
 
-// orDefault returns v, or def when v is zero.
+// orDefault returns v, or def if v is zero.
 func orDefault[T comparable](v, def T) T {
 	var zero T
 	if v == zero {
@@ -81,10 +83,10 @@
 	return v
 }
 
-// check refuses settings that cannot work.
+// check returns an error if the options are invalid.
 func (o Options) check() error {
 	if len(o.Addresses) == 0 {
-		return trace.BadParameter("platform: no address given")
+		return trace.BadParameter("platform: no address configured")
 	}
 	for _, a := range o.Addresses {
 		if strings.TrimSpace(a) == "" {
@@ -92,15 +94,15 @@
 		}
 	}
 	if o.Timeout < 0 || o.WatchCheck < 0 {
-		return trace.BadParameter("platform: a negative time")
+		return trace.BadParameter("platform: a duration is negative")
 	}
 	if o.ReadRate < 0 || o.WriteRate < 0 || o.LeaseRate < 0 {
-		return trace.BadParameter("platform: a negative rate")
+		return trace.BadParameter("platform: a rate is negative")
 	}
 	return nil
 }
 
-// newTransport returns a transport that connects within the timeout.
+// newTransport returns a transport whose dial timeout is timeout.
 func newTransport(timeout time.Duration) *http.Transport {
 	dialer := &net.Dialer{Timeout: timeout}
 	return &http.Transport{
@@ -110,12 +112,13 @@
 	}
 }
 
-// newLimiter allows perSecond calls with a burst of one second's calls.
+// newLimiter allows perSecond calls per second with a burst of one second's
+// worth of calls.
 func newLimiter(perSecond float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// baseURL turns an address into a URL without a trailing slash.
+// baseURL converts an address to a URL without a trailing slash.
 func baseURL(address string) string {
 	if !strings.Contains(address, "://") {
 		address = "http://" + address
--- a/metastore/outcome.go
+++ b/metastore/outcome.go
@@ -8,10 +8,10 @@
 	"github.com/micarudder/micarudder/internal/etcdjson"
 )
 
-// Kind names a kind of call; it is the label of the client's metrics.
+// Kind is the kind of a call and the value of the kind label of the metrics.
 type Kind string
 
-// The kinds of calls.
+// The kinds of calls to the service.
 const (
 	KindRange     Kind = "range"
 	KindTxn       Kind = "txn"
@@ -30,48 +30,50 @@
 	return k == KindTxn || k == KindGrant || k == KindKeepAlive || k == KindRevoke
 }
 
-// CallError is a failed call. Ending is the package's sentinel error, Cause
-// what was seen; both are found by errors.Is.
+// CallError is a failed call. Outcome is one of the sentinel errors of the
+// package, Cause the underlying error; errors.Is matches both.
 type CallError struct {
 	Kind    Kind
 	Address string // empty when no attempt was made
-	Ending  error
+	Outcome error
 	Cause   error
 }
 
 // Error implements error.
 func (e *CallError) Error() string {
 	if e.Address == "" {
-		return fmt.Sprintf("%v: %s: %v", e.Ending, e.Kind, e.Cause)
+		return fmt.Sprintf("%v: %s: %v", e.Outcome, e.Kind, e.Cause)
 	}
-	return fmt.Sprintf("%v: %s at %s: %v", e.Ending, e.Kind, e.Address, e.Cause)
+	return fmt.Sprintf("%v: %s at %s: %v", e.Outcome, e.Kind, e.Address, e.Cause)
 }
 
-// Unwrap returns the ending and the cause.
-func (e *CallError) Unwrap() []error { return []error{e.Ending, e.Cause} }
+// Unwrap returns the outcome and the cause.
+func (e *CallError) Unwrap() []error { return []error{e.Outcome, e.Cause} }
 
-// RestoredError reports an answer from an older state of the store than one
-// seen before: a restored snapshot or a replica that lags. It matches
-// ErrRestored, and also ErrUnknown for a write and ErrUnavailable for a read,
-// so that a caller that does not know it errs on the safe side.
+// RestoredError reports a response from an older state of the store than one
+// seen before, either from a restored snapshot or from a lagging replica. It
+// matches ErrRestored, and also ErrUnknown for a write and ErrUnavailable for a
+// read, so that a caller that does not handle ErrRestored stays on the safe
+// side.
 type RestoredError struct {
 	Kind Kind
-	Seen int64 // highest revision known before the call
-	Now  int64 // the answer's revision
-	// OtherCluster says that the answer names another cluster than those
-	// before, as a restored one does; Now may then be above Seen.
+	Seen int64 // highest revision known before the response
+	Now  int64 // revision of the response
+	// OtherCluster says that the response names another cluster than those
+	// before, as after a restore into a new cluster; Now may then be above
+	// Seen.
 	OtherCluster bool
-	// Confirmed is set on the one answer that makes the client accept the
+	// Confirmed is set for the one response that makes the client accept the
 	// older state as the store's new history.
 	Confirmed bool
 }
 
 // Error implements error.
 func (e *RestoredError) Error() string {
-	return fmt.Sprintf("%v: %s: revision %d after %d", ErrRestored, e.Kind, e.Now, e.Seen)
+	return fmt.Sprintf("%v: %s returned revision %d after revision %d", ErrRestored, e.Kind, e.Now, e.Seen)
 }
 
-// Is implements the matching that errors.Is does.
+// Is implements the matching for errors.Is.
 func (e *RestoredError) Is(target error) bool {
 	if e.Kind.writes() && target == ErrUnknown {
 		return true
@@ -82,21 +84,21 @@
 	return target == ErrRestored
 }
 
-// reply is what one attempt brought back.
-type reply struct {
+// attemptResult is the result of one attempt.
+type attemptResult struct {
 	sent    bool // the request may have reached the service
-	status  int  // 0 without an answer
+	status  int  // 0 if there was no response
 	message string
 	err     error
 }
 
-// ending classifies one attempt: nil for success, else a sentinel error. A
-// write that may have been sent is unknown unless the service's answer is one
-// that it gives only before executing.
-func ending(write bool, r reply) error {
+// classify maps the result of one attempt to nil for a success or to a sentinel
+// error. A write that may have been sent has an unknown outcome unless the
+// service sends the response only before it executes a request.
+func classify(write bool, r attemptResult) error {
 	switch {
 	case r.err != nil:
-		return lost(write && r.sent)
+		return noResponse(write && r.sent)
 	case r.status == http.StatusOK:
 		return nil
 	case r.message == etcdjson.MessageTooLarge, r.status == http.StatusRequestEntityTooLarge:
@@ -106,23 +108,23 @@
 	case r.message == etcdjson.MessageNoLeader:
 		return ErrUnavailable
 	case r.status == http.StatusRequestTimeout:
-		return lost(write)
+		return noResponse(write)
 	case r.status >= http.StatusInternalServerError:
-		return lost(write)
+		return noResponse(write)
 	default:
 		return ErrUnavailable
 	}
 }
 
-// lost returns the ending of a call without a usable answer.
-func lost(mayHaveEffect bool) error {
+// noResponse returns the outcome of a call without a usable response.
+func noResponse(mayHaveEffect bool) error {
 	if mayHaveEffect {
 		return ErrUnknown
 	}
 	return ErrUnavailable
 }
 
-// resultLabel is the metrics label of an ending.
+// resultLabel returns the value of the result label for the outcome of a call.
 func resultLabel(err error) string {
 	switch {
 	case err == nil:
@@ -138,5 +140,5 @@
 	}
 }
 
-// resultLabels lists every value of resultLabel.
+// resultLabels lists every value that resultLabel returns.
 var resultLabels = []string{"ok", "unknown", "too-large", "lease-gone", "unavailable"}
--- a/metastore/settle.go
+++ b/metastore/settle.go
@@ -9,63 +9,65 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// The waits between the attempts of Settle to find out what became of a write.
+// Backoff between the attempts of Settle to determine the outcome of a write.
 const (
-	settleFirst = 50 * time.Millisecond
-	settleMax   = 2 * time.Second
+	settleInitialInterval = 50 * time.Millisecond
+	settleMaxInterval     = 2 * time.Second
 )
 
-// Settle writes like CompareAndSwap and, when the outcome is unknown, finds it
-// out. same reports whether an entry is the one that this call writes, or
-// descends from it; values must therefore differ between writers.
+// Settle writes like CompareAndSwap and, if the outcome is unknown, determines
+// it. isOwn reports whether an entry is the one written by this call or derives
+// from it; the values of different writers must therefore differ.
 //
-// It returns nil when the write is in force; ErrConflict, with the current
-// entry, when it certainly was not applied; ErrUnknown when ctx ended before
-// the outcome was known, or when another write stands in the key and cannot
-// tell whether it replaced this one. Other errors mean "not applied".
+// It returns nil if the write is in effect; ErrConflict, with the current
+// entry, if it certainly was not applied; and ErrUnknown if ctx ended before
+// the outcome was known, or if the key holds another write, which does not tell
+// whether it replaced this one. Any other error means that the write was not
+// applied.
 //
-// While the outcome is unknown the same write is repeated: since both carry
-// the same expected revision, at most one takes effect, and a late one fails.
-func Settle(ctx context.Context, store Store, key string, expect int64, value []byte, lease LeaseID, same func(Entry) bool) (Entry, error) {
+// While the outcome is unknown the same write is repeated. All attempts carry
+// the same expected revision, so at most one takes effect and any late one
+// fails.
+func Settle(ctx context.Context, store Store, key string, expect int64, value []byte, lease LeaseID, isOwn func(Entry) bool) (Entry, error) {
 	e, err := store.CompareAndSwap(ctx, key, expect, value, lease)
 	if !errors.Is(err, ErrUnknown) {
 		return e, err
 	}
-	s := settling{store: store, key: key, expect: expect, value: value, lease: lease, same: same}
+	s := unresolvedWrite{store: store, key: key, expect: expect, value: value, lease: lease, isOwn: isOwn}
 	wait := settleBackOff()
 	for {
-		e, err, known := s.attempt(ctx)
+		e, err, known := s.resolve(ctx)
 		if known {
 			return e, err
 		}
 		if sleep(ctx, wait.NextBackOff()) != nil {
-			return Entry{Key: key}, unknownBecause(err)
+			return Entry{Key: key}, unknownError(err)
 		}
 	}
 }
 
-// settleBackOff returns the waits of one call.
+// settleBackOff returns the backoff of one Settle call.
 func settleBackOff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = settleFirst
-	b.MaxInterval = settleMax
+	b.InitialInterval = settleInitialInterval
+	b.MaxInterval = settleMaxInterval
 	b.RandomizationFactor = 0.5
 	return b
 }
 
-// settling is a write whose first attempt had an unknown outcome.
-type settling struct {
+// unresolvedWrite is a write whose first attempt had an unknown outcome.
+type unresolvedWrite struct {
 	store  Store
 	key    string
 	expect int64
 	value  []byte
 	lease  LeaseID
-	same   func(Entry) bool
+	isOwn  func(Entry) bool
 }
 
-// attempt reads back and, while nothing has changed, writes again. known
+// resolve reads the key and, if nothing has changed, repeats the write. known
 // reports whether the result is final.
-func (s *settling) attempt(ctx context.Context) (e Entry, err error, known bool) {
+func (s *unresolvedWrite) resolve(ctx context.Context) (e Entry, err error, known bool) {
 	e, err = s.store.Get(ctx, s.key)
 	if errors.Is(err, ErrNotFound) {
 		e, err = Entry{Key: s.key}, nil
@@ -74,32 +76,34 @@
 		return e, err, false
 	}
 	if e.Revision != s.expect {
-		return s.judge(e)
+		return s.classifyEntry(e)
 	}
 	e, err = s.store.CompareAndSwap(ctx, s.key, s.expect, s.value, s.lease)
 	switch {
 	case err == nil:
 		return e, nil, true
 	case errors.Is(err, ErrConflict):
-		return s.judge(e)
+		return s.classifyEntry(e)
 	case errors.Is(err, ErrLeaseGone), errors.Is(err, ErrTooLarge):
-		// The first attempt may have been applied and its lease have lapsed.
-		return e, unknownBecause(err), true
+		// The first attempt may have been applied and its lease may have
+		// expired since.
+		return e, unknownError(err), true
 	default:
 		return e, err, false
 	}
 }
 
-// judge decides about an entry that is not the one the write expected.
-func (s *settling) judge(e Entry) (Entry, error, bool) {
-	if e.Revision > 0 && s.same(e) {
+// classifyEntry decides the outcome from an entry whose revision is not the one
+// that the write expected.
+func (s *unresolvedWrite) classifyEntry(e Entry) (Entry, error, bool) {
+	if e.Revision > 0 && s.isOwn(e) {
 		return e, nil, true
 	}
-	return e, unknownBecause(errors.New("another write stands in the key")), true
+	return e, unknownError(errors.New("the key holds another write")), true
 }
 
-// unknownBecause returns ErrUnknown with a reason; both match errors.Is.
-func unknownBecause(cause error) error {
+// unknownError returns ErrUnknown with a cause; errors.Is matches both.
+func unknownError(cause error) error {
 	if cause == nil || errors.Is(cause, ErrUnknown) {
 		return ErrUnknown
 	}
--- a/metastore/settle_test.go
+++ b/metastore/settle_test.go
@@ -11,54 +11,54 @@
 	"github.com/micarudder/micarudder/metastore"
 )
 
-// settleCases are a swap from "old" to "mine" under a fault, with what another
-// writer does in the meantime.
+// settleCases swap "old" for "mine" under a fault, some while another writer
+// writes.
 var settleCases = []struct {
 	name  string
-	begin func(b *bench, e metastore.Entry)
+	begin func(b *fixture, e metastore.Entry)
 	err   error
-	value string // in the key afterwards
+	value string // of the key afterwards
 }{
-	{"no fault", func(*bench, metastore.Entry) {}, nil, "mine"},
-	{"conflict", func(b *bench, e metastore.Entry) { b.swap(e, "other") }, metastore.ErrConflict, "other"},
-	{"applied, answer lost", lose(standin.Faults{LoseApplied: 1}), nil, "mine"},
-	{"not applied, answer lost", lose(standin.Faults{LoseUnapplied: 1}), nil, "mine"},
-	{"both answers lost", lose(standin.Faults{LoseUnapplied: 1, LoseApplied: 1}), nil, "mine"},
-	{"many answers lost", lose(standin.Faults{LoseUnapplied: 20}), nil, "mine"},
-	{"applied too late", func(b *bench, _ metastore.Entry) {
+	{"no fault", func(*fixture, metastore.Entry) {}, nil, "mine"},
+	{"conflict", func(b *fixture, e metastore.Entry) { b.swap(e, "other") }, metastore.ErrConflict, "other"},
+	{"applied, response lost", withLastingFaults(standin.Faults{LoseApplied: 1}), nil, "mine"},
+	{"not applied, response lost", withLastingFaults(standin.Faults{LoseUnapplied: 1}), nil, "mine"},
+	{"both responses lost", withLastingFaults(standin.Faults{LoseUnapplied: 1, LoseApplied: 1}), nil, "mine"},
+	{"many responses lost", withLastingFaults(standin.Faults{LoseUnapplied: 20}), nil, "mine"},
+	{"applied too late", func(b *fixture, _ metastore.Entry) {
 		b.server.SetFaults(standin.Faults{Delay: 1500 * time.Millisecond})
-		b.after(1100*time.Millisecond, func() { b.server.SetFaults(standin.Faults{}) })
+		b.runAfter(1100*time.Millisecond, func() { b.server.SetFaults(standin.Faults{}) })
 	}, nil, "mine"},
-	{"an outage after it", func(b *bench, _ metastore.Entry) {
+	{"an outage after the write", func(b *fixture, _ metastore.Entry) {
 		b.server.SetFaults(standin.Faults{AnswerDelay: 3 * time.Second})
-		b.after(500*time.Millisecond, func() { b.server.SetFaults(standin.Faults{Outage: standin.OutageReset}) })
-		b.after(20*time.Second, func() { b.server.SetFaults(standin.Faults{}) })
+		b.runAfter(500*time.Millisecond, func() { b.server.SetFaults(standin.Faults{Outage: standin.OutageReset}) })
+		b.runAfter(20*time.Second, func() { b.server.SetFaults(standin.Faults{}) })
 	}, nil, "mine"},
-	{"an outage without end", lose(standin.Faults{Outage: standin.OutageHang}), metastore.ErrUnknown, "old"},
-	{"no service at all", func(b *bench, _ metastore.Entry) { b.net.remove(address); synctest.Wait() }, metastore.ErrUnavailable, "old"},
-	{"not applied, then another writer", func(b *bench, e metastore.Entry) {
+	{"a permanent outage", withLastingFaults(standin.Faults{Outage: standin.OutageHang}), metastore.ErrUnknown, "old"},
+	{"nothing listens", func(b *fixture, _ metastore.Entry) { b.net.remove(address); synctest.Wait() }, metastore.ErrUnavailable, "old"},
+	{"not applied, then another writer", func(b *fixture, e metastore.Entry) {
 		b.server.SetFaults(standin.Faults{Outage: standin.OutageHang})
-		b.after(500*time.Millisecond, func() {
+		b.runAfter(500*time.Millisecond, func() {
 			b.server.SetFaults(standin.Faults{})
 			b.swap(e, "other")
 		})
 	}, metastore.ErrUnknown, "other"},
-	{"applied, then replaced by a descendant", func(b *bench, e metastore.Entry) {
+	{"applied, then replaced by a value derived from it", func(b *fixture, e metastore.Entry) {
 		b.server.SetFaults(standin.Faults{AnswerDelay: 3 * time.Second})
-		b.after(500*time.Millisecond, func() {
+		b.runAfter(500*time.Millisecond, func() {
 			b.server.SetFaults(standin.Faults{})
 			b.swap(metastore.Entry{Key: "k", Revision: e.Revision + 1}, "mine and more")
 		})
 	}, nil, "mine and more"},
 }
 
-// lose switches faults on for good.
-func lose(f standin.Faults) func(*bench, metastore.Entry) {
-	return func(b *bench, _ metastore.Entry) { b.server.SetFaults(f) }
+// withLastingFaults injects faults that do not end by themselves.
+func withLastingFaults(f standin.Faults) func(*fixture, metastore.Entry) {
+	return func(b *fixture, _ metastore.Entry) { b.server.SetFaults(f) }
 }
 
-// after runs f in d.
-func (b *bench) after(d time.Duration, f func()) {
+// runAfter runs f after d.
+func (b *fixture) runAfter(d time.Duration, f func()) {
 	go func() {
 		time.Sleep(d)
 		f()
@@ -69,7 +69,7 @@
 	for _, c := range settleCases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t, standin.Config{}, nil)
+				b := newFixture(t, standin.Config{}, nil)
 				e := b.create("k", "old")
 				c.begin(b, e)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -78,7 +78,7 @@
 				got, err := metastore.Settle(ctx, b.client, "k", e.Revision, []byte("mine"), 0, same)
 				b.True(errors.Is(err, c.err))
 				time.Sleep(5 * time.Second)
-				b.heal()
+				b.clearFaults()
 				now, err := b.client.Get(t.Context(), "k")
 				b.NoErr(err)
 				b.Equal(string(now.Value), c.value)
@@ -90,15 +90,15 @@
 	}
 }
 
-// TestSettleLapsedLease: a key that was written and went with its lease is not
-// called "not written".
+// TestSettleLapsedLease: a key that was written and then deleted because its
+// lease expired must not be reported as not written.
 func TestSettleLapsedLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, standin.Config{}, nil)
+		b := newFixture(t, standin.Config{}, nil)
 		id, err := b.client.Grant(t.Context(), 2*time.Second)
 		b.NoErr(err)
 		b.server.SetFaults(standin.Faults{AnswerDelay: 3 * time.Second})
-		b.after(2500*time.Millisecond, func() { b.server.SetFaults(standin.Faults{}) })
+		b.runAfter(2500*time.Millisecond, func() { b.server.SetFaults(standin.Faults{}) })
 		_, err = metastore.Settle(t.Context(), b.client, "k", 0, []byte("mine"), id, func(metastore.Entry) bool { return true })
 		b.True(errors.Is(err, metastore.ErrUnknown))
 		b.True(errors.Is(err, metastore.ErrLeaseGone))
--- a/metastore/socket_test.go
+++ b/metastore/socket_test.go
@@ -12,8 +12,8 @@
 	"github.com/micarudder/micarudder/metastore"
 )
 
-// TestSockets repeats on real sockets what the endings rest on: a connection
-// that breaks under a call, and one that cannot be made.
+// TestSockets checks on real sockets the cases that the outcomes depend on: a
+// connection that breaks during a call, and one that cannot be established.
 func TestSockets(t *testing.T) {
 	is := is.New(t)
 	service := standin.NewServer(standin.Config{})
@@ -45,11 +45,11 @@
 		go func() { ended <- c.call() }()
 		<-arrived
 		server.CloseClientConnections()
-		is.True(errors.Is(<-ended, c.want)) // broken under the call
+		is.True(errors.Is(<-ended, c.want)) // broken during the call
 	}
-	is.Equal(len(service.History("k")), 1) // the write had taken effect
+	is.Equal(len(service.History("k")), 1) // the write took effect
 	server.Close()
 	for _, c := range calls {
-		is.True(errors.Is(c.call(), metastore.ErrUnavailable)) // refused
+		is.True(errors.Is(c.call(), metastore.ErrUnavailable)) // connection refused
 	}
 }
--- a/metastore/store.go
+++ b/metastore/store.go
@@ -10,12 +10,12 @@
 	"github.com/micarudder/micarudder/internal/etcdjson"
 )
 
-// pageSize is the number of keys that List asks for at a time.
+// pageSize is the number of keys that List requests per call.
 const pageSize = 256
 
 var (
-	errNoRevision = errors.New("answer without a revision")
-	errNoRange    = errors.New("answer without the current value")
+	errNoRevision     = errors.New("response has no revision")
+	errNoCurrentValue = errors.New("response to a failed comparison has no current value")
 )
 
 // Get implements Store.
@@ -27,11 +27,11 @@
 	if len(res.Kvs) == 0 {
 		return Entry{}, ErrNotFound
 	}
-	return entryOf(key, res.Kvs[0]), nil
+	return newEntry(key, res.Kvs[0]), nil
 }
 
-// List implements Store. Keys that change during the call may be seen before
-// or after their change: it is no snapshot.
+// List implements Store. The result is not a snapshot: a key that changes
+// during the call may be returned in its state before or after the change.
 func (c *Client) List(ctx context.Context, prefix string) ([]Entry, error) {
 	req := etcdjson.RangeRequest{
 		Key:      []byte(prefix),
@@ -48,7 +48,7 @@
 			return nil, err
 		}
 		for _, kv := range res.Kvs {
-			entries = append(entries, entryOf(string(kv.Key), kv))
+			entries = append(entries, newEntry(string(kv.Key), kv))
 		}
 		if !res.More || len(res.Kvs) == 0 {
 			return entries, nil
@@ -61,10 +61,10 @@
 // rangeCall makes one range call.
 func (c *Client) rangeCall(ctx context.Context, req etcdjson.RangeRequest) (etcdjson.RangeResponse, error) {
 	var res etcdjson.RangeResponse
-	err := c.call(ctx, KindRange, etcdjson.PathRange, req, func(data []byte) (answer, error) {
+	err := c.call(ctx, KindRange, etcdjson.PathRange, req, func(data []byte) (storeState, error) {
 		var err error
 		res, err = decodeRange(data, req)
-		return answerOf(res.Header), err
+		return stateFromHeader(res.Header), err
 	})
 	return res, err
 }
@@ -73,15 +73,15 @@
 func (c *Client) CompareAndSwap(ctx context.Context, key string, expect int64, value []byte, lease LeaseID) (Entry, error) {
 	if len(value) > MaxValue {
 		cause := fmt.Errorf("%d bytes", len(value))
-		return Entry{}, &CallError{Kind: KindTxn, Ending: ErrTooLarge, Cause: cause}
+		return Entry{}, &CallError{Kind: KindTxn, Outcome: ErrTooLarge, Cause: cause}
 	}
 	put := &etcdjson.PutRequest{Key: []byte(key), Value: value, Lease: etcdjson.Int64(lease)}
-	res, err := c.compare(ctx, key, expect, etcdjson.RequestOp{Put: put})
+	res, err := c.conditionalTxn(ctx, key, expect, etcdjson.RequestOp{Put: put})
 	if err != nil {
 		return Entry{}, err
 	}
 	if !res.Succeeded {
-		return conflicting(key, res), ErrConflict
+		return conflictEntry(key, res), ErrConflict
 	}
 	return Entry{Key: key, Value: value, Revision: int64(res.Header.Revision)}, nil
 }
@@ -89,7 +89,7 @@
 // Delete implements Store.
 func (c *Client) Delete(ctx context.Context, key string, expect int64) error {
 	del := &etcdjson.DeleteRangeRequest{Key: []byte(key)}
-	res, err := c.compare(ctx, key, expect, etcdjson.RequestOp{DeleteRange: del})
+	res, err := c.conditionalTxn(ctx, key, expect, etcdjson.RequestOp{DeleteRange: del})
 	if err != nil {
 		return err
 	}
@@ -99,8 +99,9 @@
 	return nil
 }
 
-// compare runs op if the key's revision equals expect, else reads the key.
-func (c *Client) compare(ctx context.Context, key string, expect int64, op etcdjson.RequestOp) (etcdjson.TxnResponse, error) {
+// conditionalTxn executes op if the key's revision equals expect; otherwise it
+// reads the key.
+func (c *Client) conditionalTxn(ctx context.Context, key string, expect int64, op etcdjson.RequestOp) (etcdjson.TxnResponse, error) {
 	req := etcdjson.TxnRequest{
 		Compare: []etcdjson.Compare{{
 			Result:      etcdjson.CompareEqual,
@@ -112,28 +113,29 @@
 		Failure: []etcdjson.RequestOp{{Range: &etcdjson.RangeRequest{Key: []byte(key)}}},
 	}
 	var res etcdjson.TxnResponse
-	err := c.call(ctx, KindTxn, etcdjson.PathTxn, req, func(data []byte) (answer, error) {
+	err := c.call(ctx, KindTxn, etcdjson.PathTxn, req, func(data []byte) (storeState, error) {
 		var err error
 		res, err = decodeTxn(data, key)
-		a := answerOf(res.Header)
-		a.wrote = res.Succeeded && (op.Put != nil || expect > 0)
-		return a, err
+		state := stateFromHeader(res.Header)
+		state.wrote = res.Succeeded && (op.Put != nil || expect > 0)
+		return state, err
 	})
 	return res, err
 }
 
-// conflicting returns the current entry that a failed comparison brought back.
-func conflicting(key string, res etcdjson.TxnResponse) Entry {
+// conflictEntry returns the current entry from the response to a failed
+// comparison.
+func conflictEntry(key string, res etcdjson.TxnResponse) Entry {
 	kvs := res.Responses[0].Range.Kvs
 	if len(kvs) == 0 {
 		return Entry{Key: key}
 	}
-	return entryOf(key, kvs[0])
+	return newEntry(key, kvs[0])
 }
 
-// entryOf returns the entry of kv under key. An existing key's value is never
-// nil, since nil stands for a deleted one.
-func entryOf(key string, kv etcdjson.KeyValue) Entry {
+// newEntry returns the entry of kv under key. The value of an existing key is
+// never nil, since nil stands for a deleted key.
+func newEntry(key string, kv etcdjson.KeyValue) Entry {
 	value := kv.Value
 	if value == nil {
 		value = []byte{}
@@ -141,7 +143,7 @@
 	return Entry{Key: key, Value: value, Revision: int64(kv.ModRevision)}
 }
 
-// decodeRange reads the answer to req.
+// decodeRange decodes the response to req.
 func decodeRange(data []byte, req etcdjson.RangeRequest) (etcdjson.RangeResponse, error) {
 	var res etcdjson.RangeResponse
 	if err := json.Unmarshal(data, &res); err != nil {
@@ -153,7 +155,7 @@
 	return res, checkKeys(res.Kvs, res.Header, req)
 }
 
-// decodeTxn reads the answer to a transaction made by compare.
+// decodeTxn decodes the response to a transaction of conditionalTxn.
 func decodeTxn(data []byte, key string) (etcdjson.TxnResponse, error) {
 	var res etcdjson.TxnResponse
 	if err := json.Unmarshal(data, &res); err != nil {
@@ -166,34 +168,34 @@
 		return res, nil
 	}
 	if len(res.Responses) != 1 || res.Responses[0].Range == nil {
-		return res, errNoRange
+		return res, errNoCurrentValue
 	}
 	return res, checkKeys(res.Responses[0].Range.Kvs, res.Header, etcdjson.RangeRequest{Key: []byte(key)})
 }
 
-// checkKeys refuses keys that were not asked for or come from a later state
-// than their answer.
+// checkKeys rejects keys that were not requested or that have a higher revision
+// than the response itself.
 func checkKeys(kvs []etcdjson.KeyValue, h etcdjson.Header, req etcdjson.RangeRequest) error {
 	if len(req.RangeEnd) == 0 && len(kvs) > 1 {
-		return fmt.Errorf("%d keys instead of one", len(kvs))
+		return fmt.Errorf("response has %d keys, requested one", len(kvs))
 	}
 	for _, kv := range kvs {
 		if len(req.RangeEnd) == 0 && !bytes.Equal(kv.Key, req.Key) {
-			return fmt.Errorf("key %q instead of %q", kv.Key, req.Key)
+			return fmt.Errorf("response has key %q, requested %q", kv.Key, req.Key)
 		}
 		if kv.ModRevision <= 0 || kv.ModRevision > h.Revision {
-			return fmt.Errorf("key at revision %d in an answer of revision %d", kv.ModRevision, h.Revision)
+			return fmt.Errorf("key has revision %d in a response of revision %d", kv.ModRevision, h.Revision)
 		}
 	}
 	return nil
 }
 
-// answerOf returns what a header says about the store's state.
-func answerOf(h etcdjson.Header) answer {
-	return answer{revision: int64(h.Revision), cluster: h.ClusterID}
+// stateFromHeader returns the store state that a response header reports.
+func stateFromHeader(h etcdjson.Header) storeState {
+	return storeState{revision: int64(h.Revision), cluster: h.ClusterID}
 }
 
-// checkRevision refuses an answer that does not say which state it is from.
+// checkRevision rejects a response that does not name its revision.
 func checkRevision(h etcdjson.Header) error {
 	if h.Revision <= 0 {
 		return errNoRevision
