--- a/engine/bench_test.go
+++ b/engine/bench_test.go
@@ -8,9 +8,9 @@
 	standin "github.com/micarudder/micarudder/internal/standin/engine"
 )
 
-// benchStream measures one run at a time over loopback before an engine whose
-// steps cost nothing, so that what is left is the overhead of client and
-// stand-in together.
+// benchStream measures one run at a time over loopback against an engine whose
+// steps take no time, so that the result is the overhead of client and stand-in
+// together.
 func benchStream(b *testing.B, promptTokens, tokens int) {
 	cfg := standin.Default()
 	cfg.Costs = standin.Costs{}
@@ -20,7 +20,7 @@
 	defer s.Close()
 	srv := httptest.NewServer(s.Handler())
 	defer srv.Close()
-	c := &bench{client: engine.NewClient(engine.Options{BaseURL: srv.URL})}
+	c := &fixture{client: engine.NewClient(engine.Options{BaseURL: srv.URL})}
 	body := chatBody(prompt("bench", promptTokens), tokens)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/engine/client.go
+++ b/engine/client.go
@@ -14,33 +14,33 @@
 	"github.com/micarudder/micarudder/internal/localhttp"
 )
 
-// The operations named in errors.
+// Operation names used in errors.
 const (
-	opStart   = "start"
-	opRecv    = "recv"
-	opCancel  = "cancel"
-	opLoad    = "load"
-	opEvents  = "cache events"
-	opState   = "state"
-	opOrder   = "order"
-	opPrefill = "prefill"
-	opExport  = "export"
-	opImport  = "import"
-	opFree    = "free"
+	opStart       = "start"
+	opRecv        = "recv"
+	opCancel      = "cancel"
+	opLoad        = "load"
+	opCacheEvents = "cache events"
+	opState       = "state"
+	opOrder       = "order"
+	opPrefill     = "prefill"
+	opExport      = "export"
+	opImport      = "import"
+	opFree        = "free"
 )
 
 const (
-	maxReplyBytes = 64 << 20
+	maxResponseBytes = 64 << 20
 )
 
-// Options configure a client.
+// Options configure a Client.
 type Options struct {
 	BaseURL    string       // http://host:port of the engine
-	HTTPClient *http.Client // nil: one of the client's own, made for loopback
+	HTTPClient *http.Client // nil: a client of its own for loopback connections
 	Name       string       // sent as the User-Agent
 }
 
-// Client talks to one engine over HTTP. It implements Engine and holds no
+// Client is the HTTP client of one engine. It implements Engine and runs no
 // goroutine of its own.
 type Client struct {
 	base string
@@ -55,7 +55,7 @@
 	return &Client{base: strings.TrimSuffix(o.BaseURL, "/"), http: localhttp.New(o.HTTPClient), name: o.Name}
 }
 
-// Start implements Engine. The context covers the stream too.
+// Start implements Engine. The context also covers the stream.
 func (c *Client) Start(ctx context.Context, r Request) (Stream, error) {
 	h := http.Header{}
 	h.Set("Accept", "text/event-stream")
@@ -90,7 +90,7 @@
 // CacheEvents implements Engine.
 func (c *Client) CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error) {
 	var b CacheEventsBody
-	err := c.getJSON(ctx, opEvents, PathCacheEvents+"?after="+formatUint(after), &b)
+	err := c.getJSON(ctx, opCacheEvents, PathCacheEvents+"?after="+formatUint(after), &b)
 	return b.Events, err
 }
 
@@ -100,8 +100,8 @@
 	return s, c.getJSON(ctx, opState, PathState, &s)
 }
 
-// Order implements Engine. ErrRefused and ErrUnreachable mean that the order
-// had no effect; after ErrLost, State tells.
+// Order implements Engine. After ErrRefused and ErrUnreachable the order had no
+// effect; after ErrLost, State tells whether it had.
 func (c *Client) Order(ctx context.Context, o Order) error {
 	return c.postJSON(ctx, opOrder, PathOrders, o)
 }
@@ -116,7 +116,7 @@
 	h.Set(HeaderSpanTokens, formatUint(s.Tokens))
 	h.Set(HeaderPriority, strconv.Itoa(s.Priority))
 	setImport(h, s.Import)
-	return c.drain(c.post(ctx, opPrefill, PathPrefill, h, nil, s.Body))
+	return c.discardBody(c.post(ctx, opPrefill, PathPrefill, h, nil, s.Body))
 }
 
 // Export implements Engine.
@@ -138,7 +138,7 @@
 	h.Set(HeaderSpanID, id)
 	h.Set(HeaderSpanOwner, owner)
 	h.Set("Content-Type", "application/octet-stream")
-	return c.drain(c.post(ctx, opImport, PathImport, h, nil, data))
+	return c.discardBody(c.post(ctx, opImport, PathImport, h, nil, data))
 }
 
 // Free implements Engine.
@@ -151,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	return c.drain(c.post(ctx, op, path, http.Header{}, nil, body))
+	return c.discardBody(c.post(ctx, op, path, http.Header{}, nil, body))
 }
 
 func (c *Client) getJSON(ctx context.Context, op, path string, v any) error {
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// post sends first and then body as one request body.
-func (c *Client) post(ctx context.Context, op, path string, h http.Header, first, body []byte) (*http.Response, error) {
+// post sends prefix followed by body as one request body.
+func (c *Client) post(ctx context.Context, op, path string, h http.Header, prefix, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, nil)
 	if err != nil {
 		return nil, &Error{Op: op, Kind: ErrRefused, Cause: err}
@@ -183,22 +183,24 @@
 		h.Set("Content-Type", "application/json")
 	}
 	req.Header = h
-	req.ContentLength = int64(len(first) + len(body))
-	// With GetBody the transport sends again only if no byte was written: a
-	// POST without an idempotency header is not replayed otherwise.
+	req.ContentLength = int64(len(prefix) + len(body))
+	// With GetBody the transport resends the request only if no byte of it was
+	// written; otherwise it does not replay a POST without an idempotency
+	// header.
 	req.GetBody = func() (io.ReadCloser, error) {
-		return io.NopCloser(io.MultiReader(bytes.NewReader(first), bytes.NewReader(body))), nil
+		return io.NopCloser(io.MultiReader(bytes.NewReader(prefix), bytes.NewReader(body))), nil
 	}
 	req.Body, _ = req.GetBody()
 	return c.do(op, req)
 }
 
-// do sends the request; any answer but 200 comes back as an error.
+// do sends the request; a response with a status other than 200 is returned as
+// an error.
 func (c *Client) do(op string, req *http.Request) (*http.Response, error) {
 	req.Header.Set("User-Agent", c.name)
-	var tried, sent atomic.Bool
+	var connRequested, sent atomic.Bool
 	trace := &httptrace.ClientTrace{
-		GetConn:      func(string) { tried.Store(true) },
+		GetConn:      func(string) { connRequested.Store(true) },
 		WroteHeaders: func() { sent.Store(true) },
 	}
 	resp, err := c.http.Do(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
@@ -206,19 +208,19 @@
 	case err == nil && resp.StatusCode == http.StatusOK:
 		return resp, nil
 	case err == nil:
-		return nil, answerError(op, resp)
+		return nil, responseError(op, resp)
 	case sent.Load():
 		return nil, &Error{Op: op, Kind: ErrLost, Cause: err}
-	case tried.Load():
+	case connRequested.Load():
 		return nil, &Error{Op: op, Kind: ErrUnreachable, Cause: err}
 	default:
 		return nil, &Error{Op: op, Kind: ErrRefused, Cause: err}
 	}
 }
 
-// drain reads an answer whose body does not matter, so that the connection
-// can be used again.
-func (c *Client) drain(resp *http.Response, err error) error {
+// discardBody reads a response whose body is not needed, so that the connection
+// can be reused.
+func (c *Client) discardBody(resp *http.Response, err error) error {
 	if err != nil {
 		return err
 	}
@@ -229,7 +231,7 @@
 
 func readAll(op string, resp *http.Response) ([]byte, error) {
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, &Error{Op: op, Kind: ErrLost, Status: resp.StatusCode, Cause: err}
 	}
--- a/engine/contract_test.go
+++ b/engine/contract_test.go
@@ -24,25 +24,25 @@
 	textPath = "/v1/completions"
 )
 
-// bench is a client before a stand-in engine.
-type bench struct {
-	engine *standin.Server
-	net    *pipe.Server
-	client *engine.Client
-	open   []engine.Stream // closed at the end
+// fixture is a client connected to a stand-in engine.
+type fixture struct {
+	engine      *standin.Server
+	net         *pipe.Server
+	client      *engine.Client
+	openStreams []engine.Stream // closed at the end of the test
 }
 
-// start begins a run that the test does not read.
-func (b *bench) start(r engine.Request) {
+// start begins a run whose stream the test does not read.
+func (b *fixture) start(r engine.Request) {
 	s, err := b.client.Start(context.Background(), r)
 	if err != nil {
 		panic(err)
 	}
-	b.open = append(b.open, s)
+	b.openStreams = append(b.openStreams, s)
 }
 
-// withEngine runs f under virtual time before an engine with default costs.
-func withEngine(t *testing.T, change func(*standin.Config), f func(is *is.I, b *bench)) {
+// withEngine runs f under virtual time with a stand-in engine of default costs.
+func withEngine(t *testing.T, change func(*standin.Config), f func(is *is.I, b *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		cfg := standin.Default()
@@ -50,11 +50,11 @@
 		if change != nil {
 			change(&cfg)
 		}
-		b := &bench{engine: standin.NewServer(cfg)}
+		b := &fixture{engine: standin.NewServer(cfg)}
 		b.net = pipe.Serve(b.engine.Handler())
 		b.client = engine.NewClient(engine.Options{BaseURL: "http://engine", HTTPClient: b.net.Client, Name: "test"})
 		f(is.New(t), b)
-		for _, s := range b.open {
+		for _, s := range b.openStreams {
 			_ = s.Close()
 		}
 		b.engine.Close()
@@ -79,24 +79,24 @@
 	return b
 }
 
-// prompt returns a text of n tokens that begins with its name.
+// prompt returns a text of n tokens that begins with the tag of name.
 func prompt(name string, n int) string {
 	s := answer.Tag(name) + strings.Repeat(name+" ", n*4/(len(name)+1)+1)
 	return s[:n*4]
 }
 
-// reading is what came of a stream.
-type reading struct {
+// streamResult is what was received from a stream.
+type streamResult struct {
 	text   string
 	tokens int
 	finish string
 	usage  engine.Usage
-	first  time.Duration // to the first text
-	err    error         // nil for a whole stream
+	first  time.Duration // time to the first text
+	err    error         // nil for a complete stream
 }
 
-func read(s engine.Stream) reading {
-	var r reading
+func readStream(s engine.Stream) streamResult {
+	var r streamResult
 	begin := time.Now()
 	for {
 		ev, err := s.Recv()
@@ -116,13 +116,13 @@
 	}
 }
 
-func (b *bench) complete(r engine.Request) reading {
+func (b *fixture) complete(r engine.Request) streamResult {
 	s, err := b.client.Start(context.Background(), r)
 	if err != nil {
-		return reading{err: err}
+		return streamResult{err: err}
 	}
 	defer s.Close()
-	return read(s)
+	return readStream(s)
 }
 
 func TestStartStreamsTheWholeAnswer(t *testing.T) {
@@ -139,7 +139,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withEngine(t, nil, func(is *is.I, b *bench) {
+			withEngine(t, nil, func(is *is.I, b *fixture) {
 				got := b.complete(c.req)
 				is.NoErr(got.err)
 				is.Equal(got.text, string(answer.Text([]byte(p), c.want)))
@@ -155,19 +155,19 @@
 
 func TestResumeContinuesWithoutRepeating(t *testing.T) {
 	p := prompt("r", 500)
-	whole := string(answer.Text([]byte(p), 30))
+	full := string(answer.Text([]byte(p), 30))
 	for _, cut := range []int{4, 6, 40, 119} {
-		withEngine(t, nil, func(is *is.I, b *bench) {
-			got := b.complete(engine.Request{ID: "2", Path: chatPath, Body: chatBody(p, 30), ResumeText: []byte(whole[:cut])})
+		withEngine(t, nil, func(is *is.I, b *fixture) {
+			got := b.complete(engine.Request{ID: "2", Path: chatPath, Body: chatBody(p, 30), ResumeText: []byte(full[:cut])})
 			is.NoErr(got.err)
-			is.Equal(whole[:cut]+got.text, whole)
+			is.Equal(full[:cut]+got.text, full)
 			is.Equal(got.usage.OutputTokens, uint64(30))
 		})
 	}
 }
 
-func TestResumeRefusesAnotherAnswer(t *testing.T) {
-	withEngine(t, nil, func(is *is.I, b *bench) {
+func TestResumeRejectsMismatchedText(t *testing.T) {
+	withEngine(t, nil, func(is *is.I, b *fixture) {
 		got := b.complete(engine.Request{ID: "2", Path: chatPath, Body: chatBody("p", 9), ResumeText: []byte("none")})
 		is.True(errors.Is(got.err, engine.ErrRefused))
 		is.Equal(b.engine.Counts().Total, 0)
@@ -175,21 +175,21 @@
 }
 
 func TestCancelFreesMemory(t *testing.T) {
-	ways := map[string]func(b *bench, s engine.Stream, stop func()) error{
-		"cancel":  func(b *bench, _ engine.Stream, _ func()) error { return b.client.Cancel(context.Background(), "1") },
-		"close":   func(_ *bench, s engine.Stream, _ func()) error { return s.Close() },
-		"context": func(_ *bench, _ engine.Stream, stop func()) error { stop(); return nil },
+	cancelMethods := map[string]func(b *fixture, s engine.Stream, stop func()) error{
+		"cancel":  func(b *fixture, _ engine.Stream, _ func()) error { return b.client.Cancel(context.Background(), "1") },
+		"close":   func(_ *fixture, s engine.Stream, _ func()) error { return s.Close() },
+		"context": func(_ *fixture, _ engine.Stream, stop func()) error { stop(); return nil },
 	}
-	for name, way := range ways {
+	for name, cancelRun := range cancelMethods {
 		t.Run(name, func(t *testing.T) {
-			withEngine(t, nil, func(is *is.I, b *bench) {
+			withEngine(t, nil, func(is *is.I, b *fixture) {
 				ctx, stop := context.WithCancel(context.Background())
 				defer stop()
 				s, err := b.client.Start(ctx, engine.Request{ID: "1", Path: chatPath, Body: chatBody(prompt("c", 3000), 500)})
 				is.NoErr(err)
 				_, err = s.Recv()
 				is.NoErr(err)
-				is.NoErr(way(b, s, stop))
+				is.NoErr(cancelRun(b, s, stop))
 				synctest.Wait()
 				st, err := b.client.State(context.Background())
 				is.NoErr(err)
@@ -202,24 +202,24 @@
 	}
 }
 
-// TestPriorityIsStrict: a prompt passes between the chunks of another one if,
-// and only if, its priority number is lower.
+// TestPriorityIsStrict: a prompt is scheduled between the chunks of another one
+// if, and only if, its priority number is lower.
 func TestPriorityIsStrict(t *testing.T) {
-	const chunks = 300 * time.Millisecond // one chunk of the long prompt and the short one's own
+	const chunks = 300 * time.Millisecond // one chunk of the long prompt plus the short prompt's own
 	cases := []struct {
 		name        string
 		long, short int
-		passes      bool
+		overtakes   bool
 	}{{"lower", 9, 1, true}, {"equal", 5, 5, false}, {"higher", 1, 9, false}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withEngine(t, nil, func(is *is.I, b *bench) {
+			withEngine(t, nil, func(is *is.I, b *fixture) {
 				b.start(engine.Request{ID: "long", Path: chatPath, Body: chatBody(prompt("l", 100_000), 4), Priority: c.long})
 				time.Sleep(time.Second)
 				short := b.complete(engine.Request{ID: "short", Path: chatPath, Body: chatBody(prompt("s", 500), 4), Priority: c.short})
 				is.NoErr(short.err)
-				is.Equal(short.first < chunks, c.passes)
-				is.Equal(len(b.engine.State().Running) == 1, c.passes) // the long one still runs
+				is.Equal(short.first < chunks, c.overtakes)
+				is.Equal(len(b.engine.State().Running) == 1, c.overtakes) // the long prompt is still running
 			})
 		})
 	}
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine is the client of a model engine: completions as server-sent
-// events with priorities, resume and cancel, prefix-cache events, lagging
-// load, key-value cache export and import, and fenced orders to load models,
-// adapters and versions or to change role. docs/design/engine-protocol.md
-// gives the paths and bodies.
+// Package engine is the client of a model engine. It covers completions as
+// server-sent events with priorities, resumption and cancellation; prefix-cache
+// events; the engine's lagging load report; export and import of the key-value
+// cache; and fenced orders that load models, adapters and versions or change
+// the role. docs/design/engine-protocol.md specifies the paths and bodies.
 package engine
 
 import (
@@ -13,43 +13,48 @@
 
 // Sentinel errors; test with errors.Is.
 var (
-	// ErrRefused: the engine certainly did not start the request, or the
-	// client never tried to send it.
+	// ErrRefused: the engine certainly did not start the request, or the client
+	// never tried to send it.
 	ErrRefused = errors.New("engine: refused")
-	// ErrLost: the engine was lost after the request was sent; it may have run.
+	// ErrLost: the connection to the engine was lost after the request was
+	// sent; the request may have run.
 	ErrLost = errors.New("engine: lost")
-	// ErrUnreachable: no connection could be made; the request certainly did not start.
+	// ErrUnreachable: no connection could be established; the request certainly
+	// did not start.
 	ErrUnreachable = errors.New("engine: unreachable")
 	// ErrFailed: the engine ran the request and reported a failure.
 	ErrFailed = errors.New("engine: failed")
-	// ErrFenced: the engine refused an order with an old fencing number.
+	// ErrFenced: the engine rejected an order because of its old fencing
+	// number.
 	ErrFenced = errors.New("engine: old fencing number")
-	// ErrNoMemory: the engine has no cache memory for the request or import; it did not start.
+	// ErrNoMemory: the engine has no cache memory for the request or import,
+	// which did not start.
 	ErrNoMemory = errors.New("engine: out of memory")
-	// ErrNotFound: no such run, handle or model.
+	// ErrNotFound: the run, handle or model does not exist.
 	ErrNotFound = errors.New("engine: not found")
 )
 
-// Request is one completion ordered from the engine.
+// Request is one completion request to the engine.
 type Request struct {
 	ID         string // unique per attempt
 	Path       string // /v1/chat/completions or /v1/completions
 	Body       []byte // the caller's JSON body, unchanged
-	Priority   int    // lower runs first
-	ResumeText []byte // answer text already delivered; the engine continues after it
+	Priority   int    // lower numbers run first
+	ResumeText []byte // response text already delivered; the engine continues after it
 	Import     []string
 	MaxTokens  uint64
 }
 
-// Event is one step of a stream: text, or the end with Finish set.
+// Event is one event of a stream: either text, or the end of the response with
+// Finish set.
 type Event struct {
 	Text   []byte
 	Tokens uint32
-	Finish string // "stop" or "length" on the last event
-	Usage  Usage  // on the last event
+	Finish string // "stop" or "length" in the last event
+	Usage  Usage  // in the last event
 }
 
-// Usage counts tokens of one run.
+// Usage holds the token counts of one run.
 type Usage struct {
 	PromptTokens uint64
 	CachedTokens uint64
@@ -57,30 +62,31 @@
 }
 
 // Stream is one running completion. Recv returns io.EOF after the last event;
-// a stream that breaks earlier returns ErrLost. Close cancels what still runs.
+// if the stream breaks off earlier, it returns ErrLost. Close cancels a run
+// that has not finished.
 type Stream interface {
 	Recv() (Event, error)
 	Close() error
 }
 
-// Load is the engine's own report; it lags.
+// Load is the engine's own load report; it lags behind the actual load.
 type Load struct {
 	Running      int       `json:"running"`
 	Waiting      int       `json:"waiting"`
 	MemoryTokens uint64    `json:"memory_tokens"`
 	FreeTokens   uint64    `json:"free_tokens"`
-	At           time.Time `json:"at"` // when the engine measured it, its own clock
+	At           time.Time `json:"at"` // time of the measurement by the engine's clock
 }
 
-// CacheEvent says that a block entered or left the engine's prefix cache.
-// Block hashes are those of package prefix.
+// CacheEvent reports that a block was added to or evicted from the engine's
+// prefix cache. Block hashes are those of package prefix.
 type CacheEvent struct {
-	Sequence uint64 `json:"sequence"` // gaps mean lost events
+	Sequence uint64 `json:"sequence"` // a gap means that events were lost
 	Block    uint64 `json:"block,string"`
 	Evicted  bool   `json:"evicted,omitempty"`
 }
 
-// OrderKind names what an order asks for.
+// OrderKind is the kind of an order.
 type OrderKind string
 
 // The kinds of orders.
@@ -93,7 +99,7 @@
 )
 
 // Order changes what an engine serves. Fence is the fencing number: some
-// engines refuse an order whose number is below the highest they have seen.
+// engines reject an order whose number is below the highest one they have seen.
 type Order struct {
 	ID      string    `json:"id"`
 	Kind    OrderKind `json:"kind"`
@@ -103,10 +109,10 @@
 	Weights string    `json:"weights,omitempty"` // name in the weight store
 	Role    string    `json:"role,omitempty"`
 	Fence   uint64    `json:"fence"`
-	From    string    `json:"from,omitempty"` // name of the agent that gives the order
+	From    string    `json:"from,omitempty"` // name of the agent that issues the order
 }
 
-// Model is one loaded or loading model.
+// Model is one model that is loaded or being loaded.
 type Model struct {
 	Name     string   `json:"name"`
 	Version  string   `json:"version,omitempty"`
@@ -114,28 +120,29 @@
 	Loading  bool     `json:"loading,omitempty"`
 }
 
-// Held is one piece of cache memory kept outside any run: an exported or
+// Held is a piece of cache memory that is held outside any run: an exported or
 // imported span, or a reservation.
 type Held struct {
 	ID     string `json:"id"`
-	Owner  string `json:"owner,omitempty"` // group or run id it was made for
+	Owner  string `json:"owner,omitempty"` // id of the group or run that it is held for
 	Tokens uint64 `json:"tokens"`
 }
 
-// State is what the engine holds now, exact at the moment of the answer.
+// State is what the engine holds; unlike Load, it is exact at the time of the
+// response.
 type State struct {
 	Incarnation string   `json:"incarnation"` // changes when the engine restarts
 	Models      []Model  `json:"models"`
 	Role        string   `json:"role"`
 	Fence       uint64   `json:"fence"`
-	Running     []string `json:"running"` // run ids, and those of spans that are computed or wait for it
+	Running     []string `json:"running"` // ids of runs and of spans being computed or waiting
 	Held        []Held   `json:"held"`
 	Load        Load     `json:"load"`
-	OrderID     string   `json:"order_id,omitempty"` // last order finished
+	OrderID     string   `json:"order_id,omitempty"` // last finished order
 	OrderBusy   bool     `json:"order_busy,omitempty"`
 }
 
-// Span asks the engine to prefill and hold part of a prompt.
+// Span is a part of a prompt for the engine to prefill and hold.
 type Span struct {
 	ID     string
 	Owner  string
@@ -143,31 +150,34 @@
 	Body   []byte
 	Start  uint64 // first token
 	Tokens uint64
-	Import []string // handles of the spans before it
-	// Priority orders the prefill among waiting ones, lower first.
+	Import []string // handles of the preceding spans
+	// Priority orders waiting prefills; lower numbers run first.
 	Priority int
 }
 
 // Engine is one model engine. Implementations are safe for concurrent use.
 type Engine interface {
-	// Start begins a completion. Errors: ErrRefused, ErrNoMemory and
-	// ErrUnreachable are certain not to have run; ErrLost is not.
+	// Start begins a completion. After ErrRefused, ErrNoMemory and
+	// ErrUnreachable the request certainly did not run; after ErrLost it may
+	// have.
 	Start(ctx context.Context, r Request) (Stream, error)
-	// Cancel ends a run and frees its memory; ErrNotFound when it is not running.
+	// Cancel ends a run and frees its memory; it returns ErrNotFound if the run
+	// is not running.
 	Cancel(ctx context.Context, id string) error
-	// Load returns the engine's lagging report.
+	// Load returns the engine's lagging load report.
 	Load(ctx context.Context) (Load, error)
-	// CacheEvents returns events after the sequence number.
+	// CacheEvents returns the events after the given sequence number.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
-	// State asks what the engine holds.
+	// State returns what the engine holds.
 	State(ctx context.Context) (State, error)
-	// Order gives an order and returns when the engine has finished it.
+	// Order issues an order and returns once the engine has finished it.
 	Order(ctx context.Context, o Order) error
-	// Prefill computes a span and keeps it held under Span.ID.
+	// Prefill computes a span and holds it under Span.ID.
 	Prefill(ctx context.Context, s Span) error
-	// Export returns the cache of a held span as opaque bytes.
+	// Export returns the cache content of a held span as opaque bytes.
 	Export(ctx context.Context, id string) ([]byte, error)
-	// Import puts an exported span into the engine's memory under id.
+	// Import loads an exported span into the engine's memory and holds it under
+	// id.
 	Import(ctx context.Context, id, owner string, data []byte) error
 	// Free releases a held span.
 	Free(ctx context.Context, id string) error
--- a/engine/failure.go
+++ b/engine/failure.go
@@ -10,17 +10,18 @@
 	"time"
 )
 
-// maxErrorBytes bounds what is read of an error answer.
+// maxErrorBytes bounds how much of an error response is read.
 const maxErrorBytes = 16 << 10
 
-// Error is the error type of the client. errors.Is finds its Kind, and its
-// Cause where there is one.
+// Error is the error type of the client. errors.Is matches its Kind and, if
+// there is one, its Cause.
 type Error struct {
 	Op     string // method of Engine
 	Kind   error  // one of the sentinel errors
-	Status int    // HTTP status; 0 when there was no answer
+	Status int    // HTTP status; 0 if there was no response
 	Detail string
-	// RetryAfter is for how long the engine wants no more work, as its refusal says; 0: it does not say.
+	// RetryAfter is how long the engine wants no further work, taken from its
+	// rejection; 0 means that it did not say.
 	RetryAfter time.Duration
 	Cause      error
 }
@@ -48,8 +49,9 @@
 	return []error{e.Kind, e.Cause}
 }
 
-// answerError turns an answer that is no success into an Error and closes it.
-func answerError(op string, resp *http.Response) *Error {
+// responseError converts a response other than a success to an Error and closes
+// the response.
+func responseError(op string, resp *http.Response) *Error {
 	defer resp.Body.Close()
 	raw, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	var b ErrorBody
@@ -57,17 +59,19 @@
 		b = ErrorBody{}
 	}
 	e := &Error{Op: op, Status: resp.StatusCode, Detail: b.Error.Message, RetryAfter: retryAfter(resp)}
-	e.Kind = kindOf(b.Error.Code, resp.StatusCode)
+	e.Kind = errorKind(b.Error.Code, resp.StatusCode)
 	if b.Error.Code == CodeNotFound && op == opStart {
 		e.Kind, e.Cause = ErrRefused, ErrNotFound
 	}
 	return e
 }
 
-// maxRetryAfter bounds the time to come back that counts: a mistaken one must not cost an engine for good.
+// maxRetryAfter caps the Retry-After time that is honoured, so that a mistaken
+// value cannot take an engine out of use permanently.
 const maxRetryAfter = 10 * time.Minute
 
-// retryAfter reads the seconds to come back that a refusal names; what is no whole number says nothing.
+// retryAfter returns the time from the Retry-After header of a rejection; a
+// value that is not a whole number of seconds is ignored.
 func retryAfter(resp *http.Response) time.Duration {
 	if resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusTooManyRequests {
 		return 0
@@ -79,9 +83,10 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-// kindOf maps an error code, or else the status, to a sentinel. A server error
-// without a known code may come from anything between, so it proves nothing.
-func kindOf(code ErrorCode, status int) error {
+// errorKind maps an error code, or the status if the code is unknown, to a
+// sentinel error. A server error without a known code may come from any
+// intermediary, so it proves nothing about the run.
+func errorKind(code ErrorCode, status int) error {
 	switch code {
 	case CodeRefused:
 		return ErrRefused
--- a/engine/fault_test.go
+++ b/engine/fault_test.go
@@ -17,36 +17,36 @@
 	"github.com/micarudder/micarudder/internal/standin/pipe"
 )
 
-// TestStartUnderFaults fixes what each failure proves: whatever is not ErrLost
-// must not have run.
+// TestStartUnderFaults checks what each failure proves: after any error except
+// ErrLost the request must not have run.
 func TestStartUnderFaults(t *testing.T) {
 	small := engine.Request{ID: "1", Path: chatPath, Body: chatBody(prompt("f", 900), 20)}
 	cases := []struct {
 		name   string
 		faults standin.Faults
-		before func(b *bench)
+		before func(b *fixture)
 		req    engine.Request
 		want   error
 		ran    int
 	}{
-		{name: "refusing", faults: standin.Faults{Refuse: true}, req: small, want: engine.ErrRefused},
-		{name: "answer lost", faults: standin.Faults{LoseStart: true}, req: small, want: engine.ErrLost, ran: 1},
-		{name: "frozen", faults: standin.Faults{Hang: true}, req: small, want: engine.ErrLost},
+		{name: "refused", faults: standin.Faults{Refuse: true}, req: small, want: engine.ErrRefused},
+		{name: "response lost", faults: standin.Faults{LoseStart: true}, req: small, want: engine.ErrLost, ran: 1},
+		{name: "hangs", faults: standin.Faults{Hang: true}, req: small, want: engine.ErrLost},
 		{name: "too long", req: engine.Request{ID: "1", Path: textPath, Body: textBody(prompt("f", 450_000), 1)}, want: engine.ErrNoMemory},
 		{name: "unknown model", req: engine.Request{ID: "1", Path: textPath, Body: []byte(`{"model":"none","prompt":"p"}`)}, want: engine.ErrRefused},
 		{name: "unknown model, named", req: engine.Request{ID: "1", Path: textPath, Body: []byte(`{"model":"none","prompt":"p"}`)}, want: engine.ErrNotFound},
 		{name: "unreadable body", req: engine.Request{ID: "1", Path: textPath, Body: []byte(`{"model`)}, want: engine.ErrRefused},
 		{name: "unknown span", req: engine.Request{ID: "1", Path: textPath, Body: textBody("p", 1), Import: []string{"x"}}, want: engine.ErrNotFound},
-		{name: "gone", before: func(b *bench) { b.net.Close() }, req: small, want: engine.ErrUnreachable},
-		{name: "id that is no header value", req: engine.Request{ID: "1\n2", Path: textPath, Body: textBody("p", 1)}, want: engine.ErrRefused},
+		{name: "unreachable", before: func(b *fixture) { b.net.Close() }, req: small, want: engine.ErrUnreachable},
+		{name: "id is not a valid header value", req: engine.Request{ID: "1\n2", Path: textPath, Body: textBody("p", 1)}, want: engine.ErrRefused},
 		{name: "bad path", req: engine.Request{ID: "1", Path: "/%zz", Body: textBody("p", 1)}, want: engine.ErrRefused},
-		{name: "id in use", before: func(b *bench) {
+		{name: "id in use", before: func(b *fixture) {
 			b.start(engine.Request{ID: "1", Path: chatPath, Body: chatBody(prompt("other", 50), 5000)})
 		}, req: small, want: engine.ErrRefused, ran: 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withEngine(t, nil, func(is *is.I, b *bench) {
+			withEngine(t, nil, func(is *is.I, b *fixture) {
 				b.engine.SetFaults(c.faults)
 				if c.before != nil {
 					c.before(b)
@@ -62,46 +62,47 @@
 	}
 }
 
-func TestStartWithEndedContextNeverRan(t *testing.T) {
-	withEngine(t, nil, func(is *is.I, b *bench) {
+func TestStartWithCanceledContextNeverRuns(t *testing.T) {
+	withEngine(t, nil, func(is *is.I, b *fixture) {
 		ctx, stop := context.WithCancel(context.Background())
 		stop()
 		_, err := b.client.Start(ctx, engine.Request{ID: "1", Path: textPath, Body: textBody("p", 1)})
-		is.True(errors.Is(err, engine.ErrRefused)) // says nothing against the engine
+		is.True(errors.Is(err, engine.ErrRefused)) // not ErrUnreachable: the engine was not tried
 		is.True(errors.Is(err, context.Canceled))
 		is.Equal(b.engine.Counts().Total, 0)
 	})
 }
 
-// TestStreamUnderFaults fixes what a caller has when a stream breaks.
+// TestStreamUnderFaults checks what a caller has received when a stream breaks
+// off.
 func TestStreamUnderFaults(t *testing.T) {
 	p := prompt("s", 900)
 	cases := []struct {
-		name   string
-		faults standin.Faults
-		during func(b *bench)
-		tokens int // delivered; -1: some
-		want   error
-		end    string
-		life   string
+		name        string
+		faults      standin.Faults
+		during      func(b *fixture)
+		tokens      int // delivered; -1: not checked
+		want        error
+		end         string
+		incarnation string
 	}{
-		{name: "dies", faults: standin.Faults{DieAfterTokens: 5}, tokens: 5, want: engine.ErrLost, end: "died", life: "engine-2"},
-		{name: "dies at the first token", faults: standin.Faults{DieAfterTokens: 1}, tokens: 1, want: engine.ErrLost, end: "died", life: "engine-2"},
-		{name: "is cut", faults: standin.Faults{CutAfterTokens: 5}, tokens: 5, want: engine.ErrLost, end: "finished", life: "engine-1"},
-		{name: "fails", faults: standin.Faults{FailStream: true}, tokens: 39, want: engine.ErrFailed, end: "finished", life: "engine-1"},
-		{name: "is slow", faults: standin.Faults{SlowFactor: 10}, tokens: 40, end: "finished", life: "engine-1"},
-		{name: "is cancelled", during: func(b *bench) { _ = b.client.Cancel(context.Background(), "1") }, tokens: -1, want: engine.ErrFailed, end: "canceled", life: "engine-1"},
-		{name: "is killed", during: func(b *bench) { b.engine.Crash() }, tokens: -1, want: engine.ErrLost, end: "died", life: "engine-2"},
-		{name: "thaws", during: func(b *bench) {
+		{name: "crashes", faults: standin.Faults{DieAfterTokens: 5}, tokens: 5, want: engine.ErrLost, end: "died", incarnation: "engine-2"},
+		{name: "crashes at the first token", faults: standin.Faults{DieAfterTokens: 1}, tokens: 1, want: engine.ErrLost, end: "died", incarnation: "engine-2"},
+		{name: "is cut off", faults: standin.Faults{CutAfterTokens: 5}, tokens: 5, want: engine.ErrLost, end: "finished", incarnation: "engine-1"},
+		{name: "fails", faults: standin.Faults{FailStream: true}, tokens: 39, want: engine.ErrFailed, end: "finished", incarnation: "engine-1"},
+		{name: "is slow", faults: standin.Faults{SlowFactor: 10}, tokens: 40, end: "finished", incarnation: "engine-1"},
+		{name: "is cancelled", during: func(b *fixture) { _ = b.client.Cancel(context.Background(), "1") }, tokens: -1, want: engine.ErrFailed, end: "canceled", incarnation: "engine-1"},
+		{name: "is killed", during: func(b *fixture) { b.engine.Crash() }, tokens: -1, want: engine.ErrLost, end: "died", incarnation: "engine-2"},
+		{name: "hangs, then resumes", during: func(b *fixture) {
 			b.engine.SetFaults(standin.Faults{Hang: true})
 			time.Sleep(time.Hour)
 			b.engine.SetFaults(standin.Faults{})
-		}, tokens: 40, end: "finished", life: "engine-1"},
-		{name: "is not cancelled", faults: standin.Faults{IgnoreCancel: true}, during: func(b *bench) { _ = b.client.Cancel(context.Background(), "1") }, tokens: 40, end: "finished", life: "engine-1"},
+		}, tokens: 40, end: "finished", incarnation: "engine-1"},
+		{name: "is not cancelled", faults: standin.Faults{IgnoreCancel: true}, during: func(b *fixture) { _ = b.client.Cancel(context.Background(), "1") }, tokens: 40, end: "finished", incarnation: "engine-1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withEngine(t, nil, func(is *is.I, b *bench) {
+			withEngine(t, nil, func(is *is.I, b *fixture) {
 				b.engine.SetFaults(c.faults)
 				s, err := b.client.Start(context.Background(), engine.Request{ID: "1", Path: chatPath, Body: chatBody(p, 40)})
 				is.NoErr(err)
@@ -110,17 +111,17 @@
 				if c.during != nil {
 					c.during(b)
 				}
-				rest := read(s)
+				rest := readStream(s)
 				is.True(errors.Is(rest.err, c.want))
 				got := string(first.Text) + rest.text
-				is.Equal(got, string(answer.Text([]byte(p), 40)[:len(got)])) // no byte of another answer
+				is.Equal(got, string(answer.Text([]byte(p), 40)[:len(got)])) // a prefix of the expected response
 				if c.tokens >= 0 {
 					is.Equal(int(first.Tokens)+rest.tokens, c.tokens)
 				}
 				time.Sleep(time.Minute)
 				st := b.engine.State()
 				is.Equal(b.engine.Executions()[0].End, c.end)
-				is.Equal(st.Incarnation, c.life)
+				is.Equal(st.Incarnation, c.incarnation)
 				is.Equal(st.Load.FreeTokens, st.Load.MemoryTokens)
 			})
 		})
@@ -128,12 +129,12 @@
 }
 
 func TestStreamEndsWithItsContext(t *testing.T) {
-	withEngine(t, nil, func(is *is.I, b *bench) {
+	withEngine(t, nil, func(is *is.I, b *fixture) {
 		ctx, stop := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer stop()
 		s, err := b.client.Start(ctx, engine.Request{ID: "1", Path: textPath, Body: textBody(prompt("x", 100), 5000)})
 		is.NoErr(err)
-		got := read(s)
+		got := readStream(s)
 		is.True(errors.Is(got.err, engine.ErrLost))
 		is.True(errors.Is(got.err, context.DeadlineExceeded))
 		synctest.Wait()
@@ -141,8 +142,9 @@
 	})
 }
 
-// TestAnswersOfOthers feeds the client what no engine of ours sends.
-func TestAnswersOfOthers(t *testing.T) {
+// TestUnexpectedResponses feeds the client responses that a conforming engine
+// does not send.
+func TestUnexpectedResponses(t *testing.T) {
 	const text = `data: {"choices":[{"delta":{"content":"abc "}}]}` + "\n\n"
 	const end = `data: {"choices":[{"delta":{},"finish_reason":"stop"}]}` + "\n\n"
 	const done = "data: [DONE]\n\n"
@@ -152,23 +154,23 @@
 		body   string
 		want   error
 	}{
-		{"whole", 200, ": hello\n\nevent: x\n" + text + end + "data: {\"choices\":[],\"usage\":{\"completion_tokens\":1}}\n\n" + done, nil},
+		{"complete", 200, ": hello\n\nevent: x\n" + text + end + "data: {\"choices\":[],\"usage\":{\"completion_tokens\":1}}\n\n" + done, nil},
 		{"lines ended by CR LF", 200, "data:{\"choices\":[{\"text\":\"a\",\r\ndata: \"finish_reason\":\"stop\"}]}\r\n\r\ndata: [DONE]\r\n\r\n", nil},
-		{"no closing mark", 200, text + end, engine.ErrLost},
+		{"no done marker", 200, text + end, engine.ErrLost},
 		{"no finish reason", 200, text + done, engine.ErrLost},
 		{"text after the finish", 200, text + end + text + done, engine.ErrLost},
-		{"cut in the mark", 200, text + end + "data: [DONE]", engine.ErrLost},
-		{"no JSON", 200, text + "data: oops\n\n" + end + done, engine.ErrLost},
+		{"cut off within the done marker", 200, text + end + "data: [DONE]", engine.ErrLost},
+		{"not JSON", 200, text + "data: oops\n\n" + end + done, engine.ErrLost},
 		{"error event", 200, text + "data: {\"error\":{\"code\":\"x\",\"message\":\"y\"}}\n\n", engine.ErrFailed},
 		{"empty", 200, "", engine.ErrLost},
-		{"event without end", 200, "data: " + string(make([]byte, 2<<20)), engine.ErrLost},
+		{"event over the size limit", 200, "data: " + string(make([]byte, 2<<20)), engine.ErrLost},
 		{"server error", 500, "oops", engine.ErrLost},
 		{"bad gateway", 502, "<html>", engine.ErrLost},
 		{"unavailable", 503, "", engine.ErrLost},
 		{"timeout", 408, "", engine.ErrLost},
 		{"too many requests", 429, "", engine.ErrRefused},
 		{"failed", 500, `{"error":{"code":"failed"}}`, engine.ErrFailed},
-		{"refused by a server error", 500, `{"error":{"code":"refused"}}`, engine.ErrRefused},
+		{"server error with code refused", 500, `{"error":{"code":"refused"}}`, engine.ErrRefused},
 		{"redirect", 307, "", engine.ErrLost},
 		{"unknown code", 500, `{"error":{"code":"new"}}`, engine.ErrLost},
 		{"code of another type", 500, `{"error":{"code":500}}`, engine.ErrLost},
@@ -177,33 +179,33 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				asked := 0
+				requests := 0
 				net := pipe.Serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-					asked++
+					requests++
 					w.Header().Set("Location", "/elsewhere")
 					w.WriteHeader(c.status)
 					_, _ = io.WriteString(w, c.body)
 				}))
-				b := &bench{client: engine.NewClient(engine.Options{BaseURL: "http://engine", HTTPClient: net.Client})}
+				b := &fixture{client: engine.NewClient(engine.Options{BaseURL: "http://engine", HTTPClient: net.Client})}
 				got := b.complete(engine.Request{ID: "1", Path: chatPath, Body: []byte("{}")})
 				is.True(errors.Is(got.err, c.want))
-				is.Equal(asked, 1)
+				is.Equal(requests, 1)
 				net.Close()
 			})
 		})
 	}
 }
 
-// TestKeptConnectionBreaks: the transport must not send a request again that
-// may have arrived over a kept connection.
-func TestKeptConnectionBreaks(t *testing.T) {
+// TestReusedConnectionBreaks: the transport must not resend a request that may
+// have arrived over a reused connection.
+func TestReusedConnectionBreaks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		asked := 0
+		requests := 0
 		net := pipe.Serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked++
+			requests++
 			_, _ = io.Copy(io.Discard, r.Body)
-			if asked > 1 {
+			if requests > 1 {
 				panic(http.ErrAbortHandler)
 			}
 			_, _ = io.WriteString(w, "{}")
@@ -212,7 +214,7 @@
 		is.NoErr(c.Cancel(context.Background(), "1"))
 		_, err := c.Start(context.Background(), engine.Request{ID: "1", Path: chatPath, Body: []byte("{}")})
 		is.True(errors.Is(err, engine.ErrLost))
-		is.Equal(asked, 2)
+		is.Equal(requests, 2)
 		net.Close()
 	})
 }
--- a/engine/golden_test.go
+++ b/engine/golden_test.go
@@ -16,15 +16,15 @@
 	standin "github.com/micarudder/micarudder/internal/standin/engine"
 )
 
-// recorder is a transport that writes down requests and answers with the
-// virtual time at which their pieces went by.
+// recorder is a transport that records requests and responses with the virtual
+// time at which each piece was transferred.
 type recorder struct {
 	next  http.RoundTripper
 	begin time.Time
 	out   *bytes.Buffer
 }
 
-func (r *recorder) note(mark string, text []byte) {
+func (r *recorder) record(mark string, text []byte) {
 	for line := range bytes.Lines(text) {
 		fmt.Fprintf(r.out, "%7.1fms %s %s\n", time.Since(r.begin).Seconds()*1000, mark, bytes.TrimRight(line, "\n"))
 	}
@@ -32,15 +32,15 @@
 
 // RoundTrip implements http.RoundTripper.
 func (r *recorder) RoundTrip(req *http.Request) (*http.Response, error) {
-	r.note(">", []byte(req.Method+" "+req.URL.Path))
+	r.record(">", []byte(req.Method+" "+req.URL.Path))
 	var head bytes.Buffer
 	_ = req.Header.Write(&head)
-	r.note(">", bytes.ReplaceAll(head.Bytes(), []byte("\r"), nil))
+	r.record(">", bytes.ReplaceAll(head.Bytes(), []byte("\r"), nil))
 	resp, err := r.next.RoundTrip(req)
 	if err != nil {
 		return nil, err
 	}
-	r.note("<", []byte(resp.Status))
+	r.record("<", []byte(resp.Status))
 	resp.Body = &recordedBody{resp.Body, r}
 	return resp, nil
 }
@@ -52,15 +52,15 @@
 
 func (b *recordedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	b.r.note("<", p[:n])
+	b.r.record("<", p[:n])
 	return n, err
 }
 
-// TestGoldenStream fixes a whole session on the wire: a run, its resumption
-// after the engine died, and a run on a cached prefix.
+// TestGoldenStream pins a session on the wire: a run, its resumption after the
+// engine crashed, and a run with a cached prefix.
 func TestGoldenStream(t *testing.T) {
 	var out bytes.Buffer
-	withEngine(t, nil, func(is *is.I, b *bench) {
+	withEngine(t, nil, func(is *is.I, b *fixture) {
 		rec := &recorder{next: b.net.Client.Transport, begin: time.Now(), out: &out}
 		b.client = engine.NewClient(engine.Options{BaseURL: "http://engine", HTTPClient: &http.Client{Transport: rec}, Name: "agent"})
 		p := prompt("golden", 2500)
--- a/engine/ordinary_test.go
+++ b/engine/ordinary_test.go
@@ -13,9 +13,9 @@
 	standin "github.com/micarudder/micarudder/internal/standin/engine"
 )
 
-// TestOrdinaryClient: without any header of ours the engine is an ordinary
-// server of the completion protocol.
-func TestOrdinaryClient(t *testing.T) {
+// TestStandardCompletionClient: without the extension headers the engine is a
+// standard server of the completion protocol.
+func TestStandardCompletionClient(t *testing.T) {
 	type document struct {
 		Object  string
 		Choices []struct {
@@ -30,8 +30,8 @@
 		}
 		Data []struct{ ID string }
 	}
-	withEngine(t, nil, func(is *is.I, b *bench) {
-		ask := func(method, path, body string) document {
+	withEngine(t, nil, func(is *is.I, b *fixture) {
+		request := func(method, path, body string) document {
 			req, err := http.NewRequest(method, "http://engine"+path, strings.NewReader(body))
 			is.NoErr(err)
 			resp, err := b.net.Client.Do(req)
@@ -42,17 +42,17 @@
 			return d
 		}
 		want := string(answer.Text([]byte("eight by"), 3))
-		chat := ask("POST", chatPath, `{"model":"rudder-llm","messages":[{"role":"user","content":"eight by"}],"max_tokens":3}`)
+		chat := request("POST", chatPath, `{"model":"rudder-llm","messages":[{"role":"user","content":"eight by"}],"max_tokens":3}`)
 		is.Equal(chat.Object, "chat.completion")
 		is.Equal(chat.Choices[0].Message.Content, want)
 		is.Equal(chat.Choices[0].Message.Role, "assistant")
 		is.Equal(chat.Choices[0].FinishReason, "length")
-		text := ask("POST", textPath, `{"model":"rudder-llm","prompt":"eight by","max_tokens":3}`)
+		text := request("POST", textPath, `{"model":"rudder-llm","prompt":"eight by","max_tokens":3}`)
 		is.Equal(text.Choices[0].Text, want)
 		is.Equal(text.Usage.PromptTokens, 2)
 		is.Equal(text.Usage.CompletionTokens, 3)
 		is.Equal(text.Usage.TotalTokens, 5)
-		is.Equal(ask("GET", "/v1/models", "").Data[0].ID, model)
+		is.Equal(request("GET", "/v1/models", "").Data[0].ID, model)
 		is.Equal(b.engine.Counts().Finished, 2)
 
 		b.engine.SetFaults(standin.Faults{DieAfterTokens: 2})
--- a/engine/span_test.go
+++ b/engine/span_test.go
@@ -18,19 +18,20 @@
 
 const million = 1_000_000
 
-// TestPromptOfTwiceTheMemory: four engines of 450,000 tokens each compute a
-// part of a prompt of a million tokens, and the last one answers.
-func TestPromptOfTwiceTheMemory(t *testing.T) {
+// TestPromptAcrossFourEngines: four engines of 450,000 tokens each compute a
+// quarter of a prompt of a million tokens, and the last one runs the
+// completion.
+func TestPromptAcrossFourEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := prompt("archive", million)
 		body := chatBody(p, 8)
 		const members, part = 4, million / 4
-		var group []*bench
+		var group []*fixture
 		for i := range members {
 			cfg := standin.Default()
 			cfg.Name = fmt.Sprint("e", i)
-			b := &bench{engine: standin.NewServer(cfg)}
+			b := &fixture{engine: standin.NewServer(cfg)}
 			b.net = pipe.Serve(b.engine.Handler())
 			b.client = engine.NewClient(engine.Options{BaseURL: "http://engine", HTTPClient: b.net.Client})
 			group = append(group, b)
@@ -67,85 +68,86 @@
 	})
 }
 
-// TestSpanUnderFaults fixes what failures of the span calls leave held.
+// TestSpanUnderFaults checks which memory remains held after each failure of a
+// span call.
 func TestSpanUnderFaults(t *testing.T) {
 	p := prompt("span", 10_000)
 	span := engine.Span{ID: "s", Owner: "g", Path: textPath, Body: textBody(p, 1), Tokens: 6000}
-	prefill := func(b *bench) error { return b.client.Prefill(bg, span) }
+	prefill := func(b *fixture) error { return b.client.Prefill(bg, span) }
 	cases := []struct {
 		name string
-		do   func(b *bench) error
+		do   func(b *fixture) error
 		want error
 		held uint64
 	}{
 		{"prefilled", prefill, nil, 6000},
-		{"refused", func(b *bench) error { b.engine.SetFaults(standin.Faults{Refuse: true}); return prefill(b) }, engine.ErrRefused, 0},
-		{"answer lost", func(b *bench) error {
+		{"refused", func(b *fixture) error { b.engine.SetFaults(standin.Faults{Refuse: true}); return prefill(b) }, engine.ErrRefused, 0},
+		{"response lost", func(b *fixture) error {
 			b.engine.SetFaults(standin.Faults{LoseOrderAnswer: true})
 			return prefill(b)
 		}, engine.ErrLost, 6000},
-		{"twice", func(b *bench) error { _ = prefill(b); return prefill(b) }, engine.ErrRefused, 6000},
-		{"cancelled", func(b *bench) error {
+		{"twice", func(b *fixture) error { _ = prefill(b); return prefill(b) }, engine.ErrRefused, 6000},
+		{"cancelled", func(b *fixture) error {
 			time.AfterFunc(100*time.Millisecond, func() { _ = b.client.Cancel(bg, "s") })
 			return prefill(b)
 		}, engine.ErrFailed, 0},
-		{"engine dies", func(b *bench) error {
+		{"engine crashes", func(b *fixture) error {
 			time.AfterFunc(100*time.Millisecond, b.engine.Crash)
 			return prefill(b)
 		}, engine.ErrLost, 0},
-		{"gap before it", func(b *bench) error {
+		{"gap before the span", func(b *fixture) error {
 			s := span
 			s.Start = 10
 			return b.client.Prefill(bg, s)
 		}, engine.ErrRefused, 0},
-		{"past the end", func(b *bench) error {
+		{"past the end of the prompt", func(b *fixture) error {
 			s := span
 			s.Tokens = 10_001
 			return b.client.Prefill(bg, s)
 		}, engine.ErrRefused, 0},
-		{"no memory", func(b *bench) error {
+		{"no memory", func(b *fixture) error {
 			s := span
 			s.Body, s.Tokens = textBody(prompt("big", 500_000), 1), 0
 			return b.client.Prefill(bg, s)
 		}, engine.ErrNoMemory, 0},
-		{"other prompt", func(b *bench) error {
+		{"import for another prompt", func(b *fixture) error {
 			_ = prefill(b)
 			return b.complete(engine.Request{ID: "1", Path: textPath, Body: textBody(prompt("other", 10_000), 1), Import: []string{"s"}}).err
 		}, engine.ErrRefused, 6000},
-		{"damaged import", func(b *bench) error {
+		{"damaged import", func(b *fixture) error {
 			_ = prefill(b)
 			data, _ := b.client.Export(bg, "s")
 			data[len(data)/2] ^= 1
 			return b.client.Import(bg, "t", "g", data)
 		}, engine.ErrRefused, 6000},
-		{"imported twice", func(b *bench) error {
+		{"imported twice", func(b *fixture) error {
 			_ = prefill(b)
 			data, _ := b.client.Export(bg, "s")
 			_ = b.client.Import(bg, "t", "g", data)
 			return b.client.Import(bg, "t", "g", data)
 		}, nil, 6000 + 6000/8},
-		{"freed", func(b *bench) error { _ = prefill(b); return b.client.Free(bg, "s") }, nil, 0},
-		{"freed twice", func(b *bench) error {
+		{"freed", func(b *fixture) error { _ = prefill(b); return b.client.Free(bg, "s") }, nil, 0},
+		{"freed twice", func(b *fixture) error {
 			_, _ = prefill(b), b.client.Free(bg, "s")
 			return b.client.Free(bg, "s")
 		}, engine.ErrNotFound, 0},
-		{"freed while read", func(b *bench) error {
+		{"freed while in use", func(b *fixture) error {
 			_ = prefill(b)
 			b.start(engine.Request{ID: "1", Path: textPath, Body: textBody(p, 1), Import: []string{"s"}})
 			return b.client.Free(bg, "s")
 		}, engine.ErrRefused, 6000},
-		{"left during import", func(b *bench) error {
+		{"abandoned during import", func(b *fixture) error {
 			_ = prefill(b)
 			data, _ := b.client.Export(bg, "s")
 			ctx, stop := context.WithTimeout(bg, time.Millisecond) // it takes 30 ms
 			defer stop()
 			return b.client.Import(ctx, "t", "g", data)
 		}, engine.ErrLost, 6000 + 6000/8},
-		{"export of none", func(b *bench) error { _, err := b.client.Export(bg, "x"); return err }, engine.ErrNotFound, 0},
+		{"export of an unknown span", func(b *fixture) error { _, err := b.client.Export(bg, "x"); return err }, engine.ErrNotFound, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withEngine(t, nil, func(is *is.I, b *bench) {
+			withEngine(t, nil, func(is *is.I, b *fixture) {
 				err := c.do(b)
 				is.True(errors.Is(err, c.want))
 				time.Sleep(time.Minute)
@@ -163,10 +165,10 @@
 	}
 }
 
-// TestShortPassesSpan: a completion of lower priority number passes a span
-// that is being prefilled.
-func TestShortPassesSpan(t *testing.T) {
-	withEngine(t, nil, func(is *is.I, b *bench) {
+// TestCompletionOvertakesPrefill: a completion with a lower priority number
+// runs ahead of a span that is being prefilled.
+func TestCompletionOvertakesPrefill(t *testing.T) {
+	withEngine(t, nil, func(is *is.I, b *fixture) {
 		long := prompt("long", 100_000)
 		done := make(chan error, 1)
 		go func() {
--- a/engine/sse.go
+++ b/engine/sse.go
@@ -9,14 +9,14 @@
 
 const (
 	sseBufferBytes = 4 << 10
-	// maxEventBytes bounds one server-sent event.
+	// maxEventBytes bounds the size of one server-sent event.
 	maxEventBytes = 1 << 20
 )
 
 var errEventTooLong = errors.New("server-sent event too long")
 
-// sseReader reads the data of server-sent events; other fields and comments
-// are passed over.
+// sseReader reads the data of server-sent events and ignores comments and all
+// other fields.
 type sseReader struct {
 	r    *bufio.Reader
 	line []byte
@@ -27,18 +27,18 @@
 	return &sseReader{r: bufio.NewReaderSize(r, sseBufferBytes)}
 }
 
-// next returns the data of the next event, valid until the following call. An
-// event that the stream's end cuts short is not returned.
+// next returns the data of the next event, which is valid until the following
+// call. An event that is cut off by the end of the stream is not returned.
 func (s *sseReader) next() ([]byte, error) {
 	s.data = s.data[:0]
-	seen := false
+	hasData := false
 	for {
 		line, err := s.readLine()
 		if err != nil {
 			return nil, err
 		}
 		if len(line) == 0 {
-			if seen {
+			if hasData {
 				return s.data, nil
 			}
 			continue
@@ -47,10 +47,10 @@
 		if !ok {
 			continue
 		}
-		if seen {
+		if hasData {
 			s.data = append(s.data, '\n')
 		}
-		seen = true
+		hasData = true
 		s.data = append(s.data, value...)
 		if len(s.data) > maxEventBytes {
 			return nil, errEventTooLong
@@ -58,20 +58,20 @@
 	}
 }
 
-// readLine returns a line without its end.
+// readLine returns a line without its line ending.
 func (s *sseReader) readLine() ([]byte, error) {
 	s.line = s.line[:0]
 	for {
 		part, err := s.r.ReadSlice('\n')
 		if err == nil && len(s.line) == 0 {
-			return trimEnd(part), nil
+			return trimLineEnding(part), nil
 		}
 		s.line = append(s.line, part...)
 		if len(s.line) > maxEventBytes {
 			return nil, errEventTooLong
 		}
 		if err == nil {
-			return trimEnd(s.line), nil
+			return trimLineEnding(s.line), nil
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return nil, err
@@ -79,7 +79,7 @@
 	}
 }
 
-func trimEnd(line []byte) []byte {
+func trimLineEnding(line []byte) []byte {
 	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 }
 
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -8,12 +8,12 @@
 	"net/http"
 )
 
-// doneMark is the data of the event that closes a whole stream.
-var doneMark = []byte("[DONE]")
+// doneMarker is the data of the event that terminates a complete stream.
+var doneMarker = []byte("[DONE]")
 
 var errBadChunk = errors.New("unreadable stream event")
 
-// chunk is one event of either completion path.
+// chunk is one event of a chat or text completion.
 type chunk struct {
 	Choices []choice     `json:"choices"`
 	Tokens  *uint32      `json:"tokens"`
@@ -39,14 +39,14 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// stream implements Stream. The finishing event is held back until the
-// closing mark has come, so that a cut stream never looks whole.
+// stream implements Stream. It holds the finishing event back until the done
+// marker has arrived, so that a truncated stream never looks complete.
 type stream struct {
 	resp   *http.Response
 	events *sseReader
 	finish string
 	usage  Usage
-	err    error // of all later calls to Recv
+	err    error // returned by all later calls of Recv
 }
 
 func newStream(resp *http.Response) *stream {
@@ -56,7 +56,7 @@
 // Recv implements Stream.
 func (s *stream) Recv() (Event, error) {
 	for s.err == nil {
-		ev, ok, err := s.step()
+		ev, ok, err := s.readEvent()
 		if err != nil {
 			s.err = err
 			_ = s.resp.Body.Close()
@@ -69,33 +69,34 @@
 	return Event{}, s.err
 }
 
-// step reads one event; ok says that there is something to return.
-func (s *stream) step() (Event, bool, error) {
+// readEvent reads one event; ok reports whether there is an event to return to
+// the caller.
+func (s *stream) readEvent() (Event, bool, error) {
 	data, err := s.events.next()
 	if err != nil {
-		return Event{}, false, s.lost(err)
+		return Event{}, false, s.lostError(err)
 	}
-	if bytes.Equal(data, doneMark) {
-		return s.last()
+	if bytes.Equal(data, doneMarker) {
+		return s.finalEvent()
 	}
-	return s.chunk(data)
+	return s.parseChunk(data)
 }
 
-// last returns the finishing event; a mark without a finish reason before it
-// does not close a whole answer.
-func (s *stream) last() (Event, bool, error) {
+// finalEvent returns the finishing event. A done marker without a preceding
+// finish reason does not complete a response.
+func (s *stream) finalEvent() (Event, bool, error) {
 	if s.finish == "" {
-		return Event{}, false, s.lost(errBadChunk)
+		return Event{}, false, s.lostError(errBadChunk)
 	}
 	s.err = io.EOF
 	_ = s.resp.Body.Close()
 	return Event{Finish: s.finish, Usage: s.usage}, true, nil
 }
 
-func (s *stream) chunk(data []byte) (Event, bool, error) {
+func (s *stream) parseChunk(data []byte) (Event, bool, error) {
 	var c chunk
 	if json.Unmarshal(data, &c) != nil {
-		return Event{}, false, s.lost(errBadChunk)
+		return Event{}, false, s.lostError(errBadChunk)
 	}
 	if c.Error != nil {
 		return Event{}, false, &Error{Op: opRecv, Kind: ErrFailed, Detail: c.Error.Message}
@@ -109,7 +110,7 @@
 	first := c.Choices[0]
 	text := first.Text + first.Delta.Content
 	if text != "" && s.finish != "" {
-		return Event{}, false, s.lost(errBadChunk)
+		return Event{}, false, s.lostError(errBadChunk)
 	}
 	if first.FinishReason != "" {
 		s.finish = first.FinishReason
@@ -117,23 +118,25 @@
 	if text == "" {
 		return Event{}, false, nil
 	}
-	return Event{Text: []byte(text), Tokens: tokensOf(c)}, true, nil
+	return Event{Text: []byte(text), Tokens: tokenCount(c)}, true, nil
 }
 
-// tokensOf returns the engine's count; a plain engine sends one token an event.
-func tokensOf(c chunk) uint32 {
+// tokenCount returns the engine's token count of an event. An engine that does
+// not send a count sends one token per event.
+func tokenCount(c chunk) uint32 {
 	if c.Tokens == nil {
 		return 1
 	}
 	return *c.Tokens
 }
 
-func (s *stream) lost(cause error) error {
+func (s *stream) lostError(cause error) error {
 	if errors.Is(cause, io.EOF) {
 		cause = io.ErrUnexpectedEOF
 	}
 	return &Error{Op: opRecv, Kind: ErrLost, Cause: cause}
 }
 
-// Close implements Stream. The engine sees the connection close and ends the run.
+// Close implements Stream. The engine detects the closed connection and ends
+// the run.
 func (s *stream) Close() error { return s.resp.Body.Close() }
--- a/engine/stream_test.go
+++ b/engine/stream_test.go
@@ -22,7 +22,7 @@
 	"data\ndata:\n\n\ndata: {",
 }
 
-func drainStream(r io.Reader) (text []byte, finish string, err error) {
+func collectStream(r io.Reader) (text []byte, finish string, err error) {
 	s := newStream(&http.Response{Body: io.NopCloser(r)})
 	for {
 		ev, err := s.Recv()
@@ -33,31 +33,31 @@
 	}
 }
 
-// FuzzStream checks that a stream is whole only if the closing mark ends it,
-// that nothing else than the package's errors comes out, and that the result
-// does not depend on how the bytes arrive.
+// FuzzStream checks that a stream is complete only if the done marker ends it,
+// that only the package's errors are returned, and that the result does not
+// depend on how the bytes arrive.
 func FuzzStream(f *testing.F) {
 	for _, s := range streamSeeds {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		text, finish, err := drainStream(bytes.NewReader(data))
-		text1, finish1, err1 := drainStream(iotest.OneByteReader(bytes.NewReader(data)))
+		text, finish, err := collectStream(bytes.NewReader(data))
+		text1, finish1, err1 := collectStream(iotest.OneByteReader(bytes.NewReader(data)))
 		if string(text) != string(text1) || finish != finish1 || errors.Is(err, io.EOF) != errors.Is(err1, io.EOF) {
 			t.Fatalf("%q/%q/%v in one piece, %q/%q/%v in single bytes", text, finish, err, text1, finish1, err1)
 		}
-		whole := errors.Is(err, io.EOF)
-		if whole && (finish == "" || !bytes.Contains(data, doneMark)) {
-			t.Fatalf("whole without its end: %q", data)
+		complete := errors.Is(err, io.EOF)
+		if complete && (finish == "" || !bytes.Contains(data, doneMarker)) {
+			t.Fatalf("stream complete without a done marker: %q", data)
 		}
-		if !whole && !errors.Is(err, ErrLost) && !errors.Is(err, ErrFailed) {
+		if !complete && !errors.Is(err, ErrLost) && !errors.Is(err, ErrFailed) {
 			t.Fatalf("unexpected error %v", err)
 		}
 	})
 }
 
-// FuzzErrorAnswer checks that only an answer that says so, or a client error,
-// proves that nothing ran.
+// FuzzErrorAnswer checks that only a response with an explicit code, or a
+// client error, proves that nothing ran.
 func FuzzErrorAnswer(f *testing.F) {
 	f.Add(500, `{"error":{"code":"refused"}}`)
 	f.Add(503, `{"error":{"code":503,"message":"x"}}`)
@@ -65,10 +65,10 @@
 	f.Add(502, `<html>`)
 	f.Fuzz(func(t *testing.T, status int, body string) {
 		resp := &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader(body))}
-		err := answerError(opStart, resp)
-		said := strings.Contains(strings.ToLower(body), "code")
-		if Certain(err) && !said && (status < 400 || status >= 500 || status == http.StatusRequestTimeout) {
-			t.Fatalf("status %d, body %q: %v", status, body, err)
+		err := responseError(opStart, resp)
+		hasCode := strings.Contains(strings.ToLower(body), "code")
+		if Certain(err) && !hasCode && (status < 400 || status >= 500 || status == http.StatusRequestTimeout) {
+			t.Fatalf("status %d, body %q counts as not started: %v", status, body, err)
 		}
 	})
 }
@@ -76,25 +76,25 @@
 func TestLongEventsAreRead(t *testing.T) {
 	is := is.New(t)
 	long := strings.Repeat("x", 100_000)
-	text, finish, err := drainStream(strings.NewReader(
+	text, finish, err := collectStream(strings.NewReader(
 		"data: {\"choices\":[{\"text\":\"" + long + "\",\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n"))
 	is.True(errors.Is(err, io.EOF))
 	is.Equal(string(text), long)
 	is.Equal(finish, "stop")
 }
 
-// endless never ends a line.
-type endless struct{ read int }
+// endlessReader returns a line that never ends.
+type endlessReader struct{ read int }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *endlessReader) Read(p []byte) (int, error) {
 	e.read += len(p)
 	return copy(p, bytes.Repeat([]byte("x"), len(p))), nil
 }
 
-func TestEndlessLineIsGivenUp(t *testing.T) {
+func TestEndlessLineIsRejected(t *testing.T) {
 	is := is.New(t)
-	e := &endless{}
-	_, _, err := drainStream(io.LimitReader(e, 16*maxEventBytes))
+	e := &endlessReader{}
+	_, _, err := collectStream(io.LimitReader(e, 16*maxEventBytes))
 	is.True(errors.Is(err, errEventTooLong))
 	is.True(e.read < 2*maxEventBytes)
 }
--- a/engine/wire.go
+++ b/engine/wire.go
@@ -1,35 +1,37 @@
 package engine
 
-// The headers by which the usual completion protocol is extended. They leave
-// the caller's body as it came.
+// Headers that extend the standard completion protocol. They leave the caller's
+// body unchanged.
 const (
-	// HeaderRequestID names the run; unique per attempt.
+	// HeaderRequestID is the id of the run; it is unique per attempt.
 	HeaderRequestID = "Engine-Request-Id"
-	// HeaderPriority is a decimal number; lower runs first.
+	// HeaderPriority is a decimal number; lower numbers run first.
 	HeaderPriority = "Engine-Priority"
-	// HeaderStream set to "1" asks for server-sent events whatever the body says.
+	// HeaderStream set to "1" requests server-sent events regardless of the
+	// body.
 	HeaderStream = "Engine-Stream"
-	// HeaderResumeBytes counts the bytes of answer text that stand before the
-	// JSON in the request body; the engine continues after them.
+	// HeaderResumeBytes is the number of bytes of response text that precede
+	// the JSON in the request body; the engine continues after this text.
 	HeaderResumeBytes = "Engine-Resume-Bytes"
-	// HeaderMaxTokens caps the output tokens.
+	// HeaderMaxTokens limits the number of output tokens.
 	HeaderMaxTokens = "Engine-Max-Tokens"
-	// HeaderImport lists handles of held spans, separated by commas, that
+	// HeaderImport lists, separated by commas, the handles of held spans that
 	// cover the prompt from its first token on.
 	HeaderImport = "Engine-Import"
-	// HeaderSpanID names a held span.
+	// HeaderSpanID is the id of a held span.
 	HeaderSpanID = "Engine-Span-Id"
-	// HeaderSpanOwner names the group or run that a span is held for.
+	// HeaderSpanOwner is the group or run that a span is held for.
 	HeaderSpanOwner = "Engine-Span-Owner"
-	// HeaderSpanStart is the first token of a span.
+	// HeaderSpanStart is the index of the first token of a span.
 	HeaderSpanStart = "Engine-Span-Start"
-	// HeaderSpanTokens is the length of a span; 0 means to the prompt's end.
+	// HeaderSpanTokens is the length of a span in tokens; 0 means up to the end
+	// of the prompt.
 	HeaderSpanTokens = "Engine-Span-Tokens"
 	// HeaderSpanPath is the completion path that the span's body is meant for.
 	HeaderSpanPath = "Engine-Span-Path"
 )
 
-// The paths of the protocol beside the completion paths.
+// Paths of the protocol in addition to the completion paths.
 const (
 	PathCancel      = "/v1/cancel"
 	PathLoad        = "/v1/load"
@@ -42,20 +44,21 @@
 	PathFree        = "/v1/kv/free"
 )
 
-// ErrorCode is the machine-readable part of an error answer.
+// ErrorCode is the machine-readable part of an error response.
 type ErrorCode string
 
-// The codes of error answers. An answer without one of them proves nothing
-// unless its status is a client error.
+// Codes of error responses. A response without one of them proves nothing about
+// the run unless its status is a client error.
 const (
 	CodeRefused  ErrorCode = "refused"   // did not start
 	CodeNoMemory ErrorCode = "no_memory" // did not start
 	CodeNotFound ErrorCode = "not_found" // no such run, handle or model; did not start
-	CodeOldFence ErrorCode = "old_fence" // order not carried out
+	CodeOldFence ErrorCode = "old_fence" // order not executed
 	CodeFailed   ErrorCode = "failed"    // ran and failed
 )
 
-// ErrorBody is the JSON of every error answer and of an error inside a stream.
+// ErrorBody is the JSON body of every error response and of an error event in a
+// stream.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
@@ -71,7 +74,7 @@
 	ID string `json:"id"`
 }
 
-// CacheEventsBody is the JSON answer with cache events.
+// CacheEventsBody is the JSON body of the response to a cache events call.
 type CacheEventsBody struct {
 	Events []CacheEvent `json:"events"`
 }
