--- a/service/client.go
+++ b/service/client.go
@@ -16,14 +16,14 @@
 // HeaderRequestID carries Call.ID.
 const HeaderRequestID = "Rudder-Request-Id"
 
-// Options configure a client.
+// Options configure a Client.
 type Options struct {
 	BaseURL    string       // http://host:port of the service
-	HTTPClient *http.Client // nil: one of the client's own, made for loopback
+	HTTPClient *http.Client // nil: a client of its own for loopback connections
 }
 
-// Client calls one plain service. It implements Service, never sends a call
-// twice and follows no redirect.
+// Client is the HTTP client of one service. It implements Service, never sends
+// a call twice and follows no redirects.
 type Client struct {
 	base string
 	http http.Client
@@ -36,35 +36,35 @@
 	return &Client{base: strings.TrimSuffix(o.BaseURL, "/"), http: localhttp.New(o.HTTPClient)}
 }
 
-// Do implements Service. The context covers the reply's body too.
+// Do implements Service. The context also covers the body of the reply.
 func (c *Client) Do(ctx context.Context, call Call) (*Reply, error) {
 	req, err := c.request(ctx, call)
 	if err != nil {
-		return nil, wrap(ErrRefused, err)
+		return nil, newError(ErrRefused, err)
 	}
-	var tried, sent atomic.Bool
+	var connRequested, sent atomic.Bool
 	trace := &httptrace.ClientTrace{
-		GetConn:      func(string) { tried.Store(true) },
+		GetConn:      func(string) { connRequested.Store(true) },
 		WroteHeaders: func() { sent.Store(true) },
 	}
 	resp, err := c.http.Do(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	switch {
 	case err == nil:
 		dropHopHeaders(resp.Header)
-		return &Reply{resp.StatusCode, resp.Header, &body{resp.Body}}, nil
+		return &Reply{resp.StatusCode, resp.Header, &replyBody{resp.Body}}, nil
 	case sent.Load():
-		return nil, wrap(ErrLost, err)
-	case tried.Load():
-		return nil, wrap(ErrUnreachable, err)
+		return nil, newError(ErrLost, err)
+	case connRequested.Load():
+		return nil, newError(ErrUnreachable, err)
 	default:
-		return nil, wrap(ErrRefused, err)
+		return nil, newError(ErrRefused, err)
 	}
 }
 
 var errBadCall = errors.New("the path does not begin with a slash or the method opens a tunnel")
 
-// request builds the request. A path without its slash would run into the
-// base URL and could name another host.
+// request builds the HTTP request. A path without a leading slash would be
+// joined to the host of the base URL and could name another host.
 func (c *Client) request(ctx context.Context, call Call) (*http.Request, error) {
 	if !strings.HasPrefix(call.Path, "/") || call.Method == http.MethodConnect {
 		return nil, errBadCall
@@ -78,25 +78,27 @@
 	return req, nil
 }
 
-// hopHeaders concern one connection only and are not passed on.
+// hopHeaders are hop-by-hop headers, which apply to one connection only and are
+// not forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// setHeader passes the caller's header on, without what belongs to the
-// caller's own connection.
+// setHeader forwards the caller's headers without the hop-by-hop headers.
 func setHeader(req *http.Request, call Call) {
 	if call.Header != nil {
 		req.Header = call.Header.Clone()
 	}
 	dropHopHeaders(req.Header)
-	// An Expect would hold the body back for an answer that may not come.
+	// An Expect header would delay the body until a response that may never
+	// arrive.
 	req.Header.Del("Expect")
 	req.Header.Set(HeaderRequestID, call.ID)
 }
 
-// dropHopHeaders removes them and what a Connection header names.
+// dropHopHeaders removes the hop-by-hop headers and those named by a Connection
+// header.
 func dropHopHeaders(h http.Header) {
 	for _, v := range h.Values("Connection") {
 		for name := range strings.SplitSeq(v, ",") {
@@ -109,14 +111,15 @@
 }
 
 // setBody sets the body so that the transport cannot replay a call that may
-// have arrived: it would send a GET, or anything with an idempotency header,
-// a second time when a kept connection breaks. Such a call gets a body that
-// cannot be rewound. Any other is sent again only if no byte was written.
+// have arrived. The transport would resend a GET, or any request with an
+// idempotency header, when a reused connection breaks, so such a call gets a
+// body that cannot be rewound. Any other call is resent only if no byte of it
+// was written.
 func setBody(req *http.Request, b []byte) {
 	rewind := func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(b)), nil }
 	req.ContentLength = int64(len(b))
 	switch {
-	case replayed(req):
+	case transportRetries(req):
 		req.Body, _ = rewind()
 	case len(b) > 0:
 		req.Body, _ = rewind()
@@ -124,8 +127,9 @@
 	}
 }
 
-// replayed reports whether the transport takes the request for idempotent.
-func replayed(req *http.Request) bool {
+// transportRetries reports whether the transport regards the request as
+// idempotent and would resend it.
+func transportRetries(req *http.Request) bool {
 	switch req.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
 		return true
@@ -133,25 +137,26 @@
 	return req.Header.Get("Idempotency-Key") != "" || req.Header.Get("X-Idempotency-Key") != ""
 }
 
-// body marks a reply that breaks off as lost.
-type body struct{ io.ReadCloser }
+// replyBody is the body of a reply; it returns ErrLost if the connection breaks
+// off.
+type replyBody struct{ io.ReadCloser }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
+func (b *replyBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
-		err = wrap(ErrLost, err)
+		err = newError(ErrLost, err)
 	}
 	return n, err
 }
 
-// Error is the error type of the client; errors.Is finds Kind and Cause.
+// Error is the error type of the client; errors.Is matches Kind and Cause.
 type Error struct {
 	Kind  error // ErrRefused, ErrUnreachable or ErrLost
 	Cause error
 }
 
-func wrap(kind, cause error) error { return &Error{kind, cause} }
+func newError(kind, cause error) error { return &Error{kind, cause} }
 
 // Error implements error.
 func (e *Error) Error() string { return e.Kind.Error() + ": " + e.Cause.Error() }
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -24,13 +24,13 @@
 		net := pipe.Serve(s.Handler())
 		f(is.New(t), service.NewClient(service.Options{BaseURL: "http://service", HTTPClient: net.Client}), s, net)
 		s.SetFaults(standin.Faults{})
-		time.Sleep(time.Second) // calls that were held back
+		time.Sleep(time.Second) // lets delayed calls finish
 		net.Close()
 	})
 }
 
-// TestDoUnderFaults fixes what each failure proves, for calls that the
-// transport would repeat and for others, over fresh and kept connections.
+// TestDoUnderFaults checks what each failure proves, for calls that the
+// transport would resend and for others, over new and reused connections.
 func TestDoUnderFaults(t *testing.T) {
 	calls := map[string]service.Call{
 		"get":            {ID: "1", Method: http.MethodGet, Path: "/position?book=a"},
@@ -41,31 +41,31 @@
 		"delete":         {ID: "1", Method: http.MethodDelete, Path: "/bids/1"},
 	}
 	cases := []struct {
-		name   string
-		faults standin.Faults
-		gone   bool
-		want   error
-		ran    int
+		name    string
+		faults  standin.Faults
+		stopped bool
+		want    error
+		ran     int
 	}{
 		{name: "healthy", ran: 1},
 		{name: "slow", faults: standin.Faults{SlowFactor: 20}, ran: 1},
-		{name: "answer lost", faults: standin.Faults{LoseAnswer: true}, want: service.ErrLost, ran: 1},
-		{name: "answer cut", faults: standin.Faults{CutAnswer: true}, want: service.ErrLost, ran: 1},
-		{name: "frozen", faults: standin.Faults{Hang: true}, want: service.ErrLost},
-		{name: "refusing", faults: standin.Faults{Refuse: true}},
-		{name: "gone", gone: true, want: service.ErrUnreachable},
+		{name: "response lost", faults: standin.Faults{LoseAnswer: true}, want: service.ErrLost, ran: 1},
+		{name: "response cut off", faults: standin.Faults{CutAnswer: true}, want: service.ErrLost, ran: 1},
+		{name: "hangs", faults: standin.Faults{Hang: true}, want: service.ErrLost},
+		{name: "rejects", faults: standin.Faults{Refuse: true}},
+		{name: "unreachable", stopped: true, want: service.ErrUnreachable},
 	}
 	for _, c := range cases {
 		for name, call := range calls {
-			for _, kept := range []bool{false, true} {
+			for _, reuseConn := range []bool{false, true} {
 				t.Run(c.name+"/"+name, func(t *testing.T) {
 					withService(t, func(is *is.I, cl *service.Client, s *standin.Server, net *pipe.Server) {
-						if kept {
+						if reuseConn {
 							_, err := do(cl, service.Call{ID: "0", Method: http.MethodGet, Path: "/"})
 							is.NoErr(err)
 						}
 						s.SetFaults(c.faults)
-						if c.gone {
+						if c.stopped {
 							net.Close()
 							synctest.Wait()
 						}
@@ -82,7 +82,7 @@
 	}
 }
 
-// do makes the call and reads its answer within a second.
+// do makes the call and reads its response within a second.
 func do(c *service.Client, call service.Call) (standin.Echo, error) {
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
@@ -99,7 +99,7 @@
 	return e, json.Unmarshal(raw, &e)
 }
 
-func TestDoPassesTheCallOn(t *testing.T) {
+func TestDoForwardsCallAndReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var got *http.Request
@@ -116,7 +116,7 @@
 			"X-Own": {"1"}, "Connection": {"X-Hop, close"}, "X-Hop": {"1"}, "Te": {"x"}, "Expect": {"100-continue"}, "Rudder-Request-Id": {"forged"},
 		}})
 		is.NoErr(err)
-		is.Equal(r.Status, http.StatusTemporaryRedirect) // passed on, not followed
+		is.Equal(r.Status, http.StatusTemporaryRedirect) // forwarded, not followed
 		is.Equal(r.Header.Get("X-Answer"), "1")
 		is.Equal(r.Header.Get("X-Hop")+r.Header.Get("Connection"), "")
 		is.NoErr(r.Body.Close())
@@ -130,9 +130,9 @@
 	})
 }
 
-// TestDoRefusesWhatItCannotSend: such a call never leaves, and says nothing
-// against the service.
-func TestDoRefusesWhatItCannotSend(t *testing.T) {
+// TestDoRefusesUnsendableCalls: such a call is never sent, and its error is not
+// ErrUnreachable.
+func TestDoRefusesUnsendableCalls(t *testing.T) {
 	bad := map[string]service.Call{
 		"another host": {Method: http.MethodGet, Path: "@elsewhere/"},
 		"port":         {Method: http.MethodGet, Path: "1/"},
--- a/service/service.go
+++ b/service/service.go
@@ -1,5 +1,5 @@
-// Package service is the client of a plain HTTP service that stands beside the
-// model engines and shares their path through gateway and agent.
+// Package service is the client of a plain HTTP service that runs next to the
+// model engines and is reached over the same path through gateway and agent.
 package service
 
 import (
@@ -11,11 +11,12 @@
 
 // Sentinel errors; test with errors.Is.
 var (
-	// ErrRefused: the call cannot be sent as it stands; it certainly did not run.
+	// ErrRefused: the call cannot be sent as it is; it certainly did not run.
 	ErrRefused = errors.New("service: call cannot be sent")
-	// ErrUnreachable: no connection could be made; the call certainly did not run.
+	// ErrUnreachable: no connection could be established; the call certainly
+	// did not run.
 	ErrUnreachable = errors.New("service: unreachable")
-	// ErrLost: the call was sent and its answer broke off or never came.
+	// ErrLost: the call was sent, and its response broke off or never arrived.
 	ErrLost = errors.New("service: lost")
 )
 
@@ -28,14 +29,14 @@
 	Body   []byte
 }
 
-// Reply is the service's answer; Body must be closed.
+// Reply is the response of the service; Body must be closed.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser // a read error other than io.EOF means ErrLost
 }
 
-// Service is one plain service behind an agent.
+// Service is one plain HTTP service behind an agent.
 type Service interface {
 	Do(ctx context.Context, c Call) (*Reply, error)
 }
