--- a/inner/inner.go
+++ b/inner/inner.go
@@ -1,7 +1,7 @@
-// Package inner carries the inner protocol: HTTP/2 between the processes of
-// one installation, in the clear or, when key files are set, with mutual TLS.
-// A peer without a certificate of the installation's authority is refused in
-// the handshake.
+// Package inner implements the transport of the inner protocol: HTTP/2 between
+// the processes of one installation, either in clear text or, if key files are
+// configured, with mutual TLS. The handshake fails for a peer without a
+// certificate of the installation's certificate authority.
 package inner
 
 import (
@@ -16,14 +16,14 @@
 const (
 	dialTimeout       = time.Second
 	readHeaderTimeout = 5 * time.Second
-	// pingTimeout and pingInterval bound how long a connection to a frozen or
-	// cut-off peer looks alive. A server asks later than a client, whose
-	// questions show it that the client lives.
+	// pingTimeout and the ping intervals bound how long a connection to a hung
+	// or disconnected peer appears alive. A server pings later than a client,
+	// because the pings of a client show it that the client is alive.
 	pingInterval       = 2 * time.Second
 	serverPingInterval = 5 * time.Second
 	pingTimeout        = 2 * time.Second
-	// MaxMessage bounds one message, in bytes: a prompt of a million tokens
-	// with its envelope.
+	// MaxMessage bounds the size of one message, in bytes: a prompt of a
+	// million tokens with its envelope.
 	MaxMessage = 24 << 20
 )
 
@@ -50,7 +50,7 @@
 	return srv, nil
 }
 
-// Serve serves on l with or without TLS, as the server was made.
+// Serve serves on l, with TLS if the server was created with key files.
 func Serve(srv *http.Server, l net.Listener) error {
 	if srv.TLSConfig != nil {
 		return srv.ServeTLS(l, "", "")
@@ -58,8 +58,9 @@
 	return srv.Serve(l)
 }
 
-// Stop closes a server once what its handlers wrote has left, or after limit: a
-// handler that has returned may still have frames waiting to be sent.
+// Stop shuts a server down once everything that its handlers wrote has been
+// sent, or closes it after limit. A handler that has returned may still have
+// frames waiting to be sent.
 func Stop(srv *http.Server, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -68,15 +69,15 @@
 	}
 }
 
-// HandlerOptions are the options that every handler of the inner protocol has.
-// Nothing is compressed: most messages are shorter than gzip's own frame, and
-// a decompressor for each subscription holds some 50 KB at the gateway.
+// HandlerOptions are the options of every handler of the inner protocol.
+// Compression is disabled: most messages are shorter than gzip's own framing,
+// and a decompressor per subscription takes about 50 KB at the gateway.
 func HandlerOptions() []connect.HandlerOption {
 	return []connect.HandlerOption{connect.WithCompression("gzip", nil, nil)}
 }
 
-// ClientOptions are the options that every client of the inner protocol has:
-// no compression, as for handlers, and the bound of a message.
+// ClientOptions are the options of every client of the inner protocol: no
+// compression, as for handlers, and the limit on message size.
 func ClientOptions() []connect.ClientOption {
 	return []connect.ClientOption{
 		connect.WithAcceptCompression("gzip", nil, nil),
@@ -84,7 +85,8 @@
 	}
 }
 
-// Dialer opens a connection to an address; nil means the system's.
+// Dialer opens a connection to an address; nil selects the default dialer of
+// the system.
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // Client is an HTTP client for the inner protocol.
--- a/inner/keys.go
+++ b/inner/keys.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// KeyFiles names the PEM files for mutual TLS; all empty means clear text.
+// KeyFiles names the PEM files for mutual TLS. If all are empty, connections
+// use clear text.
 type KeyFiles struct {
 	Cert string
 	Key  string
 	CA   string
 }
 
-// Enabled reports whether TLS is on.
+// Enabled reports whether TLS is enabled.
 func (k KeyFiles) Enabled() bool { return k.Cert != "" || k.Key != "" || k.CA != "" }
 
-// Check returns an error unless all files or none are named.
+// Check returns an error unless either all files or none are named.
 func (k KeyFiles) Check() error {
 	if k.Enabled() && (k.Cert == "" || k.Key == "" || k.CA == "") {
 		return errors.New("cert, key and ca must be set together")
@@ -27,8 +28,8 @@
 	return nil
 }
 
-// Usable returns an error when TLS is on and the files cannot be used as they
-// stand now.
+// Usable returns an error if TLS is enabled and the files cannot be loaded in
+// their current state.
 func (k KeyFiles) Usable() error {
 	if !k.Enabled() {
 		return nil
@@ -37,97 +38,99 @@
 	return err
 }
 
-// config returns a configuration that uses the files as they stand at each
-// handshake, so that replaced files need no restart.
+// config returns a TLS configuration that uses the current files at each
+// handshake, so that replacing the files requires no restart.
 func (k KeyFiles) config() (*tls.Config, error) {
 	if err := k.Check(); err != nil {
 		return nil, err
 	}
-	ring := &keyring{files: k, stamp: k.stamp()}
+	reloader := &keyReloader{files: k, versions: k.versions()}
 	var err error
-	if ring.keys, err = k.load(); err != nil {
+	if reloader.keys, err = k.load(); err != nil {
 		return nil, err
 	}
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{"h2"},
 		ClientAuth: tls.RequireAnyClientCert,
-		// The names in certificates are not used: processes are reached by IP
-		// number, and any holder of a certificate of the authority is a peer.
+		// Names in certificates are not checked: processes are addressed by
+		// IP address, and any holder of a certificate of the authority is a
+		// peer. VerifyConnection checks the chain.
 		InsecureSkipVerify: true,
-		VerifyConnection:   ring.verify,
+		VerifyConnection:   reloader.verify,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return ring.current().cert, nil
+			return reloader.current().cert, nil
 		},
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return ring.current().cert, nil
+			return reloader.current().cert, nil
 		},
 	}, nil
 }
 
-// keys are the contents of the files.
-type keys struct {
+// keyMaterial is the parsed content of the key files.
+type keyMaterial struct {
 	cert *tls.Certificate
 	pool *x509.CertPool
 }
 
-func (k KeyFiles) load() (keys, error) {
+func (k KeyFiles) load() (keyMaterial, error) {
 	cert, err := tls.LoadX509KeyPair(k.Cert, k.Key)
 	if err != nil {
-		return keys{}, err
+		return keyMaterial{}, err
 	}
 	pem, err := os.ReadFile(k.CA)
 	if err != nil {
-		return keys{}, err
+		return keyMaterial{}, err
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return keys{}, errors.New("no certificate in " + k.CA)
+		return keyMaterial{}, errors.New("no certificate in " + k.CA)
 	}
-	return keys{&cert, pool}, nil
+	return keyMaterial{&cert, pool}, nil
 }
 
-// fileStamp tells a replaced file from the one before.
-type fileStamp struct {
+// fileVersion distinguishes a replaced file from the previous one.
+type fileVersion struct {
 	size     int64
 	modified time.Time
 }
 
-func (k KeyFiles) stamp() (out [3]fileStamp) {
+func (k KeyFiles) versions() (out [3]fileVersion) {
 	for i, name := range []string{k.Cert, k.Key, k.CA} {
 		if info, err := os.Stat(name); err == nil {
-			out[i] = fileStamp{info.Size(), info.ModTime()}
+			out[i] = fileVersion{info.Size(), info.ModTime()}
 		}
 	}
 	return out
 }
 
-// keyring holds the last usable contents of the files. While they are being
-// replaced, or when they are damaged, it goes on with those.
-type keyring struct {
+// keyReloader holds the last valid content of the key files. It keeps this
+// content while the files are being replaced or if they are damaged.
+type keyReloader struct {
 	files KeyFiles
 
-	mu    sync.Mutex
-	keys  keys
-	stamp [3]fileStamp // of the files that keys came from
+	mu       sync.Mutex
+	keys     keyMaterial
+	versions [3]fileVersion // of the files that keys was loaded from
 }
 
-// current returns the contents, read anew when the files have changed.
-func (r *keyring) current() keys {
+// current returns the content of the key files, reloaded if they have changed.
+func (r *keyReloader) current() keyMaterial {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	stamp := r.files.stamp()
-	if stamp == r.stamp {
+	versions := r.files.versions()
+	if versions == r.versions {
 		return r.keys
 	}
-	if fresh, err := r.files.load(); err == nil && r.files.stamp() == stamp {
-		r.keys, r.stamp = fresh, stamp
+	if reloaded, err := r.files.load(); err == nil && r.files.versions() == versions {
+		r.keys, r.versions = reloaded, versions
 	}
 	return r.keys
 }
 
-// verify checks the peer's chain against the installation's authorities.
-func (r *keyring) verify(cs tls.ConnectionState) error {
+// verify checks the peer's certificate chain against the installation's
+// authorities.
+func (r *keyReloader) verify(cs tls.ConnectionState) error {
 	if len(cs.PeerCertificates) == 0 {
 		return errors.New("inner: peer has no certificate")
 	}
--- a/inner/keys_test.go
+++ b/inner/keys_test.go
@@ -20,7 +20,7 @@
 	"github.com/matryer/is"
 )
 
-// authority signs certificates.
+// authority is a certificate authority.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -54,7 +54,7 @@
 	return key
 }
 
-// issue returns a new certificate and its key.
+// issue returns a new certificate and its private key.
 func (a *authority) issue(t *testing.T) (cert, key []byte) {
 	t.Helper()
 	k := newKey(t)
@@ -70,24 +70,25 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: raw}), pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: der})
 }
 
-// side is one process's files.
-type side struct {
-	t     *testing.T
-	files KeyFiles
-	wrote int64
+// peerFiles are the key files of one process.
+type peerFiles struct {
+	t      *testing.T
+	files  KeyFiles
+	writes int64
 }
 
-func newSide(t *testing.T) *side {
+func newPeerFiles(t *testing.T) *peerFiles {
 	dir := t.TempDir()
-	return &side{t: t, files: KeyFiles{filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"), filepath.Join(dir, "ca.pem")}}
+	return &peerFiles{t: t, files: KeyFiles{filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"), filepath.Join(dir, "ca.pem")}}
 }
 
-// write writes a file with a time of change of its own, since the clock of
-// the file system may be coarser than the test is quick.
-func (s *side) write(name string, content []byte) {
+// write writes a file with a unique modification time, since the resolution of
+// file timestamps may be coarser than the interval between two writes of the
+// test.
+func (s *peerFiles) write(name string, content []byte) {
 	s.t.Helper()
-	s.wrote++
-	at := time.Unix(1_000_000_000+s.wrote, 0)
+	s.writes++
+	at := time.Unix(1_000_000_000+s.writes, 0)
 	if err := os.WriteFile(name, content, 0o600); err != nil {
 		s.t.Fatal(err)
 	}
@@ -115,13 +116,14 @@
 }
 
 // TestKeyFilesRotate replaces certificates and authority between calls, in the
-// order of the operators' page and with the files in between as they come.
+// order given on the operators' page, including the intermediate states of the
+// files.
 func TestKeyFilesRotate(t *testing.T) {
 	is := is.New(t)
 	first, second := newAuthority(t, "first"), newAuthority(t, "second")
-	server, caller := newSide(t), newSide(t)
-	sides := []*side{server, caller}
-	for _, s := range sides {
+	server, caller := newPeerFiles(t), newPeerFiles(t)
+	peers := []*peerFiles{server, caller}
+	for _, s := range peers {
 		cert, key := first.issue(t)
 		s.write(s.files.Cert, cert)
 		s.write(s.files.Key, key)
@@ -143,22 +145,22 @@
 	}
 	check()
 	both := append(append([]byte(nil), first.pem...), second.pem...)
-	for _, s := range sides {
-		s.write(s.files.CA, nil) // a file that is being written
+	for _, s := range peers {
+		s.write(s.files.CA, nil) // as if the file were being written
 		check()
 		s.write(s.files.CA, both)
 		check()
 	}
-	for _, s := range sides {
+	for _, s := range peers {
 		cert, key := second.issue(t)
-		s.write(s.files.Cert, cert) // does not fit the old key
+		s.write(s.files.Cert, cert) // does not match the old key
 		is.True(s.files.Usable() != nil)
 		check()
 		s.write(s.files.Key, key)
 		is.NoErr(s.files.Usable())
 		check()
 	}
-	for _, s := range sides {
+	for _, s := range peers {
 		s.write(s.files.CA, second.pem)
 		check()
 	}
@@ -166,5 +168,5 @@
 	cert, key := first.issue(t)
 	caller.write(caller.files.Cert, cert)
 	caller.write(caller.files.Key, key)
-	is.True(call(client, l.Addr().String()) != nil) // the old authority is out
+	is.True(call(client, l.Addr().String()) != nil) // the old authority is no longer trusted
 }
--- a/inner/refuse_test.go
+++ b/inner/refuse_test.go
@@ -10,12 +10,12 @@
 	"github.com/matryer/is"
 )
 
-// TestPeerWithoutKeyIsRefused: with key files set, no call of a peer without a
-// certificate of the authority reaches a handler.
-func TestPeerWithoutKeyIsRefused(t *testing.T) {
+// TestPeerWithoutTrustedCertificateIsRefused: if key files are set, no call of
+// a peer without a certificate of the authority reaches a handler.
+func TestPeerWithoutTrustedCertificateIsRefused(t *testing.T) {
 	ours, others := newAuthority(t, "ours"), newAuthority(t, "others")
-	keyed := func(a *authority) KeyFiles {
-		s := newSide(t)
+	issueFiles := func(a *authority) KeyFiles {
+		s := newPeerFiles(t)
 		cert, key := a.issue(t)
 		s.write(s.files.Cert, cert)
 		s.write(s.files.Key, key)
@@ -29,19 +29,19 @@
 		}
 		return c
 	}
-	bare := &Client{&http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true}}}, "https://"}
+	withoutCertificate := &Client{&http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true}}}, "https://"}
 	cases := []struct {
 		name   string
 		client *Client
 		served bool
 	}{
-		{"of the authority", client(keyed(ours)), true},
-		{"of another authority", client(keyed(others)), false},
-		{"without a certificate", bare, false},
+		{"of the authority", client(issueFiles(ours)), true},
+		{"of another authority", client(issueFiles(others)), false},
+		{"without a certificate", withoutCertificate, false},
 		{"in clear text", client(KeyFiles{}), false},
 	}
 	var calls atomic.Int32
-	srv, err := NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(1) }), keyed(ours))
+	srv, err := NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(1) }), issueFiles(ours))
 	if err != nil {
 		t.Fatal(err)
 	}
