--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,8 +1,8 @@
-// Package agent is the process beside each endpoint and the single authority
-// over it: it admits and queues work, keeps the record of every run of its
-// incarnation, buffers answers so that any gateway can read them again, and
-// gives the endpoint its orders. The decisions are made by packages admission
-// and lifecycle; this package holds the goroutines, timers and sockets.
+// Package agent implements the process that runs beside each endpoint and is its only
+// controller: it admits and queues work, keeps a record of every run of its incarnation,
+// buffers answers so that any gateway can read them again, and sends orders to the endpoint.
+// Packages admission and lifecycle make the decisions; this package contains the goroutines,
+// timers and sockets.
 package agent
 
 import (
@@ -25,31 +25,31 @@
 	"github.com/micarudder/micarudder/ticket"
 )
 
-// Config is what an agent is told by its settings.
+// Config contains the configuration of an agent.
 type Config struct {
 	Endpoint   string
 	Host       string
 	DataCentre string
-	Service    string // name of the plain service beside it; empty beside a model engine
+	Service    string // name of the plain service; empty for a model engine
 
 	MemoryTokens   uint64        // cache memory of the endpoint, in tokens
-	MaxRunning     int           // runs at the endpoint at once
-	ReattachWindow time.Duration // how long a repeatable run goes on without a reader
-	AnswerKeep     time.Duration // how long a finished answer can be read again
-	BufferBytes    int64         // bytes of all buffered answers together
-	MaxRecords     int           // run records kept at once; as many tombstones again
-	ReportInterval time.Duration // shortest time between two reports
-	Heartbeat      time.Duration // longest time between two reports
+	MaxRunning     int           // maximum number of concurrent runs at the endpoint
+	ReattachWindow time.Duration // how long a repeatable run continues without a reader
+	AnswerKeep     time.Duration // how long a finished answer stays readable
+	BufferBytes    int64         // maximum size of all buffered answers together
+	MaxRecords     int           // maximum number of run records, and of tombstones
+	ReportInterval time.Duration // minimum time between two reports
+	Heartbeat      time.Duration // maximum time between two reports
 }
 
-// Deps are the parts an agent works with. Exactly one of Engine and Service is set.
+// Deps contains the dependencies of an agent. Exactly one of Engine and Service is set.
 type Deps struct {
 	Engine  engine.Engine
 	Service service.Service
 	Signer  *ticket.Signer
 	Queue   admission.Queue
 	Keeper  *generation.Tracker
-	Client  *inner.Client // reaches other agents; nil: no spans can be imported and no records handed over
+	Client  *inner.Client // connects to other agents; if nil, spans cannot be imported and records cannot be handed over
 	Log     *log.Logger
 	Metrics *metrics.Set
 }
@@ -62,31 +62,31 @@
 	incarnation string
 	started     time.Time
 
-	mu       sync.Mutex
-	restsTo  time.Time           // the engine wants no new work before
-	state    rudderv1.AgentState // of the endpoint; current adds leaving
-	leave    departure
-	records  *records
-	queue    admission.Queue
-	waiting  map[string]*run // admitted, by run key
-	running  int
-	used     uint64         // tokens of running runs
-	desk     *desk          // memory reservations
-	sweeping chan struct{}  // a token while the endpoint's held memory is compared with the leases
-	models   []engine.Model // as the endpoint last said
-	stated   time.Time      // when it was asked for that; what it said earlier does not count
-	cache    *affinity.Set  // blocks that the endpoint is believed to hold
-	role     string
-	book     *orders.Tracker
-	blocking map[*run]struct{} // runs that the order in progress waits for
-	withdraw time.Time         // when new runs are refused what it takes away
-	version  uint64            // counts changes worth reporting
-	changed  chan struct{}     // closed at each change worth reporting
-
-	inherited     map[string]*inheritance // records of stopped incarnations, by incarnation
-	successor     string                  // address of the agent that took this one's records
+	mu                  sync.Mutex
+	backoffUntil        time.Time           // the engine accepts no new work before this time
+	state               rudderv1.AgentState // state of the endpoint; effectiveState adds leaving
+	leaving             leaveState
+	records             *records
+	queue               admission.Queue
+	waiting             map[string]*run // admitted and not started, by run key
+	running             int
+	used                uint64         // tokens of the running runs
+	mem                 *memoryState   // reservations of the endpoint's memory
+	sweeping            chan struct{}  // semaphore of one sweep
+	models              []engine.Model // as last reported by the endpoint
+	modelsAsOf          time.Time      // when the query for models was sent; older answers are ignored
+	cache               *affinity.Set  // blocks that the endpoint is assumed to hold
+	role                string
+	orders              *orders.Tracker
+	blocking            map[*run]struct{} // runs that the order in progress waits for
+	refuseUnloadingFrom time.Time         // from then on new runs of what the order unloads are refused
+	version             uint64            // number of changes to report
+	changed             chan struct{}     // closed at each change to report
+
+	inherited     map[string]*inheritedRecords // records of stopped agents, by incarnation
+	successor     string                       // address of the agent that took over the records of this one
 	subscriptions map[*subscription]struct{}
-	readers       int // streams of answers to gateways
+	readers       int // number of answer streams to gateways
 
 	wake      chan struct{}
 	orderWake chan struct{}
@@ -95,11 +95,11 @@
 	workers   sync.WaitGroup
 	meter     *meter
 
-	cut         chan struct{} // closed when a drain ends
+	drainEnded  chan struct{} // closed after the drain, to break the streams that are left
 	subscribers subscribers
 }
 
-// New returns an agent with a fresh incarnation. Start begins its work.
+// New returns an agent with a new incarnation. Call Start to begin serving.
 func New(cfg Config, deps Deps) *Agent {
 	ctx, stop := context.WithCancel(context.Background())
 	a := &Agent{
@@ -111,30 +111,30 @@
 		records:     newRecords(cfg.MaxRecords, cfg.BufferBytes),
 		queue:       deps.Queue,
 		waiting:     make(map[string]*run),
-		desk:        newDesk(cfg.MemoryTokens),
+		mem:         newMemoryState(cfg.MemoryTokens),
 		changed:     make(chan struct{}),
-		cut:         make(chan struct{}),
-		inherited:   make(map[string]*inheritance),
+		drainEnded:  make(chan struct{}),
+		inherited:   make(map[string]*inheritedRecords),
 		cache:       affinity.New(cfg.MemoryTokens),
 		sweeping:    make(chan struct{}, 1),
 		wake:        make(chan struct{}, 1),
 		orderWake:   make(chan struct{}, 1),
-		book:        orders.NewTracker(),
+		orders:      orders.NewTracker(),
 		ctx:         ctx,
 		stop:        stop,
 		meter:       newMeter(deps.Metrics),
 
 		subscriptions: make(map[*subscription]struct{}),
 	}
-	a.meter.watch(a)
+	a.meter.registerGauges(a)
 	return a
 }
 
-// Incarnation names this life of the agent; tickets are bound to it.
+// Incarnation returns the ID of this process lifetime of the agent; tickets are bound to it.
 func (a *Agent) Incarnation() string { return a.incarnation }
 
-// Start begins to serve: it learns what the endpoint holds and starts the
-// loops. It returns at once.
+// Start starts the background loops, which first query what the endpoint holds. It does not
+// block.
 func (a *Agent) Start() {
 	a.workers.Go(a.dispatchLoop)
 	a.workers.Go(a.watchEndpoint)
@@ -150,19 +150,19 @@
 func (a *Agent) Ready() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.current() == rudderv1.AgentState_AGENT_STATE_SERVING
+	return a.effectiveState() == rudderv1.AgentState_AGENT_STATE_SERVING
 }
 
-// Close ends all work and waits for the loops.
+// Close ends all work and waits until the background loops have returned.
 func (a *Agent) Close() {
 	a.stop()
 	a.workers.Wait()
 }
 
-// clockMS is the agent's clock: milliseconds since this incarnation began.
+// clockMS returns the agent's clock: milliseconds since the start of this incarnation.
 func (a *Agent) clockMS() int64 { return time.Since(a.started).Milliseconds() }
 
-// setState changes the state; the caller holds mu.
+// setState sets the state of the endpoint; the caller holds mu.
 func (a *Agent) setState(s rudderv1.AgentState) {
 	if a.state == s {
 		return
@@ -171,15 +171,15 @@
 	a.notify()
 }
 
-// notify marks a change worth reporting; the caller holds mu.
+// notify records a change to report and wakes all who wait for one; the caller holds mu.
 func (a *Agent) notify() {
 	a.version++
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// poke wakes the dispatch loop.
-func (a *Agent) poke() {
+// wakeDispatch wakes the dispatch loop.
+func (a *Agent) wakeDispatch() {
 	select {
 	case a.wake <- struct{}{}:
 	default:
--- a/agent/cache.go
+++ b/agent/cache.go
@@ -14,13 +14,13 @@
 	cachePollIdle = 10 * time.Second
 )
 
-// cachedTokens is how many prompt tokens the endpoint is believed to hold.
+// cachedTokens returns the number of prompt tokens that the endpoint is assumed to hold.
 func (a *Agent) cachedTokens(c *rudderv1.Completion) uint64 {
 	return min(c.GetPromptTokens(), uint64(a.cache.Cached(c.GetPrefix()))*prefix.BlockTokens)
 }
 
-// followCache reads the engine's cache events. They are hints: late, with
-// gaps, and corrected by what runs report.
+// followCache reads the engine's cache events. They are hints only: they arrive late and with
+// gaps, and the usage reported by runs corrects them.
 func (a *Agent) followCache() {
 	var after uint64
 	for {
@@ -39,13 +39,13 @@
 }
 
 func (a *Agent) cacheEvents(after uint64) ([]engine.CacheEvent, error) {
-	ctx, cancel := context.WithTimeout(a.ctx, probeTime)
+	ctx, cancel := context.WithTimeout(a.ctx, probeTimeout)
 	defer cancel()
 	return a.deps.Engine.CacheEvents(ctx, after)
 }
 
-// applyCache takes events in and returns the last sequence number. Sequence
-// numbers that start again mean that the engine restarted empty.
+// applyCache applies events and returns the last sequence number. A sequence number that is
+// not above the previous one means that the engine has restarted with an empty cache.
 func (a *Agent) applyCache(events []engine.CacheEvent, after uint64) uint64 {
 	var added, removed []uint64
 	for _, e := range events {
--- a/agent/call.go
+++ b/agent/call.go
@@ -12,18 +12,18 @@
 	"github.com/micarudder/micarudder/service"
 )
 
-// maxStatus is the highest status that can be passed on.
+// maxStatus is the highest HTTP status that can be forwarded.
 const maxStatus = 999
 
-// call runs a call at the plain service.
-func (a *Agent) call(r *run) {
+// runCall executes a call at the plain service.
+func (a *Agent) runCall(r *run) {
 	begun := time.Now()
 	c := r.req.Call
 	reply, err := a.deps.Service.Do(r.ctx, service.Call{
 		ID: r.req.RequestId, Method: c.Method, Path: c.Path, Header: toHeader(c.Headers), Body: r.req.Body,
 	})
 	if err != nil {
-		a.fail(r, err)
+		a.recordFailure(r, err)
 		return
 	}
 	defer func() { _ = reply.Body.Close() }()
@@ -36,13 +36,13 @@
 	a.readBody(r, reply.Body, begun)
 }
 
-// readBody copies the service's answer into the buffer.
+// readBody copies the body of the service's answer into the buffer.
 func (a *Agent) readBody(r *run, body io.Reader, begun time.Time) {
 	first := time.Now()
-	buf := make([]byte, readChunk)
+	buf := make([]byte, readChunkBytes)
 	for {
 		n, err := body.Read(buf)
-		if n > 0 && !a.take(r, buf[:n]) {
+		if n > 0 && !a.bufferAnswer(r, buf[:n]) {
 			return
 		}
 		if errors.Is(err, io.EOF) {
@@ -50,7 +50,7 @@
 			return
 		}
 		if err != nil {
-			a.fail(r, service.ErrLost)
+			a.recordFailure(r, service.ErrLost)
 			return
 		}
 	}
--- a/agent/configuration.go
+++ b/agent/configuration.go
@@ -11,14 +11,13 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// Offer takes a configuration and hands back a newer one. An answer with a
-// generation below the offered one says that the offered delta's base is not
-// held here.
+// Offer applies a configuration and returns a newer one if there is one. If the generation in
+// the answer is below the offered one, the agent does not have the base of the offered delta.
 func (s *server) Offer(_ context.Context, req *connect.Request[rudderv1.OfferRequest]) (*connect.Response[rudderv1.OfferResponse], error) {
 	k := s.a.deps.Keeper
 	verdict, err := k.ApplyOffer(req.Msg)
 	if err != nil {
-		s.a.deps.Log.Debug("Delta does not fit.", "generation", k.Generation(), "err", err)
+		s.a.deps.Log.Debug("Configuration delta not applied.", "generation", k.Generation(), "err", err)
 	}
 	if verdict == generation.Diverged {
 		s.a.deps.Log.Error("Two documents of one generation.", "generation", k.Generation())
@@ -30,13 +29,13 @@
 	return connect.NewResponse(resp), nil
 }
 
-// subscribers are the gateways that read the agent's reports now, by name.
+// subscribers contains the gateways that currently read the agent's reports, by name.
 type subscribers struct {
 	mu    sync.Mutex
 	count map[string]int
 }
 
-// join counts a gateway in until leave is called.
+// join registers a gateway until leave is called.
 func (s *subscribers) join(gateway string) (leave func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,9 +52,9 @@
 	}
 }
 
-// rank returns how many of the subscribers come before the gateway in the
-// order in which they offer newer documents. The order differs from endpoint
-// to endpoint, so that the offers spread over the gateways.
+// rank returns the number of subscribers that precede the gateway in the order in which they
+// offer newer documents. The order differs between endpoints, so that the offers are
+// distributed over the gateways.
 func (s *subscribers) rank(gateway, endpoint string) uint32 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	cancelTime = 2 * time.Second
-	readChunk  = 32 << 10
+	cancelTimeout  = 2 * time.Second
+	readChunkBytes = 32 << 10
 )
 
-// dispatchLoop starts waiting work as the endpoint has room for it.
+// dispatchLoop starts waiting work whenever the endpoint has capacity for it.
 func (a *Agent) dispatchLoop() {
 	timer := time.NewTimer(admission.PollInterval)
 	defer timer.Stop()
 	for {
-		if a.startAll() {
+		if a.startReady() {
 			timer.Reset(admission.PollInterval)
 		}
 		select {
@@ -38,8 +38,8 @@
 	}
 }
 
-// startAll expires and starts what it can and reports whether work waits.
-func (a *Agent) startAll() bool {
+// startReady ends expired work, starts what fits, and reports whether work is still waiting.
+func (a *Agent) startReady() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
@@ -51,12 +51,12 @@
 		if !ok {
 			break
 		}
-		a.begin(it)
+		a.start(it)
 	}
-	return len(a.waiting) > 0 || a.desk.waiting > 0
+	return len(a.waiting) > 0 || a.mem.queuedJobs > 0
 }
 
-// expire ends a run that can no longer be done in time; the caller holds mu.
+// expire ends waiting work that can no longer finish in time; the caller holds mu.
 func (a *Agent) expire(it admission.Item) {
 	r, ok := a.waiting[it.ID]
 	if !ok {
@@ -68,11 +68,11 @@
 	}
 }
 
-// begin takes the endpoint's room for a run and executes it; the caller holds mu.
-func (a *Agent) begin(it admission.Item) {
+// start allocates the endpoint's capacity to an item and executes it; the caller holds mu.
+func (a *Agent) start(it admission.Item) {
 	r, ok := a.waiting[it.ID]
 	if !ok {
-		a.beginSpan(it)
+		a.startSpan(it)
 		return
 	}
 	delete(a.waiting, it.ID)
@@ -83,45 +83,45 @@
 		a.mu.Lock()
 		a.running--
 		a.used -= it.MemoryTokens
-		a.queue.Remove(it.ID) // of no effect after Done
+		a.queue.Remove(it.ID) // no effect after Done
 		a.mu.Unlock()
 		a.endRun(r)
 	})
 }
 
-// execute sends the order and reads the answer to its end.
+// execute sends the order to the endpoint and reads the answer to its end.
 func (a *Agent) execute(r *run) {
 	if r.ctx.Err() != nil {
-		r.apply(a.interrupted(r), "before the order")
+		r.apply(a.interruptionEvent(r), "before the order")
 		return
 	}
 	if r.apply(lifecycle.Event{Kind: lifecycle.EvDispatch}, "") != lifecycle.ActOrder {
 		return
 	}
 	if r.req.Call != nil {
-		a.call(r)
+		a.runCall(r)
 		return
 	}
-	a.complete(r)
+	a.runCompletion(r)
 }
 
-// interrupted says why a run's context ended.
-func (a *Agent) interrupted(r *run) lifecycle.Event {
+// interruptionEvent returns the event for the reason why a run's context ended.
+func (a *Agent) interruptionEvent(r *run) lifecycle.Event {
 	if errors.Is(r.ctx.Err(), context.DeadlineExceeded) {
 		return lifecycle.Event{Kind: lifecycle.EvExpire}
 	}
 	return lifecycle.Event{Kind: lifecycle.EvCancel}
 }
 
-// complete runs a completion at the engine.
-func (a *Agent) complete(r *run) {
+// runCompletion executes a completion at the engine.
+func (a *Agent) runCompletion(r *run) {
 	begun := time.Now()
 	c := r.req.Completion
 	ctx, cancel := context.WithCancelCause(r.ctx)
 	defer cancel(nil)
 	var events atomic.Int64
 	a.workers.Go(func() {
-		a.watchWork(ctx, cancel, work{id: attemptID(r.req), silent: func() bool { return events.Swap(0) == 0 }})
+		a.watchOrder(ctx, cancel, pendingOrder{id: attemptID(r.req), noProgress: func() bool { return events.Swap(0) == 0 }})
 	})
 	stream, err := a.deps.Engine.Start(ctx, engine.Request{
 		ID:         attemptID(r.req),
@@ -136,16 +136,16 @@
 		defer func() { _ = stream.Close() }()
 		err = a.readStream(r, stream, &events, begun)
 	}
-	if err != nil && errors.Is(context.Cause(ctx), errNotWorkedOn) {
-		err = errNotWorkedOn
+	if err != nil && errors.Is(context.Cause(ctx), errOrderLost) {
+		err = errOrderLost
 	}
 	if err != nil {
-		a.fail(r, err)
+		a.recordFailure(r, err)
 	}
 }
 
-// readStream copies the engine's stream into the buffer, and counts its events. It returns why the
-// stream broke, nil where it did not.
+// readStream copies the engine's stream into the buffer and counts its events. It returns the
+// reason why the stream broke, or nil if it did not.
 func (a *Agent) readStream(r *run, stream engine.Stream, events *atomic.Int64, begun time.Time) error {
 	var first time.Time
 	var usage engine.Usage
@@ -163,10 +163,10 @@
 		if len(ev.Text) > 0 {
 			if first.IsZero() {
 				first = time.Now()
-				a.prefilled(r, first)
+				a.recordPrefilled(r, first)
 				r.apply(lifecycle.Event{Kind: lifecycle.EvAnswer}, "")
 			}
-			if !a.take(r, ev.Text) {
+			if !a.bufferAnswer(r, ev.Text) {
 				return nil
 			}
 		}
@@ -176,18 +176,18 @@
 	}
 }
 
-// prefilled tells the queue that a run has come to its first token.
-func (a *Agent) prefilled(r *run, now time.Time) {
+// recordPrefilled informs the queue that a run has produced its first token.
+func (a *Agent) recordPrefilled(r *run, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.queue.Prefilled(r.item.ID, now)
 }
 
-// take buffers answer text. An answer that outgrows the space for all answers
-// ends its run and reports false.
-func (a *Agent) take(r *run, text []byte) bool {
-	r.size += int64(len(text))
-	if r.size > r.room && !a.widen(r) {
+// bufferAnswer appends text to the buffered answer. If the answer exceeds the space available
+// for all answers, it ends the run and returns false.
+func (a *Agent) bufferAnswer(r *run, text []byte) bool {
+	r.answerSize += int64(len(text))
+	if r.answerSize > r.answerLimit && !a.growAnswer(r) {
 		r.apply(lifecycle.Event{Kind: lifecycle.EvEnd, Code: result.AnswerTooLong}, "")
 		a.cancelAtEngine(attemptID(r.req))
 		return false
@@ -196,15 +196,15 @@
 	return true
 }
 
-// widen books more space for the run's answer.
-func (a *Agent) widen(r *run) bool {
+// growAnswer reserves more space for the run's answer.
+func (a *Agent) growAnswer(r *run) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	more := r.size - r.room + growth
+	more := r.answerSize - r.answerLimit + answerGrowth
 	if !a.records.grow(r, more) {
 		return false
 	}
-	r.room += more
+	r.answerLimit += more
 	return true
 }
 
@@ -218,21 +218,21 @@
 	a.queue.Done(r.item, queued, prefill, decode, u.CachedTokens)
 	load := a.load()
 	a.mu.Unlock()
-	a.cache.RecordRun(r.req.GetCompletion().GetPrefix(), r.believed, u.CachedTokens)
+	a.cache.RecordRun(r.req.GetCompletion().GetPrefix(), r.cachedBlocks, u.CachedTokens)
 	r.finishOK(finish, &rudderv1.Usage{PromptTokens: u.PromptTokens, CachedTokens: u.CachedTokens, OutputTokens: u.OutputTokens},
 		&rudderv1.RunTimes{QueuedUs: queued.Microseconds(), PrefillUs: prefill.Microseconds(), DecodeUs: decode.Microseconds()}, load)
 }
 
-// fail turns an endpoint's error into the event it is evidence for.
-func (a *Agent) fail(r *run, err error) {
+// recordFailure applies the event that an error of the endpoint is evidence for.
+func (a *Agent) recordFailure(r *run, err error) {
 	if r.ctx.Err() != nil {
-		if r.apply(a.interrupted(r), "") == lifecycle.ActStop {
+		if r.apply(a.interruptionEvent(r), "") == lifecycle.ActStop {
 			a.cancelAtEngine(attemptID(r.req))
 		}
 		return
 	}
 	a.deps.Log.Warn("Run failed.", "request", r.req.RequestId, "err", err)
-	a.noteRest(r, err)
+	a.recordBackoff(r, err)
 	switch {
 	case errors.Is(err, engine.ErrRefused), errors.Is(err, engine.ErrNoMemory), errors.Is(err, service.ErrRefused):
 		r.apply(lifecycle.Event{Kind: lifecycle.EvRefused, Code: result.EndpointRefused}, err.Error())
@@ -248,24 +248,24 @@
 	}
 }
 
-// cancelAtEngine frees a run's memory at the engine, without waiting for it.
+// cancelAtEngine asks the engine, asynchronously, to cancel a run and free its memory.
 func (a *Agent) cancelAtEngine(id string) {
 	if a.deps.Engine == nil {
 		return
 	}
 	a.workers.Go(func() {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(a.ctx), cancelTime)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(a.ctx), cancelTimeout)
 		defer cancel()
 		if err := a.deps.Engine.Cancel(ctx, id); err != nil && !errors.Is(err, engine.ErrNotFound) {
-			a.deps.Log.Warn("Cancel failed.", "run", id, "err", err)
+			a.deps.Log.Warn("Cancellation at the engine failed.", "run", id, "err", err)
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			a.desk.uncancelled[id] = struct{}{}
+			a.mem.uncancelled[id] = struct{}{}
 		}
 	})
 }
 
-// finishOK ends a run well, with what it took.
+// finishOK ends a run successfully and records its usage and times.
 func (r *run) finishOK(finish string, u *rudderv1.Usage, t *rudderv1.RunTimes, load *rudderv1.Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -276,7 +276,7 @@
 	r.end.FinishReason, r.end.Usage, r.end.Times, r.end.Load = finish, u, t, load
 }
 
-// attemptID names one attempt at the endpoint.
+// attemptID returns the ID of one attempt at the endpoint.
 func attemptID(req *rudderv1.RunRequest) string {
 	return fmt.Sprintf("%s.%d", req.RequestId, req.Attempt)
 }
--- a/agent/endpoint.go
+++ b/agent/endpoint.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	probeTime     = 2 * time.Second
-	probeInterval = 5 * time.Second
-	probeMax      = 2 * time.Second // longest wait between probes of a lost endpoint
-	// spanPatience is how long spans are waited for at an endpoint that does
-	// not answer probes.
-	spanPatience = 8 * time.Second
+	probeTimeout    = 2 * time.Second
+	probeInterval   = 5 * time.Second
+	maxProbeBackoff = 2 * time.Second // longest wait between probes of a lost endpoint
+	// spanGracePeriod is how long span jobs continue while the endpoint does not answer
+	// probes.
+	spanGracePeriod = 8 * time.Second
 )
 
-// watchEndpoint learns what the endpoint holds, and notices when it comes back
-// after it was lost.
+// watchEndpoint probes the endpoint: it learns what the endpoint holds, and detects that it is
+// lost or back.
 func (a *Agent) watchEndpoint() {
 	wait := newProbeBackoff()
-	answered := time.Now()
+	lastAnswer := time.Now()
 	for a.ctx.Err() == nil {
 		pause := probeInterval
 		if err := a.probe(); err != nil {
 			a.endpointLost()
-			if time.Since(answered) > spanPatience {
+			if time.Since(lastAnswer) > spanGracePeriod {
 				a.stopSpans(result.New(result.EndpointLost, err.Error()))
 			}
 			pause = wait.NextBackOff()
 		} else {
-			answered = time.Now()
+			lastAnswer = time.Now()
 			wait.Reset()
 		}
 		select {
@@ -47,39 +47,39 @@
 func newProbeBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = 50 * time.Millisecond
-	b.MaxInterval = probeMax
+	b.MaxInterval = maxProbeBackoff
 	return b
 }
 
-// probe asks the endpoint for its state and frees what no lease holds, so that
-// an agent serves only after the orphans of earlier ones were looked for.
+// probe queries the endpoint's state and frees what no lease owns, so that an agent starts to
+// serve only after a search for memory orphaned by earlier agents.
 func (a *Agent) probe() error {
 	if a.deps.Engine == nil {
-		a.serving(time.Now(), nil, "")
+		a.recordModels(time.Now(), nil, "")
 		return nil
 	}
 	_, err := a.sweep()
 	return err
 }
 
-// serving records what the endpoint said it serves when it was asked at the
-// given time. An answer that was overtaken by a later one does not count.
-func (a *Agent) serving(asked time.Time, models []engine.Model, role string) {
+// recordModels records the models and the role that the endpoint reported. asked is the time
+// of the query; an answer that a later one has overtaken is ignored.
+func (a *Agent) recordModels(asked time.Time, models []engine.Model, role string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if asked.Before(a.stated) {
+	if asked.Before(a.modelsAsOf) {
 		return
 	}
-	a.stated = asked
+	a.modelsAsOf = asked
 	if !sameModels(a.models, models) || a.role != role {
 		a.models, a.role = models, role
-		a.book.ModelsChanged()
+		a.orders.ModelsChanged()
 		a.notify()
 	}
 	a.setState(rudderv1.AgentState_AGENT_STATE_SERVING)
 }
 
-// endpointLost records that the endpoint cannot be reached.
+// endpointLost records that the endpoint is unreachable.
 func (a *Agent) endpointLost() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/export.go
+++ b/agent/export.go
@@ -13,14 +13,14 @@
 	"github.com/micarudder/micarudder/rudderv1/rudderv1connect"
 )
 
-// exportPart bounds the bytes of a span in one message.
-const exportPart = 1 << 20
+// exportPartBytes limits the bytes of a span in one message.
+const exportPartBytes = 1 << 20
 
-// Export sends the cache of a span that a live lease holds.
+// Export sends the cache of a span that a live lease owns.
 func (s *server) Export(ctx context.Context, req *connect.Request[rudderv1.ExportRequest], stream *connect.ServerStream[rudderv1.ExportPart]) error {
 	a := s.a
 	a.mu.Lock()
-	live := a.desk.book.Live(req.Msg.Reservation, time.Now())
+	live := a.mem.leases.Live(req.Msg.Reservation, time.Now())
 	a.mu.Unlock()
 	if !live || a.deps.Engine == nil {
 		return connect.NewError(connect.CodeFailedPrecondition, result.New(result.LeaseLost, ""))
@@ -30,7 +30,7 @@
 		return connect.NewError(connect.CodeUnavailable, err)
 	}
 	for len(data) > 0 {
-		n := min(len(data), exportPart)
+		n := min(len(data), exportPartBytes)
 		if err := stream.Send(&rudderv1.ExportPart{Data: data[:n]}); err != nil {
 			return err
 		}
@@ -39,27 +39,26 @@
 	return nil
 }
 
-// move is one span's way into this engine. err is valid once done is closed.
-type move struct {
+// spanImport is the import of one span into this engine. err is valid once done is closed.
+type spanImport struct {
 	reservation string
 	done        chan struct{}
 	err         error
 }
 
-// importSpan returns when the span is in this engine under the job's lease. It
-// is imported once, whichever job comes first; when that one fails, the next
-// takes over.
+// importSpan returns when the span is in this engine under the job's lease. The first job that
+// needs a span imports it; if that fails, another waiting job tries.
 func (a *Agent) importSpan(j *spanJob, h *rudderv1.KVHandle) error {
 	for {
 		a.mu.Lock()
-		m, begun := a.desk.moves[h.Id]
+		m, begun := a.mem.imports[h.Id]
 		if !begun {
-			m = &move{reservation: j.req.Reservation, done: make(chan struct{})}
-			a.desk.moves[h.Id] = m
+			m = &spanImport{reservation: j.req.Reservation, done: make(chan struct{})}
+			a.mem.imports[h.Id] = m
 		}
 		a.mu.Unlock()
 		if !begun {
-			return a.finishMove(h.Id, m, a.moveSpan(j, h))
+			return a.finishImport(h.Id, m, a.fetchAndImport(j, h))
 		}
 		select {
 		case <-m.done:
@@ -72,20 +71,20 @@
 	}
 }
 
-func (a *Agent) finishMove(id string, m *move, err error) error {
+func (a *Agent) finishImport(id string, m *spanImport, err error) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err != nil {
-		delete(a.desk.moves, id)
+		delete(a.mem.imports, id)
 	}
 	m.err = err
 	close(m.done)
 	return err
 }
 
-// moveSpan fetches a span from the agent that holds it and puts it into this
-// engine under the job's lease.
-func (a *Agent) moveSpan(j *spanJob, h *rudderv1.KVHandle) error {
+// fetchAndImport fetches a span from the agent that holds it and imports it into this engine
+// under the job's lease.
+func (a *Agent) fetchAndImport(j *spanJob, h *rudderv1.KVHandle) error {
 	data, err := a.fetchSpan(j.ctx, j.req.Reservation, h)
 	if err != nil {
 		if j.ctx.Err() != nil {
@@ -102,7 +101,7 @@
 	return nil
 }
 
-// fetchSpan reads a span's cache from the agent beside the endpoint that holds it.
+// fetchSpan reads the cache of a span from the agent of the endpoint that holds it.
 func (a *Agent) fetchSpan(ctx context.Context, reservation string, h *rudderv1.KVHandle) ([]byte, error) {
 	address := a.peerAddress(h.Endpoint)
 	if address == "" || a.deps.Client == nil {
@@ -121,7 +120,7 @@
 	return b.Bytes(), stream.Err()
 }
 
-// peerAddress returns the address of the agent beside an endpoint, as declared.
+// peerAddress returns the declared address of an endpoint's agent.
 func (a *Agent) peerAddress(endpoint string) string {
 	for _, e := range a.deps.Keeper.Document().GetEndpoints() {
 		if e.Name == endpoint {
--- a/agent/handover.go
+++ b/agent/handover.go
@@ -16,85 +16,85 @@
 )
 
 const (
-	// handoverTime bounds a whole handover, with all peers that are tried.
-	handoverTime = 10 * time.Second
-	// partTime bounds one part, and partTries how often it is sent.
-	partTime  = 2 * time.Second
-	partTries = 2
-	// partBytes and partRecords bound one part.
+	// handoverTimeout limits a complete handover, including all peers that are tried.
+	handoverTimeout = 10 * time.Second
+	// partTimeout limits the sending of one part, and partAttempts the number of attempts.
+	partTimeout  = 2 * time.Second
+	partAttempts = 2
+	// partBytes and partRecords limit the size of one part.
 	partBytes   = 1 << 20
 	partRecords = 1000
-	// maxAnswer is the longest answer that is handed over, in bytes; of a
-	// longer one only the end is.
-	maxAnswer = inner.MaxMessage - partBytes - 1<<16
-	// maxSuccessors bounds the peers that are tried.
+	// maxAnswerBytes is the size of the longest answer that is handed over. For a longer one
+	// only the end is.
+	maxAnswerBytes = inner.MaxMessage - partBytes - 1<<16
+	// maxSuccessors is the maximum number of peers that are tried.
 	maxSuccessors = 8
-	// farewell is how long a leaving agent waits for its gateways to hear who
-	// its successor is.
-	farewell = time.Second
-	// settleTime is how long cancelled runs may take to end.
-	settleTime = 2 * time.Second
+	// successorNoticeTimeout is how long a leaving agent waits until its gateways have
+	// received its successor's address.
+	successorNoticeTimeout = time.Second
+	// cancelWait is how long canceled runs may take to end.
+	cancelWait = 2 * time.Second
 )
 
-// errNoSuccessor is returned when no peer took the records.
-var errNoSuccessor = errors.New("agent: no peer took the run records")
+// errNoSuccessor is returned if no peer accepted the records.
+var errNoSuccessor = errors.New("agent: no peer accepted the run records")
 
-// estate is the records of one incarnation at one moment.
-type estate struct {
-	from  string
-	clock int64 // of the incarnation, in milliseconds
-	at    time.Time
-	runs  []*run
-	tombs map[string]time.Time
+// recordSet is a snapshot of the records of one incarnation.
+type recordSet struct {
+	from       string
+	clockMS    int64 // clock of the incarnation, in milliseconds
+	at         time.Time
+	runs       []*run
+	tombstones map[string]time.Time
 }
 
-func (e *estate) size() uint64 { return uint64(len(e.runs) + len(e.tombs)) }
+func (e *recordSet) size() uint64 { return uint64(len(e.runs) + len(e.tombstones)) }
 
-// HandOver gives the records of this incarnation, and of those it answers for,
-// to a peer. It is called once the agent refuses everything new and nothing
-// runs, so that the records are final; what still runs is cancelled. It
-// returns when the gateways know the successor.
+// HandOver sends the records of this incarnation, and those that it inherited, to a peer. It
+// is called when the agent refuses all new work and no run is left, so that the records are
+// final; a run that is left is canceled. It returns when the gateways have received the
+// successor's address.
 func (a *Agent) HandOver(ctx context.Context) error {
 	if a.deps.Client == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, handoverTime)
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	a.cutOff()
-	estates := a.estates()
+	a.cancelRemaining()
+	sets := a.recordSets()
 	began := time.Now()
-	peer, err := a.giveTo(ctx, a.successors(), estates)
+	peer, err := a.handOverTo(ctx, a.successors(), sets)
 	if err != nil {
-		a.deps.Log.Warn("Records were not handed over.", "records", estates[0].size(), "err", err)
+		a.deps.Log.Warn("Records were not handed over.", "records", sets[0].size(), "err", err)
 		return err
 	}
-	a.deps.Log.Info("Handed over.", "to", peer.Endpoint, "records", estates[0].size(), "took", time.Since(began))
+	a.deps.Log.Info("Handed over.", "to", peer.Endpoint, "records", sets[0].size(), "took", time.Since(began))
 	a.mu.Lock()
 	a.successor = peer.Address
 	a.notify()
 	a.mu.Unlock()
-	a.sayFarewell()
+	a.awaitSuccessorNotices()
 	return nil
 }
 
-// cutOff ends what a drain that ran out of time left running. Readers lose
-// their connection instead of reading the cancel: a repeatable answer then
-// goes on elsewhere.
-func (a *Agent) cutOff() {
-	close(a.cut)
+// cancelRemaining cancels the runs that are left when a drain times out. It first breaks the
+// connections of their readers, so that they do not receive the cancellation: a repeatable
+// request then continues at another endpoint.
+func (a *Agent) cancelRemaining() {
+	close(a.drainEnded)
 	a.mu.Lock()
-	a.leave.stopped, a.leave.closed = true, true
+	a.leaving.stopping, a.leaving.admissionClosed = true, true
 	for _, r := range a.records.runs {
 		if _, final := r.final(); !final {
 			defer a.cancelRun(r)
 		}
 	}
 	a.mu.Unlock()
-	over := time.NewTimer(settleTime)
+	over := time.NewTimer(cancelWait)
 	defer over.Stop()
 	for {
 		a.mu.Lock()
-		busy, ch := a.records.busy(), a.changed
+		busy, ch := a.records.unfinishedRuns(), a.changed
 		a.mu.Unlock()
 		if busy == 0 {
 			return
@@ -107,21 +107,21 @@
 	}
 }
 
-// estates takes the records of all incarnations, its own first.
-func (a *Agent) estates() []*estate {
+// recordSets returns the records of all incarnations, starting with this one.
+func (a *Agent) recordSets() []*recordSet {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	own := &estate{from: a.incarnation, clock: a.clockMS(), at: now, tombs: a.records.tombs}
+	own := &recordSet{from: a.incarnation, clockMS: a.clockMS(), at: now, tombstones: a.records.tombstones}
 	for _, r := range a.records.runs {
 		own.runs = append(own.runs, r)
 	}
-	all := []*estate{own}
+	all := []*recordSet{own}
 	for from, h := range a.inherited {
 		if !h.complete {
 			continue
 		}
-		e := &estate{from: from, clock: now.Sub(h.began).Milliseconds(), at: now, tombs: h.tombs}
+		e := &recordSet{from: from, clockMS: now.Sub(h.startedAt).Milliseconds(), at: now, tombstones: h.tombstones}
 		for _, r := range h.runs {
 			e.runs = append(e.runs, r)
 		}
@@ -137,22 +137,22 @@
 	var peers []membership.Peer
 	for _, e := range doc.Endpoints {
 		peers = append(peers, membership.Peer{
-			Endpoint: e.Name, Host: e.Host, DataCentre: e.DataCentre, Address: e.AgentAddress, Leaving: leavesIn(doc, e.Name, e.Host),
+			Endpoint: e.Name, Host: e.Host, DataCentre: e.DataCentre, Address: e.AgentAddress, Leaving: documentLeaving(doc, e.Name, e.Host),
 		})
 	}
 	list := membership.Successors(self, a.incarnation, peers)
 	return list[:min(len(list), maxSuccessors)]
 }
 
-// giveTo hands the estates to the first peer that takes them all.
-func (a *Agent) giveTo(ctx context.Context, peers []membership.Peer, estates []*estate) (membership.Peer, error) {
+// handOverTo sends the record sets to the first peer that accepts all of them.
+func (a *Agent) handOverTo(ctx context.Context, peers []membership.Peer, sets []*recordSet) (membership.Peer, error) {
 	err := errNoSuccessor
 	for _, p := range peers {
 		client := rudderv1connect.NewAgentServiceClient(a.deps.Client, a.deps.Client.URL(p.Address), inner.ClientOptions()...)
-		if err = a.giveAll(ctx, client, estates); err == nil {
+		if err = a.sendAll(ctx, client, sets); err == nil {
 			return p, nil
 		}
-		a.deps.Log.Warn("A peer did not take the records.", "peer", p.Endpoint, "err", err)
+		a.deps.Log.Warn("A peer did not accept the run records.", "peer", p.Endpoint, "err", err)
 		if ctx.Err() != nil {
 			break
 		}
@@ -160,26 +160,26 @@
 	return membership.Peer{}, err
 }
 
-func (a *Agent) giveAll(ctx context.Context, client rudderv1connect.AgentServiceClient, estates []*estate) error {
-	for _, e := range estates {
-		if err := e.give(ctx, client, a.cfg.Endpoint); err != nil {
+func (a *Agent) sendAll(ctx context.Context, client rudderv1connect.AgentServiceClient, sets []*recordSet) error {
+	for _, e := range sets {
+		if err := e.send(ctx, client, a.cfg.Endpoint); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// give sends the estate in parts.
-func (e *estate) give(ctx context.Context, client rudderv1connect.AgentServiceClient, endpoint string) error {
-	part := e.part(endpoint)
+// send sends the record set in parts.
+func (e *recordSet) send(ctx context.Context, client rudderv1connect.AgentServiceClient, endpoint string) error {
+	part := e.newPart(endpoint)
 	bytes := 0
 	add := func(rec *rudderv1.RunRecord) error {
 		size := len(rec.Answer)
 		if len(part.Records) > 0 && (bytes+size > partBytes || len(part.Records) >= partRecords) {
-			if err := send(ctx, client, part); err != nil {
+			if err := sendPart(ctx, client, part); err != nil {
 				return err
 			}
-			part, bytes = e.part(endpoint), 0
+			part, bytes = e.newPart(endpoint), 0
 		}
 		part.Records = append(part.Records, rec)
 		bytes += size
@@ -190,69 +190,69 @@
 			return err
 		}
 	}
-	for id, expires := range e.tombs {
+	for id, expires := range e.tombstones {
 		rec := &rudderv1.RunRecord{RequestId: id, Incarnation: e.from, Tombstone: true, ExpiresInMs: expires.Sub(e.at).Milliseconds()}
 		if err := add(rec); err != nil {
 			return err
 		}
 	}
 	part.Last, part.Total = true, e.size()
-	return send(ctx, client, part)
+	return sendPart(ctx, client, part)
 }
 
-func (e *estate) part(endpoint string) *rudderv1.HandoverRequest {
-	return &rudderv1.HandoverRequest{From: e.from, AgentMs: e.clock, Endpoint: endpoint}
+func (e *recordSet) newPart(endpoint string) *rudderv1.HandoverRequest {
+	return &rudderv1.HandoverRequest{From: e.from, AgentMs: e.clockMS, Endpoint: endpoint}
 }
 
-// record is the run as its successor gets it.
-func (r *run) record(e *estate) *rudderv1.RunRecord {
+// record returns the run in the form that is sent to the successor.
+func (r *run) record(e *recordSet) *rudderv1.RunRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := &rudderv1.RunRecord{
 		RequestId: r.req.RequestId, Attempt: r.req.Attempt, Workspace: r.req.Workspace, Repeatable: r.req.Repeatable,
 		Incarnation: e.from, ExpiresInMs: r.expires.Sub(e.at).Milliseconds(), Digest: r.digest, Head: r.head, End: r.end,
 	}
-	if len(r.buf) <= maxAnswer && r.end != nil {
+	if len(r.buf) <= maxAnswerBytes && r.end != nil {
 		rec.Answer = r.buf
 	}
 	return rec
 }
 
-// send sends one part; it is safe to repeat.
-func send(ctx context.Context, client rudderv1connect.AgentServiceClient, part *rudderv1.HandoverRequest) error {
+// sendPart sends one part and retries on failure; a part may arrive more than once.
+func sendPart(ctx context.Context, client rudderv1connect.AgentServiceClient, part *rudderv1.HandoverRequest) error {
 	var err error
-	for range partTries {
+	for range partAttempts {
 		var resp *connect.Response[rudderv1.HandoverResponse]
-		resp, err = sendOnce(ctx, client, part)
+		resp, err = sendPartOnce(ctx, client, part)
 		if err != nil {
 			continue
 		}
 		if !resp.Msg.Accepted {
-			return trace.Errorf("refused: %v", result.Code(resp.Msg.Code))
+			return trace.Errorf("peer refused the run records: %v", result.Code(resp.Msg.Code))
 		}
 		return nil
 	}
 	return trace.Wrap(err)
 }
 
-func sendOnce(ctx context.Context, client rudderv1connect.AgentServiceClient, part *rudderv1.HandoverRequest) (*connect.Response[rudderv1.HandoverResponse], error) {
-	ctx, cancel := context.WithTimeout(ctx, partTime)
+func sendPartOnce(ctx context.Context, client rudderv1connect.AgentServiceClient, part *rudderv1.HandoverRequest) (*connect.Response[rudderv1.HandoverResponse], error) {
+	ctx, cancel := context.WithTimeout(ctx, partTimeout)
 	defer cancel()
 	return client.Handover(ctx, connect.NewRequest(part))
 }
 
-// subscription is one gateway that listens to the agent's reports.
-type subscription struct{ told string } // the successor last reported
+// subscription is a gateway that receives the agent's reports.
+type subscription struct{ sentSuccessor string } // successor in the last report sent
 
-// sayFarewell waits until every listening gateway was told the successor.
-func (a *Agent) sayFarewell() {
-	over := time.NewTimer(farewell)
+// awaitSuccessorNotices waits until the successor was sent to every subscribed gateway.
+func (a *Agent) awaitSuccessorNotices() {
+	over := time.NewTimer(successorNoticeTimeout)
 	defer over.Stop()
 	for {
 		a.mu.Lock()
 		missing := 0
 		for s := range a.subscriptions {
-			if s.told != a.successor {
+			if s.sentSuccessor != a.successor {
 				missing++
 			}
 		}
@@ -264,13 +264,13 @@
 		select {
 		case <-ch:
 		case <-over.C:
-			a.deps.Log.Warn("Some gateways were not told the successor.", "gateways", missing)
+			a.deps.Log.Warn("Some gateways were not sent the successor's address.", "gateways", missing)
 			return
 		}
 	}
 }
 
-// subscribe counts a gateway in until the returned function is called.
+// subscribe registers a gateway until the returned function is called.
 func (a *Agent) subscribe() (*subscription, func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -280,22 +280,22 @@
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		delete(a.subscriptions, s)
-		a.heard()
+		a.wakeNoticeWait()
 	}
 }
 
-// told records what a gateway was told.
-func (a *Agent) told(s *subscription, r *rudderv1.AgentReport) {
+// recordSent records which successor was sent to a gateway.
+func (a *Agent) recordSent(s *subscription, r *rudderv1.AgentReport) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if s.told != r.Successor {
-		s.told = r.Successor
-		a.heard()
+	if s.sentSuccessor != r.Successor {
+		s.sentSuccessor = r.Successor
+		a.wakeNoticeWait()
 	}
 }
 
-// heard wakes who waits for gateways to be told; the caller holds mu.
-func (a *Agent) heard() {
+// wakeNoticeWait wakes awaitSuccessorNotices; the caller holds mu.
+func (a *Agent) wakeNoticeWait() {
 	if a.successor != "" {
 		a.notify()
 	}
--- a/agent/leaving.go
+++ b/agent/leaving.go
@@ -12,45 +12,45 @@
 )
 
 const (
-	// moveAfter is how long a leaving agent still starts queued work. What is
-	// repeatable is then given back, so that another endpoint takes it.
-	moveAfter = time.Second
-	// maxLeaveLease bounds how long one word of the platform's list is believed.
+	// returnQueuedAfter is how long a leaving agent still starts queued work. After that,
+	// repeatable work in the queue is refused, so that another endpoint can run it.
+	returnQueuedAfter = time.Second
+	// maxLeaveLease limits how long one notice from the platform's host list is valid.
 	maxLeaveLease = 15 * time.Second
-	// maxLeaveAge bounds the age of such a word on arrival; an older one comes
-	// from a gateway that was frozen.
+	// maxLeaveAge is the maximum age of such a notice on arrival; an older one comes from a
+	// gateway that was suspended.
 	maxLeaveAge = 3 * time.Second
 )
 
-// departure is why an agent takes no new work. The reasons are independent.
-type departure struct {
-	stopped  bool      // a planned stop; never taken back
-	closed   bool      // the records were taken: nothing is admitted, whatever was promised
-	advised  time.Time // until then the platform's list takes the host away
-	declared bool      // by the document of generation
-	checked  uint64    // the generation that declared was read from
+// leaveState contains the reasons why an agent accepts no new work. They are independent.
+type leaveState struct {
+	stopping          bool      // a planned stop has begun; it cannot be revoked
+	admissionClosed   bool      // the records have been handed over: nothing is admitted, not even under a lease
+	leaveUntil        time.Time // the platform withdraws the host until then
+	declared          bool      // the configuration of checkedGeneration declares the endpoint or host as leaving
+	checkedGeneration uint64    // the generation from which declared was read
 }
 
-// current is the agent's state towards the outside; the caller holds mu.
-func (a *Agent) current() rudderv1.AgentState {
-	if a.leave.stopped || a.declaredLeaving() || time.Now().Before(a.leave.advised) {
+// effectiveState returns the state that is reported to others; the caller holds mu.
+func (a *Agent) effectiveState() rudderv1.AgentState {
+	if a.leaving.stopping || a.declaredLeaving() || time.Now().Before(a.leaving.leaveUntil) {
 		return rudderv1.AgentState_AGENT_STATE_LEAVING
 	}
 	return a.state
 }
 
-// declaredLeaving reports whether the document in force takes the endpoint or
-// its host away; the caller holds mu.
+// declaredLeaving reports whether the configuration in force declares the endpoint or its host
+// as leaving; the caller holds mu.
 func (a *Agent) declaredLeaving() bool {
 	doc := a.deps.Keeper.Document()
-	if doc.Generation != a.leave.checked {
-		a.leave.checked, a.leave.declared = doc.Generation, leavesIn(doc, a.cfg.Endpoint, a.cfg.Host)
+	if doc.Generation != a.leaving.checkedGeneration {
+		a.leaving.checkedGeneration, a.leaving.declared = doc.Generation, documentLeaving(doc, a.cfg.Endpoint, a.cfg.Host)
 	}
-	return a.leave.declared
+	return a.leaving.declared
 }
 
-// leavesIn reports whether a document declares the endpoint or the host as leaving.
-func leavesIn(doc *rudderv1.Document, endpoint, host string) bool {
+// documentLeaving reports whether a document declares the endpoint or the host as leaving.
+func documentLeaving(doc *rudderv1.Document, endpoint, host string) bool {
 	for _, e := range doc.Endpoints {
 		if e.Name == endpoint && e.Leaving {
 			return true
@@ -64,14 +64,15 @@
 	return false
 }
 
-// watchDocument reports at once when a document begins or ends a departure.
+// watchDocument reports without delay that the agent starts or stops leaving because of a new
+// document.
 func (a *Agent) watchDocument() {
-	told := false
+	reported := false
 	for {
 		changed := a.deps.Keeper.Changed()
-		if leaving := a.isLeaving(); leaving != told {
-			told = leaving
-			a.departing()
+		if leaving := a.isLeaving(); leaving != reported {
+			reported = leaving
+			a.leavingChanged()
 		}
 		select {
 		case <-changed:
@@ -81,48 +82,47 @@
 	}
 }
 
-// isLeaving reports whether the agent is leaving, for whatever reason.
+// isLeaving reports whether the agent is leaving for any reason.
 func (a *Agent) isLeaving() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.current() == rudderv1.AgentState_AGENT_STATE_LEAVING
+	return a.effectiveState() == rudderv1.AgentState_AGENT_STATE_LEAVING
 }
 
-// stopping begins a planned stop.
-func (a *Agent) stopping() {
+// beginStop begins a planned stop.
+func (a *Agent) beginStop() {
 	a.mu.Lock()
-	a.leave.stopped = true
+	a.leaving.stopping = true
 	a.mu.Unlock()
-	a.departing()
+	a.leavingChanged()
 }
 
-// departing makes a change of the departure known.
-func (a *Agent) departing() {
+// leavingChanged reports that the agent has started or stopped leaving.
+func (a *Agent) leavingChanged() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.notify()
-	if a.current() == rudderv1.AgentState_AGENT_STATE_LEAVING {
-		time.AfterFunc(moveAfter, a.giveBack)
+	if a.effectiveState() == rudderv1.AgentState_AGENT_STATE_LEAVING {
+		time.AfterFunc(returnQueuedAfter, a.returnQueued)
 	}
 }
 
-// urgentSince reports whether the agent leaves or has a successor while told
-// says otherwise, and returns the channel that is closed at the next change.
-func (a *Agent) urgentSince(told *rudderv1.AgentReport) (<-chan struct{}, bool) {
+// urgentSince reports whether the agent is leaving, or has a successor, and the last report
+// did not say so. It also returns the channel that is closed at the next change.
+func (a *Agent) urgentSince(last *rudderv1.AgentReport) (<-chan struct{}, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	now := a.current()
-	leaves := now != told.State && now == rudderv1.AgentState_AGENT_STATE_LEAVING
-	return a.changed, leaves || a.successor != told.Successor
+	now := a.effectiveState()
+	leaves := now != last.State && now == rudderv1.AgentState_AGENT_STATE_LEAVING
+	return a.changed, leaves || a.successor != last.Successor
 }
 
-// giveBack refuses the repeatable work that still waits, if another endpoint
-// is declared that can take it. Unrepeatable work, and a group's run, are bound
-// to this agent and run here.
-func (a *Agent) giveBack() {
+// returnQueued refuses the repeatable work in the queue if another declared endpoint can run
+// it. Unrepeatable work and the runs of groups are bound to this agent and run here.
+func (a *Agent) returnQueued() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.current() != rudderv1.AgentState_AGENT_STATE_LEAVING || !a.hasPeer() {
+	if a.effectiveState() != rudderv1.AgentState_AGENT_STATE_LEAVING || !a.hasPeer() {
 		return
 	}
 	for id, r := range a.waiting {
@@ -135,28 +135,28 @@
 	}
 }
 
-// hasPeer reports whether another endpoint of the same kind is declared and
-// stays; the caller holds mu.
+// hasPeer reports whether another endpoint of the same kind is declared and not leaving; the
+// caller holds mu.
 func (a *Agent) hasPeer() bool {
 	doc := a.deps.Keeper.Document()
 	for _, e := range doc.Endpoints {
-		if e.Name != a.cfg.Endpoint && e.Service == a.cfg.Service && !leavesIn(doc, e.Name, e.Host) {
+		if e.Name != a.cfg.Endpoint && e.Service == a.cfg.Service && !documentLeaving(doc, e.Name, e.Host) {
 			return true
 		}
 	}
 	return false
 }
 
-// Leave takes the platform's word about the host from a gateway. Only a fresh
-// one for this incarnation counts, and only for its lease.
+// Leave handles a notice from the platform about the host, forwarded by a gateway. It is
+// applied only if it is recent and names this incarnation, and only until its lease ends.
 func (s *server) Leave(_ context.Context, req *connect.Request[rudderv1.LeaveRequest]) (*connect.Response[rudderv1.LeaveResponse], error) {
-	s.a.advise(req.Msg)
+	s.a.applyLeave(req.Msg)
 	s.a.mu.Lock()
 	defer s.a.mu.Unlock()
-	return connect.NewResponse(&rudderv1.LeaveResponse{Leaving: s.a.current() == rudderv1.AgentState_AGENT_STATE_LEAVING}), nil
+	return connect.NewResponse(&rudderv1.LeaveResponse{Leaving: s.a.effectiveState() == rudderv1.AgentState_AGENT_STATE_LEAVING}), nil
 }
 
-func (a *Agent) advise(m *rudderv1.LeaveRequest) {
+func (a *Agent) applyLeave(m *rudderv1.LeaveRequest) {
 	age := time.Duration(a.clockMS()-m.DecidedAgentMs) * time.Millisecond
 	lease := min(time.Duration(m.LeaseMs)*time.Millisecond, maxLeaveLease) - max(age, 0)
 	if m.Incarnation != a.incarnation || age > maxLeaveAge || lease <= 0 {
@@ -164,14 +164,14 @@
 	}
 	a.mu.Lock()
 	now := time.Now()
-	begins := now.After(a.leave.advised)
-	if until := now.Add(lease); until.After(a.leave.advised) {
-		a.leave.advised = until
-		time.AfterFunc(lease+time.Millisecond, a.departing)
+	begins := now.After(a.leaving.leaveUntil)
+	if until := now.Add(lease); until.After(a.leaving.leaveUntil) {
+		a.leaving.leaveUntil = until
+		time.AfterFunc(lease+time.Millisecond, a.leavingChanged)
 	}
 	a.mu.Unlock()
 	if begins {
-		a.deps.Log.Info("The platform takes this host away.", "gateway", m.Gateway)
-		a.departing()
+		a.deps.Log.Info("The platform is withdrawing this host.", "gateway", m.Gateway)
+		a.leavingChanged()
 	}
 }
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -14,52 +14,53 @@
 )
 
 const (
-	// reserveParts and reserveOf are the share of the endpoint's memory that
-	// reservations may take: the rest stays for short work.
-	reserveParts = 7
-	reserveOf    = 8
-	// sweepPause is the time between two tries to free what ended leases hold.
-	sweepPause = 250 * time.Millisecond
+	// reserveNumerator and reserveDenominator give the share of the endpoint's memory that may
+	// be reserved. The rest stays available for short work.
+	reserveNumerator   = 7
+	reserveDenominator = 8
+	// sweepRetryInterval is the time between two attempts to free the memory of ended leases.
+	sweepRetryInterval = 250 * time.Millisecond
 )
 
-// desk is the agent's hold on its endpoint's memory. The agent's lock guards it.
-type desk struct {
-	book    *memory.LeaseTable
-	jobs    map[string]*spanJob // by span id
-	waiting int                 // of them in the queue
-	orphans uint64              // tokens held at the endpoint under no lease, as last seen
-	moves   map[string]*move    // spans imported or being imported, by span id
-	// uncancelled are the runs whose cancelling failed; they may hold memory.
+// memoryState is the agent's record of its endpoint's memory. The agent's lock guards it.
+type memoryState struct {
+	leases         *memory.LeaseTable
+	jobs           map[string]*spanJob    // by span ID
+	queuedJobs     int                    // number of jobs in the queue
+	orphanedTokens uint64                 // tokens held at the endpoint without a lease, as last seen
+	imports        map[string]*spanImport // finished imports and those in progress, by span ID
+	// uncancelled contains the runs whose cancellation failed; they may still use memory.
 	uncancelled map[string]struct{}
 	wake        chan struct{}
 }
 
-func newDesk(tokens uint64) *desk {
-	return &desk{
-		book: memory.NewLeaseTable(tokens, tokens/reserveOf*reserveParts),
-		jobs: make(map[string]*spanJob),
-		wake: make(chan struct{}, 1),
+func newMemoryState(tokens uint64) *memoryState {
+	return &memoryState{
+		leases: memory.NewLeaseTable(tokens, tokens/reserveDenominator*reserveNumerator),
+		jobs:   make(map[string]*spanJob),
+		wake:   make(chan struct{}, 1),
 
-		moves:       make(map[string]*move),
+		imports:     make(map[string]*spanImport),
 		uncancelled: make(map[string]struct{}),
 	}
 }
 
-// tokens is the memory that is not there for other work.
-func (d *desk) tokens() uint64 { return d.book.Reserved() + d.orphans }
+// unavailableTokens returns the memory that is reserved or orphaned and not available to other
+// work.
+func (d *memoryState) unavailableTokens() uint64 { return d.leases.Reserved() + d.orphanedTokens }
 
-// busy reports whether a group still uses the endpoint.
-func (d *desk) busy() bool { return d.book.Reserved() > 0 }
+// inUse reports whether a group still holds memory of the endpoint.
+func (d *memoryState) inUse() bool { return d.leases.Reserved() > 0 }
 
-func (d *desk) poke() {
+func (d *memoryState) wakeLoop() {
 	select {
 	case d.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Reserve grants a lease over the endpoint's memory, or refuses it at once.
-// Running work keeps what it has: the memory fills as that work ends.
+// Reserve grants a lease on the endpoint's memory, or refuses it at once. Running work keeps
+// its memory: the lease's memory becomes available as that work ends.
 func (s *server) Reserve(_ context.Context, req *connect.Request[rudderv1.ReserveRequest]) (*connect.Response[rudderv1.ReserveResponse], error) {
 	return connect.NewResponse(s.a.reserve(req.Msg)), nil
 }
@@ -67,7 +68,7 @@
 func (a *Agent) reserve(m *rudderv1.ReserveRequest) *rudderv1.ReserveResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if err := a.notServing(); err != nil {
+	if err := a.servingError(); err != nil {
 		return &rudderv1.ReserveResponse{Code: uint32(err.Code), Load: a.load()}
 	}
 	if m.Model != "" && !a.serves(m.Model) {
@@ -77,20 +78,19 @@
 		return &rudderv1.ReserveResponse{Code: uint32(result.EndpointRefused), Load: a.load()}
 	}
 	now := time.Now()
-	a.endLapsed(now)
-	v := a.desk.book.Reserve(memory.Request{
+	a.stopLapsedJobs(now)
+	v := a.mem.leases.Reserve(memory.Request{
 		Group: m.Group, Epoch: m.Epoch, Holder: m.Holder, Tokens: m.Tokens,
 		Lease: time.Duration(m.LeaseMs) * time.Millisecond, StartUnixMs: m.SinceUnixMs, QueuedTokens: a.queuedMemory(),
 	}, now)
 	a.meter.reserved(v.Granted)
-	a.desk.poke()
+	a.mem.wakeLoop()
 	a.notify()
 	return &rudderv1.ReserveResponse{Granted: v.Granted, Code: uint32(v.Code), Reservation: v.Reservation, Load: a.load()}
 }
 
-// queuedMemory is the memory that admitted work waits for. Short work is left
-// out: what is never reserved is enough for it, and it is soon over. The caller
-// holds mu.
+// queuedMemory returns the memory for which admitted work waits. Short work is not counted:
+// the memory that cannot be reserved is enough for it, and it ends soon. The caller holds mu.
 func (a *Agent) queuedMemory() (sum uint64) {
 	for _, r := range a.waiting {
 		if r.item.Class > routing.ClassShort {
@@ -100,22 +100,22 @@
 	return sum
 }
 
-// leavesRoom refuses longer work that would keep a group in line waiting, or
-// would itself wait for the group's end; the caller holds mu.
-func (a *Agent) leavesRoom(it admission.Item, now time.Time) *result.Err {
-	wanted := a.desk.book.WaitingTokens(now)
-	if wanted == 0 || it.Class == routing.ClassShort || it.MemoryTokens == 0 {
+// checkGroupMemory refuses work longer than the short class that would delay the first waiting
+// group, or would itself have to wait until that group ends; the caller holds mu.
+func (a *Agent) checkGroupMemory(it admission.Item, now time.Time) *result.Err {
+	groupTokens := a.mem.leases.WaitingTokens(now)
+	if groupTokens == 0 || it.Class == routing.ClassShort || it.MemoryTokens == 0 {
 		return nil
 	}
-	if a.queuedMemory()+it.MemoryTokens+wanted+a.desk.tokens() <= a.cfg.MemoryTokens {
+	if a.queuedMemory()+it.MemoryTokens+groupTokens+a.mem.unavailableTokens() <= a.cfg.MemoryTokens {
 		return nil
 	}
 	return result.New(result.MemoryHeld, "a group is being formed")
 }
 
-// notServing says why the agent takes no work; the caller holds mu.
-func (a *Agent) notServing() *result.Err {
-	switch a.current() {
+// servingError returns the reason why the agent accepts no work, or nil; the caller holds mu.
+func (a *Agent) servingError() *result.Err {
+	switch a.effectiveState() {
 	case rudderv1.AgentState_AGENT_STATE_SERVING:
 		return nil
 	case rudderv1.AgentState_AGENT_STATE_LEAVING:
@@ -127,66 +127,66 @@
 	}
 }
 
-// Renew extends a lease; held is false once it is over.
+// Renew extends a lease; held is false if the lease has ended.
 func (s *server) Renew(_ context.Context, req *connect.Request[rudderv1.RenewRequest]) (*connect.Response[rudderv1.RenewResponse], error) {
 	a := s.a
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	a.endLapsed(now)
-	held := a.desk.book.Renew(req.Msg.Reservation, time.Duration(req.Msg.LeaseMs)*time.Millisecond, now)
+	a.stopLapsedJobs(now)
+	held := a.mem.leases.Renew(req.Msg.Reservation, time.Duration(req.Msg.LeaseMs)*time.Millisecond, now)
 	return connect.NewResponse(&rudderv1.RenewResponse{Held: held}), nil
 }
 
-// Release ends a lease, or makes sure that a late request for it is refused.
+// Release ends a lease. If there is none, it ensures that a late request for it is refused.
 func (s *server) Release(_ context.Context, req *connect.Request[rudderv1.ReleaseRequest]) (*connect.Response[rudderv1.ReleaseResponse], error) {
 	a := s.a
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	released := a.desk.book.Release(req.Msg.Reservation, now)
-	a.endLapsed(now)
+	released := a.mem.leases.Release(req.Msg.Reservation, now)
+	a.stopLapsedJobs(now)
 	return connect.NewResponse(&rudderv1.ReleaseResponse{Released: released}), nil
 }
 
-// endLapsed stops what is done under leases that are over; the caller holds mu.
-func (a *Agent) endLapsed(now time.Time) {
-	closing := a.desk.book.Expire(now)
+// stopLapsedJobs stops the jobs of leases that have ended; the caller holds mu.
+func (a *Agent) stopLapsedJobs(now time.Time) {
+	closing := a.mem.leases.Expire(now)
 	for _, l := range closing {
-		for _, j := range a.desk.jobs {
+		for _, j := range a.mem.jobs {
 			if j.req.Reservation == l.ID {
 				j.stop(result.New(result.LeaseLost, ""))
 			}
 		}
 	}
 	if len(closing) > 0 {
-		a.desk.poke()
+		a.mem.wakeLoop()
 	}
 }
 
-// memoryLoop ends leases on time and frees what they held.
+// memoryLoop ends leases when they expire and frees their memory.
 func (a *Agent) memoryLoop() {
 	for {
-		wait := a.settleLeases()
+		wait := a.freeEndedLeases()
 		timer := time.NewTimer(wait)
 		select {
 		case <-a.ctx.Done():
 			timer.Stop()
 			return
-		case <-a.desk.wake:
+		case <-a.mem.wake:
 			timer.Stop()
 		case <-timer.C:
 		}
 	}
 }
 
-// idleSweep is the longest pause of memoryLoop.
-const idleSweep = time.Minute
+// maxSweepInterval is the longest wait of memoryLoop.
+const maxSweepInterval = time.Minute
 
-// settleLeases frees what ended leases hold and returns when to look again.
-func (a *Agent) settleLeases() time.Duration {
+// freeEndedLeases frees the memory of ended leases and returns the time until the next check.
+func (a *Agent) freeEndedLeases() time.Duration {
 	a.mu.Lock()
-	closing := len(a.desk.book.Expire(time.Now())) > 0
+	closing := len(a.mem.leases.Expire(time.Now())) > 0
 	a.mu.Unlock()
 	if closing {
 		_, _ = a.sweep()
@@ -194,21 +194,21 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	a.endLapsed(now)
-	if len(a.desk.book.Expire(now)) > 0 {
-		a.drainWake()
-		return sweepPause
+	a.stopLapsedJobs(now)
+	if len(a.mem.leases.Expire(now)) > 0 {
+		a.clearWake()
+		return sweepRetryInterval
 	}
-	if at, ok := a.desk.book.NextExpiry(); ok {
+	if at, ok := a.mem.leases.NextExpiry(); ok {
 		return max(at.Sub(now), 0)
 	}
-	return idleSweep
+	return maxSweepInterval
 }
 
-// drainWake drops a wake that this turn of the loop has answered already.
-func (a *Agent) drainWake() {
+// clearWake discards a wake-up that the current iteration of the loop has already handled.
+func (a *Agent) clearWake() {
 	select {
-	case <-a.desk.wake:
+	case <-a.mem.wake:
 	default:
 	}
 }
--- a/agent/meter.go
+++ b/agent/meter.go
@@ -9,7 +9,7 @@
 	"github.com/micarudder/micarudder/result"
 )
 
-// meter holds the agent's metrics.
+// meter contains the agent's metrics.
 type meter struct{ set *metrics.Set }
 
 func newMeter(set *metrics.Set) *meter {
@@ -19,8 +19,8 @@
 	return &meter{set}
 }
 
-// watch registers the gauges that are read from the agent.
-func (m *meter) watch(a *Agent) {
+// registerGauges registers the gauges that read the agent's state.
+func (m *meter) registerGauges(a *Agent) {
 	gauge := func(name string, f func() float64) {
 		m.set.NewGauge(name, func() float64 {
 			a.mu.Lock()
@@ -31,10 +31,10 @@
 	gauge("rudder_agent_running", func() float64 { return float64(a.running) })
 	gauge("rudder_agent_waiting", func() float64 { return float64(len(a.waiting)) })
 	gauge("rudder_agent_memory_used_tokens", func() float64 { return float64(a.used) })
-	gauge("rudder_agent_memory_reserved_tokens", func() float64 { return float64(a.desk.book.Reserved()) })
-	gauge("rudder_agent_memory_orphaned_tokens", func() float64 { return float64(a.desk.orphans) })
+	gauge("rudder_agent_memory_reserved_tokens", func() float64 { return float64(a.mem.leases.Reserved()) })
+	gauge("rudder_agent_memory_orphaned_tokens", func() float64 { return float64(a.mem.orphanedTokens) })
 	gauge("rudder_agent_records", func() float64 { return float64(len(a.records.runs)) })
-	gauge("rudder_agent_tombstones", func() float64 { return float64(len(a.records.tombs)) })
+	gauge("rudder_agent_tombstones", func() float64 { return float64(len(a.records.tombstones)) })
 	gauge("rudder_agent_answer_bytes", func() float64 { return float64(a.records.bytes) })
 	generation.RegisterMetrics(m.set, "agent", a.deps.Keeper)
 }
@@ -43,7 +43,7 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`rudder_agent_reservations_total{granted="%t"}`, granted)).Inc()
 }
 
-// freed counts cache memory that was held under no live lease.
+// freed counts freed cache memory that no live lease owned.
 func (m *meter) freed(tokens uint64) {
 	m.set.GetOrCreateCounter("rudder_agent_memory_freed_tokens_total").Add(int(tokens))
 }
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	// orderLook is how often a waiting order is looked at; a change wakes the
-	// loop earlier.
-	orderLook = 250 * time.Millisecond
-	// orderPoll is how often the endpoint is asked while an order is in progress.
-	orderPoll = time.Second
-	// withdrawReports is how many report intervals gateways get to learn that
-	// a model or adapter goes, before new runs of it are refused.
-	withdrawReports = 2
+	// orderCheckInterval is how often a waiting order is checked; a change wakes the loop
+	// earlier.
+	orderCheckInterval = 250 * time.Millisecond
+	// orderPollInterval is how often the endpoint is polled while an order is in progress.
+	orderPollInterval = time.Second
+	// unloadNoticeReports is the number of report intervals in which gateways learn that a
+	// model or adapter will be unloaded, before new runs of it are refused.
+	unloadNoticeReports = 2
 )
 
-// orderLoop carries out accepted orders, one at a time.
+// orderLoop executes accepted orders, one at a time.
 func (a *Agent) orderLoop() {
 	for a.ctx.Err() == nil {
 		switch a.orderPhase() {
 		case rudderv1.OrderPhase_ORDER_PHASE_WAITING:
 			a.advanceOrder()
 		case rudderv1.OrderPhase_ORDER_PHASE_FOUND, rudderv1.OrderPhase_ORDER_PHASE_UNKNOWN:
-			a.settleOrder()
+			a.resolveOrder()
 		default:
-			a.waitOrder(0)
+			a.awaitOrder(0)
 		}
 	}
 }
 
-// waitOrder waits for an accepted order, and for the pause if it is not 0.
-func (a *Agent) waitOrder(pause time.Duration) {
+// awaitOrder waits for an accepted order, at most for the pause if it is not 0.
+func (a *Agent) awaitOrder(pause time.Duration) {
 	var timeout <-chan time.Time
 	if pause > 0 {
 		t := time.NewTimer(pause)
@@ -58,14 +58,13 @@
 func (a *Agent) orderPhase() rudderv1.OrderPhase {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.book.Phase()
+	return a.orders.Phase()
 }
 
-// advanceOrder looks at a waiting order and gives it once nothing needs what
-// it takes away.
+// advanceOrder checks a waiting order and sends it once no run needs what it unloads.
 func (a *Agent) advanceOrder() {
 	a.mu.Lock()
-	action := a.book.CheckWaiting(a.situation(), a.blockers(), time.Now())
+	action := a.orders.CheckWaiting(a.snapshot(), a.blockers(), time.Now())
 	if action == orders.Drop {
 		a.closeOrder(false)
 	}
@@ -75,13 +74,13 @@
 	case orders.Wait:
 		a.awaitRuns(changed)
 	case orders.QueryState:
-		a.giveOrder()
+		a.executeOrder()
 	}
 }
 
-// awaitRuns waits until something changed or it is time for the next look.
+// awaitRuns waits for a change or until the next check is due.
 func (a *Agent) awaitRuns(changed <-chan struct{}) {
-	t := time.NewTimer(orderLook)
+	t := time.NewTimer(orderCheckInterval)
 	defer t.Stop()
 	select {
 	case <-changed:
@@ -90,10 +89,10 @@
 	}
 }
 
-// giveOrder asks the endpoint for its state, decides again and sends the order.
-func (a *Agent) giveOrder() {
+// executeOrder queries the endpoint's state, makes the final decision and sends the order.
+func (a *Agent) executeOrder() {
 	asked := time.Now()
-	st, err := a.askState()
+	st, err := a.queryState()
 	a.mu.Lock()
 	if err != nil {
 		a.closeOrder(false)
@@ -101,28 +100,28 @@
 		a.endpointLost()
 		return
 	}
-	o, ok := a.book.PrepareSend(uuid.NewString(), a.cfg.Endpoint, st, a.situation(), a.blockers(), asked, time.Now())
+	o, ok := a.orders.PrepareSend(uuid.NewString(), a.cfg.Endpoint, st, a.snapshot(), a.blockers(), asked, time.Now())
 	if !ok {
 		a.closeOrder(false)
 		a.mu.Unlock()
 		return
 	}
-	a.stated = time.Now()
+	a.modelsAsOf = time.Now()
 	a.notify()
 	a.mu.Unlock()
-	a.deps.Log.Info("Giving an order.", "kind", o.Kind, "model", o.Model, "version", o.Version, "adapter", o.Adapter, "role", o.Role, "fence", o.Fence)
+	a.deps.Log.Info("Sending an order to the endpoint.", "kind", o.Kind, "model", o.Model, "version", o.Version, "adapter", o.Adapter, "role", o.Role, "fence", o.Fence)
 	a.meter.order(string(o.Kind))
-	a.endOrder(a.sendOrder(o))
+	a.recordOrderResult(a.sendOrder(o))
 }
 
-// sendOrder sends the order and returns how it ended. It also asks the
-// endpoint from time to time, for the answer may be lost without a sign.
+// sendOrder sends the order and returns its result. It also polls the endpoint, because the
+// answer may be lost without an error.
 func (a *Agent) sendOrder(o engine.Order) error {
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
 	answer := make(chan error, 1)
 	go func() { answer <- a.deps.Engine.Order(ctx, o) }()
-	poll := time.NewTicker(orderPoll)
+	poll := time.NewTicker(orderPollInterval)
 	defer poll.Stop()
 	for {
 		select {
@@ -130,17 +129,17 @@
 			return err
 		case <-poll.C:
 		}
-		if st, err := a.askState(); err == nil && !st.OrderBusy && st.OrderID == o.ID {
+		if st, err := a.queryState(); err == nil && !st.OrderBusy && st.OrderID == o.ID {
 			return nil
 		}
 	}
 }
 
-// endOrder records how an order ended. The endpoint's state, not the answer,
-// says what it holds.
-func (a *Agent) endOrder(err error) {
+// recordOrderResult records the result of an order. What the endpoint holds is taken from its
+// state, not from the answer.
+func (a *Agent) recordOrderResult(err error) {
 	if err == nil {
-		_, _ = a.askState()
+		_, _ = a.queryState()
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -149,103 +148,104 @@
 		a.closeOrder(true)
 	case errors.Is(err, engine.ErrLost):
 		a.deps.Log.Warn("The answer to an order was lost.", "err", err)
-		a.book.AnswerLost(err.Error())
+		a.orders.AnswerLost(err.Error())
 		a.notify()
 	default:
 		a.failOrder(err.Error())
 	}
 }
 
-// settleOrder finds out what became of an order by asking the endpoint.
-func (a *Agent) settleOrder() {
-	st, err := a.askState()
+// resolveOrder determines the result of an order by querying the endpoint.
+func (a *Agent) resolveOrder() {
+	st, err := a.queryState()
 	if err != nil {
-		a.waitOrder(orderPoll)
+		a.awaitOrder(orderPollInterval)
 		return
 	}
 	a.mu.Lock()
-	found := a.book.Phase() == rudderv1.OrderPhase_ORDER_PHASE_FOUND
-	ending := a.book.Resolve(st, time.Now())
+	found := a.orders.Phase() == rudderv1.OrderPhase_ORDER_PHASE_FOUND
+	resolution := a.orders.Resolve(st, time.Now())
 	switch {
-	case ending == orders.Executed || ending == orders.NotExecuted && found:
-		a.closeOrder(ending == orders.Executed)
-	case ending == orders.NotExecuted:
+	case resolution == orders.Executed || resolution == orders.NotExecuted && found:
+		a.closeOrder(resolution == orders.Executed)
+	case resolution == orders.NotExecuted:
 		a.failOrder("the answer was lost and the order was not carried out")
 	}
 	a.mu.Unlock()
-	if ending == orders.Unresolved {
-		a.waitOrder(orderLook)
+	if resolution == orders.Unresolved {
+		a.awaitOrder(orderCheckInterval)
 	}
 }
 
-// closeOrder and failOrder end the order in progress; the caller holds mu.
+// closeOrder ends the order in progress without recording a failure; the caller holds mu.
 func (a *Agent) closeOrder(done bool) {
-	a.book.Close(done)
+	a.orders.Close(done)
 	a.blocking = nil
 	a.notify()
 }
 
+// failOrder ends the order in progress and records its failure; the caller holds mu.
 func (a *Agent) failOrder(detail string) {
-	a.deps.Log.Warn("An order failed.", "detail", detail)
-	a.meter.orderFailed(string(a.book.Order().Kind))
-	a.book.Fail(detail, rand.Float64(), time.Now())
+	a.deps.Log.Warn("Order failed.", "detail", detail)
+	a.meter.orderFailed(string(a.orders.Order().Kind))
+	a.orders.Fail(detail, rand.Float64(), time.Now())
 	a.blocking = nil
 	a.notify()
 }
 
-// askState asks the endpoint what it holds and records it.
-func (a *Agent) askState() (engine.State, error) {
-	ctx, cancel := context.WithTimeout(a.ctx, probeTime)
+// queryState queries the endpoint's state and records the models and the role that it reports.
+func (a *Agent) queryState() (engine.State, error) {
+	ctx, cancel := context.WithTimeout(a.ctx, probeTimeout)
 	defer cancel()
 	asked := time.Now()
 	st, err := a.deps.Engine.State(ctx)
 	if err != nil {
 		return st, err
 	}
-	a.serving(asked, st.Models, st.Role)
+	a.recordModels(asked, st.Models, st.Role)
 	return st, nil
 }
 
-// situation is what the agent knows now; the caller holds mu.
-func (a *Agent) situation() orders.Snapshot {
+// snapshot returns the state on which decisions about orders are based; the caller holds mu.
+func (a *Agent) snapshot() orders.Snapshot {
 	return orders.Snapshot{
-		Incarnation: a.incarnation, ClockMS: a.clockMS(), State: a.current(),
+		Incarnation: a.incarnation, ClockMS: a.clockMS(), State: a.effectiveState(),
 		Document: a.deps.Keeper.Document(), Endpoint: a.cfg.Endpoint, Models: a.models,
 	}
 }
 
-// blockers returns how many runs need what the order in progress takes away; a
-// group that holds memory counts as one when a model goes, and so do the runs
-// that may still come while gateways learn of it. The caller holds mu.
+// blockers returns the number of runs that need what the order in progress unloads. A group
+// that holds memory counts as one run if a model is unloaded. So do, together, the runs that
+// may still arrive before gateways have learned of the order. The caller holds mu.
 func (a *Agent) blockers() int {
 	for r := range a.blocking {
 		if _, final := r.final(); final {
 			delete(a.blocking, r)
 		}
 	}
-	if time.Now().Before(a.withdraw) {
+	if time.Now().Before(a.refuseUnloadingFrom) {
 		return len(a.blocking) + 1
 	}
-	if a.book.Order().Kind == engine.OrderUnloadModel && a.desk.busy() {
+	if a.orders.Order().Kind == engine.OrderUnloadModel && a.mem.inUse() {
 		return len(a.blocking) + 1
 	}
 	return len(a.blocking)
 }
 
-// servesAny tells whether the endpoint will serve a model after the order in
-// progress; the caller holds mu.
+// servesAny reports whether the endpoint will serve any model after the order in progress; the
+// caller holds mu.
 func (a *Agent) servesAny() bool {
-	return slices.ContainsFunc(orders.AvailableDuring(a.models, a.book.Order()), func(m engine.Model) bool { return !m.Loading })
+	return slices.ContainsFunc(orders.AvailableDuring(a.models, a.orders.Order()), func(m engine.Model) bool { return !m.Loading })
 }
 
-// serves tells whether the endpoint takes new runs under a model's, version's
-// or adapter's name; the caller holds mu.
+// serves reports whether the endpoint accepts new runs under the name of a model, version or
+// adapter; the caller holds mu.
 func (a *Agent) serves(name string) bool {
-	left := a.models
-	if !time.Now().Before(a.withdraw) {
-		left = orders.AvailableDuring(a.models, a.book.Order())
+	available := a.models
+	if !time.Now().Before(a.refuseUnloadingFrom) {
+		available = orders.AvailableDuring(a.models, a.orders.Order())
 	}
-	for _, m := range left {
+	for _, m := range available {
 		if orders.Serves(m, name) {
 			return true
 		}
@@ -253,19 +253,19 @@
 	return false
 }
 
-// block lets the order in progress wait for a run that needs what it takes
-// away; the caller holds mu.
-func (a *Agent) block(r *run) {
-	if a.blocking != nil && orders.Unloads(a.models, a.book.Order(), r.req.GetCompletion().GetModel()) {
+// addBlocker makes the order in progress wait for a run if the run needs what the order
+// unloads; the caller holds mu.
+func (a *Agent) addBlocker(r *run) {
+	if a.blocking != nil && orders.Unloads(a.models, a.orders.Order(), r.req.GetCompletion().GetModel()) {
 		a.blocking[r] = struct{}{}
 	}
 }
 
-// place accepts a permitted order, or says why not.
+// place accepts a permitted order, or returns the reason for refusing it.
 func (a *Agent) place(req *rudderv1.PlaceRequest) *rudderv1.PlaceResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	err := a.accept(req)
+	err := a.acceptPermit(req)
 	resp := &rudderv1.PlaceResponse{Accepted: err == nil && req.Kind != "", Report: a.report()}
 	if err != nil {
 		resp.Code, resp.Detail, resp.RetryAfterMs = uint32(err.Code), err.Detail, err.RetryAfter
@@ -274,25 +274,25 @@
 	return resp
 }
 
-// accept takes the order of a permit; the caller holds mu.
-func (a *Agent) accept(req *rudderv1.PlaceRequest) *result.Err {
+// acceptPermit accepts the order of a permit; the caller holds mu.
+func (a *Agent) acceptPermit(req *rudderv1.PlaceRequest) *result.Err {
 	if req.Kind == "" {
 		return nil
 	}
 	if a.deps.Engine == nil {
 		return result.New(result.NotAllowed, "a plain service takes no orders")
 	}
-	if err := a.book.Accept(permitOf(req), a.situation(), time.Now()); err != nil {
+	if err := a.orders.Accept(permitFrom(req), a.snapshot(), time.Now()); err != nil {
 		return err
 	}
 	a.blocking = make(map[*run]struct{})
-	a.withdraw = time.Time{}
-	if k := a.book.Order().Kind; k == engine.OrderUnloadModel || k == engine.OrderUnloadAdapter {
-		a.withdraw = time.Now().Add(withdrawReports * a.cfg.ReportInterval)
+	a.refuseUnloadingFrom = time.Time{}
+	if k := a.orders.Order().Kind; k == engine.OrderUnloadModel || k == engine.OrderUnloadAdapter {
+		a.refuseUnloadingFrom = time.Now().Add(unloadNoticeReports * a.cfg.ReportInterval)
 	}
 	for _, r := range a.records.runs {
 		if _, final := r.final(); !final {
-			a.block(r)
+			a.addBlocker(r)
 		}
 	}
 	a.notify()
@@ -303,7 +303,7 @@
 	return nil
 }
 
-func permitOf(req *rudderv1.PlaceRequest) orders.Permit {
+func permitFrom(req *rudderv1.PlaceRequest) orders.Permit {
 	return orders.Permit{
 		Incarnation: req.Incarnation, Generation: req.Generation, Holds: req.Holds, ExpiresMS: req.ExpiresAgentMs,
 		Order: engine.Order{Kind: engine.OrderKind(req.Kind), Model: req.Model, Version: req.Version, Adapter: req.Adapter, Role: req.Role},
--- a/agent/process.go
+++ b/agent/process.go
@@ -16,13 +16,13 @@
 	"github.com/micarudder/micarudder/settings"
 )
 
-// The kinds of endpoint an agent can stand beside.
+// The kinds of endpoint that an agent can control.
 const (
 	kindEngine  = "engine"
 	kindService = "service"
 )
 
-// Settings are the INI settings of rudder-agent.
+// Settings contains the INI settings of rudder-agent.
 type Settings struct {
 	Agent struct {
 		DataCentre     string           `key:"data_centre" required:"true" help:"data centre that this host stands in"`
@@ -89,9 +89,9 @@
 	srv      *http.Server
 }
 
-// Open wires an agent from its settings and starts it. Binding the listener is
-// what makes it the only agent of its slot: the address is free again only
-// when the process that held it is gone.
+// Open creates an agent from its settings and starts it. Binding the listener ensures that
+// there is only one agent for the endpoint: the address becomes free only when the process
+// that bound it has ended.
 func Open(s *Settings, env daemon.Env) (*Process, error) {
 	l, err := net.Listen("tcp", string(s.Agent.Listen))
 	if err != nil {
--- a/agent/records.go
+++ b/agent/records.go
@@ -8,70 +8,70 @@
 )
 
 const (
-	// answerBytesPerToken is the buffer space booked for each answer token.
+	// answerBytesPerToken is the buffer size reserved for each answer token.
 	answerBytesPerToken = 8
-	// callSpace is the buffer space booked for a plain service's answer.
-	callSpace = 64 << 10
-	// growth is by how much the space of an answer that outgrows it is raised.
-	growth = 64 << 10
+	// callAnswerBytes is the buffer size reserved for the answer of a plain service.
+	callAnswerBytes = 64 << 10
+	// answerGrowth is the additional size reserved for an answer that exceeds its reservation.
+	answerGrowth = 64 << 10
 )
 
-// records is the table of runs and tombstones of this incarnation, by request
-// id. It is bounded: at the bound new ids are refused, and no record is
-// dropped before its ticket has expired. The agent's lock guards it.
+// records is the table of runs and tombstones of this incarnation, by request ID. Its size is
+// bounded: when it is full, new IDs are refused, and no record is removed before its ticket
+// has expired. The agent's lock guards it.
 type records struct {
 	max        int
 	maxBytes   int64
 	runs       map[string]*run
-	tombs      map[string]time.Time // until when each is kept
-	bytes      int64                // booked for bodies and answers
+	tombstones map[string]time.Time // expiry of each tombstone
+	bytes      int64                // reserved for request bodies and answers
 	unfinished int
 }
 
 func newRecords(max int, maxBytes int64) *records {
-	return &records{max: max, maxBytes: maxBytes, runs: make(map[string]*run), tombs: make(map[string]time.Time)}
+	return &records{max: max, maxBytes: maxBytes, runs: make(map[string]*run), tombstones: make(map[string]time.Time)}
 }
 
-// fits reports whether the order can be recorded.
+// fits reports whether there is room to record the order.
 func (t *records) fits(req *rudderv1.RunRequest) bool {
-	return len(t.runs) < t.max && t.bytes+spaceOf(req) <= t.maxBytes
+	return len(t.runs) < t.max && t.bytes+requiredBytes(req) <= t.maxBytes
 }
 
-// add records a new run and books its space.
+// add records a new run and reserves its buffer space.
 func (t *records) add(r *run) {
 	t.runs[r.req.RequestId] = r
-	t.hold(r, spaceOf(r.req))
+	t.setReserved(r, requiredBytes(r.req))
 	t.unfinished++
 }
 
-// hold sets the bytes booked for a run.
-func (t *records) hold(r *run, bytes int64) {
-	t.bytes += bytes - r.held
-	r.held = bytes
+// setReserved sets the number of bytes reserved for a run.
+func (t *records) setReserved(r *run, bytes int64) {
+	t.bytes += bytes - r.reservedBytes
+	r.reservedBytes = bytes
 }
 
-// grow books more space for an answer; it reports false at the bound.
+// grow reserves more space for an answer; it returns false if the limit would be exceeded.
 func (t *records) grow(r *run, more int64) bool {
 	if t.bytes+more > t.maxBytes {
 		return false
 	}
-	t.hold(r, r.held+more)
+	t.setReserved(r, r.reservedBytes+more)
 	return true
 }
 
-// ended replaces the space booked by what the answer took.
+// ended reduces a run's reservation to the size of its answer.
 func (t *records) ended(r *run) {
 	t.unfinished--
-	t.hold(r, r.trim())
+	t.setReserved(r, r.releaseInputs())
 }
 
-// drop forgets a run's answer but not the run.
+// drop drops the answer of a run and keeps its record.
 func (t *records) drop(r *run) {
 	r.drop()
-	t.hold(r, 0)
+	t.setReserved(r, 0)
 }
 
-// forget removes the run.
+// forget removes a run.
 func (t *records) forget(r *run) {
 	t.drop(r)
 	if t.runs[r.req.RequestId] == r {
@@ -79,18 +79,18 @@
 	}
 }
 
-// seal records that an id never ran here; it reports false at the bound.
+// seal records that an ID never ran here; it returns false if the table is full.
 func (t *records) seal(id string, until time.Time) bool {
-	if len(t.tombs) >= t.max {
+	if len(t.tombstones) >= t.max {
 		return false
 	}
-	t.tombs[id] = until
+	t.tombstones[id] = until
 	return true
 }
 
-// sealed reports whether the id was refused in this incarnation.
+// sealed reports whether the ID was refused in this incarnation.
 func (t *records) sealed(id string) bool {
-	if _, ok := t.tombs[id]; ok {
+	if _, ok := t.tombstones[id]; ok {
 		return true
 	}
 	r, ok := t.runs[id]
@@ -102,16 +102,18 @@
 	return r.life.State == lifecycle.Refused
 }
 
-// busy returns the number of runs that have not ended.
-func (t *records) busy() int { return t.unfinished }
+// unfinishedRuns returns the number of runs that have not ended.
+func (t *records) unfinishedRuns() int { return t.unfinished }
 
-// spaceOf is the space that an order needs: its body until it has ended, and
-// its answer.
-func spaceOf(req *rudderv1.RunRequest) int64 { return int64(len(req.Body)) + answerSpace(req) }
+// requiredBytes returns the space that an order needs: its body, which is kept until the run
+// has ended, and its answer.
+func requiredBytes(req *rudderv1.RunRequest) int64 {
+	return int64(len(req.Body)) + requiredAnswerBytes(req)
+}
 
-func answerSpace(req *rudderv1.RunRequest) int64 {
+func requiredAnswerBytes(req *rudderv1.RunRequest) int64 {
 	if req.Call != nil {
-		return callSpace
+		return callAnswerBytes
 	}
 	return int64(req.GetCompletion().GetMaxTokens())*answerBytesPerToken + int64(len(req.GetCompletion().GetResumeText()))
 }
--- a/agent/records_test.go
+++ b/agent/records_test.go
@@ -18,7 +18,8 @@
 	}, time.Now())
 }
 
-// TestRecordsBound: at a bound new ids are refused; what is kept stays.
+// TestRecordsBound checks that new IDs are refused when the table is full, and that existing
+// records are kept.
 func TestRecordsBound(t *testing.T) {
 	is := is.New(t)
 	table := newRecords(2, 1000)
@@ -37,8 +38,8 @@
 	is.True(!table.sealed("z"))
 }
 
-// TestRecordsFree: an ended run keeps its answer only, a dropped one nothing
-// but its record.
+// TestRecordsFree checks that an ended run uses space for its answer only, and a run whose
+// answer was dropped uses none.
 func TestRecordsFree(t *testing.T) {
 	is := is.New(t)
 	table := newRecords(2, 1000)
@@ -49,7 +50,7 @@
 	r.apply(lifecycle.Event{Kind: lifecycle.EvEnd, Code: result.OK}, "")
 	table.ended(r)
 	is.Equal(table.bytes, int64(len("hour 12")))
-	is.Equal(table.busy(), 0)
+	is.Equal(table.unfinishedRuns(), 0)
 	table.drop(r)
 	is.Equal(table.bytes, int64(0))
 	is.Equal(len(table.runs), 1)
--- a/agent/reload.go
+++ b/agent/reload.go
@@ -6,8 +6,8 @@
 	"github.com/micarudder/micarudder/daemon"
 )
 
-// Reload implements daemon.Reloader: it takes the ticket keys; every other
-// setting takes effect at the next start.
+// Reload implements daemon.Reloader: it applies the ticket keys; every other setting takes
+// effect at the next start.
 func (p *Process) Reload(fresh any) error {
 	s, ok := fresh.(*Settings)
 	if !ok {
--- a/agent/report.go
+++ b/agent/report.go
@@ -8,7 +8,7 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// report is the agent's word about itself; the caller holds mu.
+// report returns a complete report of the agent's state; the caller holds mu.
 func (a *Agent) report() *rudderv1.AgentReport {
 	return &rudderv1.AgentReport{
 		Endpoint:    a.cfg.Endpoint,
@@ -16,31 +16,31 @@
 		DataCentre:  a.cfg.DataCentre,
 		Incarnation: a.incarnation,
 		AgentMs:     a.clockMS(),
-		State:       a.current(),
+		State:       a.effectiveState(),
 		Generation:  a.deps.Keeper.Generation(),
 		Load:        a.load(),
 		Models:      a.loadedModels(),
 		Role:        a.role,
 		Service:     a.cfg.Service,
-		Holds:       a.book.Holds(),
+		Holds:       a.orders.Holds(),
 		Order:       a.orderStatus(),
 		Successor:   a.successor,
-		Inherited:   a.inheritedNames(),
+		Inherited:   a.inheritedIncarnations(),
 	}
 }
 
-// orderStatus describes the latest order; the caller holds mu.
+// orderStatus returns the status of the latest order; the caller holds mu.
 func (a *Agent) orderStatus() *rudderv1.OrderStatus {
 	if a.deps.Engine == nil {
 		return nil
 	}
-	return a.book.Status(a.blockers(), time.Now())
+	return a.orders.Status(a.blockers(), time.Now())
 }
 
-// loadedModels is what the endpoint holds, as gateways may rely on it: what an
-// order in progress takes away is not served any more. The caller holds mu.
+// loadedModels returns the models on which gateways may rely: what the order in progress
+// unloads is not served any more. The caller holds mu.
 func (a *Agent) loadedModels() []*rudderv1.LoadedModel {
-	o := a.book.Order()
+	o := a.orders.Order()
 	out := make([]*rudderv1.LoadedModel, 0, len(a.models)+1)
 	loading := o.Kind == engine.OrderLoadModel
 	for _, m := range a.models {
@@ -62,7 +62,7 @@
 	return out
 }
 
-// load is the agent's exact load; the caller holds mu.
+// load returns the agent's exact load; the caller holds mu.
 func (a *Agent) load() *rudderv1.Load {
 	t := a.queue.Load(time.Now())
 	l := &rudderv1.Load{
@@ -75,8 +75,8 @@
 		PrefillUsPerToken2: t.Cost.PrefillPerTokenSquared,
 		DecodeUsPerToken:   float64(t.Cost.DecodePerToken) / float64(time.Microsecond),
 		LongTokens:         t.LongTokens,
-		ReserveLimit:       a.desk.book.Limit(),
-		ReservedTokens:     a.desk.tokens(),
+		ReserveLimit:       a.mem.leases.Limit(),
+		ReservedTokens:     a.mem.unavailableTokens(),
 	}
 	for _, w := range t.Wait {
 		l.WaitMs = append(l.WaitMs, w.Milliseconds())
--- a/agent/rest.go
+++ b/agent/rest.go
@@ -8,8 +8,8 @@
 	"github.com/micarudder/micarudder/result"
 )
 
-// noteRest takes in what an engine's refusal of a run says of the time to come back.
-func (a *Agent) noteRest(r *run, err error) {
+// recordBackoff records the retry delay of a run that the engine refused.
+func (a *Agent) recordBackoff(r *run, err error) {
 	var refusal *engine.Error
 	if !errors.As(err, &refusal) || refusal.RetryAfter <= 0 {
 		return
@@ -20,16 +20,17 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	until := time.Now().Add(refusal.RetryAfter)
-	if !until.After(a.restsTo) {
+	if !until.After(a.backoffUntil) {
 		return
 	}
-	a.restsTo = until
-	a.deps.Log.Info("The engine asks for rest.", "for", refusal.RetryAfter, "waiting", len(a.waiting))
+	a.backoffUntil = until
+	a.deps.Log.Info("Engine requested a backoff.", "for", refusal.RetryAfter, "waiting", len(a.waiting))
 }
 
-// resting says why the agent gives its engine no new work, with the time to come back, nil when it does; the caller holds mu.
-func (a *Agent) resting(now time.Time) *result.Err {
-	left := a.restsTo.Sub(now)
+// backoffError returns the error, with the retry delay, for new work while the engine has
+// asked for a backoff, otherwise nil; the caller holds mu.
+func (a *Agent) backoffError(now time.Time) *result.Err {
+	left := a.backoffUntil.Sub(now)
 	if left <= 0 {
 		return nil
 	}
--- a/agent/run.go
+++ b/agent/run.go
@@ -13,64 +13,66 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// maxChunk bounds the text of one data frame, in bytes.
+// maxChunk is the maximum size of the text in one data frame, in bytes.
 const maxChunk = 32 << 10
 
-// run is one execution with its buffered answer. Its own lock guards all
-// fields below it; it is taken after the agent's when both are needed.
+// run is one execution with its buffered answer. Its mutex guards all fields declared after
+// it; when both locks are needed, the agent's is taken first.
 type run struct {
-	req      *rudderv1.RunRequest
-	item     admission.Item
-	deadline time.Time
-	admitted time.Time
-	expires  time.Time       // when the record goes; not before its ticket
-	believed int             // leading blocks believed cached when admitted
-	ctx      context.Context // ends with the deadline, a cancel or the agent
-	cancel   context.CancelFunc
-
-	digest uint64 // of what was asked for
-	held   int64  // bytes booked for it in the records; the agent's lock guards it
-	size   int64  // answer bytes so far; only the worker uses it
-	room   int64  // answer bytes that are booked; only the worker uses it
-
-	mu      sync.Mutex
-	life    lifecycle.Run
-	buf     []byte // the answer, from offset 0
-	sum     *xxhash.Digest
-	head    *rudderv1.ServiceHead
-	end     *rudderv1.End
-	dropped bool // the answer is no longer kept
-	changed chan struct{}
-	// retryAfter is the time to come back that the endpoint named when it refused the run; 0: none.
-	retryAfter time.Duration
-	readers    int
-	idle       *time.Timer // runs while a repeatable run has no reader
+	req          *rudderv1.RunRequest
+	item         admission.Item
+	deadline     time.Time
+	admitted     time.Time
+	expires      time.Time       // when the record is removed; not before the ticket expires
+	cachedBlocks int             // leading blocks assumed to be cached at admission
+	ctx          context.Context // ends at the deadline, on cancellation or when the agent closes
+	cancel       context.CancelFunc
+
+	digest        uint64 // digest of the request, see requestDigest
+	reservedBytes int64  // bytes reserved in the records; guarded by the agent's lock
+	answerSize    int64  // answer bytes so far; used only by the worker
+	answerLimit   int64  // answer bytes that are reserved; used only by the worker
+
+	mu       sync.Mutex
+	life     lifecycle.Run
+	buf      []byte // the answer, from offset 0
+	checksum *xxhash.Digest
+	head     *rudderv1.ServiceHead
+	end      *rudderv1.End
+	dropped  bool // the answer is no longer kept
+	changed  chan struct{}
+	// retryAfter is the retry delay that the endpoint returned when it refused the run; 0 if
+	// it returned none.
+	retryAfter  time.Duration
+	readers     int
+	unreadTimer *time.Timer // runs while a repeatable run has no reader
 }
 
 func newRun(parent context.Context, req *rudderv1.RunRequest, now time.Time) *run {
 	deadline := now.Add(time.Duration(req.RemainingMs) * time.Millisecond)
-	r := &run{req: req, deadline: deadline, admitted: now, changed: make(chan struct{}), sum: xxhash.New()}
+	r := &run{req: req, deadline: deadline, admitted: now, changed: make(chan struct{}), checksum: xxhash.New()}
 	r.ctx, r.cancel = context.WithDeadline(parent, deadline)
-	r.digest = digestOf(req)
-	r.room = answerSpace(req)
+	r.digest = requestDigest(req)
+	r.answerLimit = requiredAnswerBytes(req)
 	if resume := req.GetCompletion().GetResumeText(); len(resume) > 0 {
 		r.buf = append(r.buf, resume...)
-		r.size = int64(len(resume))
-		_, _ = r.sum.Write(resume)
+		r.answerSize = int64(len(resume))
+		_, _ = r.checksum.Write(resume)
 	}
 	return r
 }
 
-// digestOf names what an order asks for, whatever its attempt.
-func digestOf(req *rudderv1.RunRequest) uint64 {
+// requestDigest returns a digest of what an order asks for, which is the same for all
+// attempts.
+func requestDigest(req *rudderv1.RunRequest) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(req.GetCall().GetMethod() + " " + req.GetCall().GetPath() + req.GetCompletion().GetPath() + "\n")
 	_, _ = d.Write(req.Body)
 	return d.Sum64()
 }
 
-// apply makes a step of the state machine. A final step fixes the end that
-// every reader will see.
+// apply applies an event to the state machine. A final step also sets the end that every
+// reader receives.
 func (r *run) apply(ev lifecycle.Event, detail string) lifecycle.Action {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,13 +83,13 @@
 	return action
 }
 
-// finish builds the end; the caller holds the lock.
+// finish sets the end; the caller holds the lock.
 func (r *run) finish(detail string) {
 	r.end = &rudderv1.End{
 		Code:     uint32(r.life.Code),
 		Outcome:  rudderv1.Outcome(r.life.Outcome),
 		Length:   uint64(len(r.buf)),
-		Checksum: r.sum.Sum64(),
+		Checksum: r.checksum.Sum64(),
 		Detail:   detail,
 		Sealed:   r.life.State == lifecycle.Refused,
 
@@ -96,7 +98,7 @@
 	r.broadcast()
 }
 
-// append adds answer text.
+// append appends text to the answer.
 func (r *run) append(text []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,11 +106,11 @@
 		return
 	}
 	r.buf = append(r.buf, text...)
-	_, _ = r.sum.Write(text)
+	_, _ = r.checksum.Write(text)
 	r.broadcast()
 }
 
-// setHead records a plain service's status and headers.
+// setHead records the status and headers of a plain service.
 func (r *run) setHead(h *rudderv1.ServiceHead) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,22 +124,22 @@
 	r.changed = make(chan struct{})
 }
 
-// view is what a reader sees at one moment.
-type view struct {
+// answerView is a snapshot of the answer for a reader.
+type answerView struct {
 	state   lifecycle.State
 	head    *rudderv1.ServiceHead
-	text    []byte // a part of the answer from the offset asked for
+	text    []byte // part of the answer from the requested offset
 	end     *rudderv1.End
 	dropped bool
 	changed <-chan struct{}
 }
 
-// read returns the answer from the offset, the end once all was read, and a
+// read returns the answer from the offset, the end once everything before it was read, and a
 // channel that is closed at the next change.
-func (r *run) read(offset uint64) view {
+func (r *run) read(offset uint64) answerView {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := view{state: r.life.State, head: r.head, dropped: r.dropped, changed: r.changed}
+	v := answerView{state: r.life.State, head: r.head, dropped: r.dropped, changed: r.changed}
 	total := uint64(len(r.buf))
 	if offset < total {
 		v.text = r.buf[offset:]
@@ -151,45 +153,46 @@
 	return v
 }
 
-// attach counts a reader in.
+// attach registers a reader.
 func (r *run) attach() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readers++
-	if r.idle != nil {
-		r.idle.Stop()
-		r.idle = nil
+	if r.unreadTimer != nil {
+		r.unreadTimer.Stop()
+		r.unreadTimer = nil
 	}
 }
 
-// detach counts a reader out. The last reader of an unfinished repeatable run
-// leaves it running for the window only; idle is called when it has passed.
-func (r *run) detach(window time.Duration, idle func()) {
+// detach unregisters a reader. When the last reader of an unfinished repeatable run has left,
+// the run continues for the window only; then onUnread is called.
+func (r *run) detach(window time.Duration, onUnread func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readers--
 	if r.readers > 0 || r.end != nil || !r.req.Repeatable {
 		return
 	}
-	r.idle = time.AfterFunc(window, idle)
+	r.unreadTimer = time.AfterFunc(window, onUnread)
 }
 
-// abandoned reports whether nobody reads the run.
-func (r *run) abandoned() bool {
+// unread reports whether the run has no reader.
+func (r *run) unread() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.readers == 0
 }
 
-// drop forgets the answer but keeps the record and its end.
+// drop drops the answer and keeps the record and its end.
 func (r *run) drop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.buf, r.dropped = nil, true
 }
 
-// trim lets go of what an ended run does not need and returns what it keeps.
-func (r *run) trim() (kept int64) {
+// releaseInputs releases the inputs that an ended run no longer needs and returns the size of
+// its answer.
+func (r *run) releaseInputs() (kept int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.req.Body = nil
@@ -199,7 +202,7 @@
 	return int64(len(r.buf))
 }
 
-// outcome returns the run's final code, or 0.
+// final returns the run's result code and whether the run has ended.
 func (r *run) final() (result.Code, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/agent/server.go
+++ b/agent/server.go
@@ -15,7 +15,7 @@
 	"github.com/micarudder/micarudder/rudderv1/rudderv1connect"
 )
 
-// server implements rudder.v1.AgentService over an Agent.
+// server implements rudder.v1.AgentService for an Agent.
 type server struct {
 	a *Agent
 }
@@ -35,40 +35,40 @@
 		return stream.Send(&rudderv1.Frame{RequestId: m.RequestId, Attempt: m.Attempt, Body: &rudderv1.Frame_End{End: refusal}})
 	}
 	s.a.meter.admitted(attached)
-	return s.a.follow(ctx, r, attached, uint64(len(m.GetCompletion().GetResumeText())), stream)
+	return s.a.streamAnswer(ctx, r, attached, uint64(len(m.GetCompletion().GetResumeText())), stream)
 }
 
-// Attach streams the answer of a known run from an offset.
+// Attach streams the answer of an existing run from an offset.
 func (s *server) Attach(ctx context.Context, req *connect.Request[rudderv1.AttachRequest], stream *connect.ServerStream[rudderv1.Frame]) error {
 	claims, end := s.a.checkTicket(req.Msg.Ticket, "")
 	if end != nil {
 		return stream.Send(&rudderv1.Frame{Body: &rudderv1.Frame_End{End: end}})
 	}
-	r, end := s.a.find(claims)
+	r, end := s.a.findRun(claims)
 	if end != nil {
 		return stream.Send(&rudderv1.Frame{RequestId: claims.RequestId, Body: &rudderv1.Frame_End{End: end}})
 	}
-	return s.a.follow(ctx, r, true, req.Msg.Offset, stream)
+	return s.a.streamAnswer(ctx, r, true, req.Msg.Offset, stream)
 }
 
-// missingRun is the end for a ticket without a run.
-func missingRun(sealed, late bool) *rudderv1.End {
+// missingRunEnd returns the end frame for a ticket that has no run.
+func missingRunEnd(sealed, late bool) *rudderv1.End {
 	switch {
 	case sealed:
-		return endOf(result.New(result.TicketVoided, ""), true)
+		return refusalEnd(result.New(result.TicketVoided, ""), true)
 	case late:
-		return endOf(result.New(result.TicketExpired, ""), false)
+		return refusalEnd(result.New(result.TicketExpired, ""), false)
 	default:
-		return endOf(result.New(result.UnknownRun, ""), false)
+		return refusalEnd(result.New(result.UnknownRun, ""), false)
 	}
 }
 
-// follow streams a run's answer to one reader.
-func (a *Agent) follow(ctx context.Context, r *run, attached bool, offset uint64, stream *connect.ServerStream[rudderv1.Frame]) error {
+// streamAnswer streams the answer of a run to one reader.
+func (a *Agent) streamAnswer(ctx context.Context, r *run, attached bool, offset uint64, stream *connect.ServerStream[rudderv1.Frame]) error {
 	r.attach()
-	defer r.detach(a.cfg.ReattachWindow, func() { a.abandon(r) })
-	a.reading(1)
-	defer a.reading(-1)
+	defer r.detach(a.cfg.ReattachWindow, func() { a.cancelIfUnread(r) })
+	a.addReaders(1)
+	defer a.addReaders(-1)
 	frame := func() *rudderv1.Frame {
 		return &rudderv1.Frame{RequestId: r.req.RequestId, Attempt: r.req.Attempt, Offset: offset}
 	}
@@ -79,7 +79,7 @@
 	for {
 		v := r.read(offset)
 		if v.dropped && v.end != nil && offset < v.end.Length {
-			return stream.Send(withEnd(frame(), endOf(result.New(result.AnswerDropped, ""), false)))
+			return stream.Send(withEnd(frame(), refusalEnd(result.New(result.AnswerDropped, ""), false)))
 		}
 		if v.head != nil && !headSent {
 			headSent = true
@@ -93,8 +93,8 @@
 			}
 			offset += uint64(len(v.text))
 		}
-		if v.end != nil && a.cutShort(v.end) {
-			return connect.NewError(connect.CodeUnavailable, errCut)
+		if v.end != nil && a.canceledByStop(v.end) {
+			return connect.NewError(connect.CodeUnavailable, errStopped)
 		}
 		if v.end != nil {
 			return stream.Send(withEnd(frame(), v.end))
@@ -104,33 +104,33 @@
 		}
 		select {
 		case <-v.changed:
-		case <-a.cut:
-			return connect.NewError(connect.CodeUnavailable, errCut)
+		case <-a.drainEnded:
+			return connect.NewError(connect.CodeUnavailable, errStopped)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// errCut ends the streams of a drain that ran out of time.
-var errCut = errors.New("agent: stopped")
+// errStopped ends the streams that are still open when a drain times out.
+var errStopped = errors.New("agent: stopped")
 
-// cutShort reports whether a run was ended by the agent's own stop.
-func (a *Agent) cutShort(end *rudderv1.End) bool {
+// canceledByStop reports whether a run was canceled because the agent stops.
+func (a *Agent) canceledByStop(end *rudderv1.End) bool {
 	select {
-	case <-a.cut:
+	case <-a.drainEnded:
 		return result.Code(end.Code) == result.Canceled
 	default:
 		return false
 	}
 }
 
-// reading counts the streams of answers.
-func (a *Agent) reading(n int) {
+// addReaders adds n to the number of answer streams.
+func (a *Agent) addReaders(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.readers += n
-	if a.leave.stopped {
+	if a.leaving.stopping {
 		a.notify()
 	}
 }
@@ -162,14 +162,14 @@
 	return &rudderv1.Accepted{Attached: attached, Load: a.load(), Generation: a.deps.Keeper.Generation()}
 }
 
-// abandon cancels a repeatable run that nobody came back for.
-func (a *Agent) abandon(r *run) {
-	if r.abandoned() {
+// cancelIfUnread cancels a repeatable run if it has no reader.
+func (a *Agent) cancelIfUnread(r *run) {
+	if r.unread() {
 		a.cancelRun(r)
 	}
 }
 
-// cancelRun ends a run on behalf of its caller.
+// cancelRun cancels a run on behalf of its caller.
 func (a *Agent) cancelRun(r *run) {
 	a.mu.Lock()
 	_, waiting := a.waiting[r.item.ID]
@@ -183,13 +183,13 @@
 	r.cancel()
 }
 
-// Void seals an id unless its run began; it answers what is known.
+// Void seals an ID unless its run has started, and returns what is known about the run.
 func (s *server) Void(_ context.Context, req *connect.Request[rudderv1.VoidRequest]) (*connect.Response[rudderv1.VoidResponse], error) {
 	claims, end := s.a.checkTicket(req.Msg.Ticket, "")
 	if end != nil {
 		return connect.NewResponse(&rudderv1.VoidResponse{Outcome: end.Outcome, Code: end.Code}), nil
 	}
-	return connect.NewResponse(ranElsewhere(claims, s.a.void(claims))), nil
+	return connect.NewResponse(adjustForRepeatable(claims, s.a.void(claims))), nil
 }
 
 func (a *Agent) void(claims *rudderv1.TicketClaims) *rudderv1.VoidResponse {
@@ -212,18 +212,19 @@
 	return r.voidResponse()
 }
 
-// ranElsewhere: repeatable work may have been ordered from other agents too.
-func ranElsewhere(claims *rudderv1.TicketClaims, resp *rudderv1.VoidResponse) *rudderv1.VoidResponse {
+// adjustForRepeatable replaces "not run" by "may have run" for a repeatable request, because
+// the order may have been sent to other agents too.
+func adjustForRepeatable(claims *rudderv1.TicketClaims, resp *rudderv1.VoidResponse) *rudderv1.VoidResponse {
 	if claims.Repeatable && resp.Outcome == rudderv1.Outcome_OUTCOME_NOT_RUN {
 		resp.Outcome = rudderv1.Outcome_OUTCOME_MAY_HAVE_RUN
 	}
 	return resp
 }
 
-// voidUnknown seals an id that has no run; the caller holds mu.
+// voidUnknown seals an ID that has no run; the caller holds mu.
 func (a *Agent) voidUnknown(claims *rudderv1.TicketClaims) *rudderv1.VoidResponse {
 	if a.records.sealed(claims.RequestId) {
-		return voided(true)
+		return voidedResponse(true)
 	}
 	if a.clockMS() > claims.ExpiresAgentMs {
 		return &rudderv1.VoidResponse{Outcome: rudderv1.Outcome_OUTCOME_MAY_HAVE_RUN, Code: uint32(result.TicketExpired)}
@@ -231,21 +232,21 @@
 	if !a.records.seal(claims.RequestId, time.Now().Add(a.untilExpiry(claims))) {
 		return &rudderv1.VoidResponse{Outcome: rudderv1.Outcome_OUTCOME_MAY_HAVE_RUN, Code: uint32(result.RecordsFull)}
 	}
-	a.unsealLater(claims.RequestId, claims)
-	return voided(true)
+	a.scheduleUnseal(claims.RequestId, claims)
+	return voidedResponse(true)
 }
 
-func voided(sealed bool) *rudderv1.VoidResponse {
+func voidedResponse(sealed bool) *rudderv1.VoidResponse {
 	return &rudderv1.VoidResponse{Outcome: rudderv1.Outcome_OUTCOME_NOT_RUN, Code: uint32(result.Voided), Sealed: sealed}
 }
 
-// voidResponse says what is known of a run that was to be voided.
+// voidResponse returns what is known about a run that was to be voided.
 func (r *run) voidResponse() *rudderv1.VoidResponse {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case r.life.State == lifecycle.Refused:
-		return voided(true)
+		return voidedResponse(true)
 	case r.end == nil:
 		return &rudderv1.VoidResponse{Outcome: rudderv1.Outcome_OUTCOME_MAY_HAVE_RUN, Code: uint32(result.OrderUnanswered)}
 	default:
@@ -253,7 +254,7 @@
 	}
 }
 
-// Cancel gives up a run.
+// Cancel cancels a run.
 func (s *server) Cancel(_ context.Context, req *connect.Request[rudderv1.CancelRequest]) (*connect.Response[rudderv1.CancelResponse], error) {
 	claims, end := s.a.checkTicket(req.Msg.Ticket, "")
 	if end != nil {
@@ -268,13 +269,13 @@
 	return connect.NewResponse(&rudderv1.CancelResponse{Outcome: rudderv1.Outcome_OUTCOME_MAY_HAVE_RUN}), nil
 }
 
-// Place accepts a permitted order to the endpoint, or says why not.
+// Place accepts a permitted order for the endpoint, or returns the reason for refusing it.
 func (s *server) Place(_ context.Context, req *connect.Request[rudderv1.PlaceRequest]) (*connect.Response[rudderv1.PlaceResponse], error) {
 	return connect.NewResponse(s.a.place(req.Msg)), nil
 }
 
-// Subscribe streams reports until the subscriber goes away: whole when the
-// stream begins and when more than the load has changed, else in short.
+// Subscribe streams reports until the subscriber disconnects. A report is complete at the
+// start of the stream and when something other than the load has changed, otherwise short.
 func (s *server) Subscribe(ctx context.Context, req *connect.Request[rudderv1.SubscribeRequest], stream *connect.ServerStream[rudderv1.AgentReport]) error {
 	reports := newReportStream(s.a, req.Msg)
 	leave := s.a.subscribers.join(reports.gateway)
@@ -285,7 +286,7 @@
 		if err := stream.Send(reports.next()); err != nil {
 			return err
 		}
-		s.a.told(sub, reports.told)
+		s.a.recordSent(sub, reports.last)
 		if !reports.wait(ctx) {
 			return nil
 		}
--- a/agent/span.go
+++ b/agent/span.go
@@ -16,24 +16,24 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// spanJob computes one span of a prompt under a lease, or only imports those
-// before it. It goes on when its caller is lost, and ends with its lease.
+// spanJob computes one span of a prompt under a lease, or only imports the spans before it. It
+// continues if its caller is lost, and ends with its lease.
 type spanJob struct {
-	id     string
-	req    *rudderv1.PrefillRequest
-	item   admission.Item
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	begun  chan struct{} // closed when the queue starts it
-	done   chan struct{}
-	handle *rudderv1.KVHandle // once done
-	err    *result.Err        // once done
+	id      string
+	req     *rudderv1.PrefillRequest
+	item    admission.Item
+	ctx     context.Context
+	cancel  context.CancelCauseFunc
+	started chan struct{} // closed when the queue starts the job
+	done    chan struct{}
+	handle  *rudderv1.KVHandle // set when done
+	err     *result.Err        // set when done
 }
 
-// stop ends the job for the reason given.
-func (j *spanJob) stop(why *result.Err) { j.cancel(why) }
+// stop ends the job with the given reason.
+func (j *spanJob) stop(reason *result.Err) { j.cancel(reason) }
 
-func (j *spanJob) over() bool {
+func (j *spanJob) finished() bool {
 	select {
 	case <-j.done:
 		return true
@@ -42,8 +42,8 @@
 	}
 }
 
-// spanID names a span by its reservation and first token; an order that
-// only imports is named apart.
+// spanID returns the ID of a span, made of its reservation and first token. An order that only
+// imports has an ID of its own.
 func spanID(m *rudderv1.PrefillRequest) string {
 	if m.Tokens == 0 {
 		return fmt.Sprintf("%s/import/%d", m.Reservation, m.StartToken)
@@ -51,8 +51,8 @@
 	return fmt.Sprintf("%s/%d", m.Reservation, m.StartToken)
 }
 
-// Prefill computes a span under a lease and keeps it held. The same order given
-// again joins the job or gets its result.
+// Prefill computes a span under a lease and keeps it in memory. Repeating the order joins the
+// job or returns its result.
 func (s *server) Prefill(ctx context.Context, req *connect.Request[rudderv1.PrefillRequest]) (*connect.Response[rudderv1.PrefillResponse], error) {
 	j, err := s.a.spanJob(req.Msg)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return connect.NewResponse(&rudderv1.PrefillResponse{Code: uint32(result.OK), Handle: j.handle}), nil
 }
 
-// spanJob finds or starts the job of an order.
+// spanJob returns the job of an order and starts it if it does not exist yet.
 func (a *Agent) spanJob(m *rudderv1.PrefillRequest) (*spanJob, *result.Err) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -77,23 +77,23 @@
 		return nil, result.New(result.EndpointRefused, "wrong kind of endpoint")
 	}
 	now := time.Now()
-	a.endLapsed(now)
-	if !a.desk.book.Live(m.Reservation, now) {
+	a.stopLapsedJobs(now)
+	if !a.mem.leases.Live(m.Reservation, now) {
 		return nil, result.New(result.LeaseLost, "")
 	}
 	id := spanID(m)
-	if j, ok := a.desk.jobs[id]; ok {
+	if j, ok := a.mem.jobs[id]; ok {
 		return j, nil
 	}
 	j := a.newSpanJob(id, m, now)
-	a.desk.jobs[id] = j
+	a.mem.jobs[id] = j
 	a.workers.Go(func() { a.runSpan(j) })
 	return j, nil
 }
 
 func (a *Agent) newSpanJob(id string, m *rudderv1.PrefillRequest, now time.Time) *spanJob {
 	deadline := now.Add(time.Duration(m.RemainingMs) * time.Millisecond)
-	j := &spanJob{id: id, req: m, begun: make(chan struct{}), done: make(chan struct{})}
+	j := &spanJob{id: id, req: m, started: make(chan struct{}), done: make(chan struct{})}
 	ctx, cancel := context.WithDeadlineCause(a.ctx, deadline, result.New(result.DeadlineTooNear, ""))
 	j.ctx, j.cancel = context.WithCancelCause(ctx)
 	context.AfterFunc(j.ctx, cancel)
@@ -105,8 +105,8 @@
 	return j
 }
 
-// runSpan does the job and records its result. A job that failed is forgotten,
-// so that the order may be given again.
+// runSpan executes the job and records its result. A failed job is removed, so that the order
+// may be repeated.
 func (a *Agent) runSpan(j *spanJob) {
 	err := a.prepareSpan(j)
 	if err == nil && j.req.Tokens > 0 {
@@ -120,18 +120,17 @@
 	defer a.mu.Unlock()
 	j.err = coded
 	if coded != nil {
-		delete(a.desk.jobs, j.id)
-		a.deps.Log.Warn("Span failed.", "span", j.id, "err", coded)
+		delete(a.mem.jobs, j.id)
+		a.deps.Log.Warn("Span job failed.", "span", j.id, "err", coded)
 	}
 	j.handle = &rudderv1.KVHandle{Id: j.id, Endpoint: a.cfg.Endpoint, StartToken: j.req.StartToken, Tokens: j.req.Tokens}
 	j.req.Body = nil
 	j.cancel(nil)
 	close(j.done)
-	a.desk.poke()
+	a.mem.wakeLoop()
 }
 
-// prepareSpan waits until the lease's memory is there and imports the spans
-// before the job's.
+// prepareSpan waits until the lease's memory is available and imports the preceding spans.
 func (a *Agent) prepareSpan(j *spanJob) error {
 	if err := a.awaitMemory(j.ctx); err != nil {
 		return err
@@ -144,13 +143,12 @@
 	return nil
 }
 
-// awaitMemory waits until the work that ran before the leases were granted has
-// left the endpoint. New work is started only in memory that is neither used
-// nor reserved.
+// awaitMemory waits until the work that ran before the leases were granted has left the
+// endpoint. New work is started only in memory that is neither used nor reserved.
 func (a *Agent) awaitMemory(ctx context.Context) error {
 	for {
 		a.mu.Lock()
-		ready, changed := a.used+a.desk.tokens() <= a.cfg.MemoryTokens, a.changed
+		ready, changed := a.used+a.mem.unavailableTokens() <= a.cfg.MemoryTokens, a.changed
 		a.mu.Unlock()
 		if ready {
 			return nil
@@ -163,75 +161,75 @@
 	}
 }
 
-// computeSpan waits for the span's turn and has the engine compute it.
+// computeSpan queues the span and, when it is started, has the engine compute it.
 func (a *Agent) computeSpan(j *spanJob) error {
 	a.mu.Lock()
 	v := a.queue.Offer(j.item, a.capacity(), time.Now())
 	if v.Admitted {
-		a.desk.waiting++
+		a.mem.queuedJobs++
 	}
 	a.mu.Unlock()
 	if !v.Admitted {
 		return result.New(v.Code, v.Detail)
 	}
-	a.poke()
+	a.wakeDispatch()
 	select {
-	case <-j.begun:
+	case <-j.started:
 	case <-j.ctx.Done():
 		a.leaveQueue(j)
 		return context.Cause(j.ctx)
 	}
-	began := time.Now()
-	err := a.settledPrefill(j)
+	start := time.Now()
+	err := a.confirmedPrefill(j)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.running--
 	if err != nil {
 		a.queue.Remove(j.item.ID)
 	} else {
-		a.queue.Done(j.item, began.Sub(j.item.Arrived), time.Since(began), 0, j.item.ContextTokens)
+		a.queue.Done(j.item, start.Sub(j.item.Arrived), time.Since(start), 0, j.item.ContextTokens)
 	}
 	a.notify()
-	a.poke()
+	a.wakeDispatch()
 	return err
 }
 
-// leaveQueue takes a job that is over out of the queue.
+// leaveQueue removes an ended job from the queue.
 func (a *Agent) leaveQueue(j *spanJob) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.queue.Remove(j.item.ID)
 	select {
-	case <-j.begun:
+	case <-j.started:
 		a.running--
 	default:
-		a.desk.waiting--
+		a.mem.queuedJobs--
 	}
-	a.poke()
+	a.wakeDispatch()
 }
 
-// beginSpan starts the waiting job that the queue chose; the caller holds mu.
-func (a *Agent) beginSpan(it admission.Item) {
-	j, ok := a.desk.jobs[it.ID]
+// startSpan starts the waiting job that the queue selected; the caller holds mu.
+func (a *Agent) startSpan(it admission.Item) {
+	j, ok := a.mem.jobs[it.ID]
 	if !ok {
 		a.queue.Remove(it.ID)
 		return
 	}
-	a.desk.waiting--
+	a.mem.queuedJobs--
 	a.running++
-	close(j.begun)
+	close(j.started)
 }
 
-// expireSpan ends a waiting job that cannot be done in time; the caller holds mu.
+// expireSpan ends a waiting job that cannot finish in time; the caller holds mu.
 func (a *Agent) expireSpan(it admission.Item) {
-	if j, ok := a.desk.jobs[it.ID]; ok {
+	if j, ok := a.mem.jobs[it.ID]; ok {
 		j.stop(result.New(result.DeadlineTooNear, "waited too long"))
 	}
 }
 
-// settledPrefill orders the prefill and, when its answer is lost, asks the
-// engine whether it holds the span.
-func (a *Agent) settledPrefill(j *spanJob) error {
+// confirmedPrefill sends the prefill order and, if its answer is lost, queries the engine to
+// find out whether it holds the span.
+func (a *Agent) confirmedPrefill(j *spanJob) error {
 	err := a.watchedPrefill(j)
 	if err == nil {
 		return nil
@@ -243,7 +241,7 @@
 	if !errors.Is(err, engine.ErrLost) {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(j.ctx, probeTime)
+	ctx, cancel := context.WithTimeout(j.ctx, probeTimeout)
 	defer cancel()
 	st, stateErr := a.deps.Engine.State(ctx)
 	if stateErr != nil {
@@ -255,25 +253,25 @@
 	return err
 }
 
-// watchedPrefill orders the prefill and ends it when the engine does not work on it: the
-// coordinator keeps the memory of all the group's members reserved for as long.
+// watchedPrefill sends the prefill order and ends it if the engine does not work on it: the
+// coordinator keeps the memory of all members of the group reserved meanwhile.
 func (a *Agent) watchedPrefill(j *spanJob) error {
 	ctx, cancel := context.WithCancelCause(j.ctx)
 	defer cancel(nil)
 	a.workers.Go(func() {
-		a.watchWork(ctx, cancel, work{id: j.id, silent: func() bool { return true }, mustAnswer: true})
+		a.watchOrder(ctx, cancel, pendingOrder{id: j.id, noProgress: func() bool { return true }, countErrors: true})
 	})
 	err := a.deps.Engine.Prefill(ctx, engine.Span{
 		ID: j.id, Owner: j.req.Reservation, Path: j.req.Path, Body: j.req.Body,
 		Start: j.req.StartToken, Tokens: j.req.Tokens, Import: spanIDs(j.req.Before), Priority: admission.EnginePriority(j.item),
 	})
-	if err != nil && errors.Is(context.Cause(ctx), errNotWorkedOn) {
-		return errNotWorkedOn
+	if err != nil && errors.Is(context.Cause(ctx), errOrderLost) {
+		return errOrderLost
 	}
 	return err
 }
 
-// spanFailure is the code for an engine's error.
+// spanFailure returns the result code for an error of the engine.
 func (a *Agent) spanFailure(j *spanJob, err error) *result.Err {
 	switch {
 	case j.ctx.Err() != nil:
@@ -290,11 +288,11 @@
 	}
 }
 
-// stopSpans ends all span jobs for the reason given.
-func (a *Agent) stopSpans(why *result.Err) {
+// stopSpans ends all span jobs with the given reason.
+func (a *Agent) stopSpans(reason *result.Err) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, j := range a.desk.jobs {
-		j.stop(why)
+	for _, j := range a.mem.jobs {
+		j.stop(reason)
 	}
 }
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -8,24 +8,24 @@
 	"github.com/micarudder/micarudder/inner"
 )
 
-// closeTime bounds the end of streams that began while the agent stopped.
-const closeTime = time.Second
+// closeTimeout limits the wait for streams that began while the agent was stopping.
+const closeTimeout = time.Second
 
-// Stop ends the agent in order: nothing new is taken, what runs ends within
-// ctx, the records go to a peer, then the agent and its listener close. Without
-// a peer, tickets that name it say "may have run" afterwards.
+// Stop shuts the agent down: it refuses new work, waits within ctx for running work to end,
+// hands the records over to a peer, and closes the agent and its listener. Without a peer,
+// requests with a ticket that names this agent are answered "may have run" afterwards.
 func (a *Agent) Stop(ctx context.Context, srv *http.Server) error {
 	err := a.Drain(ctx)
 	_ = a.HandOver(context.WithoutCancel(ctx))
 	a.Close()
 	a.awaitReaders()
-	inner.Stop(srv, closeTime)
+	inner.Stop(srv, closeTimeout)
 	return err
 }
 
-// awaitReaders waits for streams of answers that began after the drain.
+// awaitReaders waits for answer streams that began after the drain.
 func (a *Agent) awaitReaders() {
-	over := time.NewTimer(closeTime)
+	over := time.NewTimer(closeTimeout)
 	defer over.Stop()
 	for {
 		a.mu.Lock()
@@ -42,14 +42,14 @@
 	}
 }
 
-// Drain refuses new work from now on and returns when every run has ended and
-// been read to its end and no group uses the endpoint, or when ctx ends.
+// Drain refuses new work and returns when every run has ended, its answer was read to the end
+// and no group uses the endpoint, or when ctx ends.
 func (a *Agent) Drain(ctx context.Context) error {
-	a.stopping()
+	a.beginStop()
 	a.deps.Log.Info("Draining.")
 	for {
 		a.mu.Lock()
-		busy, grouped, ch := a.records.busy()+a.readers, a.desk.busy(), a.changed
+		busy, grouped, ch := a.records.unfinishedRuns()+a.readers, a.mem.inUse(), a.changed
 		a.mu.Unlock()
 		if busy == 0 && !grouped {
 			return nil
--- a/agent/sweep.go
+++ b/agent/sweep.go
@@ -10,13 +10,12 @@
 	"github.com/micarudder/micarudder/engine"
 )
 
-// freeTime bounds the order to free one span.
-const freeTime = 2 * time.Second
+// freeTimeout limits the request to free one span.
+const freeTimeout = 2 * time.Second
 
-// sweep asks the engine what it holds and frees every span whose lease is over
-// or was never this agent's. It is the only way memory comes back, so that
-// what was lost on the way (an answer, an order, an earlier agent) makes no
-// difference.
+// sweep queries what the engine holds and frees every span whose lease has ended or that does
+// not belong to a lease of this agent. Spans are freed nowhere else, so a lost answer, a lost
+// order or a restart of the agent leaks none.
 func (a *Agent) sweep() (engine.State, error) {
 	select {
 	case a.sweeping <- struct{}{}:
@@ -25,50 +24,50 @@
 		return engine.State{}, a.ctx.Err()
 	}
 	ended := a.endedLeases()
-	ctx, cancel := context.WithTimeout(a.ctx, probeTime)
+	ctx, cancel := context.WithTimeout(a.ctx, probeTimeout)
 	defer cancel()
-	st, err := a.askState()
+	st, err := a.queryState()
 	if err != nil {
 		return st, err
 	}
-	a.cancelLeft(ctx, st.Running)
+	a.retryCancels(ctx, st.Running)
 	left := make(map[string]uint64)
 	for _, h := range st.Held {
 		if !a.freeOrphan(h) {
 			left[h.Owner] += h.Tokens
 		}
 	}
-	a.settleFreed(ended, left)
+	a.recordFreed(ended, left)
 	return st, nil
 }
 
-// cancelLeft cancels the runs at the engine whose cancelling failed before.
-func (a *Agent) cancelLeft(ctx context.Context, running []string) {
+// retryCancels cancels the runs at the engine whose earlier cancellation failed.
+func (a *Agent) retryCancels(ctx context.Context, running []string) {
 	a.mu.Lock()
-	ids := slices.Collect(maps.Keys(a.desk.uncancelled))
+	ids := slices.Collect(maps.Keys(a.mem.uncancelled))
 	a.mu.Unlock()
 	for _, id := range ids {
 		if slices.Contains(running, id) && a.deps.Engine.Cancel(ctx, id) != nil {
 			continue
 		}
 		a.mu.Lock()
-		delete(a.desk.uncancelled, id)
+		delete(a.mem.uncancelled, id)
 		a.mu.Unlock()
 	}
 }
 
-// endedLeases returns the leases that are over and have no work left.
+// endedLeases returns the ended leases that have no unfinished jobs.
 func (a *Agent) endedLeases() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	busy := make(map[string]bool)
-	for _, j := range a.desk.jobs {
-		if !j.over() {
+	for _, j := range a.mem.jobs {
+		if !j.finished() {
 			busy[j.req.Reservation] = true
 		}
 	}
 	var out []string
-	for _, l := range a.desk.book.Expire(time.Now()) {
+	for _, l := range a.mem.leases.Expire(time.Now()) {
 		if !busy[l.ID] {
 			out = append(out, l.ID)
 		}
@@ -76,63 +75,63 @@
 	return out
 }
 
-// freeOrphan frees a span unless a live lease owns it; it reports whether the
-// span need not be thought of any more.
+// freeOrphan frees a span unless a live lease owns it. It returns true if the span was freed
+// or has an owner.
 func (a *Agent) freeOrphan(h engine.Held) bool {
 	a.mu.Lock()
-	live := a.desk.book.Live(h.Owner, time.Now())
+	live := a.mem.leases.Live(h.Owner, time.Now())
 	a.mu.Unlock()
 	if live {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(a.ctx, freeTime)
+	ctx, cancel := context.WithTimeout(a.ctx, freeTimeout)
 	defer cancel()
 	err := a.deps.Engine.Free(ctx, h.ID)
 	if err != nil && !errors.Is(err, engine.ErrNotFound) {
 		a.deps.Log.Warn("Freeing a span failed.", "span", h.ID, "err", err)
 		return false
 	}
-	a.deps.Log.Info("Freed a span.", "span", h.ID, "tokens", h.Tokens)
+	a.deps.Log.Info("Freed a span without a live lease.", "span", h.ID, "tokens", h.Tokens)
 	a.meter.freed(h.Tokens)
 	return true
 }
 
-// settleFreed writes off the ended leases of which nothing is left, and counts
-// what is left of others.
-func (a *Agent) settleFreed(ended []string, left map[string]uint64) {
+// recordFreed removes the ended leases whose memory was freed, and counts the tokens that are
+// left without a lease.
+func (a *Agent) recordFreed(ended []string, left map[string]uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	before, freed := a.desk.orphans, false
+	before, freed := a.mem.orphanedTokens, false
 	for _, id := range ended {
 		if left[id] > 0 {
 			continue
 		}
 		freed = true
-		a.desk.book.RecordFreed(id)
+		a.mem.leases.RecordFreed(id)
 		a.forgetJobs(id)
 	}
-	a.desk.orphans = 0
+	a.mem.orphanedTokens = 0
 	for owner, tokens := range left {
-		if !a.desk.book.Known(owner) {
-			a.desk.orphans += tokens
+		if !a.mem.leases.Known(owner) {
+			a.mem.orphanedTokens += tokens
 		}
 	}
-	if freed || a.desk.orphans != before {
+	if freed || a.mem.orphanedTokens != before {
 		a.notify()
-		a.poke()
+		a.wakeDispatch()
 	}
 }
 
-// forgetJobs drops the finished span jobs and imports of a lease; the caller holds mu.
+// forgetJobs removes the finished span jobs and the imports of a lease; the caller holds mu.
 func (a *Agent) forgetJobs(reservation string) {
-	for id, j := range a.desk.jobs {
-		if j.req.Reservation == reservation && j.over() {
-			delete(a.desk.jobs, id)
+	for id, j := range a.mem.jobs {
+		if j.req.Reservation == reservation && j.finished() {
+			delete(a.mem.jobs, id)
 		}
 	}
-	for id, m := range a.desk.moves {
+	for id, m := range a.mem.imports {
 		if m.reservation == reservation {
-			delete(a.desk.moves, id)
+			delete(a.mem.imports, id)
 		}
 	}
 }
--- a/agent/watch.go
+++ b/agent/watch.go
@@ -10,55 +10,57 @@
 	"github.com/micarudder/micarudder/internal/sleep"
 )
 
-// The wait for an engine's answer is no sign that it works on what was ordered. Slots, memory
-// and callers wait as long, so that the agent asks.
+// A pending answer does not show that the engine is working on the order. Slots, memory and
+// callers wait for that answer, so the agent queries the engine meanwhile.
 
 const (
-	// watchPause is the time between two questions to the engine whether it works on an order.
-	watchPause = 2 * time.Second
-	// watchMisses is how many answers in a row that do not name the order mean that it was lost. A
-	// group's memory is reserved and unused meanwhile: with probeTime for each question that
-	// is eight seconds at most, and users allow nine.
-	watchMisses = 2
+	// watchInterval is the time between two queries whether the engine works on an order.
+	watchInterval = 2 * time.Second
+	// maxWatchMisses is the number of consecutive answers without the order after which it
+	// counts as lost. A group's memory is reserved and unused meanwhile: with probeTimeout for
+	// each query that takes at most eight seconds, and users accept nine.
+	maxWatchMisses = 2
 )
 
-// errNotWorkedOn ends an order that the engine neither works on nor has done.
-var errNotWorkedOn = fmt.Errorf("%w: it was ordered, and the engine does not work on it", engine.ErrLost)
+// errOrderLost ends an order that the engine has neither finished nor is working on.
+var errOrderLost = fmt.Errorf("%w: it was ordered, and the engine does not work on it", engine.ErrLost)
 
-// work is an order to the engine that has not been answered yet.
-type work struct {
-	id     string      // as the engine names it
-	silent func() bool // whether nothing has come of it since the last question
-	// mustAnswer is set when a question without an answer counts as a miss. A run is left to an engine
-	// that says nothing at all: it may go on after a while, and run then.
-	mustAnswer bool
+// pendingOrder is an order to the engine that has not been answered yet.
+type pendingOrder struct {
+	id         string      // the ID at the engine
+	noProgress func() bool // reports whether there was no result since the last query
+	// countErrors is set if a query without an answer counts as a miss. It is not set for
+	// runs: an engine that does not answer at all may recover after a while and still execute
+	// the run.
+	countErrors bool
 }
 
-// watchWork asks the engine about an order until ctx ends, and ends the order when the engine
-// does not work on it.
-func (a *Agent) watchWork(ctx context.Context, end context.CancelCauseFunc, w work) {
-	for misses := 0; sleep.For(ctx, watchPause); {
-		if !w.silent() {
+// watchOrder queries the engine about an order until ctx ends, and cancels the order if the
+// engine does not work on it.
+func (a *Agent) watchOrder(ctx context.Context, cancel context.CancelCauseFunc, o pendingOrder) {
+	for misses := 0; sleep.For(ctx, watchInterval); {
+		if !o.noProgress() {
 			misses = 0
 			continue
 		}
-		st, err := a.askState()
-		if err != nil && !w.mustAnswer {
+		st, err := a.queryState()
+		if err != nil && !o.countErrors {
 			continue
 		}
-		if err == nil && names(st, w.id) {
+		if err == nil && knowsOrder(st, o.id) {
 			misses = 0
 			continue
 		}
-		if misses++; misses == watchMisses && ctx.Err() == nil {
-			a.deps.Log.Warn("Engine does not work on an order; it is given up.", "order", w.id, "running", len(st.Running), "err", err)
-			end(errNotWorkedOn)
+		if misses++; misses == maxWatchMisses && ctx.Err() == nil {
+			a.deps.Log.Warn("Engine does not work on an order; order canceled.", "order", o.id, "running", len(st.Running), "err", err)
+			cancel(errOrderLost)
 			return
 		}
 	}
 }
 
-// names reports whether the engine works on an order, or holds the span that came of it.
-func names(st engine.State, id string) bool {
+// knowsOrder reports whether the engine works on an order, or holds the span that the order
+// produced.
+func knowsOrder(st engine.State, id string) bool {
 	return slices.Contains(st.Running, id) || slices.ContainsFunc(st.Held, func(h engine.Held) bool { return h.ID == id })
 }
--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package eventlog writes structured log lines without ever holding up its
-// caller: lines go through a bounded queue to one writer, and what does not fit
-// the queue or the rate is counted and reported instead of written.
+// Package eventlog writes structured log lines without blocking its caller. Lines pass through
+// a bounded queue to one writer; lines that exceed the queue or the rate limit are dropped,
+// counted and reported.
 package eventlog
 
 import (
@@ -15,29 +15,29 @@
 )
 
 const (
-	// queueLines is the number of lines that wait for the writer.
+	// queueLines is the capacity of the queue.
 	queueLines = 1024
-	// reportEvery is how often left-out lines are reported.
-	reportEvery = 5 * time.Second
+	// reportInterval is the interval at which dropped lines are reported.
+	reportInterval = 5 * time.Second
 )
 
 // Options configures a Log.
 type Options struct {
 	Prefix         string
-	LinesPerSecond float64 // sustained rate of request lines; 0 leaves them all out
+	LinesPerSecond float64 // sustained rate of request lines; 0 drops all of them
 	Level          log.Level
 	Format         log.Formatter
 }
 
 // Log is a bounded structured log. Its methods may be called concurrently.
 type Log struct {
-	logger  *log.Logger
-	limiter *rate.Limiter
-	queue   chan []byte
-	left    atomic.Uint64 // lines left out since the last report
-	total   atomic.Uint64 // lines left out in all
-	done    chan struct{}
-	once    sync.Once
+	logger     *log.Logger
+	limiter    *rate.Limiter
+	queue      chan []byte
+	unreported atomic.Uint64 // lines dropped since the last report
+	dropped    atomic.Uint64 // lines dropped in total
+	done       chan struct{}
+	once       sync.Once
 }
 
 // New returns a Log that writes to w until Close.
@@ -55,23 +55,23 @@
 	return l
 }
 
-// Logger returns the underlying logger, for lines about the process itself.
-// They are bounded by the queue, not by the rate.
+// Logger returns the underlying logger, for lines about the process itself. They are limited
+// by the queue, not by the rate.
 func (l *Log) Logger() *log.Logger { return l.logger }
 
-// Request logs one decision about a request; it counts against the rate.
+// Request logs one decision about a request; it counts against the rate limit.
 func (l *Log) Request(msg string, keyvals ...any) {
 	if !l.limiter.Allow() {
-		l.leaveOut()
+		l.countDropped()
 		return
 	}
 	l.logger.Info(msg, keyvals...)
 }
 
-// LeftOut returns how many lines were not written since the start.
-func (l *Log) LeftOut() uint64 { return l.total.Load() }
+// LeftOut returns the number of lines dropped since the start.
+func (l *Log) LeftOut() uint64 { return l.dropped.Load() }
 
-// Close writes what is queued and ends the writer; it waits for at most d.
+// Close writes the queued lines and stops the writer; it waits for at most d.
 func (l *Log) Close(d time.Duration) {
 	l.once.Do(func() { l.queue <- nil })
 	select {
@@ -80,17 +80,17 @@
 	}
 }
 
-func (l *Log) leaveOut() {
-	l.left.Add(1)
-	l.total.Add(1)
+func (l *Log) countDropped() {
+	l.unreported.Add(1)
+	l.dropped.Add(1)
 }
 
-// write moves lines from the queue to w. An error of w ends nothing: there is
-// nowhere to report it, and the process must go on.
+// write writes lines from the queue to w. Errors of w are ignored: there is nowhere to report
+// them, and the process must continue.
 func (l *Log) write(w io.Writer) {
 	defer close(l.done)
 	buffered := bufio.NewWriter(w)
-	report := time.NewTicker(reportEvery)
+	report := time.NewTicker(reportInterval)
 	defer report.Stop()
 	for {
 		select {
@@ -104,14 +104,14 @@
 				_ = buffered.Flush()
 			}
 		case <-report.C:
-			if n := l.left.Swap(0); n > 0 {
+			if n := l.unreported.Swap(0); n > 0 {
 				l.logger.Warn("Lines were left out of this log.", "lines", n)
 			}
 		}
 	}
 }
 
-// queueWriter hands formatted lines to the writer without blocking.
+// queueWriter passes formatted lines to the writer without blocking.
 type queueWriter struct{ log *Log }
 
 func (q queueWriter) Write(p []byte) (int, error) {
@@ -120,7 +120,7 @@
 	select {
 	case q.log.queue <- line:
 	default:
-		q.log.leaveOut()
+		q.log.countDropped()
 	}
 	return len(p), nil
 }
--- a/eventlog/eventlog_test.go
+++ b/eventlog/eventlog_test.go
@@ -46,7 +46,8 @@
 	is.True(strings.Contains(out.String(), `msg=Lost. dependency=store`))
 }
 
-// TestRateIsBounded: what is over the rate is left out, and the number is told.
+// TestRateIsBounded checks that lines above the rate limit are dropped and that their number
+// is reported.
 func TestRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -56,7 +57,7 @@
 			l.Request("Chosen.")
 		}
 		is.Equal(l.LeftOut(), uint64(15))
-		time.Sleep(reportEvery + time.Millisecond)
+		time.Sleep(reportInterval + time.Millisecond)
 		synctest.Wait()
 		is.True(strings.Contains(out.String(), "lines=15"))
 		l.Close(time.Minute)
@@ -64,22 +65,22 @@
 	})
 }
 
-// TestStuckReaderCostsLines: a reader that does not read holds nobody up.
-func TestStuckReaderCostsLines(t *testing.T) {
+// TestBlockedWriterDropsLines checks that Request does not block when the log's output blocks.
+func TestBlockedWriterDropsLines(t *testing.T) {
 	is := is.New(t)
 	r, w := io.Pipe() // nobody reads: each write blocks
 	l := New(w, options(1e9))
 	for range 2 * queueLines {
 		l.Request("Chosen.")
 	}
-	// The queue is full, and the writer holds a buffer of some dozen lines.
+	// The queue is full, and the writer holds a buffer of a few dozen lines.
 	is.True(l.LeftOut() >= queueLines/2)
 	is.True(l.LeftOut() <= queueLines)
 	_ = r.Close()
 	l.Close(time.Minute)
 }
 
-// BenchmarkRequest measures a line as long as the one at a request's end.
+// BenchmarkRequest measures a line as long as the one at the end of a request.
 func BenchmarkRequest(b *testing.B) {
 	l := New(io.Discard, options(1e9))
 	for b.Loop() {
--- a/eventlog/read.go
+++ b/eventlog/read.go
@@ -10,7 +10,7 @@
 	"github.com/gravitational/trace"
 )
 
-// maxLine bounds a line that is read.
+// maxLine is the maximum length of a line that is read.
 const maxLine = 1 << 20
 
 // Line is one line of a process's log.
@@ -21,8 +21,8 @@
 	Fields map[string]string `json:"-"`
 }
 
-// Read returns the lines of a log that carry a time; what else stands in it is
-// passed over. An error is one of reading.
+// Read returns the lines of a log that have a timestamp and skips all others. It returns an
+// error if reading fails.
 func Read(source string, r io.Reader) ([]Line, error) {
 	var out []Line
 	in := bufio.NewScanner(r)
--- a/hostclock/hostclock.go
+++ b/hostclock/hostclock.go
@@ -1,6 +1,6 @@
-// Package hostclock tells how long the host was suspended. The monotonic clock, by which
-// time.Now reckons ages and timers run, stands still meanwhile; the boot-time clock goes on,
-// and unlike the time of day it is never set.
+// Package hostclock measures how long the host was suspended. The monotonic clock, which
+// time.Now and timers use, stops while the host is suspended. The boot-time clock continues
+// and, unlike the wall clock, is never set.
 package hostclock
 
 import (
@@ -10,14 +10,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock compares the two clocks since it was made.
+// Clock compares the two clocks since its creation.
 type Clock struct {
-	start time.Time     // of the monotonic clock
-	boot  time.Duration // of the boot-time clock, at start
+	start time.Time     // on the monotonic clock
+	boot  time.Duration // on the boot-time clock, at start
 	read  func() (time.Duration, error)
 }
 
-// New returns a clock, or an error where the host has no boot-time clock.
+// New returns a clock, or an error if the host has no boot-time clock.
 func New() (*Clock, error) { return newClock(readBootTime) }
 
 func newClock(read func() (time.Duration, error)) (*Clock, error) {
@@ -29,10 +29,10 @@
 	return &Clock{start: start, boot: boot, read: read}, nil
 }
 
-// Suspended returns how long the host was suspended since the clock was made. The boot-time
-// clock is read first, so that a process that is held up between the two readings sees a
-// suspension later, never one that was not. Where the reading fails it returns 0, which callers
-// that keep the highest value pass over.
+// Suspended returns how long the host was suspended since the clock was created. It reads the
+// boot-time clock first, so that a process that is delayed between the two reads detects a
+// suspension late, but never one that did not happen. If the read fails it returns 0, which
+// callers that keep the highest value ignore.
 func (c *Clock) Suspended() time.Duration {
 	boot, err := c.read()
 	if err != nil {
--- a/hostclock/hostclock_test.go
+++ b/hostclock/hostclock_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestSuspended: only what the boot-time clock counts beyond the monotonic one is a
-// suspension.
+// TestSuspended checks that only the time by which the boot-time clock advances more than the
+// monotonic one counts as a suspension.
 func TestSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -31,8 +31,8 @@
 	})
 }
 
-// TestHost: this host, which was not suspended, has the clock.
-func TestHost(t *testing.T) {
+// TestHostWithoutSuspension checks that this host, which was not suspended, has the clock.
+func TestHostWithoutSuspension(t *testing.T) {
 	is := is.New(t)
 	c, err := New()
 	is.NoErr(err)
--- a/result/result.go
+++ b/result/result.go
@@ -1,21 +1,20 @@
-// Package result defines the numbered result codes that callers, operators and
-// the inner protocol share. Every code says whether the request ran and
-// whether asking again can help. docs/RESULT-CODES.md is checked against this
-// table.
+// Package result defines the numbered result codes that callers, operators and the inner
+// protocol share. Every code states whether the request ran and whether a retry can help. A
+// test compares docs/RESULT-CODES.md with this table.
 package result
 
 import "net/http"
 
-// Code is a numbered result code. The thousands digit groups the codes:
-// 1 success, 2 refused for the caller's own reason, 3 refused for want of
-// capacity or time, 4 outcome unknown, 5 ran and failed, 6 configuration.
+// Code is a numbered result code. The thousands digit is the group: 1 success, 2 refused
+// because of the caller, 3 refused for lack of capacity or time, 4 outcome unknown, 5 ran and
+// failed, 6 configuration.
 type Code uint32
 
-// Outcome says what is known about whether a request was executed. Its values
-// equal those of rudder.v1.Outcome.
+// Outcome states what is known about whether a request was executed. Its values equal those of
+// rudder.v1.Outcome.
 type Outcome int32
 
-// The outcomes a code can stand for.
+// The outcomes of a code.
 const (
 	OutcomeUnspecified Outcome = 0
 	NotRun             Outcome = 1
@@ -23,7 +22,7 @@
 	MayHaveRun         Outcome = 3
 )
 
-// String returns the outcome as callers see it in a problem document.
+// String returns the outcome as written in a problem document.
 func (o Outcome) String() string {
 	switch o {
 	case NotRun:
@@ -37,19 +36,19 @@
 	}
 }
 
-// Advice says whether and how a caller may ask again.
+// Advice states whether and how a caller may retry.
 type Advice int
 
 // The kinds of advice.
 const (
-	AdviceNone     Advice = iota // asking again is pointless or needless
+	AdviceNone     Advice = iota // a retry is pointless or not needed
 	AdviceFix                    // correct the request first
-	AdviceLater                  // ask again after Retry-After
-	AdviceTicket                 // ask with the same ticket or key, or void it
+	AdviceLater                  // retry after Retry-After
+	AdviceTicket                 // retry with the same ticket or key, or void it
 	AdviceOperator               // an operator has to act
 )
 
-// String returns the advice as it stands in docs/RESULT-CODES.md.
+// String returns the advice as written in docs/RESULT-CODES.md.
 func (a Advice) String() string {
 	switch a {
 	case AdviceFix:
@@ -134,8 +133,8 @@
 type Info struct {
 	Code    Code
 	Name    string
-	Status  int     // HTTP status towards callers; 0 when never sent to one
-	Outcome Outcome // what the code claims; a response may say more or less by its evidence
+	Status  int     // HTTP status returned to callers; 0 if the code is never sent to one
+	Outcome Outcome // default outcome; the evidence in a response may support more or less
 	Advice  Advice
 	Text    string // one sentence for people
 }
@@ -212,11 +211,11 @@
 	return m
 }()
 
-// All returns every code's description, ordered by number.
+// All returns the descriptions of all codes, ordered by number.
 func All() []Info { return append([]Info(nil), infos...) }
 
-// Lookup returns the description of c; unknown codes, which a newer peer may
-// send, come back as a may-have-run failure.
+// Lookup returns the description of c. An unknown code, which a newer peer may send, is
+// described as a failure that may have run.
 func Lookup(c Code) Info {
 	if i, ok := byCode[c]; ok {
 		return i
@@ -224,19 +223,19 @@
 	return Info{Code: c, Name: "unknown-code", Status: http.StatusBadGateway, Outcome: MayHaveRun, Text: "A result code of a newer release."}
 }
 
-// String returns the code's name.
+// String returns the name of the code.
 func (c Code) String() string { return Lookup(c).Name }
 
-// Err is an error that carries a result code. It is the error type of every
-// decision and edge in this repository.
+// Err is an error with a result code. All decisions and API boundaries in this repository use
+// it.
 type Err struct {
 	Code       Code
-	Outcome    Outcome // overrides the code's own outcome unless unspecified
+	Outcome    Outcome // overrides the default outcome of the code unless unspecified
 	Detail     string
-	RetryAfter int64 // milliseconds; 0 when unknown
+	RetryAfter int64 // milliseconds; 0 if unknown
 }
 
-// New returns an Err with the code's default outcome.
+// New returns an Err with the default outcome of the code.
 func New(c Code, detail string) *Err { return &Err{Code: c, Detail: detail} }
 
 // Error implements error.
@@ -247,7 +246,7 @@
 	return e.Code.String() + ": " + e.Detail
 }
 
-// Known returns what the error says about execution.
+// Known returns what the error states about execution.
 func (e *Err) Known() Outcome {
 	if e.Outcome != OutcomeUnspecified {
 		return e.Outcome
--- a/result/result_test.go
+++ b/result/result_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// docPath is the page that the table stands on.
+// docPath is the page that contains the table.
 const docPath = "../docs/RESULT-CODES.md"
 
 var update = flag.Bool("update", false, "write "+docPath)
@@ -32,7 +32,7 @@
 
 `
 
-// page renders the table.
+// page renders the page.
 func page() string {
 	var b strings.Builder
 	b.WriteString(intro)
@@ -47,7 +47,7 @@
 	return b.String()
 }
 
-// TestPage: the page says what the code does.
+// TestPage checks that the page matches the code.
 func TestPage(t *testing.T) {
 	is := is.New(t)
 	if *update {
@@ -58,8 +58,9 @@
 	is.Equal(string(got), page())
 }
 
-// TestTable: numbers and names are unique and in order, every code says whether
-// the request ran, and a code that says "later" can be sent with a time.
+// TestTable checks that numbers and names are unique and in order, that every code states
+// whether the request ran, and that a code with the advice to retry later has a status that
+// allows Retry-After.
 func TestTable(t *testing.T) {
 	is := is.New(t)
 	names := map[string]bool{}
--- a/settings/reference.go
+++ b/settings/reference.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Reference writes the table of all sections and keys of a target struct in
-// Markdown, as it stands in docs/OPERATIONS.md.
+// Reference returns a Markdown table of all sections and keys of a target struct, in the form
+// used in docs/OPERATIONS.md.
 func Reference(target any) string {
 	var b strings.Builder
 	t := reflect.TypeOf(target)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,16 +1,14 @@
-// Package settings reads the INI settings of a process into a typed struct and
-// refuses everything it does not understand. Each mistake names the file, the
-// section, the key and what is allowed; all mistakes are reported together.
+// Package settings reads the INI settings of a process into a typed struct and rejects
+// everything that it does not know. Each mistake names the file, the section, the key and the
+// allowed values; all mistakes are reported together.
 //
-// The target is a struct whose fields are structs tagged `section:"name"`;
-// a field that is a map from string to struct, tagged `section:"name *"`, takes
-// every section whose name is the given one, a space and the map's key. The
-// structs' fields are tagged `key:"name"` with the optional tags `default`,
-// `required:"true"`, `allowed:"a|b"`, `min`, `max` and `help`. Supported field
-// types are string, bool, int, float64, time.Duration, Size, Address,
-// slices of string and Address (comma-separated), and every type that
-// implements encoding.TextUnmarshaler; its error completes the sentence that
-// begins with the quoted value.
+// The target is a struct whose fields are structs tagged `section:"name"`. A field that is a
+// map from string to struct, tagged `section:"name *"`, receives every section whose name
+// consists of the given name, a space and the map key. The fields of the structs are tagged
+// `key:"name"` with the optional tags `default`, `required:"true"`, `allowed:"a|b"`, `min`,
+// `max` and `help`. Supported field types are string, bool, int, float64, time.Duration, Size,
+// Address, slices of string and Address (comma-separated), and every type that implements
+// encoding.TextUnmarshaler. The error of its UnmarshalText is appended to the quoted value.
 package settings
 
 import (
@@ -22,13 +20,13 @@
 	"gopkg.in/ini.v1"
 )
 
-// Mistake is one thing wrong with a settings file.
+// Mistake is one error in a settings file.
 type Mistake struct {
 	File    string
 	Section string
 	Key     string
 	Problem string
-	Allowed string // what would be accepted; may be empty
+	Allowed string // the accepted values; may be empty
 }
 
 // Error implements error.
@@ -44,14 +42,13 @@
 	return s
 }
 
-// Checker is implemented by a target that has rules across keys. It is called
-// after every key was read; it returns one *Mistake for each rule broken.
+// Checker is implemented by a target that has rules across keys. Check is called after all
+// keys were read and returns one *Mistake for each violated rule.
 type Checker interface {
 	Check() []*Mistake
 }
 
-// Load reads the file into target, a pointer to a struct. The error joins all
-// mistakes found.
+// Load reads the file into target, a pointer to a struct. The error joins all mistakes.
 func Load(file string, target any) error {
 	f, err := ini.LoadSources(ini.LoadOptions{KeyValueDelimiters: "=", IgnoreInlineComment: true, AllowShadows: true}, file)
 	if err != nil {
@@ -68,7 +65,7 @@
 	return errors.Join(r.mistakes...)
 }
 
-// Defaults fills target, a pointer to a struct, with the defaults of its tags.
+// Defaults sets target, a pointer to a struct, to the default values of its tags.
 func Defaults(target any) error {
 	r := &reader{name: "defaults", file: ini.Empty()}
 	r.read(reflect.ValueOf(target).Elem())
@@ -91,7 +88,7 @@
 	for i := range t.NumField() {
 		name := t.Field(i).Tag.Get("section")
 		if prefix, ok := strings.CutSuffix(name, "*"); ok {
-			r.family(prefix, target.Field(i), known)
+			r.sectionMap(prefix, target.Field(i), known)
 			continue
 		}
 		known[name] = true
@@ -107,8 +104,8 @@
 	}
 }
 
-// family reads every section whose name begins with prefix into a map.
-func (r *reader) family(prefix string, target reflect.Value, known map[string]bool) {
+// sectionMap reads every section whose name begins with prefix into a map.
+func (r *reader) sectionMap(prefix string, target reflect.Value, known map[string]bool) {
 	target.Set(reflect.MakeMap(target.Type()))
 	for _, name := range r.file.SectionStrings() {
 		key, ok := strings.CutPrefix(name, prefix)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -49,7 +49,7 @@
 	is.Equal(s.Main.Peers, []Address{"127.0.0.1:2", "[::1]:3"})
 }
 
-func TestLoadFamily(t *testing.T) {
+func TestLoadSectionMap(t *testing.T) {
 	is := is.New(t)
 	s, err := load(t, "[main]\nname = x\n[part a]\nsize = 1\n[part b c]\nsize = 2\n")
 	is.NoErr(err)
--- a/settings/value.go
+++ b/settings/value.go
@@ -14,7 +14,7 @@
 // Size is a number of bytes, written with a unit: B, KiB, MiB or GiB.
 type Size int64
 
-// Address is an IP number and a port, written as 10.0.0.1:7100.
+// Address is an IP address and port, written as 10.0.0.1:7100.
 type Address string
 
 var sizeUnits = []struct {
@@ -22,7 +22,7 @@
 	factor int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
 
-// ParseSize reads a size with its unit.
+// ParseSize parses a size with its unit.
 func ParseSize(s string) (Size, error) {
 	for _, u := range sizeUnits {
 		num, ok := strings.CutSuffix(s, u.suffix)
@@ -35,10 +35,10 @@
 		}
 		return Size(n * u.factor), nil
 	}
-	return 0, errors.New("has no unit of size")
+	return 0, errors.New("has no size unit")
 }
 
-// ParseAddress reads an IP number with a port.
+// ParseAddress parses an IP address with a port.
 func ParseAddress(s string) (Address, error) {
 	if _, err := netip.ParseAddrPort(s); err != nil {
 		return "", errors.New("is not an IP number with a port")
@@ -55,15 +55,15 @@
 	case *int:
 		v, err := strconv.Atoi(text)
 		*p = v
-		return errors.Join(simplify(err, "is not a whole number"), checkRange(field, float64(v)))
+		return errors.Join(replaceError(err, "is not a whole number"), checkRange(field, float64(v)))
 	case *float64:
 		v, err := strconv.ParseFloat(text, 64)
 		*p = v
-		return errors.Join(simplify(err, "is not a number"), checkRange(field, v))
+		return errors.Join(replaceError(err, "is not a number"), checkRange(field, v))
 	case *time.Duration:
 		v, err := time.ParseDuration(text)
 		*p = v
-		return errors.Join(simplify(err, "is not a duration with a unit"), checkDuration(field, v))
+		return errors.Join(replaceError(err, "is not a duration with a unit"), checkDuration(field, v))
 	case *Size:
 		v, err := ParseSize(text)
 		*p = v
@@ -117,7 +117,7 @@
 	return out
 }
 
-func simplify(err error, text string) error {
+func replaceError(err error, text string) error {
 	if err == nil {
 		return nil
 	}
@@ -161,7 +161,7 @@
 	if a := field.Tag.Get("allowed"); a != "" {
 		return strings.ReplaceAll(a, "|", ", ")
 	}
-	text := kinds[field.Type]
+	text := typeTexts[field.Type]
 	lo, hi := field.Tag.Get("min"), field.Tag.Get("max")
 	switch {
 	case lo != "" && hi != "":
@@ -174,7 +174,7 @@
 	return text
 }
 
-var kinds = map[reflect.Type]string{
+var typeTexts = map[reflect.Type]string{
 	reflect.TypeFor[string]():        "text",
 	reflect.TypeFor[bool]():          "true, false",
 	reflect.TypeFor[int]():           "a whole number",
