--- a/agent/admit.go
+++ b/agent/admit.go
@@ -197,8 +197,8 @@
 	return claims, nil
 }
 
-// scheduleForget removes the record once its ticket has expired; from then on the ticket
-// itself is refused.
+// scheduleForget removes the record once its ticket has expired and the run has ended;
+// from then on the ticket itself is refused.
 func (a *Agent) scheduleForget(r *run, claims *rudderv1.TicketClaims) {
 	time.AfterFunc(max(time.Until(r.expires), expirySlack), func() {
 		a.mu.Lock()
@@ -228,7 +228,7 @@
 // capacity returns the capacity of the endpoint for new work; the caller holds mu.
 func (a *Agent) capacity() admission.Capacity {
 	free, total := uint64(0), a.cfg.MemoryTokens
-	if held := a.used + a.mem.unavailableTokens(); held < total {
+	if held := a.usedTokens + a.mem.unavailableTokens(); held < total {
 		free = total - held
 	}
 	if total > 0 {
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -70,7 +70,7 @@
 	queue               admission.Queue
 	waiting             map[string]*run // admitted and not started, by run key
 	running             int
-	used                uint64         // tokens of the running runs
+	usedTokens          uint64         // tokens of the running runs
 	mem                 *memoryState   // reservations of the endpoint's memory
 	sweeping            chan struct{}  // semaphore of one sweep
 	models              []engine.Model // as last reported by the endpoint
--- a/agent/call.go
+++ b/agent/call.go
@@ -17,7 +17,7 @@
 
 // runCall executes a call at the plain service.
 func (a *Agent) runCall(r *run) {
-	begun := time.Now()
+	started := time.Now()
 	c := r.req.Call
 	reply, err := a.deps.Service.Do(r.ctx, service.Call{
 		ID: r.req.RequestId, Method: c.Method, Path: c.Path, Header: toHeader(c.Headers), Body: r.req.Body,
@@ -33,11 +33,11 @@
 	}
 	r.apply(lifecycle.Event{Kind: lifecycle.EvAnswer}, "")
 	r.setHead(&rudderv1.ServiceHead{Status: uint32(reply.Status), Headers: fromHeader(reply.Header)})
-	a.readBody(r, reply.Body, begun)
+	a.readBody(r, reply.Body, started)
 }
 
 // readBody copies the body of the service's answer into the buffer.
-func (a *Agent) readBody(r *run, body io.Reader, begun time.Time) {
+func (a *Agent) readBody(r *run, body io.Reader, started time.Time) {
 	first := time.Now()
 	buf := make([]byte, readChunkBytes)
 	for {
@@ -46,7 +46,7 @@
 			return
 		}
 		if errors.Is(err, io.EOF) {
-			a.finishCall(r, begun, first)
+			a.finishCall(r, started, first)
 			return
 		}
 		if err != nil {
@@ -56,13 +56,13 @@
 	}
 }
 
-func (a *Agent) finishCall(r *run, begun, first time.Time) {
+func (a *Agent) finishCall(r *run, started, first time.Time) {
 	now := time.Now()
 	a.mu.Lock()
-	a.queue.Done(r.item, begun.Sub(r.admitted), first.Sub(begun), now.Sub(first), 0)
+	a.queue.Done(r.item, started.Sub(r.admitted), first.Sub(started), now.Sub(first), 0)
 	load := a.load()
 	a.mu.Unlock()
-	r.finishOK("", nil, &rudderv1.RunTimes{QueuedUs: begun.Sub(r.admitted).Microseconds()}, load)
+	r.finishOK("", nil, &rudderv1.RunTimes{QueuedUs: started.Sub(r.admitted).Microseconds()}, load)
 }
 
 func toHeader(hs []*rudderv1.Header) http.Header {
--- a/agent/configuration.go
+++ b/agent/configuration.go
@@ -58,10 +58,10 @@
 func (s *subscribers) rank(gateway, endpoint string) uint32 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	mine := rankKey(gateway, endpoint)
+	own := rankKey(gateway, endpoint)
 	before := uint32(0)
 	for other := range s.count {
-		if k := rankKey(other, endpoint); k < mine || k == mine && other < gateway {
+		if k := rankKey(other, endpoint); k < own || k == own && other < gateway {
 			before++
 		}
 	}
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -77,12 +77,12 @@
 	}
 	delete(a.waiting, it.ID)
 	a.running++
-	a.used += it.MemoryTokens
+	a.usedTokens += it.MemoryTokens
 	a.workers.Go(func() {
 		a.execute(r)
 		a.mu.Lock()
 		a.running--
-		a.used -= it.MemoryTokens
+		a.usedTokens -= it.MemoryTokens
 		a.queue.Remove(it.ID) // no effect after Done
 		a.mu.Unlock()
 		a.endRun(r)
@@ -115,7 +115,7 @@
 
 // runCompletion executes a completion at the engine.
 func (a *Agent) runCompletion(r *run) {
-	begun := time.Now()
+	started := time.Now()
 	c := r.req.Completion
 	ctx, cancel := context.WithCancelCause(r.ctx)
 	defer cancel(nil)
@@ -134,7 +134,7 @@
 	})
 	if err == nil {
 		defer func() { _ = stream.Close() }()
-		err = a.readStream(r, stream, &events, begun)
+		err = a.readStream(r, stream, &events, started)
 	}
 	if err != nil && errors.Is(context.Cause(ctx), errOrderLost) {
 		err = errOrderLost
@@ -146,14 +146,14 @@
 
 // readStream copies the engine's stream into the buffer and counts its events. It returns the
 // reason why the stream broke, or nil if it did not.
-func (a *Agent) readStream(r *run, stream engine.Stream, events *atomic.Int64, begun time.Time) error {
+func (a *Agent) readStream(r *run, stream engine.Stream, events *atomic.Int64, started time.Time) error {
 	var first time.Time
 	var usage engine.Usage
 	var finish string
 	for {
 		ev, err := stream.Recv()
 		if errors.Is(err, io.EOF) && finish != "" {
-			a.finishCompletion(r, finish, usage, begun, first)
+			a.finishCompletion(r, finish, usage, started, first)
 			return nil
 		}
 		if err != nil {
@@ -208,12 +208,12 @@
 	return true
 }
 
-func (a *Agent) finishCompletion(r *run, finish string, u engine.Usage, begun, first time.Time) {
+func (a *Agent) finishCompletion(r *run, finish string, u engine.Usage, started, first time.Time) {
 	now := time.Now()
 	if first.IsZero() {
 		first = now
 	}
-	queued, prefill, decode := begun.Sub(r.admitted), first.Sub(begun), now.Sub(first)
+	queued, prefill, decode := started.Sub(r.admitted), first.Sub(started), now.Sub(first)
 	a.mu.Lock()
 	a.queue.Done(r.item, queued, prefill, decode, u.CachedTokens)
 	load := a.load()
--- a/agent/endpoint.go
+++ b/agent/endpoint.go
@@ -23,7 +23,7 @@
 // watchEndpoint probes the endpoint: it learns what the endpoint holds, and detects that it is
 // lost or back.
 func (a *Agent) watchEndpoint() {
-	wait := newProbeBackoff()
+	probeBackoff := newProbeBackoff()
 	lastAnswer := time.Now()
 	for a.ctx.Err() == nil {
 		pause := probeInterval
@@ -32,10 +32,10 @@
 			if time.Since(lastAnswer) > spanGracePeriod {
 				a.stopSpans(result.New(result.EndpointLost, err.Error()))
 			}
-			pause = wait.NextBackOff()
+			pause = probeBackoff.NextBackOff()
 		} else {
 			lastAnswer = time.Now()
-			wait.Reset()
+			probeBackoff.Reset()
 		}
 		select {
 		case <-time.After(pause):
--- a/agent/export.go
+++ b/agent/export.go
@@ -51,13 +51,13 @@
 func (a *Agent) importSpan(j *spanJob, h *rudderv1.KVHandle) error {
 	for {
 		a.mu.Lock()
-		m, begun := a.mem.imports[h.Id]
-		if !begun {
+		m, exists := a.mem.imports[h.Id]
+		if !exists {
 			m = &spanImport{reservation: j.req.Reservation, done: make(chan struct{})}
 			a.mem.imports[h.Id] = m
 		}
 		a.mu.Unlock()
-		if !begun {
+		if !exists {
 			return a.finishImport(h.Id, m, a.fetchAndImport(j, h))
 		}
 		select {
--- a/agent/handover.go
+++ b/agent/handover.go
@@ -62,13 +62,13 @@
 	defer cancel()
 	a.cancelRemaining()
 	sets := a.recordSets()
-	began := time.Now()
+	start := time.Now()
 	peer, err := a.handOverTo(ctx, a.successors(), sets)
 	if err != nil {
 		a.deps.Log.Warn("Records were not handed over.", "records", sets[0].size(), "err", err)
 		return err
 	}
-	a.deps.Log.Info("Handed over.", "to", peer.Endpoint, "records", sets[0].size(), "took", time.Since(began))
+	a.deps.Log.Info("Handed over.", "to", peer.Endpoint, "records", sets[0].size(), "took", time.Since(start))
 	a.mu.Lock()
 	a.successor = peer.Address
 	a.notify()
@@ -90,8 +90,8 @@
 		}
 	}
 	a.mu.Unlock()
-	over := time.NewTimer(cancelWait)
-	defer over.Stop()
+	timeout := time.NewTimer(cancelWait)
+	defer timeout.Stop()
 	for {
 		a.mu.Lock()
 		busy, ch := a.records.unfinishedRuns(), a.changed
@@ -101,7 +101,7 @@
 		}
 		select {
 		case <-ch:
-		case <-over.C:
+		case <-timeout.C:
 			return
 		}
 	}
@@ -246,8 +246,8 @@
 
 // awaitSuccessorNotices waits until the successor was sent to every subscribed gateway.
 func (a *Agent) awaitSuccessorNotices() {
-	over := time.NewTimer(successorNoticeTimeout)
-	defer over.Stop()
+	timeout := time.NewTimer(successorNoticeTimeout)
+	defer timeout.Stop()
 	for {
 		a.mu.Lock()
 		missing := 0
@@ -263,7 +263,7 @@
 		}
 		select {
 		case <-ch:
-		case <-over.C:
+		case <-timeout.C:
 			a.deps.Log.Warn("Some gateways were not sent the successor's address.", "gateways", missing)
 			return
 		}
--- a/agent/inherit.go
+++ b/agent/inherit.go
@@ -136,8 +136,8 @@
 	if a.inherited[from] != h {
 		return
 	}
-	if left := time.Until(h.keepUntil); left > 0 {
-		time.AfterFunc(left, func() { a.expireInherited(from, h) })
+	if remaining := time.Until(h.keepUntil); remaining > 0 {
+		time.AfterFunc(remaining, func() { a.expireInherited(from, h) })
 		return
 	}
 	a.dropInherited(from)
--- a/agent/leaving.go
+++ b/agent/leaving.go
@@ -97,7 +97,8 @@
 	a.leavingChanged()
 }
 
-// leavingChanged reports that the agent has started or stopped leaving.
+// leavingChanged reports that the agent has started or stopped leaving. If it is leaving, it
+// schedules returnQueued.
 func (a *Agent) leavingChanged() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/meter.go
+++ b/agent/meter.go
@@ -30,7 +30,7 @@
 	}
 	gauge("rudder_agent_running", func() float64 { return float64(a.running) })
 	gauge("rudder_agent_waiting", func() float64 { return float64(len(a.waiting)) })
-	gauge("rudder_agent_memory_used_tokens", func() float64 { return float64(a.used) })
+	gauge("rudder_agent_memory_used_tokens", func() float64 { return float64(a.usedTokens) })
 	gauge("rudder_agent_memory_reserved_tokens", func() float64 { return float64(a.mem.leases.Reserved()) })
 	gauge("rudder_agent_memory_orphaned_tokens", func() float64 { return float64(a.mem.orphanedTokens) })
 	gauge("rudder_agent_records", func() float64 { return float64(len(a.records.runs)) })
--- a/agent/process.go
+++ b/agent/process.go
@@ -53,20 +53,20 @@
 // Check implements settings.Checker.
 func (s *Settings) Check() []*settings.Mistake {
 	out := append(s.TLS.Check(), s.Tickets.Check()...)
-	bad := func(key, problem string) {
+	addMistake := func(key, problem string) {
 		out = append(out, &settings.Mistake{Section: "endpoint", Key: key, Problem: problem})
 	}
 	switch s.Endpoint.Kind {
 	case kindService:
 		if s.Endpoint.Service == "" {
-			bad("service", "missing for kind service")
+			addMistake("service", "missing for kind service")
 		}
 	case kindEngine:
 		if s.Endpoint.Service != "" {
-			bad("service", "given for kind engine")
+			addMistake("service", "given for kind engine")
 		}
 		if s.Endpoint.MemoryTokens == 0 {
-			bad("memory_tokens", "missing for kind engine")
+			addMistake("memory_tokens", "missing for kind engine")
 		}
 	}
 	return out
--- a/agent/records.go
+++ b/agent/records.go
@@ -34,13 +34,13 @@
 
 // fits reports whether there is room to record the order.
 func (t *records) fits(req *rudderv1.RunRequest) bool {
-	return len(t.runs) < t.max && t.bytes+requiredBytes(req) <= t.maxBytes
+	return len(t.runs) < t.max && t.bytes+orderBytes(req) <= t.maxBytes
 }
 
 // add records a new run and reserves its buffer space.
 func (t *records) add(r *run) {
 	t.runs[r.req.RequestId] = r
-	t.setReserved(r, requiredBytes(r.req))
+	t.setReserved(r, orderBytes(r.req))
 	t.unfinished++
 }
 
@@ -105,13 +105,11 @@
 // unfinishedRuns returns the number of runs that have not ended.
 func (t *records) unfinishedRuns() int { return t.unfinished }
 
-// requiredBytes returns the space that an order needs: its body, which is kept until the run
+// orderBytes returns the space that an order needs: its body, which is kept until the run
 // has ended, and its answer.
-func requiredBytes(req *rudderv1.RunRequest) int64 {
-	return int64(len(req.Body)) + requiredAnswerBytes(req)
-}
+func orderBytes(req *rudderv1.RunRequest) int64 { return int64(len(req.Body)) + answerBytes(req) }
 
-func requiredAnswerBytes(req *rudderv1.RunRequest) int64 {
+func answerBytes(req *rudderv1.RunRequest) int64 {
 	if req.Call != nil {
 		return callAnswerBytes
 	}
--- a/agent/records_test.go
+++ b/agent/records_test.go
@@ -38,9 +38,9 @@
 	is.True(!table.sealed("z"))
 }
 
-// TestRecordsFree checks that an ended run uses space for its answer only, and a run whose
-// answer was dropped uses none.
-func TestRecordsFree(t *testing.T) {
+// TestRecordsReleaseSpace checks that an ended run uses space for its answer only, and a run
+// whose answer was dropped uses none.
+func TestRecordsReleaseSpace(t *testing.T) {
 	is := is.New(t)
 	table := newRecords(2, 1000)
 	r := testRun(t, "a", 100, 50)
--- a/agent/reports.go
+++ b/agent/reports.go
@@ -108,11 +108,11 @@
 		case <-heartbeat.C:
 			return true
 		case <-pause.C:
-			rest := s.untilDue()
-			if rest <= 0 {
+			remaining := s.untilDue()
+			if remaining <= 0 {
 				return true
 			}
-			pause.Reset(min(rest, s.a.cfg.ReportInterval))
+			pause.Reset(min(remaining, s.a.cfg.ReportInterval))
 		case <-next:
 		}
 	}
@@ -120,8 +120,8 @@
 
 // untilDue returns the time until a report of the current changes is due.
 func (s *reportStream) untilDue() time.Duration {
-	rest := s.loadInterval() - time.Since(s.loadSentAt)
-	if rest <= 0 {
+	remaining := s.loadInterval() - time.Since(s.loadSentAt)
+	if remaining <= 0 {
 		return 0
 	}
 	s.a.mu.Lock()
@@ -130,7 +130,7 @@
 	if !sameBesidesLoad(s.last, now) {
 		return 0
 	}
-	return rest
+	return remaining
 }
 
 // loadInterval returns the minimum time between two reports of a changed load.
--- a/agent/rest.go
+++ b/agent/rest.go
@@ -30,11 +30,11 @@
 // backoffError returns the error, with the retry delay, for new work while the engine has
 // asked for a backoff, otherwise nil; the caller holds mu.
 func (a *Agent) backoffError(now time.Time) *result.Err {
-	left := a.backoffUntil.Sub(now)
-	if left <= 0 {
+	remaining := a.backoffUntil.Sub(now)
+	if remaining <= 0 {
 		return nil
 	}
 	err := result.New(result.EndpointRefused, "the engine asks for rest")
-	err.RetryAfter = left.Milliseconds()
+	err.RetryAfter = remaining.Milliseconds()
 	return err
 }
--- a/agent/run.go
+++ b/agent/run.go
@@ -53,7 +53,7 @@
 	r := &run{req: req, deadline: deadline, admitted: now, changed: make(chan struct{}), checksum: xxhash.New()}
 	r.ctx, r.cancel = context.WithDeadline(parent, deadline)
 	r.digest = requestDigest(req)
-	r.answerLimit = requiredAnswerBytes(req)
+	r.answerLimit = answerBytes(req)
 	if resume := req.GetCompletion().GetResumeText(); len(resume) > 0 {
 		r.buf = append(r.buf, resume...)
 		r.answerSize = int64(len(resume))
--- a/agent/server.go
+++ b/agent/server.go
@@ -52,11 +52,11 @@
 }
 
 // missingRunEnd returns the end frame for a ticket that has no run.
-func missingRunEnd(sealed, late bool) *rudderv1.End {
+func missingRunEnd(sealed, expired bool) *rudderv1.End {
 	switch {
 	case sealed:
 		return refusalEnd(result.New(result.TicketVoided, ""), true)
-	case late:
+	case expired:
 		return refusalEnd(result.New(result.TicketExpired, ""), false)
 	default:
 		return refusalEnd(result.New(result.UnknownRun, ""), false)
--- a/agent/span.go
+++ b/agent/span.go
@@ -112,16 +112,16 @@
 	if err == nil && j.req.Tokens > 0 {
 		err = a.computeSpan(j)
 	}
-	var coded *result.Err
-	if err != nil && !errors.As(err, &coded) {
-		coded = a.spanFailure(j, err)
+	var resultErr *result.Err
+	if err != nil && !errors.As(err, &resultErr) {
+		resultErr = a.spanFailure(j, err)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	j.err = coded
-	if coded != nil {
+	j.err = resultErr
+	if resultErr != nil {
 		delete(a.mem.jobs, j.id)
-		a.deps.Log.Warn("Span job failed.", "span", j.id, "err", coded)
+		a.deps.Log.Warn("Span job failed.", "span", j.id, "err", resultErr)
 	}
 	j.handle = &rudderv1.KVHandle{Id: j.id, Endpoint: a.cfg.Endpoint, StartToken: j.req.StartToken, Tokens: j.req.Tokens}
 	j.req.Body = nil
@@ -148,7 +148,7 @@
 func (a *Agent) awaitMemory(ctx context.Context) error {
 	for {
 		a.mu.Lock()
-		ready, changed := a.used+a.mem.unavailableTokens() <= a.cfg.MemoryTokens, a.changed
+		ready, changed := a.usedTokens+a.mem.unavailableTokens() <= a.cfg.MemoryTokens, a.changed
 		a.mu.Unlock()
 		if ready {
 			return nil
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -25,8 +25,8 @@
 
 // awaitReaders waits for answer streams that began after the drain.
 func (a *Agent) awaitReaders() {
-	over := time.NewTimer(closeTimeout)
-	defer over.Stop()
+	timeout := time.NewTimer(closeTimeout)
+	defer timeout.Stop()
 	for {
 		a.mu.Lock()
 		readers, ch := a.readers, a.changed
@@ -36,7 +36,7 @@
 		}
 		select {
 		case <-ch:
-		case <-over.C:
+		case <-timeout.C:
 			return
 		}
 	}
--- a/agent/sweep.go
+++ b/agent/sweep.go
@@ -31,13 +31,13 @@
 		return st, err
 	}
 	a.retryCancels(ctx, st.Running)
-	left := make(map[string]uint64)
+	remaining := make(map[string]uint64)
 	for _, h := range st.Held {
 		if !a.freeOrphan(h) {
-			left[h.Owner] += h.Tokens
+			remaining[h.Owner] += h.Tokens
 		}
 	}
-	a.recordFreed(ended, left)
+	a.recordFreed(ended, remaining)
 	return st, nil
 }
 
@@ -75,8 +75,8 @@
 	return out
 }
 
-// freeOrphan frees a span unless a live lease owns it. It returns true if the span was freed
-// or has an owner.
+// freeOrphan frees a span unless a live lease owns it. It returns true if the span was freed,
+// was already gone or has a live owner.
 func (a *Agent) freeOrphan(h engine.Held) bool {
 	a.mu.Lock()
 	live := a.mem.leases.Live(h.Owner, time.Now())
@@ -98,12 +98,12 @@
 
 // recordFreed removes the ended leases whose memory was freed, and counts the tokens that are
 // left without a lease.
-func (a *Agent) recordFreed(ended []string, left map[string]uint64) {
+func (a *Agent) recordFreed(ended []string, remaining map[string]uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before, freed := a.mem.orphanedTokens, false
 	for _, id := range ended {
-		if left[id] > 0 {
+		if remaining[id] > 0 {
 			continue
 		}
 		freed = true
@@ -111,7 +111,7 @@
 		a.forgetJobs(id)
 	}
 	a.mem.orphanedTokens = 0
-	for owner, tokens := range left {
+	for owner, tokens := range remaining {
 		if !a.mem.leases.Known(owner) {
 			a.mem.orphanedTokens += tokens
 		}
--- a/hostclock/hostclock_test.go
+++ b/hostclock/hostclock_test.go
@@ -14,9 +14,9 @@
 func TestSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		began, suspended := time.Now(), time.Duration(0)
+		start, suspended := time.Now(), time.Duration(0)
 		var failure error
-		c, err := newClock(func() (time.Duration, error) { return time.Since(began) + suspended, failure })
+		c, err := newClock(func() (time.Duration, error) { return time.Since(start) + suspended, failure })
 		is.NoErr(err)
 		time.Sleep(time.Hour)
 		is.Equal(c.Suspended(), time.Duration(0))
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -78,7 +78,7 @@
 	mistakes []error
 }
 
-func (r *reader) add(section, key, problem, allowed string) {
+func (r *reader) addMistake(section, key, problem, allowed string) {
 	r.mistakes = append(r.mistakes, &Mistake{r.name, section, key, problem, allowed})
 }
 
@@ -95,11 +95,11 @@
 		r.section(name, target.Field(i))
 	}
 	if len(r.file.Section(ini.DefaultSection).Keys()) > 0 {
-		r.add(ini.DefaultSection, r.file.Section(ini.DefaultSection).Keys()[0].Name(), "key outside any section", "")
+		r.addMistake(ini.DefaultSection, r.file.Section(ini.DefaultSection).Keys()[0].Name(), "key outside any section", "")
 	}
 	for _, s := range r.file.SectionStrings() {
 		if !known[s] {
-			r.add(s, "", "unknown section", strings.Join(sectionNames(t), ", "))
+			r.addMistake(s, "", "unknown section", strings.Join(sectionNames(t), ", "))
 		}
 	}
 }
@@ -142,7 +142,7 @@
 	}
 	for _, k := range sec.Keys() {
 		if !known[k.Name()] {
-			r.add(name, k.Name(), "unknown key", strings.Join(names, ", "))
+			r.addMistake(name, k.Name(), "unknown key", strings.Join(names, ", "))
 		}
 	}
 }
@@ -152,21 +152,21 @@
 	text := field.Tag.Get("default")
 	if sec.HasKey(key) {
 		if vs := sec.Key(key).ValueWithShadows(); len(vs) > 1 {
-			r.add(sec.Name(), key, "given more than once", "")
+			r.addMistake(sec.Name(), key, "given more than once", "")
 			return
 		}
 		text = sec.Key(key).String()
 	}
 	if text == "" {
 		if field.Tag.Get("allowed") != "" {
-			r.add(sec.Name(), key, "is empty", allowedText(field))
+			r.addMistake(sec.Name(), key, "is empty", allowedText(field))
 		}
 		if field.Tag.Get("required") == "true" {
-			r.add(sec.Name(), key, "missing", allowedText(field))
+			r.addMistake(sec.Name(), key, "missing", allowedText(field))
 		}
 		return
 	}
 	if err := setValue(target, field, text); err != nil {
-		r.add(sec.Name(), key, fmt.Sprintf("%q %v", text, err), allowedText(field))
+		r.addMistake(sec.Name(), key, fmt.Sprintf("%q %v", text, err), allowedText(field))
 	}
 }
