--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -68,8 +68,8 @@
 	l.logger.Info(msg, keyvals...)
 }
 
-// LeftOut returns the number of lines dropped since the start.
-func (l *Log) LeftOut() uint64 { return l.dropped.Load() }
+// Dropped returns the number of lines dropped since the start.
+func (l *Log) Dropped() uint64 { return l.dropped.Load() }
 
 // Close writes the queued lines and stops the writer; it waits for at most d.
 func (l *Log) Close(d time.Duration) {
--- a/eventlog/eventlog_test.go
+++ b/eventlog/eventlog_test.go
@@ -56,7 +56,7 @@
 		for range 20 {
 			l.Request("Chosen.")
 		}
-		is.Equal(l.LeftOut(), uint64(15))
+		is.Equal(l.Dropped(), uint64(15))
 		time.Sleep(reportInterval + time.Millisecond)
 		synctest.Wait()
 		is.True(strings.Contains(out.String(), "lines=15"))
@@ -74,8 +74,8 @@
 		l.Request("Chosen.")
 	}
 	// The queue is full, and the writer holds a buffer of a few dozen lines.
-	is.True(l.LeftOut() >= queueLines/2)
-	is.True(l.LeftOut() <= queueLines)
+	is.True(l.Dropped() >= queueLines/2)
+	is.True(l.Dropped() <= queueLines)
 	_ = r.Close()
 	l.Close(time.Minute)
 }
