--- a/agent/call.go
+++ b/agent/call.go
@@ -12,18 +12,18 @@
 	"github.com/micarudder/micarudder/service"
 )
 
-// maxStatus is the highest status that can be passed on.
+// maxStatus is the highest HTTP status that can be forwarded.
 const maxStatus = 999
 
-// call runs a call at the plain service.
-func (a *Agent) call(r *run) {
-	begun := time.Now()
+// runCall executes a call at the plain service.
+func (a *Agent) runCall(r *run) {
+	started := time.Now()
 	c := r.req.Call
 	reply, err := a.deps.Service.Do(r.ctx, service.Call{
 		ID: r.req.RequestId, Method: c.Method, Path: c.Path, Header: toHeader(c.Headers), Body: r.req.Body,
 	})
 	if err != nil {
-		a.fail(r, err)
+		a.recordFailure(r, err)
 		return
 	}
 	defer func() { _ = reply.Body.Close() }()
@@ -33,36 +33,36 @@
 	}
 	r.apply(lifecycle.Event{Kind: lifecycle.EvAnswer}, "")
 	r.setHead(&rudderv1.ServiceHead{Status: uint32(reply.Status), Headers: fromHeader(reply.Header)})
-	a.readBody(r, reply.Body, begun)
+	a.readBody(r, reply.Body, started)
 }
 
-// readBody copies the service's answer into the buffer.
-func (a *Agent) readBody(r *run, body io.Reader, begun time.Time) {
+// readBody copies the body of the service's answer into the buffer.
+func (a *Agent) readBody(r *run, body io.Reader, started time.Time) {
 	first := time.Now()
-	buf := make([]byte, readChunk)
+	buf := make([]byte, readChunkBytes)
 	for {
 		n, err := body.Read(buf)
-		if n > 0 && !a.take(r, buf[:n]) {
+		if n > 0 && !a.bufferAnswer(r, buf[:n]) {
 			return
 		}
 		if errors.Is(err, io.EOF) {
-			a.finishCall(r, begun, first)
+			a.finishCall(r, started, first)
 			return
 		}
 		if err != nil {
-			a.fail(r, service.ErrLost)
+			a.recordFailure(r, service.ErrLost)
 			return
 		}
 	}
 }
 
-func (a *Agent) finishCall(r *run, begun, first time.Time) {
+func (a *Agent) finishCall(r *run, started, first time.Time) {
 	now := time.Now()
 	a.mu.Lock()
-	a.queue.Done(r.item, begun.Sub(r.admitted), first.Sub(begun), now.Sub(first), 0)
+	a.queue.Done(r.item, started.Sub(r.admitted), first.Sub(started), now.Sub(first), 0)
 	load := a.load()
 	a.mu.Unlock()
-	r.finishOK("", nil, &rudderv1.RunTimes{QueuedUs: begun.Sub(r.admitted).Microseconds()}, load)
+	r.finishOK("", nil, &rudderv1.RunTimes{QueuedUs: started.Sub(r.admitted).Microseconds()}, load)
 }
 
 func toHeader(hs []*rudderv1.Header) http.Header {
--- a/agent/process.go
+++ b/agent/process.go
@@ -16,13 +16,13 @@
 	"github.com/micarudder/micarudder/settings"
 )
 
-// The kinds of endpoint an agent can stand beside.
+// The kinds of endpoint that an agent can control.
 const (
 	kindEngine  = "engine"
 	kindService = "service"
 )
 
-// Settings are the INI settings of rudder-agent.
+// Settings contains the INI settings of rudder-agent.
 type Settings struct {
 	Agent struct {
 		DataCentre     string           `key:"data_centre" required:"true" help:"data centre that this host stands in"`
@@ -53,20 +53,20 @@
 // Check implements settings.Checker.
 func (s *Settings) Check() []*settings.Mistake {
 	out := append(s.TLS.Check(), s.Tickets.Check()...)
-	bad := func(key, problem string) {
+	addMistake := func(key, problem string) {
 		out = append(out, &settings.Mistake{Section: "endpoint", Key: key, Problem: problem})
 	}
 	switch s.Endpoint.Kind {
 	case kindService:
 		if s.Endpoint.Service == "" {
-			bad("service", "missing for kind service")
+			addMistake("service", "missing for kind service")
 		}
 	case kindEngine:
 		if s.Endpoint.Service != "" {
-			bad("service", "given for kind engine")
+			addMistake("service", "given for kind engine")
 		}
 		if s.Endpoint.MemoryTokens == 0 {
-			bad("memory_tokens", "missing for kind engine")
+			addMistake("memory_tokens", "missing for kind engine")
 		}
 	}
 	return out
@@ -89,9 +89,9 @@
 	srv      *http.Server
 }
 
-// Open wires an agent from its settings and starts it. Binding the listener is
-// what makes it the only agent of its slot: the address is free again only
-// when the process that held it is gone.
+// Open creates an agent from its settings and starts it. Binding the listener ensures that
+// there is only one agent for the endpoint: the address becomes free only when the process
+// that bound it has ended.
 func Open(s *Settings, env daemon.Env) (*Process, error) {
 	l, err := net.Listen("tcp", string(s.Agent.Listen))
 	if err != nil {
