--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -11,145 +11,149 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// order sends one attempt to the agent behind l and relays its answer.
-func (s *session) order(ctx context.Context, l *link) (end *rudderv1.End) {
+// sendAttempt sends the next order to the agent of l and relays the answer to
+// the caller.
+func (s *session) sendAttempt(ctx context.Context, l *link) (end *rudderv1.End) {
 	s.attempt++
 	s.attached = false
-	s.life.Attempts++
+	s.dispatch.Attempts++
 	s.asm.Begin(s.attempt)
-	req := s.request(l)
-	class := routing.ClassOf(s.o.completion.GetPromptTokens())
-	work, believed := l.predict(req)
-	if s.life.Attempts == 1 {
-		s.alone = work
-	}
-	s.g.lanes.add(class, work)
-	settled := l.sent(class, work)
+	req := s.runRequest(l)
+	class := routing.ClassOf(s.cr.completion.GetPromptTokens())
+	work, assumedCached := l.predictPrefill(req)
+	if s.dispatch.Attempts == 1 {
+		s.unloadedPrefill = work
+	}
+	s.g.lanes.recordRouted(class, work)
+	settled := l.recordSend(class, work)
 	defer settled()
-	defer func() { l.outcome(result.Code(end.Code)) }()
+	defer func() { l.recordOutcome(result.Code(end.Code)) }()
 	if s.group == nil {
-		l.cache.RecordSent(s.o.completion.GetPrefix())
+		l.cache.RecordSent(s.cr.completion.GetPrefix())
 	}
 	stream, err := l.client.Run(ctx, connect.NewRequest(req))
 	if err != nil {
-		return s.broken(ctx, err, false)
+		return s.brokenEnd(ctx, err, false)
 	}
 	defer func() { _ = stream.Close() }()
-	heard := false
+	received := false
 	for stream.Receive() {
 		f := stream.Msg()
-		if !heard {
-			heard = true
+		if !received {
+			received = true
 			settled()
-			s.accepted(l, f)
+			s.handleAccepted(l, f)
 		}
-		if end := s.frame(l, f); end != nil {
-			s.learn(l, believed, end)
+		if end := s.handleFrame(l, f); end != nil {
+			s.recordRun(l, assumedCached, end)
 			return end
 		}
 	}
-	return s.broken(ctx, stream.Err(), heard)
+	return s.brokenEnd(ctx, stream.Err(), received)
 }
 
-// accepted takes the first frame: the order arrived.
-func (s *session) accepted(l *link, f *rudderv1.Frame) {
+// handleAccepted handles the first frame of the answer. An accepted frame means
+// that the agent received the order.
+func (s *session) handleAccepted(l *link, f *rudderv1.Frame) {
 	a := f.GetAccepted()
 	if a == nil {
 		return
 	}
-	l.takeLoad(a.Load)
+	l.recordLoad(a.Load)
 	s.attempt = f.Attempt // an attached run keeps its own attempt number
 	s.asm.Begin(f.Attempt)
 	s.attached = a.Attached
 	if len(s.delivered) == 0 {
-		s.using = l.using(s.o.completion.GetModel())
+		s.servedVariant = l.servedVariant(s.cr.completion.GetModel())
 	}
-	if !a.Attached && s.o.skip > s.asm.Offset() {
-		s.startOver()
+	if !a.Attached && s.cr.resumeOffset > s.asm.Offset() {
+		s.restartForCaller()
 	}
-	s.out.Named(s.ticket)
-	s.life.HasName = s.life.HasName || s.out.Known()
+	s.out.SetTicket(s.ticket)
+	s.dispatch.HasName = s.dispatch.HasName || s.out.TicketSent()
 }
 
-// startOver serves a caller that has bytes of a run that is gone: a new run's
-// answer cannot be joined to them.
-func (s *session) startOver() {
-	if s.gone = s.out.Restart(); s.gone != nil {
+// restartForCaller handles a caller that holds the beginning of an answer of a
+// run that no longer exists. The answer of a new run cannot be appended to
+// that, so the answer is sent from its start.
+func (s *session) restartForCaller() {
+	if s.callerErr = s.out.Restart(); s.callerErr != nil {
 		return
 	}
-	s.o.skip = 0
+	s.cr.resumeOffset = 0
 	if len(s.delivered) > 0 {
-		s.gone = s.out.Text(s.delivered, uint64(len(s.delivered)))
+		s.callerErr = s.out.Text(s.delivered, uint64(len(s.delivered)))
 	}
 }
 
-// frame handles one frame and returns the end when the attempt is over.
-func (s *session) frame(l *link, f *rudderv1.Frame) *rudderv1.End {
+// handleFrame handles one frame and returns the end if the attempt is over.
+func (s *session) handleFrame(l *link, f *rudderv1.Frame) *rudderv1.End {
 	switch b := f.Body.(type) {
 	case *rudderv1.Frame_Head:
-		s.gone = s.out.Head(b.Head)
+		s.callerErr = s.out.Head(b.Head)
 	case *rudderv1.Frame_Data:
-		return s.data(f.Attempt, f.Offset, b.Data.Text)
+		return s.handleData(f.Attempt, f.Offset, b.Data.Text)
 	case *rudderv1.Frame_End:
-		l.takeLoad(b.End.Load)
-		l.takeRefusal(b.End)
-		return s.end(f.Attempt, b.End)
+		l.recordLoad(b.End.Load)
+		l.recordRefusal(b.End)
+		return s.handleEnd(f.Attempt, b.End)
 	}
-	if s.gone != nil {
-		return endOf(result.New(result.Canceled, s.gone.Error()))
+	if s.callerErr != nil {
+		return endOf(result.New(result.Canceled, s.callerErr.Error()))
 	}
 	return nil
 }
 
-func (s *session) data(attempt uint32, offset uint64, text []byte) *rudderv1.End {
+func (s *session) handleData(attempt uint32, offset uint64, text []byte) *rudderv1.End {
 	fresh, err := s.asm.Data(attempt, offset, text)
 	if err != nil {
-		return damaged(err)
+		return damagedEnd(err)
 	}
 	if len(fresh) == 0 {
 		return nil
 	}
-	if s.firstText.IsZero() {
-		s.firstText = time.Now()
+	if s.firstTextAt.IsZero() {
+		s.firstTextAt = time.Now()
 	}
-	if s.o.resumable() {
+	if s.cr.resumable() {
 		s.delivered = append(s.delivered, fresh...)
 	}
-	s.life.Delivered = s.asm.Offset()
-	if err := s.pass(fresh); err != nil {
-		s.gone = err
+	s.dispatch.Delivered = s.asm.Offset()
+	if err := s.forward(fresh); err != nil {
+		s.callerErr = err
 		return endOf(result.New(result.ReaderTooSlow, err.Error()))
 	}
-	s.life.HasName = s.life.HasName || s.out.Known()
+	s.dispatch.HasName = s.dispatch.HasName || s.out.TicketSent()
 	return nil
 }
 
-// pass gives the caller the bytes it does not have yet.
-func (s *session) pass(fresh []byte) error {
+// forward sends the caller those of the new bytes that it does not have yet.
+func (s *session) forward(fresh []byte) error {
 	end := s.asm.Offset()
-	if end <= s.o.skip {
+	if end <= s.cr.resumeOffset {
 		return nil
 	}
-	if begin := end - uint64(len(fresh)); begin < s.o.skip {
-		fresh = fresh[s.o.skip-begin:]
+	if begin := end - uint64(len(fresh)); begin < s.cr.resumeOffset {
+		fresh = fresh[s.cr.resumeOffset-begin:]
 	}
 	return s.out.Text(fresh, end)
 }
 
-// end checks a whole answer; other ends are taken as they are. The bytes that
-// a caller has beyond the answer's end cannot be of this answer.
-func (s *session) end(attempt uint32, e *rudderv1.End) *rudderv1.End {
+// handleEnd verifies the length and checksum of a complete answer; other ends
+// are returned unchanged. If the caller holds more bytes than the answer has,
+// those bytes are not from this answer.
+func (s *session) handleEnd(attempt uint32, e *rudderv1.End) *rudderv1.End {
 	if result.Code(e.Code) != result.OK {
 		return e
 	}
 	mine, err := s.asm.End(attempt, e.Length, e.Checksum)
 	if err != nil {
-		return damaged(err)
+		return damagedEnd(err)
 	}
 	if !mine {
 		return nil
 	}
-	if s.o.skip > e.Length {
+	if s.cr.resumeOffset > e.Length {
 		return endOf(result.New(result.OffsetPast, ""))
 	}
 	return e
--- a/gateway/auth.go
+++ b/gateway/auth.go
@@ -11,16 +11,17 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// authority finds the workspace of a bearer key in the current document. Its
-// index is built once per generation.
-type authority struct {
+// authenticator looks up the workspace of a bearer key in the current document.
+// It builds its index once per generation.
+type authenticator struct {
 	mu     sync.Mutex
 	doc    *rudderv1.Document
 	byHash map[string]*rudderv1.Workspace
 }
 
-// workspace returns the caller's workspace in the document.
-func (a *authority) workspace(r *http.Request, doc *rudderv1.Document) (*rudderv1.Workspace, *result.Err) {
+// workspace returns the workspace in doc to which the request's bearer key
+// belongs.
+func (a *authenticator) workspace(r *http.Request, doc *rudderv1.Document) (*rudderv1.Workspace, *result.Err) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
 		return nil, result.New(result.BadKey, "bearer key missing")
@@ -36,7 +37,7 @@
 	return w, nil
 }
 
-func (a *authority) index(doc *rudderv1.Document) map[string]*rudderv1.Workspace {
+func (a *authenticator) index(doc *rudderv1.Document) map[string]*rudderv1.Workspace {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.doc == doc {
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -9,18 +9,20 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// holdBack is how many bytes of a service's answer are kept back until its
-// end is known, so that a short answer is whole or a problem, never cut.
-const holdBack = 256 << 10
-
-// hopHeaders are not passed on between caller and service.
-var hopHeaders = map[string]bool{
+// maxHeldBack is how many bytes of a service's answer are buffered until its
+// end is known. A shorter answer is delivered complete or replaced by a
+// problem, never truncated.
+const maxHeldBack = 256 << 10
+
+// unforwardedHeaders are the headers that are not forwarded between caller and
+// service.
+var unforwardedHeaders = map[string]bool{
 	"Authorization": true, "Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 	headerTicket: true, headerDeadline: true, headerRepeatable: true,
 }
 
-// serveService passes a call on to a plain service.
+// serveService forwards a call to a plain service.
 func (g *Gateway) serveService(x *exchange) {
 	name := x.param("name")
 	if !allowed(x.workspace.Services, name) {
@@ -32,28 +34,29 @@
 		g.refuse(x.w, x.r, err)
 		return
 	}
-	o, err := g.newOrder(x, repeatableMethod(x.r.Method))
+	cr, err := g.newCallerRequest(x, isIdempotent(x.r.Method))
 	if err != nil {
 		g.refuse(x.w, x.r, err)
 		return
 	}
-	o.body, o.skip = body, 0 // Last-Event-ID is the service's own here
-	o.call = &rudderv1.ServiceCall{Service: name, Method: x.r.Method, Path: servicePath(x), Headers: forward(x.r.Header)}
+	cr.body, cr.resumeOffset = body, 0 // Last-Event-ID belongs to the service's own protocol here
+	cr.call = &rudderv1.ServiceCall{Service: name, Method: x.r.Method, Path: servicePath(x), Headers: forwardedHeaders(x.r.Header)}
 	if err := g.limits.admit(x.workspace.Name, 0); err != nil {
 		g.refuse(x.w, x.r, err)
 		return
 	}
 	defer g.limits.done(x.workspace.Name)
-	if err := g.claim(x, o); err != nil {
+	if err := g.claim(x, cr); err != nil {
 		g.refuse(x.w, x.r, err)
 		return
 	}
-	out := newCallWriter(g, x, o)
-	out.finish(g.serve(x.r.Context(), o, out))
+	out := newServiceWriter(g, x, cr)
+	out.finish(g.serve(x.r.Context(), cr, out))
 }
 
-// repeatableMethod: idempotent methods (RFC 9110) may run again unless said otherwise.
-func repeatableMethod(m string) bool {
+// isIdempotent reports whether a method is idempotent (RFC 9110). A request
+// with such a method may run again unless its headers say otherwise.
+func isIdempotent(m string) bool {
 	switch m {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
 		return true
@@ -70,10 +73,10 @@
 	return path
 }
 
-func forward(h http.Header) []*rudderv1.Header {
+func forwardedHeaders(h http.Header) []*rudderv1.Header {
 	var out []*rudderv1.Header
 	for name, values := range h {
-		if hopHeaders[name] {
+		if unforwardedHeaders[name] {
 			continue
 		}
 		for _, v := range values {
@@ -83,89 +86,91 @@
 	return out
 }
 
-// callWriter writes one service answer to its caller.
-type callWriter struct {
-	g     *Gateway
-	x     *exchange
-	o     *order
-	rc    *http.ResponseController
-	known bool // the caller may have been told its ticket
-	head  *rudderv1.ServiceHead
-	held  []byte
-	begun bool
+// serviceWriter writes the answer of a plain service to the caller.
+type serviceWriter struct {
+	g          *Gateway
+	x          *exchange
+	cr         *callerRequest
+	rc         *http.ResponseController
+	ticketSent bool // the caller may have received its ticket
+	head       *rudderv1.ServiceHead
+	heldBack   []byte
+	headSent   bool
 }
 
-func newCallWriter(g *Gateway, x *exchange, o *order) *callWriter {
-	return &callWriter{g: g, x: x, o: o, rc: http.NewResponseController(x.raw)}
+func newServiceWriter(g *Gateway, x *exchange, cr *callerRequest) *serviceWriter {
+	return &serviceWriter{g: g, x: x, cr: cr, rc: http.NewResponseController(x.raw)}
 }
 
-// Named implements sink.
-func (c *callWriter) Named(ticket string) {
-	if c.begun {
+// SetTicket implements sink.
+func (c *serviceWriter) SetTicket(ticket string) {
+	if c.headSent {
 		return
 	}
-	setNames(c.x.w.Header(), ticket, c.o.id)
-	if !c.o.repeatable && earlyTicket(c.x) {
-		c.known = true
+	setRunHeaders(c.x.w.Header(), ticket, c.cr.id)
+	if !c.cr.repeatable && sendEarlyHints(c.x) {
+		c.ticketSent = true
 	}
 }
 
-// Known implements sink.
-func (c *callWriter) Known() bool { return c.known || c.begun }
+// TicketSent implements sink.
+func (c *serviceWriter) TicketSent() bool { return c.ticketSent || c.headSent }
 
 // Head implements sink.
-func (c *callWriter) Head(h *rudderv1.ServiceHead) error {
+func (c *serviceWriter) Head(h *rudderv1.ServiceHead) error {
 	c.head = h
 	return nil
 }
 
 // Text implements sink.
-func (c *callWriter) Text(text []byte, _ uint64) error {
-	c.held = append(c.held, text...)
-	if !c.begun && len(c.held) <= holdBack {
+func (c *serviceWriter) Text(text []byte, _ uint64) error {
+	c.heldBack = append(c.heldBack, text...)
+	if !c.headSent && len(c.heldBack) <= maxHeldBack {
 		return nil
 	}
 	return c.flush()
 }
 
-// errBegun is why a service's answer cannot begin again.
-var errBegun = errors.New("part of the answer was sent")
+// errHeadSent is returned by Restart once the head of the answer has been sent.
+var errHeadSent = errors.New("answer cannot restart: part of it was already sent")
 
-// Restart implements sink: what was not sent yet is dropped. A plain service's
-// answer has no event that could void the part that was sent.
-func (c *callWriter) Restart() error {
-	if c.begun {
-		return errBegun
+// Restart implements sink. It drops what was not sent yet. It fails once part
+// of the answer was sent, because the answer of a plain service, unlike an
+// event stream, has no means to invalidate that part.
+func (c *serviceWriter) Restart() error {
+	if c.headSent {
+		return errHeadSent
 	}
-	c.held, c.head = nil, nil
+	c.heldBack, c.head = nil, nil
 	return nil
 }
 
-// flush sends the head, once, and what was held back.
-func (c *callWriter) flush() error {
-	if !c.begun {
-		c.begun = true
+// flush sends the buffered bytes, and before the first of them the head.
+func (c *serviceWriter) flush() error {
+	if !c.headSent {
+		c.headSent = true
 		for _, kv := range c.head.GetHeaders() {
-			if !hopHeaders[http.CanonicalHeaderKey(kv.Name)] {
+			if !unforwardedHeaders[http.CanonicalHeaderKey(kv.Name)] {
 				c.x.w.Header().Add(kv.Name, kv.Value)
 			}
 		}
 		c.x.w.WriteHeader(int(c.head.GetStatus()))
 	}
 	_ = c.rc.SetWriteDeadline(time.Now().Add(c.g.cfg.WriteTime))
-	_, err := c.x.w.Write(c.held)
-	c.held = c.held[:0]
+	_, err := c.x.w.Write(c.heldBack)
+	c.heldBack = c.heldBack[:0]
 	return err
 }
 
-// finish tells the caller how its call ended. An answer that breaks off after
-// its head was sent ends the connection, so that it cannot be taken for whole.
-func (c *callWriter) finish(end *rudderv1.End) {
+// finish sends the end of the call. If the answer breaks off after its head was
+// sent, it aborts the connection, so that the caller does not take the answer
+// for complete.
+func (c *serviceWriter) finish(end *rudderv1.End) {
 	switch {
 	case result.Code(end.Code) == result.OK:
 		_ = c.flush()
-	case !c.begun:
-		writeProblem(c.x.w, problemOf(end, c.o.id, c.o.ticket))
+	case !c.headSent:
+		writeProblem(c.x.w, problemOf(end, c.cr.id, c.cr.ticket))
 	default:
 		panic(http.ErrAbortHandler)
 	}
--- a/gateway/completion.go
+++ b/gateway/completion.go
@@ -14,54 +14,55 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-const pathChat = "/v1/chat/completions"
+const chatPath = "/v1/chat/completions"
 
 // completionWriter writes one completion to its caller, as server-sent events
-// or as one JSON document.
+// or as a single JSON document.
 type completionWriter struct {
-	g      *Gateway
-	x      *exchange
-	o      *order
-	rc     *http.ResponseController
-	id     string
-	model  string
-	chat   bool
-	stream bool
-	since  int64
-	begun  bool   // the response's headers were sent
-	known  bool   // the caller may have been told its ticket
-	text   []byte // the answer, when not streaming
-	held   []byte // the begun part of a character
-	offset uint64 // answer bytes written as events
-}
-
-func newCompletionWriter(g *Gateway, x *exchange, o *order, model string, stream bool, path string) *completionWriter {
+	g           *Gateway
+	x           *exchange
+	cr          *callerRequest
+	rc          *http.ResponseController
+	id          string
+	model       string
+	chat        bool
+	stream      bool
+	created     int64
+	headersSent bool   // the response's headers were sent
+	ticketSent  bool   // the caller may have received its ticket
+	text        []byte // the answer so far, when not streaming
+	partialRune []byte // first bytes of a character that has not fully arrived
+	offset      uint64 // answer bytes written as events
+}
+
+func newCompletionWriter(g *Gateway, x *exchange, cr *callerRequest, model string, stream bool, path string) *completionWriter {
 	return &completionWriter{
-		g: g, x: x, o: o, rc: http.NewResponseController(x.raw), model: model, chat: path == pathChat, stream: stream,
-		id: "cmpl-" + o.id, since: time.Now().Unix(), offset: o.skip,
+		g: g, x: x, cr: cr, rc: http.NewResponseController(x.raw), model: model, chat: path == chatPath, stream: stream,
+		id: "cmpl-" + cr.id, created: time.Now().Unix(), offset: cr.resumeOffset,
 	}
 }
 
-// Named implements sink. A stream of unrepeatable work, or of a long prompt,
-// begins at once, so that the caller has its ticket whatever happens next.
-func (c *completionWriter) Named(ticket string) {
-	if c.begun {
+// SetTicket implements sink. For an unrepeatable request or a long prompt, a
+// stream sends its headers at once, so that the caller has its ticket whatever
+// happens next.
+func (c *completionWriter) SetTicket(ticket string) {
+	if c.headersSent {
 		return
 	}
-	setNames(c.x.w.Header(), ticket, c.o.id)
-	early := !c.o.repeatable || routing.ClassOf(c.o.completion.GetPromptTokens()) >= routing.ClassLong
+	setRunHeaders(c.x.w.Header(), ticket, c.cr.id)
+	early := !c.cr.repeatable || routing.ClassOf(c.cr.completion.GetPromptTokens()) >= routing.ClassLong
 	if c.stream && early {
 		_ = c.write("")
 	}
-	if !c.stream && earlyTicket(c.x) {
-		c.known = true
+	if !c.stream && sendEarlyHints(c.x) {
+		c.ticketSent = true
 	}
 }
 
-// Known implements sink.
-func (c *completionWriter) Known() bool { return c.known || c.begun }
+// TicketSent implements sink.
+func (c *completionWriter) TicketSent() bool { return c.ticketSent || c.headersSent }
 
-// Head implements sink; completions have none.
+// Head implements sink. A completion has no head.
 func (c *completionWriter) Head(*rudderv1.ServiceHead) error { return nil }
 
 // Text implements sink.
@@ -70,17 +71,18 @@
 		c.text = append(c.text, text...)
 		return nil
 	}
-	whole, rest := splitText(append(c.held, text...))
-	c.held = rest
-	if len(whole) == 0 {
+	complete, rest := splitText(append(c.partialRune, text...))
+	c.partialRune = rest
+	if len(complete) == 0 {
 		return nil
 	}
 	c.offset = end - uint64(len(rest))
-	return c.event(strconv.FormatUint(c.offset, 10), c.chunk(string(whole), nil))
+	return c.event(strconv.FormatUint(c.offset, 10), c.chunk(string(complete), nil))
 }
 
-// splitText cuts text before a character that has not fully arrived.
-func splitText(b []byte) (whole, rest []byte) {
+// splitText splits off a character at the end of the text that has not fully
+// arrived.
+func splitText(b []byte) (complete, rest []byte) {
 	for i := 1; i < utf8.UTFMax && i <= len(b); i++ {
 		if tail := b[len(b)-i:]; utf8.RuneStart(tail[0]) {
 			if !utf8.FullRune(tail) {
@@ -94,19 +96,19 @@
 
 // Restart implements sink.
 func (c *completionWriter) Restart() error {
-	c.text, c.held, c.offset = nil, nil, 0
-	if !c.stream || !c.begun && c.o.skip == 0 {
+	c.text, c.partialRune, c.offset = nil, nil, 0
+	if !c.stream || !c.headersSent && c.cr.resumeOffset == 0 {
 		return nil
 	}
 	return c.write("event: restart\nid: 0\ndata: {}\n\n")
 }
 
-// begin sends the headers of an event stream.
-func (c *completionWriter) begin() {
-	if c.begun {
+// sendHeaders sends the response headers of an event stream, once.
+func (c *completionWriter) sendHeaders() {
+	if c.headersSent {
 		return
 	}
-	c.begun = true
+	c.headersSent = true
 	h := c.x.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
@@ -114,7 +116,7 @@
 	c.x.w.WriteHeader(http.StatusOK)
 }
 
-// event sends one server-sent event; id may be empty.
+// event sends one server-sent event. The id may be empty.
 func (c *completionWriter) event(id string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -126,9 +128,10 @@
 	return c.write(fmt.Sprintf("data: %s\n\n", data))
 }
 
-// write sends a part of the stream within the time a caller has to take it.
+// write sends a part of the stream, with a time limit for the caller to read
+// it.
 func (c *completionWriter) write(part string) error {
-	c.begin()
+	c.sendHeaders()
 	_ = c.rc.SetWriteDeadline(time.Now().Add(c.g.cfg.WriteTime))
 	if _, err := c.x.w.Write([]byte(part)); err != nil {
 		return err
@@ -139,7 +142,7 @@
 	return nil
 }
 
-// choice is one element of "choices".
+// choice is one element of the "choices" array.
 type choice struct {
 	Index        int      `json:"index"`
 	Delta        *content `json:"delta,omitempty"`
@@ -153,7 +156,7 @@
 	Content string `json:"content"`
 }
 
-// completionObject is a chunk or a whole completion.
+// completionObject is a completion or one chunk of it.
 type completionObject struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -170,7 +173,7 @@
 }
 
 func (c *completionWriter) object(kind string, ch choice) completionObject {
-	return completionObject{ID: c.id, Object: kind, Created: c.since, Model: c.model, Choices: []choice{ch}}
+	return completionObject{ID: c.id, Object: kind, Created: c.created, Model: c.model, Choices: []choice{ch}}
 }
 
 func (c *completionWriter) chunk(text string, finish *string) completionObject {
@@ -180,7 +183,7 @@
 	return c.object("text_completion", choice{Text: &text, FinishReason: finish})
 }
 
-// finish tells the caller how its request ended.
+// finish sends the end of the request to the caller.
 func (c *completionWriter) finish(end *rudderv1.End) {
 	if result.Code(end.Code) != result.OK {
 		c.fail(end)
@@ -204,18 +207,18 @@
 }
 
 func (c *completionWriter) finishStream(end *rudderv1.End, u *usage) {
-	last := c.chunk(string(c.held), &end.FinishReason)
+	last := c.chunk(string(c.partialRune), &end.FinishReason)
 	last.Usage = u
 	if c.event(strconv.FormatUint(end.Length, 10), last) == nil {
 		_ = c.write("data: [DONE]\n\n")
 	}
 }
 
-// fail reports a problem: as the response itself, or as an event when the
-// stream has begun. The stream then ends without [DONE].
+// fail sends a problem, as the response itself or, once the stream has begun,
+// as an event. The stream then ends without [DONE].
 func (c *completionWriter) fail(end *rudderv1.End) {
-	p := problemOf(end, c.o.id, c.o.ticket)
-	if !c.begun {
+	p := problemOf(end, c.cr.id, c.cr.ticket)
+	if !c.headersSent {
 		writeProblem(c.x.w, p)
 		return
 	}
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -12,11 +12,11 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// platformSilence is how long the platform may be silent before it counts as
-// unreachable: three checks of the watch.
-const platformSilence = 3 * metastore.DefaultWatchCheck
+// maxPlatformSilence is how long after its last message the platform still
+// counts as reachable: three check intervals of the watch.
+const maxPlatformSilence = 3 * metastore.DefaultWatchCheck
 
-// source names where a document came from, in logs and metrics.
+// source is where a document came from, as shown in logs and metrics.
 type source string
 
 const (
@@ -25,15 +25,16 @@
 	fromAgent    source = "agent"
 )
 
-// platformHealth is what the gateway knows of the platform.
+// platformHealth is the gateway's view of the platform's service.
 type platformHealth struct {
-	contact    metastore.Contact // nil: the store does not tell
-	generation atomic.Uint64     // of the document last read there; 0: none
-	restored   atomic.Uint64     // how often the store was found to have gone back
+	contact    metastore.Contact // nil: the store does not report contact
+	generation atomic.Uint64     // generation of the document last read from the store; 0: none
+	restored   atomic.Uint64     // number of times that the store was restored to an older state
 }
 
-// silent returns how long nothing was heard, or -1 before the first word.
-func (p *platformHealth) silent() time.Duration {
+// silence returns the time since the last message from the platform, or -1 if
+// there was none.
+func (p *platformHealth) silence() time.Duration {
 	if p.contact == nil {
 		return -1
 	}
@@ -44,71 +45,73 @@
 	return time.Since(heard)
 }
 
-// reachable reports whether the platform was heard lately.
+// reachable reports whether a message from the platform arrived within
+// maxPlatformSilence.
 func (p *platformHealth) reachable() bool {
-	s := p.silent()
-	return s >= 0 && s < platformSilence
+	s := p.silence()
+	return s >= 0 && s < maxPlatformSilence
 }
 
-// followPlatform learns every document that the platform accepts.
+// followPlatform learns every document that is stored at the platform.
 func (g *Gateway) followPlatform() {
-	_ = metastore.Follow(g.ctx, g.deps.Store, metastore.KeyDocument, 0, g.platformChange)
+	_ = metastore.Follow(g.ctx, g.deps.Store, metastore.KeyDocument, 0, g.handlePlatformChange)
 }
 
-func (g *Gateway) platformChange(c metastore.Change) {
+func (g *Gateway) handlePlatformChange(c metastore.Change) {
 	g.members.apply(membership.ExternalContact{})
 	if c.Restored {
 		g.platform.restored.Add(1)
-		g.platform.generation.Store(0) // until the restored store is read
-		g.deps.Log.Error("The platform's store went back to an older state; the configuration in force stays.",
+		g.platform.generation.Store(0) // until the restored store has been read
+		g.deps.Log.Error("The platform's store was restored to an older state; keeping the current configuration.",
 			"generation", g.deps.Keeper.Generation(), "revision", c.Seen)
 		return
 	}
 	if c.Entry.Value == nil {
 		g.platform.generation.Store(0)
-		g.deps.Log.Error("The document was deleted from the platform; the last one stays in force.")
+		g.deps.Log.Error("The configuration document was deleted from the platform; keeping the last one.")
 		return
 	}
 	doc, err := generation.Decode(c.Entry.Value)
 	if err != nil {
-		g.deps.Log.Error("The stored document cannot be read; the last one stays in force.", "err", err)
+		g.deps.Log.Error("Failed to decode the stored configuration document; keeping the last one.", "err", err)
 		return
 	}
 	g.platform.generation.Store(doc.Generation)
 	_ = g.learn(&rudderv1.OfferRequest{Document: doc}, fromPlatform)
 }
 
-// learn takes a document or delta. It returns document.ErrBase when only the
-// whole document would help.
-func (g *Gateway) learn(o *rudderv1.OfferRequest, from source) error {
-	verdict, err := g.deps.Keeper.ApplyOffer(o)
+// learn applies a document or a delta. It returns document.ErrBase if the delta
+// cannot be applied to the current document and the complete document is
+// needed.
+func (g *Gateway) learn(offer *rudderv1.OfferRequest, from source) error {
+	verdict, err := g.deps.Keeper.ApplyOffer(offer)
 	if err != nil {
 		return err
 	}
-	offered := generation.OfferedGeneration(o)
+	offered := generation.OfferedGeneration(offer)
 	switch verdict {
 	case generation.Newer:
 		g.deps.Log.Info("Configuration in force.", "generation", offered, "from", from)
-		g.meter.learned(from)
+		g.meter.recordLearned(from)
 	case generation.Older:
 		if from == fromPlatform {
-			g.deps.Log.Error("The platform holds an older configuration than the one in force.", "generation", offered)
-			g.meter.generationBack()
+			g.deps.Log.Error("The platform has an older configuration than this gateway.", "generation", offered)
+			g.meter.recordOlderGeneration()
 		}
 	case generation.Diverged:
-		g.deps.Log.Error("Two documents of one generation.", "generation", offered, "from", from)
+		g.deps.Log.Error("Received a different document with the current generation.", "generation", offered, "from", from)
 	}
 	return nil
 }
 
-// learnOr takes a document or delta and calls whole for the whole document
-// when the delta belongs to another base.
-func (g *Gateway) learnOr(o *rudderv1.OfferRequest, from source, whole func() (*rudderv1.Document, error)) error {
-	err := g.learn(o, from)
+// learnOrFetch applies a document or a delta. If the delta is based on another
+// document, it calls fetchWhole for the complete document and applies that.
+func (g *Gateway) learnOrFetch(offer *rudderv1.OfferRequest, from source, fetchWhole func() (*rudderv1.Document, error)) error {
+	err := g.learn(offer, from)
 	if !errors.Is(err, document.ErrBase) {
 		return err
 	}
-	doc, err := whole()
+	doc, err := fetchWhole()
 	if err != nil {
 		return err
 	}
--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -8,21 +8,23 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// explainKeep is the number of requests whose decisions are kept.
-const explainKeep = 512
+// maxExplainedRequests is the number of recent requests whose decisions are
+// kept.
+const maxExplainedRequests = 512
 
-// explainEach is the number of decisions kept of one request, the latest.
-const explainEach = 8
+// maxDecisionsPerRequest is the number of most recent decisions kept for each
+// request.
+const maxDecisionsPerRequest = 8
 
-// explainer keeps the routing decisions of the latest requests.
+// explainer keeps the routing decisions of recent requests.
 type explainer struct {
 	mu    sync.Mutex
-	byID  map[string][]recorded
-	order []string // ring of request ids, oldest at next
+	byID  map[string][]recordedDecision
+	order []string // ring buffer of request IDs, the oldest at next
 	next  int
 }
 
-type recorded struct {
+type recordedDecision struct {
 	at       time.Time
 	attempt  int
 	picked   string
@@ -30,7 +32,7 @@
 }
 
 func newExplainer() *explainer {
-	return &explainer{byID: make(map[string][]recorded), order: make([]string, explainKeep)}
+	return &explainer{byID: make(map[string][]recordedDecision), order: make([]string, maxExplainedRequests)}
 }
 
 func (e *explainer) record(id string, attempt int, picked string, d routing.Decision) {
@@ -39,10 +41,10 @@
 	if _, ok := e.byID[id]; !ok {
 		delete(e.byID, e.order[e.next])
 		e.order[e.next] = id
-		e.next = (e.next + 1) % explainKeep
+		e.next = (e.next + 1) % maxExplainedRequests
 	}
-	kept := append(e.byID[id], recorded{time.Now(), attempt, picked, d})
-	e.byID[id] = kept[max(0, len(kept)-explainEach):]
+	kept := append(e.byID[id], recordedDecision{time.Now(), attempt, picked, d})
+	e.byID[id] = kept[max(0, len(kept)-maxDecisionsPerRequest):]
 }
 
 func (e *explainer) lookup(id string) (bool, []*rudderv1.Decision) {
--- a/gateway/faces.go
+++ b/gateway/faces.go
@@ -10,35 +10,35 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// mux is the callers' face as an http.Handler.
-type mux struct{ app *iris.Application }
+// callerHandler is the HTTP handler of the callers' API.
+type callerHandler struct{ app *iris.Application }
 
 // ServeHTTP implements http.Handler.
-func (m *mux) ServeHTTP(w http.ResponseWriter, r *http.Request) { m.app.ServeHTTP(w, r) }
+func (m *callerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) { m.app.ServeHTTP(w, r) }
 
-// Handler returns the callers' face.
+// Handler returns the handler of the callers' API.
 func (g *Gateway) Handler() (http.Handler, error) {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
 	app.Configure(iris.WithoutStartupLog, iris.WithoutBodyConsumptionOnUnmarshal, iris.WithoutAutoFireStatusCode)
-	app.Post("/v1/chat/completions", g.face(g.serveCompletion))
-	app.Post("/v1/completions", g.face(g.serveCompletion))
-	app.Get("/v1/models", g.face(g.serveModels))
-	app.Post("/v1/tickets", g.face(g.serveTickets))
-	app.Get("/v1/runs/{ticket:string}", g.face(g.serveAttach))
-	app.Delete("/v1/runs/{ticket:string}", g.face(g.serveVoid))
-	app.Any("/services/{name:string}/{path:path}", g.face(g.serveService))
-	app.Any("/services/{name:string}", g.face(g.serveService))
+	app.Post("/v1/chat/completions", g.callerRoute(g.serveCompletion))
+	app.Post("/v1/completions", g.callerRoute(g.serveCompletion))
+	app.Get("/v1/models", g.callerRoute(g.serveModels))
+	app.Post("/v1/tickets", g.callerRoute(g.serveTickets))
+	app.Get("/v1/runs/{ticket:string}", g.callerRoute(g.serveAttach))
+	app.Delete("/v1/runs/{ticket:string}", g.callerRoute(g.serveVoid))
+	app.Any("/services/{name:string}/{path:path}", g.callerRoute(g.serveService))
+	app.Any("/services/{name:string}", g.callerRoute(g.serveService))
 	app.Any("/{path:path}", func(ctx iris.Context) {
 		g.refuse(ctx.ResponseWriter(), ctx.Request(), result.New(result.MethodNotServed, ctx.Path()))
 	})
 	if err := app.Build(); err != nil {
 		return nil, err
 	}
-	return &mux{app}, nil
+	return &callerHandler{app}, nil
 }
 
-// exchange is one HTTP exchange of an authenticated caller.
+// exchange is one HTTP exchange with an authenticated caller.
 type exchange struct {
 	w         http.ResponseWriter
 	r         *http.Request
@@ -47,21 +47,23 @@
 	raw       http.ResponseWriter // the server's own writer, for informational responses and deadlines
 }
 
-// face wraps a handler with what every caller's request needs.
-func (g *Gateway) face(h func(*exchange)) iris.Handler {
+// callerRoute wraps a handler with what all requests of callers have in common:
+// it counts the request as in flight, refuses it while the gateway is draining,
+// and authenticates the caller.
+func (g *Gateway) callerRoute(h func(*exchange)) iris.Handler {
 	return func(ctx iris.Context) {
 		w := ctx.ResponseWriter()
 		if g.leaving.Load() {
-			w.Header().Set("Connection", "close") // the next request finds another gateway
+			w.Header().Set("Connection", "close") // so that the next request goes to another gateway
 		}
-		if !g.enter() {
+		if !g.beginRequest() {
 			err := result.New(result.Draining, "")
-			err.RetryAfter = comeBack.Milliseconds()
+			err.RetryAfter = defaultRetryAfter.Milliseconds()
 			g.refuse(w, ctx.Request(), err)
 			return
 		}
-		defer g.leave()
-		ws, err := g.auth.workspace(ctx.Request(), g.configured(ctx.Request().Context()))
+		defer g.endRequest()
+		ws, err := g.auth.workspace(ctx.Request(), g.awaitConfiguration(ctx.Request().Context()))
 		if err != nil {
 			g.refuse(w, ctx.Request(), err)
 			return
@@ -70,8 +72,8 @@
 	}
 }
 
-// newOrder reads what the headers say about any kind of request.
-func (g *Gateway) newOrder(x *exchange, repeatable bool) (*order, *result.Err) {
+// newCallerRequest reads the headers that all kinds of requests have in common.
+func (g *Gateway) newCallerRequest(x *exchange, repeatable bool) (*callerRequest, *result.Err) {
 	deadline, err := g.readDeadline(x.r, time.Now())
 	if err != nil {
 		return nil, err
@@ -84,18 +86,18 @@
 	if err != nil {
 		return nil, err
 	}
-	o := &order{
-		id: newID(), workspace: x.workspace, repeatable: repeatable, keyed: x.r.Header.Get(headerKey) != "",
-		deadline: deadline, skip: skip,
+	cr := &callerRequest{
+		id: newID(), workspace: x.workspace, repeatable: repeatable, hasKey: x.r.Header.Get(headerKey) != "",
+		deadline: deadline, resumeOffset: skip,
 	}
-	if err := g.present(x, o); err != nil {
+	if err := g.readPresentedTicket(x, cr); err != nil {
 		return nil, err
 	}
-	return o, nil
+	return cr, nil
 }
 
-// present reads the ticket that the caller presents, if any.
-func (g *Gateway) present(x *exchange, o *order) *result.Err {
+// readPresentedTicket reads the ticket in the request's headers, if any.
+func (g *Gateway) readPresentedTicket(x *exchange, cr *callerRequest) *result.Err {
 	text := x.r.Header.Get(headerTicket)
 	if text == "" {
 		return nil
@@ -104,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	o.ticket, o.claims, o.id, o.repeatable = text, claims, claims.RequestId, claims.Repeatable
+	cr.ticket, cr.claims, cr.id, cr.repeatable = text, claims, claims.RequestId, claims.Repeatable
 	return nil
 }
 
@@ -120,33 +122,33 @@
 		g.refuse(x.w, x.r, err)
 		return
 	}
-	o, err := g.newOrder(x, true)
+	cr, err := g.newCallerRequest(x, true)
 	if err != nil {
 		g.refuse(x.w, x.r, err)
 		return
 	}
-	o.body = body
-	if o.completion, err = g.completion(c, x.r.URL.Path, x.workspace); err != nil {
+	cr.body = body
+	if cr.completion, err = g.newCompletion(c, x.r.URL.Path, x.workspace); err != nil {
 		g.refuse(x.w, x.r, err)
 		return
 	}
-	if err := g.limits.admit(x.workspace.Name, o.completion.PromptTokens+o.completion.MaxTokens); err != nil {
+	if err := g.limits.admit(x.workspace.Name, cr.completion.PromptTokens+cr.completion.MaxTokens); err != nil {
 		g.refuse(x.w, x.r, err)
 		return
 	}
 	defer g.limits.done(x.workspace.Name)
-	if err := g.claim(x, o); err != nil {
+	if err := g.claim(x, cr); err != nil {
 		g.refuse(x.w, x.r, err)
 		return
 	}
 	if !c.Stream {
-		o.skip = 0 // an answer in one document is always whole
+		cr.resumeOffset = 0 // without streaming, the answer is always sent complete
 	}
-	out := newCompletionWriter(g, x, o, c.Model, c.Stream, x.r.URL.Path)
-	out.finish(g.serve(x.r.Context(), o, out))
+	out := newCompletionWriter(g, x, cr, c.Model, c.Stream, x.r.URL.Path)
+	out.finish(g.serve(x.r.Context(), cr, out))
 }
 
-// serveModels lists the models of the workspace.
+// serveModels lists the models that the workspace may use.
 func (g *Gateway) serveModels(x *exchange) {
 	type model struct {
 		ID      string `json:"id"`
--- a/gateway/form.go
+++ b/gateway/form.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	reserveTime = time.Second
-	// prefillTries bounds how often one span is ordered: the agent joins
-	// repeated orders, so that a lost answer costs nothing.
-	prefillTries = 3
-	prefillPause = 200 * time.Millisecond
+	reserveTimeout = time.Second
+	// maxPrefillAttempts bounds how often one span is ordered. The agent joins
+	// repeated orders for a span, so retrying after a lost answer costs
+	// nothing.
+	maxPrefillAttempts = 3
+	prefillRetryDelay  = 200 * time.Millisecond
 )
 
-// step carries out one step of the present attempt and tells the state what
-// came of it.
-func (gr *group) step(ctx context.Context, a memory.Action) {
+// execute carries out one step of the current attempt and records its result in
+// the state.
+func (gr *group) execute(ctx context.Context, a memory.Action) {
 	if ctx.Err() != nil {
-		gr.fail(a.Member, result.Code(unformed(ctx, result.New(result.DeadlineTooNear, "")).Code))
+		gr.failAttempt(a.Member, result.Code(endBeforeRun(ctx, result.New(result.DeadlineTooNear, "")).Code))
 		return
 	}
-	if m, lapsed := gr.lapsed(); lapsed {
-		gr.fail(m, result.LeaseLost)
+	if m, expired := gr.expiredMember(); expired {
+		gr.failAttempt(m, result.LeaseLost)
 		return
 	}
 	if a.Kind == memory.ActionReserve {
@@ -38,54 +39,56 @@
 	gr.prefill(ctx, a)
 }
 
-// lapsed returns a member whose lease may be over: after a freeze of this
-// process the check comes before anything is done under the lease.
-func (gr *group) lapsed() (int, bool) {
+// expiredMember returns a member whose lease may have expired. It is checked
+// before every step, so that nothing is done under an expired lease after this
+// process was frozen.
+func (gr *group) expiredMember() (int, bool) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	return gr.state.ExpiredMember(time.Now())
 }
 
-// fail ends the attempt. An endpoint that is at fault is avoided for a while.
-func (gr *group) fail(member int, code result.Code) {
+// failAttempt ends the attempt. If the endpoint is at fault, it is avoided for
+// avoidDuration.
+func (gr *group) failAttempt(member int, code result.Code) {
 	l := gr.links[member]
 	gr.s.g.deps.Log.Info("Group attempt failed.", "group", gr.id, "endpoint", l.declared.Name, "code", uint32(code))
 	switch code {
 	case result.MemoryHeld, result.Canceled, result.DeadlineTooNear, result.DeadlinePassed:
 	default:
-		gr.avoid[l.declared.Name] = time.Now()
+		gr.failedAt[l.declared.Name] = time.Now()
 	}
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	gr.state.RecordFailure(code)
 }
 
-// reserve asks one member for its part of the memory.
+// reserve reserves one member's part of the memory.
 func (gr *group) reserve(member int) {
 	l, m := gr.links[member], gr.member(member)
 	gr.mu.Lock()
 	gr.state.RecordRequested(member)
 	epoch := gr.state.Epoch()
 	gr.mu.Unlock()
-	ctx, cancel := context.WithTimeout(gr.ctx, reserveTime)
+	ctx, cancel := context.WithTimeout(gr.ctx, reserveTimeout)
 	defer cancel()
 	sent := time.Now()
 	resp, err := l.client.Reserve(ctx, connect.NewRequest(&rudderv1.ReserveRequest{
-		Group: gr.id, Holder: gr.s.g.cfg.Name, Tokens: m.ReserveTokens, LeaseMs: groupLease.Milliseconds(),
-		Epoch: epoch, SinceUnixMs: gr.since.UnixMilli(), Model: gr.s.o.completion.Model,
+		Group: gr.id, Holder: gr.s.g.cfg.Name, Tokens: m.ReserveTokens, LeaseMs: groupLeaseTTL.Milliseconds(),
+		Epoch: epoch, SinceUnixMs: gr.requestedAt.UnixMilli(), Model: gr.s.cr.completion.Model,
 	}))
 	if err != nil {
-		gr.fail(member, gr.lost(err))
+		gr.failAttempt(member, gr.lostCallCode(err))
 		return
 	}
-	l.takeLoad(resp.Msg.Load)
+	l.recordLoad(resp.Msg.Load)
 	if !resp.Msg.Granted {
-		gr.fail(member, result.Code(resp.Msg.Code))
+		gr.failAttempt(member, result.Code(resp.Msg.Code))
 		return
 	}
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	gr.state.RecordGranted(member, sent, groupLease)
+	gr.state.RecordGranted(member, sent, groupLeaseTTL)
 }
 
 func (gr *group) member(i int) memory.Member {
@@ -94,34 +97,35 @@
 	return gr.state.Plan()[i]
 }
 
-// lost is the code for a call that got no answer.
-func (gr *group) lost(err error) result.Code {
-	if lost := (*lapse)(nil); errors.As(context.Cause(gr.ctx), &lost) {
+// lostCallCode returns the code for a call that got no answer.
+func (gr *group) lostCallCode(err error) result.Code {
+	if expired := (*leaseExpiredError)(nil); errors.As(context.Cause(gr.ctx), &expired) {
 		return result.LeaseLost
 	}
 	if gr.ctx.Err() != nil {
-		return result.Code(unformed(gr.ctx, result.New(result.DeadlineTooNear, "")).Code)
+		return result.Code(endBeforeRun(gr.ctx, result.New(result.DeadlineTooNear, "")).Code)
 	}
-	gr.s.g.deps.Log.Warn("Call to a group's member failed.", "group", gr.id, "err", err)
+	gr.s.g.deps.Log.Warn("Call to a group member failed.", "group", gr.id, "err", err)
 	return result.AgentLost
 }
 
-// atFault returns the member whose lease lapsed, or else the one given.
-func (gr *group) atFault(member int) int {
-	if lost := (*lapse)(nil); errors.As(context.Cause(gr.ctx), &lost) {
-		return lost.member
+// memberAtFault returns the member whose lease expired or, if none did, the
+// given one.
+func (gr *group) memberAtFault(member int) int {
+	if expired := (*leaseExpiredError)(nil); errors.As(context.Cause(gr.ctx), &expired) {
+		return expired.member
 	}
 	return member
 }
 
 // prefill has a member import the spans before its own and, unless it is the
-// last, compute its own.
+// last, compute its own span.
 func (gr *group) prefill(ctx context.Context, a memory.Action) {
-	m, c := gr.member(a.Member), gr.s.o.completion
+	m, c := gr.member(a.Member), gr.s.cr.completion
 	req := &rudderv1.PrefillRequest{
-		Reservation: gr.reservation(), RequestId: gr.s.o.id, Model: c.Model, Path: c.Path, Body: gr.s.o.body,
+		Reservation: gr.reservation(), RequestId: gr.s.cr.id, Model: c.Model, Path: c.Path, Body: gr.s.cr.body,
 		StartToken: m.Start, Tokens: m.Tokens, Before: gr.spans,
-		Workspace: gr.s.o.workspace.Name, Weight: gr.s.o.workspace.Weight, Priority: gr.s.o.workspace.Priority,
+		Workspace: gr.s.cr.workspace.Name, Weight: gr.s.cr.workspace.Weight, Priority: gr.s.cr.workspace.Priority,
 	}
 	if a.Kind == memory.ActionImport {
 		req.Tokens, req.Body = 0, nil
@@ -129,38 +133,39 @@
 	resp, err := gr.callPrefill(gr.links[a.Member], req)
 	switch {
 	case err != nil:
-		gr.fail(gr.atFault(a.Member), gr.lost(err))
+		gr.failAttempt(gr.memberAtFault(a.Member), gr.lostCallCode(err))
 	case result.Code(resp.Code) == result.AgentLost && a.Member > 0:
-		gr.fail(a.Member-1, result.AgentLost) // it could not hand on what it holds
+		gr.failAttempt(a.Member-1, result.AgentLost) // the previous member could not export its spans
 	case result.Code(resp.Code) != result.OK:
-		gr.fail(a.Member, result.Code(resp.Code))
+		gr.failAttempt(a.Member, result.Code(resp.Code))
 	default:
-		gr.computed(a, resp.Handle)
+		gr.recordComputed(a, resp.Handle)
 	}
 }
 
-// callPrefill orders a span, again when the answer is lost.
+// callPrefill orders a span and retries if the answer is lost.
 func (gr *group) callPrefill(l *link, req *rudderv1.PrefillRequest) (*rudderv1.PrefillResponse, error) {
-	for try := 1; ; try++ {
-		req.RemainingMs = time.Until(gr.s.o.deadline).Milliseconds()
+	for attempt := 1; ; attempt++ {
+		req.RemainingMs = time.Until(gr.s.cr.deadline).Milliseconds()
 		resp, err := l.client.Prefill(gr.ctx, connect.NewRequest(req))
 		if err == nil {
 			return resp.Msg, nil
 		}
-		if gr.ctx.Err() != nil || try == prefillTries {
+		if gr.ctx.Err() != nil || attempt == maxPrefillAttempts {
 			return nil, err
 		}
 		select {
-		case <-time.After(prefillPause):
+		case <-time.After(prefillRetryDelay):
 		case <-gr.ctx.Done():
 			return nil, err
 		}
 	}
 }
 
-// computed takes in what a member did. It holds all spans up to its own now, so
-// that the others before it are released.
-func (gr *group) computed(a memory.Action, h *rudderv1.KVHandle) {
+// recordComputed records that a member has done its part. The member now holds
+// all spans up to its own, so the members before it that are no longer needed
+// are released.
+func (gr *group) recordComputed(a memory.Action, h *rudderv1.KVHandle) {
 	if a.Kind == memory.ActionCompute {
 		gr.spans = append(gr.spans, h)
 	}
@@ -171,22 +176,23 @@
 	gr.mu.Lock()
 	free := gr.state.RecordComputed(a.Member)
 	gr.mu.Unlock()
-	gr.release(free)
+	gr.releaseMembers(free)
 	if a.Kind == memory.ActionCompute {
 		gr.preload(a.Member+2, h)
 	}
 }
 
-// preload has the members after the next import a span already, while the next
-// one computes. It is not waited for: what fails is done when its turn comes.
+// preload has the members after the next one import the span while the next one
+// computes. Nothing waits for the result: an import that fails is repeated when
+// the member's step comes.
 func (gr *group) preload(from int, h *rudderv1.KVHandle) {
 	req := &rudderv1.PrefillRequest{
-		Reservation: gr.reservation(), RequestId: gr.s.o.id, StartToken: h.StartToken, Before: []*rudderv1.KVHandle{h},
-		RemainingMs: time.Until(gr.s.o.deadline).Milliseconds(),
+		Reservation: gr.reservation(), RequestId: gr.s.cr.id, StartToken: h.StartToken, Before: []*rudderv1.KVHandle{h},
+		RemainingMs: time.Until(gr.s.cr.deadline).Milliseconds(),
 	}
 	ctx := gr.ctx
 	for _, l := range gr.links[min(from, len(gr.links)):] {
-		gr.leases.Go(func() { _, _ = l.client.Prefill(ctx, connect.NewRequest(req)) })
+		gr.background.Go(func() { _, _ = l.client.Prefill(ctx, connect.NewRequest(req)) })
 	}
 }
 
--- a/gateway/fuzz_test.go
+++ b/gateway/fuzz_test.go
@@ -9,7 +9,8 @@
 	"github.com/micarudder/micarudder/result"
 )
 
-// FuzzCompletion: every body is read or refused as the caller's mistake.
+// FuzzCompletion checks that every body is either read or refused as a bad
+// request.
 func FuzzCompletion(f *testing.F) {
 	for _, body := range []string{
 		`{"model":"m","messages":[{"role":"user","content":"x"}],"stream":true}`,
@@ -33,7 +34,8 @@
 	})
 }
 
-// FuzzHeaders: every header value is read or refused as the caller's mistake.
+// FuzzHeaders checks that every header value is either read or refused as a bad
+// header.
 func FuzzHeaders(f *testing.F) {
 	f.Add("30s", "true", "160")
 	f.Add("-1s", "maybe", "-1")
@@ -57,7 +59,8 @@
 	})
 }
 
-// FuzzSplitText: an answer is cut only between characters, and no byte is lost.
+// FuzzSplitText checks that text is split only between characters and that no
+// byte is lost.
 func FuzzSplitText(f *testing.F) {
 	f.Add([]byte("cena za 12. hodinu: 95 €"))
 	f.Add([]byte("\xe2\x82"))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,8 +1,9 @@
-// Package gateway is the process on the entry hosts. It terminates callers'
-// HTTP, finds the workspace by its key, chooses an endpoint, orders the run
-// from that endpoint's agent and keeps the answer whole until the caller has
-// it. It keeps nothing that another gateway would need: what must be found
-// again is found at the agent through the ticket, or in the platform's service.
+// Package gateway implements the process on the entry hosts. It terminates
+// callers' HTTP, finds the workspace by its key, selects an endpoint, orders
+// the run from that endpoint's agent and makes sure that the caller gets the
+// complete answer. It has no state that another gateway would need: whatever
+// must be found again is found at the agent through the ticket, or in the
+// platform's service.
 package gateway
 
 import (
@@ -22,26 +23,26 @@
 	"github.com/micarudder/micarudder/ticket"
 )
 
-// Config is what a gateway is told by its settings.
+// Config configures a gateway.
 type Config struct {
 	Name       string
 	DataCentre string
-	Peers      []string // inner addresses of other gateways
+	Peers      []string // inner addresses of the other gateways
 
-	MaxBody         int64         // bytes of one request body
-	BodyTime        time.Duration // time for a body to arrive
-	WriteTime       time.Duration // time for a caller to take one part of its answer
+	MaxBody         int64         // maximum size of a request body in bytes
+	BodyTime        time.Duration // time limit for receiving a body
+	WriteTime       time.Duration // time limit for a caller to read one part of its answer
 	DefaultDeadline time.Duration
 	MaxDeadline     time.Duration
 	TicketLife      time.Duration
-	DefaultTokens   uint64 // answer tokens when the caller names none
+	DefaultTokens   uint64 // maximum answer tokens of a request that names no limit
 	FirstTokenGoal  time.Duration
-	LeaveTime       time.Duration // from not ready to refusing: the balancer's time to notice
+	LeaveTime       time.Duration // from not ready to refusing requests: the load balancer's time to notice
 }
 
-// Deps are the parts a gateway works with.
+// Deps are the dependencies of a gateway.
 type Deps struct {
-	Store   metastore.Store      // nil: no platform, for tests of the callers' face
+	Store   metastore.Store      // nil: no platform, for tests of the callers' API
 	Hosts   metastore.HostLister // nil: no list of hosts
 	Client  *inner.Client
 	Signer  *ticket.Signer
@@ -56,39 +57,39 @@
 	cfg  Config
 	deps Deps
 
-	links    *links
-	members  *members
-	placer   *placer
-	explain  *explainer
-	auth     *authority
-	meter    *meter
-	limits   *limiter
-	lanes    lanes
-	forming  chan struct{} // a token per group that is being formed
-	platform platformHealth
-	leases   *claimLeases
-	peers    *peers
-
-	started  time.Time
-	ctx      context.Context
-	stop     context.CancelFunc
-	loops    sync.WaitGroup
-	leaving  atomic.Bool // not ready, but still serving
-	draining atomic.Bool // refusing
-	inFlight sync.WaitGroup
-	active   atomic.Int64
+	links        *links
+	members      *members
+	placer       *placer
+	explain      *explainer
+	auth         *authenticator
+	meter        *meter
+	limits       *limiter
+	lanes        lanes
+	formingSlots chan struct{} // one token per group that is being formed
+	platform     platformHealth
+	leases       *claimLeases
+	peers        *peers
+
+	started    time.Time
+	ctx        context.Context
+	stop       context.CancelFunc
+	background sync.WaitGroup
+	leaving    atomic.Bool // not ready, but still serving
+	draining   atomic.Bool // refusing new requests
+	inFlight   sync.WaitGroup
+	active     atomic.Int64
 }
 
-// New returns a gateway; Start begins its background work.
+// New returns a gateway without background work; Start begins that.
 func New(cfg Config, deps Deps) *Gateway {
 	ctx, stop := context.WithCancel(context.Background())
-	g := &Gateway{cfg: cfg, deps: deps, started: time.Now(), ctx: ctx, stop: stop, leases: newClaimLeases(), forming: make(chan struct{}, maxForming)}
+	g := &Gateway{cfg: cfg, deps: deps, started: time.Now(), ctx: ctx, stop: stop, leases: newClaimLeases(), formingSlots: make(chan struct{}, maxForming)}
 	g.meter = newMeter(deps.Metrics, g)
 	g.explain = newExplainer()
-	g.auth = new(authority)
+	g.auth = new(authenticator)
 	g.members = newMembers()
 	g.links = newLinks(g)
-	g.gaugeMembers()
+	g.registerMemberGauges()
 	g.placer = newPlacer(g)
 	g.limits = newLimiter(g)
 	g.peers = newPeers(g)
@@ -96,38 +97,40 @@
 	return g
 }
 
-// Start begins to follow the configuration and the agents. It returns at once.
+// Start starts the background work, which follows the configuration and the
+// agents. It does not block.
 func (g *Gateway) Start() {
 	if g.deps.Store != nil {
-		g.loops.Go(g.followPlatform)
+		g.background.Go(g.followPlatform)
 	}
 	if g.deps.Hosts != nil {
-		g.loops.Go(g.followHosts)
+		g.background.Go(g.followHosts)
 	}
 	g.peers.start()
-	g.loops.Go(g.links.loop)
+	g.background.Go(g.links.loop)
 	if g.deps.Store != nil {
-		g.loops.Go(g.placer.loop)
+		g.background.Go(g.placer.loop)
 	}
-	g.loops.Go(g.laneLoop)
-	g.loops.Go(g.limits.loop)
+	g.background.Go(g.laneLoop)
+	g.background.Go(g.limits.loop)
 }
 
-// Ready reports whether the gateway has a configuration, has asked its peers
-// for a newer one, is not leaving and is not cut off from everybody.
+// Ready reports whether the gateway has a configuration, has queried its peers
+// for a newer one, is not leaving and is not cut off from all others.
 func (g *Gateway) Ready() bool {
-	return g.deps.Keeper.Generation() > 0 && g.peers.asked.Load() && !g.leaving.Load() && !g.members.cutOff()
+	return g.deps.Keeper.Generation() > 0 && g.peers.allQueried.Load() && !g.leaving.Load() && !g.members.cutOff()
 }
 
-// Close ends the background work and waits for it.
+// Close stops the background work and waits for it to end.
 func (g *Gateway) Close() {
 	g.stop()
-	g.loops.Wait()
+	g.background.Wait()
 	g.deps.Client.CloseIdleConnections()
 }
 
-// enter counts a request in; it reports false when the gateway is leaving.
-func (g *Gateway) enter() bool {
+// beginRequest counts a request as in flight. It returns false if the gateway
+// is draining.
+func (g *Gateway) beginRequest() bool {
 	g.inFlight.Add(1)
 	if g.draining.Load() {
 		g.inFlight.Done()
@@ -137,9 +140,9 @@
 	return true
 }
 
-func (g *Gateway) leave() {
+func (g *Gateway) endRequest() {
 	g.active.Add(-1)
 	g.inFlight.Done()
 }
 
-var _ http.Handler = (*mux)(nil)
+var _ http.Handler = (*callerHandler)(nil)
--- a/gateway/group.go
+++ b/gateway/group.go
@@ -15,65 +15,69 @@
 )
 
 const (
-	// maxForming bounds the groups that one gateway forms at once; the others
-	// wait their turn.
+	// maxForming is the maximum number of groups that one gateway forms at
+	// once; others wait for a slot.
 	maxForming = 4
-	// groupLease is the length of a group's leases, renewEvery the time between
-	// two renewals: a lost renewal or two does no harm.
-	groupLease = 4 * time.Second
-	renewEvery = time.Second
-	// avoidTime is how long an endpoint that failed a group is taken only if
-	// there is no other.
-	avoidTime = 30 * time.Second
+	// groupLeaseTTL is the duration of a group's leases and renewInterval the
+	// time between renewals, chosen so that one or two lost renewals do no
+	// harm.
+	groupLeaseTTL = 4 * time.Second
+	renewInterval = time.Second
+	// avoidDuration is how long an endpoint that failed a group is used only if
+	// there is no alternative.
+	avoidDuration = 30 * time.Second
 )
 
-// group runs one prompt that no single endpoint can hold over several of them,
-// up to the order of the run at the last. package memory makes its decisions.
+// group prefills a prompt that does not fit into the memory of any single
+// endpoint on several endpoints, up to the order of the run from the last one.
+// Package memory makes its decisions.
 type group struct {
-	s     *session
-	id    string
-	since time.Time
-	avoid map[string]time.Time // endpoints that failed, with when
-	spans []*rudderv1.KVHandle // computed so far, in the prompt's order
-	links []*link              // by member
+	s           *session
+	id          string
+	requestedAt time.Time
+	failedAt    map[string]time.Time // when endpoints failed, by name
+	spans       []*rudderv1.KVHandle // computed so far, in the order of the prompt
+	links       []*link              // by member index
 
-	mu    sync.Mutex // guards state, which renewals use too
+	mu    sync.Mutex // guards state, which the renewals use too
 	state *memory.Group
 
-	ready *link // where the run is to be ordered, once formed
+	runLink *link // where to order the run; set once the group is formed
 
-	ctx    context.Context // of the present attempt
-	cancel context.CancelCauseFunc
-	leases sync.WaitGroup // the renewals of the present attempt
+	ctx        context.Context // of the current attempt
+	cancel     context.CancelCauseFunc
+	background sync.WaitGroup // renewals and preloads of the current attempt
 }
 
-// lapse is the cause of an attempt's end when a member's lease is over.
-type lapse struct{ member int }
+// leaseExpiredError is the cancellation cause of an attempt in which a member's
+// lease has expired.
+type leaseExpiredError struct{ member int }
 
 // Error implements error.
-func (l *lapse) Error() string { return "a lease lapsed" }
+func (l *leaseExpiredError) Error() string { return "lease of a group member expired" }
 
 // newGroup returns a group that avoids the endpoints excluded so far.
 func newGroup(s *session) *group {
 	id := newID()
-	gr := &group{s: s, id: id, since: s.began, avoid: make(map[string]time.Time), state: memory.NewGroup(id, s.life.Attempts > 0)}
+	gr := &group{s: s, id: id, requestedAt: s.start, failedAt: make(map[string]time.Time), state: memory.NewGroup(id, s.dispatch.Attempts > 0)}
 	for name := range s.excluded {
-		gr.avoid[name] = time.Now()
+		gr.failedAt[name] = time.Now()
 	}
 	return gr
 }
 
-// needsGroup reports whether no endpoint that serves the model could hold the
-// prompt and its answer even if it were idle. An endpoint not heard yet, or of
-// unknown size, might.
+// needsGroup reports whether the prompt and its answer exceed the memory of
+// every endpoint that serves the model, even when idle. An endpoint that has
+// not been heard from, or whose memory is unknown, is assumed to be large
+// enough.
 func (g *Gateway) needsGroup(c *rudderv1.Completion) bool {
 	need, found := c.PromptTokens+c.MaxTokens, false
 	for _, l := range g.links.all() {
-		size, serves := l.size(c.Model)
+		memory_, serves := l.memorySize(c.Model)
 		if !serves {
 			continue
 		}
-		if size == 0 || need <= size {
+		if memory_ == 0 || need <= memory_ {
 			return false
 		}
 		found = true
@@ -81,9 +85,9 @@
 	return found
 }
 
-// size returns the endpoint's memory, 0 when unknown, and whether it serves the
-// model or, not being heard yet, may do so.
-func (l *link) size(model string) (tokens uint64, serves bool) {
+// memorySize returns the endpoint's memory, 0 if unknown, and whether it serves
+// the model. An endpoint that has not been heard from is assumed to serve it.
+func (l *link) memorySize(model string) (tokens uint64, serves bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.declared.Service != "" || l.models != nil && !l.models[model] {
@@ -96,33 +100,33 @@
 }
 
 // form takes the group through its steps until the run can be ordered, and
-// returns the link of the endpoint to order it from. The end is set when the
-// caller is to be told something else instead; nothing has run then.
+// returns the link of the endpoint to order it from. If that fails, it returns
+// the end for the caller; nothing has run then.
 func (gr *group) form(ctx context.Context) (*link, *rudderv1.End) {
-	if end := gr.s.g.enterForming(ctx); end != nil {
+	if end := gr.s.g.acquireFormingSlot(ctx); end != nil {
 		return nil, end
 	}
-	leave := sync.OnceFunc(gr.s.g.leaveForming)
-	defer leave()
+	releaseSlot := sync.OnceFunc(gr.s.g.releaseFormingSlot)
+	defer releaseSlot()
 	for {
-		gr.begin(ctx)
+		gr.beginAttempt(ctx)
 		a := gr.next()
 		for a.Kind < memory.ActionRun {
 			if a.Kind != memory.ActionReserve {
-				leave()
+				releaseSlot()
 			}
-			gr.step(ctx, a)
+			gr.execute(ctx, a)
 			a = gr.next()
 		}
 		switch a.Kind {
 		case memory.ActionRun:
 			return gr.links[a.Member], nil
 		case memory.ActionFail:
-			gr.disband()
-			return nil, gr.failed(ctx, a.Code)
+			gr.releaseAll()
+			return nil, gr.failureEnd(ctx, a.Code)
 		}
-		gr.disband()
-		if end := gr.rest(ctx, a.Backoff); end != nil {
+		gr.releaseAll()
+		if end := gr.backOff(ctx, a.Backoff); end != nil {
 			return nil, end
 		}
 	}
@@ -134,32 +138,33 @@
 	return gr.state.Next()
 }
 
-// enterForming waits for a turn to form a group.
-func (g *Gateway) enterForming(ctx context.Context) *rudderv1.End {
+// acquireFormingSlot waits for a slot to form a group.
+func (g *Gateway) acquireFormingSlot(ctx context.Context) *rudderv1.End {
 	select {
-	case g.forming <- struct{}{}:
+	case g.formingSlots <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		return unformed(ctx, result.New(result.MemoryHeld, "other groups were being formed"))
+		return endBeforeRun(ctx, result.New(result.MemoryHeld, "other groups were being formed"))
 	}
 }
 
-func (g *Gateway) leaveForming() { <-g.forming }
+func (g *Gateway) releaseFormingSlot() { <-g.formingSlots }
 
-// unformed is the end of a group whose time ran out, or whose caller left,
-// before its run was ordered.
-func unformed(ctx context.Context, err *result.Err) *rudderv1.End {
+// endBeforeRun returns the end of a group whose time ran out or whose caller
+// disconnected before its run was ordered.
+func endBeforeRun(ctx context.Context, err *result.Err) *rudderv1.End {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		err = &result.Err{Code: result.Canceled, Outcome: result.NotRun}
 	}
-	err.RetryAfter = comeBack.Milliseconds()
+	err.RetryAfter = defaultRetryAfter.Milliseconds()
 	return endOf(err)
 }
 
-// failed is the end of a group that is given up. What befell a member before
-// the run was ordered means to the caller that the memory was not to be had.
-func (gr *group) failed(ctx context.Context, code result.Code) *rudderv1.End {
-	return unformed(ctx, &result.Err{Code: callerCode(code), Outcome: result.NotRun, Detail: "group of endpoints: " + code.String()})
+// failureEnd returns the end of a group that has failed for good. A member that
+// was lost before the run was ordered is reported to the caller as memory that
+// was not available.
+func (gr *group) failureEnd(ctx context.Context, code result.Code) *rudderv1.End {
+	return endBeforeRun(ctx, &result.Err{Code: callerCode(code), Outcome: result.NotRun, Detail: "group of endpoints: " + code.String()})
 }
 
 func callerCode(c result.Code) result.Code {
@@ -171,19 +176,19 @@
 	}
 }
 
-// rest waits before the next attempt, by a random part of the pause so that
-// groups that collided do not collide again.
-func (gr *group) rest(ctx context.Context, pause time.Duration) *rudderv1.End {
+// backOff waits before the next attempt. The wait is randomized, so that groups
+// that collided do not collide again.
+func (gr *group) backOff(ctx context.Context, backoff time.Duration) *rudderv1.End {
 	select {
-	case <-time.After(pause/2 + rand.N(pause)):
+	case <-time.After(backoff/2 + rand.N(backoff)):
 		return nil
 	case <-ctx.Done():
-		return unformed(ctx, result.New(result.MemoryHeld, ""))
+		return endBeforeRun(ctx, result.New(result.MemoryHeld, ""))
 	}
 }
 
-// begin plans the next attempt.
-func (gr *group) begin(ctx context.Context) {
+// beginAttempt plans the next attempt and starts its renewals.
+func (gr *group) beginAttempt(ctx context.Context) {
 	gr.spans, gr.links = nil, nil
 	plan, code := gr.plan()
 	gr.mu.Lock()
@@ -194,54 +199,55 @@
 		return
 	}
 	gr.state.Begin(plan)
-	gr.s.g.meter.group("attempt")
-	gr.leases.Go(gr.renewLoop)
+	gr.s.g.meter.recordGroupStep("attempt")
+	gr.background.Go(gr.renewLoop)
 }
 
-// plan chooses the members, or says why there is no plan.
+// plan selects the members, or returns the reason why there is no plan.
 func (gr *group) plan() (memory.Plan, result.Code) {
-	c := gr.s.o.completion
-	need := memory.PlanRequest{Prompt: c.PromptTokens, Answer: c.MaxTokens}
-	if gr.s.o.claims != nil {
-		need.LastEndpoint = gr.s.o.claims.Endpoint
+	c := gr.s.cr.completion
+	req := memory.PlanRequest{Prompt: c.PromptTokens, Answer: c.MaxTokens}
+	if gr.s.cr.claims != nil {
+		req.LastEndpoint = gr.s.cr.claims.Endpoint
 	}
-	rooms, links := gr.rooms(time.Now())
-	p := need.Plan(rooms)
+	memories, links := gr.memories(time.Now())
+	p := req.Plan(memories)
 	if p == nil {
 		return nil, result.NoEndpoint
 	}
-	var takes time.Duration
+	var total time.Duration
 	for _, m := range p {
 		l := links[m.Endpoint]
 		gr.links = append(gr.links, l)
-		takes += l.cost().Prefill(m.Start+m.Tokens, m.Start)
+		total += l.cost().Prefill(m.Start+m.Tokens, m.Start)
 	}
-	if takes > time.Until(gr.s.o.deadline) {
+	if total > time.Until(gr.s.cr.deadline) {
 		return nil, result.DeadlineTooNear
 	}
-	gr.explain(p)
+	gr.recordDecision(p)
 	return p, 0
 }
 
-// rooms is the view of the planner, with the links by endpoint.
-func (gr *group) rooms(now time.Time) ([]memory.EndpointMemory, map[string]*link) {
-	var rooms []memory.EndpointMemory
+// memories returns the memory of the usable endpoints, the input of the
+// planner, and their links by endpoint name.
+func (gr *group) memories(now time.Time) ([]memory.EndpointMemory, map[string]*link) {
+	var memories []memory.EndpointMemory
 	links := make(map[string]*link)
-	view, order := gr.s.g.links.view(now)
+	view, byIndex := gr.s.g.links.candidates(now)
 	for i, c := range view {
-		l := order[i]
-		if !c.Connected || c.Leaving || !c.Models[gr.s.o.completion.Model] {
+		l := byIndex[i]
+		if !c.Connected || c.Leaving || !c.Models[gr.s.cr.completion.Model] {
 			continue
 		}
-		failed, ok := gr.avoid[c.Endpoint]
-		rooms = append(rooms, l.room(&c, ok && now.Sub(failed) < avoidTime))
+		failed, ok := gr.failedAt[c.Endpoint]
+		memories = append(memories, l.memoryState(&c, ok && now.Sub(failed) < avoidDuration))
 		links[c.Endpoint] = l
 	}
-	return rooms, links
+	return memories, links
 }
 
-// room is the link as the planner of groups sees it.
-func (l *link) room(c *routing.Candidate, avoid bool) memory.EndpointMemory {
+// memoryState returns the endpoint's memory as input of the planner.
+func (l *link) memoryState(c *routing.Candidate, avoid bool) memory.EndpointMemory {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return memory.EndpointMemory{
@@ -250,19 +256,19 @@
 	}
 }
 
-// cost is the endpoint's learned cost.
+// cost returns the endpoint's learned cost, with defaults for what is unknown.
 func (l *link) cost() routing.Cost {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return costOf(l.load).OrDefault()
 }
 
-// explain records the choice as a routing decision.
-func (gr *group) explain(p memory.Plan) {
+// recordDecision records the plan as a routing decision.
+func (gr *group) recordDecision(p memory.Plan) {
 	names := make([]string, 0, len(p))
 	for _, m := range p {
 		names = append(names, m.Endpoint)
 	}
 	d := routing.Decision{Reason: "group " + strings.Join(names, " ")}
-	gr.s.g.explain.record(gr.s.o.id, gr.s.life.Attempts+1, names[len(names)-1], d)
+	gr.s.g.explain.record(gr.s.cr.id, gr.s.dispatch.Attempts+1, names[len(names)-1], d)
 }
--- a/gateway/grouped.go
+++ b/gateway/grouped.go
@@ -12,38 +12,38 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// prepare finds the endpoint of the next attempt. For a prompt that needs a
-// group, the group is formed and has computed all but its last part then.
+// prepare returns the link for the next attempt. If the prompt needs a group,
+// it forms one, which has then computed all spans but the last.
 func (s *session) prepare(ctx context.Context) (*link, *rudderv1.End) {
-	if s.o.completion == nil || !s.g.needsGroup(s.o.completion) {
-		return s.place()
+	if s.cr.completion == nil || !s.g.needsGroup(s.cr.completion) {
+		return s.selectEndpoint()
 	}
 	if s.group != nil {
-		return s.group.ready, nil // the order was refused for another reason than the group
+		return s.group.runLink, nil // the order was refused for a reason unrelated to the group
 	}
-	if s.o.claims != nil && s.known(ctx) {
-		return s.g.linkOf(s.o.claims), nil
+	if s.cr.claims != nil && s.runExists(ctx) {
+		return s.g.linkForClaims(s.cr.claims), nil
 	}
 	gr := newGroup(s)
 	l, end := gr.form(ctx)
 	if end != nil {
-		s.g.meter.group("failed")
+		s.g.meter.recordGroupStep("failed")
 		return nil, end
 	}
-	s.g.meter.group("formed")
-	gr.ready, s.group = l, gr
-	if s.o.claims != nil {
+	s.g.meter.recordGroupStep("formed")
+	gr.runLink, s.group = l, gr
+	if s.cr.claims != nil {
 		return l, nil
 	}
-	return s.named(l)
+	return s.issueTicket(l)
 }
 
-// known reports whether the agent that the ticket names has the run already: an
-// order then attaches to it, and no group is needed.
-func (s *session) known(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, reserveTime)
+// runExists reports whether the agent named by the ticket already has the run.
+// An order then attaches to that run and needs no group.
+func (s *session) runExists(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	stream, err := s.g.linkOf(s.o.claims).client.Attach(ctx, connect.NewRequest(&rudderv1.AttachRequest{Ticket: s.o.ticket}))
+	stream, err := s.g.linkForClaims(s.cr.claims).client.Attach(ctx, connect.NewRequest(&rudderv1.AttachRequest{Ticket: s.cr.ticket}))
 	if err != nil {
 		return false
 	}
@@ -55,44 +55,46 @@
 	return end == nil || result.Code(end.Code) != result.UnknownRun
 }
 
-// attempted makes one attempt at l and gives a group's memory back after it. An
-// order planned under an old configuration is given again, with the same group.
-func (s *session) attempted(ctx context.Context, l *link) *rudderv1.End {
-	end := s.order(ctx, l)
+// runAttempt makes one attempt at l and then releases the group's memory. The
+// group is kept if the order was planned under an old configuration, because
+// that order is repeated with the same group.
+func (s *session) runAttempt(ctx context.Context, l *link) *rudderv1.End {
+	end := s.sendAttempt(ctx, l)
 	if result.Code(end.Code) == result.LeaseLost {
 		end.Code = uint32(callerCode(result.LeaseLost))
 	}
 	switch {
 	case s.group == nil || result.Code(end.Code) == result.OldGeneration:
 	case result.Code(end.Code) == result.OK:
-		s.group.stop() // the run's end gave the last lease back
+		s.group.stopRenewals() // the end of the run released the last lease
 		s.group = nil
 	default:
-		s.disband()
+		s.releaseGroup()
 	}
 	return end
 }
 
-// disband gives a group's memory back.
-func (s *session) disband() {
+// releaseGroup releases the group's memory, if there is a group.
+func (s *session) releaseGroup() {
 	if s.group != nil {
-		s.group.disband()
+		s.group.releaseAll()
 		s.group = nil
 	}
 }
 
-// chooseLast plans a group and chooses its last endpoint, without forming it.
-func (s *session) chooseLast() (*link, routing.Decision) {
-	rooms, links := newGroup(s).rooms(time.Now())
-	p := memory.PlanRequest{Prompt: s.o.completion.PromptTokens, Answer: s.o.completion.MaxTokens}.Plan(rooms)
+// chooseLastMember plans a group and returns its last endpoint, without forming
+// the group.
+func (s *session) chooseLastMember() (*link, routing.Decision) {
+	memories, links := newGroup(s).memories(time.Now())
+	p := memory.PlanRequest{Prompt: s.cr.completion.PromptTokens, Answer: s.cr.completion.MaxTokens}.Plan(memories)
 	if p == nil {
 		return nil, routing.Decision{Index: -1, Reason: routing.FilterMemory}
 	}
 	return links[p[len(p)-1].Endpoint], routing.Decision{}
 }
 
-// fill names the group's spans in an order.
-func (gr *group) fill(c *rudderv1.Completion) {
+// fillCompletion adds the group's reservation and spans to an order.
+func (gr *group) fillCompletion(c *rudderv1.Completion) {
 	if gr == nil {
 		return
 	}
--- a/gateway/held.go
+++ b/gateway/held.go
@@ -9,17 +9,17 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// held returns what the endpoint holds by its agent's latest report, the name
-// of that report, and whether the agent can be reached.
-func (l *link) held(now time.Time) (placement.EndpointState, word, bool) {
+// reportedState returns the endpoint's state according to its agent's latest
+// report, the ID of that report, and whether the agent can be reached.
+func (l *link) reportedState(now time.Time) (placement.EndpointState, reportID, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.reachableAt(now) {
-		return placement.EndpointState{}, word{}, false
+		return placement.EndpointState{}, reportID{}, false
 	}
 	r := l.report
-	w := word{r.Incarnation, r.Holds, r.AgentMs, r.AgentMs + now.Sub(l.heard).Milliseconds()}
-	return heldOf(r), w, true
+	id := reportID{r.Incarnation, r.Holds, r.AgentMs, r.AgentMs + now.Sub(l.lastReportAt).Milliseconds()}
+	return endpointState(r), id, true
 }
 
 func (l *link) reachable() bool {
@@ -28,27 +28,28 @@
 	return l.reachableAt(time.Now())
 }
 
-// reachableAt tells whether the agent is connected and serves; the caller
-// holds mu.
+// reachableAt reports whether the agent is connected and serving. The caller
+// must hold mu.
 func (l *link) reachableAt(now time.Time) bool {
-	return l.report != nil && l.connected && now.Sub(l.heard) < silence && l.report.State == rudderv1.AgentState_AGENT_STATE_SERVING
+	return l.report != nil && l.connected && now.Sub(l.lastReportAt) < maxReportAge && l.report.State == rudderv1.AgentState_AGENT_STATE_SERVING
 }
 
-// heldOf turns a report into what placement knows of an endpoint.
-func heldOf(r *rudderv1.AgentReport) placement.EndpointState {
-	h := placement.EndpointState{Role: r.Role, Serving: true}
+// endpointState converts a report to the input of placement.
+func endpointState(r *rudderv1.AgentReport) placement.EndpointState {
+	state := placement.EndpointState{Role: r.Role, Serving: true}
 	for _, m := range r.Models {
-		h.Models = append(h.Models, engine.Model{Name: m.Model, Version: m.Version, Adapters: m.Adapters, Loading: m.Loading})
+		state.Models = append(state.Models, engine.Model{Name: m.Model, Version: m.Version, Adapters: m.Adapters, Loading: m.Loading})
 	}
 	if o := r.Order; o != nil && o.Phase != rudderv1.OrderPhase_ORDER_PHASE_FAILED {
-		h = h.DuringOrder(engine.Order{Kind: engine.OrderKind(o.Kind), Model: o.Model, Version: o.Version, Adapter: o.Adapter, Role: o.Role})
+		state = state.DuringOrder(engine.Order{Kind: engine.OrderKind(o.Kind), Model: o.Model, Version: o.Version, Adapter: o.Adapter, Role: o.Role})
 	}
-	return h
+	return state
 }
 
-// using returns the exact name of what a request for the name runs on at the
-// endpoint, as far as its agent's report tells; "" if unknown.
-func (l *link) using(name string) string {
+// servedVariant returns the exact variant name that the endpoint uses for a
+// request for the given name, according to its agent's latest report; "" if
+// unknown.
+func (l *link) servedVariant(name string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var models []engine.Model
--- a/gateway/lanes.go
+++ b/gateway/lanes.go
@@ -8,45 +8,46 @@
 	"github.com/micarudder/micarudder/routing"
 )
 
-// laneEvery is how often the lanes for long work are chosen anew.
-const laneEvery = time.Second
+// laneInterval is how often the long lane is recomputed.
+const laneInterval = time.Second
 
-// lanes holds the endpoints that take long work, chosen from the share of long
-// work that this gateway routed lately.
+// lanes holds the endpoints of the long lane, those that take long work. They
+// are selected by the recent fraction of long work among the work that this
+// gateway routed.
 type lanes struct {
-	mu      sync.Mutex
-	share   routing.LongShare
-	current atomic.Pointer[map[string]bool]
+	mu        sync.Mutex
+	longShare routing.LongShare
+	current   atomic.Pointer[map[string]bool]
 }
 
-// add counts one routed request.
-func (l *lanes) add(class routing.Class, work time.Duration) {
+// recordRouted records the predicted work of a routed request.
+func (l *lanes) recordRouted(class routing.Class, work time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.share.Add(class, work, time.Now())
+	l.longShare.Add(class, work, time.Now())
 }
 
-// refresh chooses the lanes for a view.
+// refresh recomputes the long lane for the given candidates.
 func (l *lanes) refresh(view []routing.Candidate) {
 	l.mu.Lock()
-	share := l.share.Value(time.Now())
+	share := l.longShare.Value(time.Now())
 	l.mu.Unlock()
 	m := routing.Lanes(view, share)
 	l.current.Store(&m)
 }
 
-// has reports whether the endpoint takes long work.
-func (l *lanes) has(endpoint string) bool {
+// contains reports whether the endpoint belongs to the long lane.
+func (l *lanes) contains(endpoint string) bool {
 	m := l.current.Load()
 	return m != nil && (*m)[endpoint]
 }
 
-// laneLoop keeps the lanes up to date.
+// laneLoop keeps the long lane up to date.
 func (g *Gateway) laneLoop() {
-	tick := time.NewTicker(laneEvery)
+	tick := time.NewTicker(laneInterval)
 	defer tick.Stop()
 	for {
-		view, _ := g.links.view(time.Now())
+		view, _ := g.links.candidates(time.Now())
 		g.lanes.refresh(view)
 		select {
 		case <-tick.C:
--- a/gateway/limiter.go
+++ b/gateway/limiter.go
@@ -13,19 +13,21 @@
 )
 
 const (
-	// shareEvery is how often gateways tell each other their recent use. Beyond
-	// four peers it takes shareSpacing for each, so that the bytes a second stay
-	// bounded, up to shareMost, well within the time for which a word counts.
-	shareEvery   = 2 * time.Second
-	shareSpacing = 500 * time.Millisecond
-	shareMost    = 10 * time.Second
-	shareTime    = time.Second
-	// leastUse is the recent use, in requests a second, that is worth telling.
-	leastUse = 0.05
+	// minShareInterval is how often gateways report their recent use to each
+	// other. With more than four peers the interval is shareIntervalPerPeer for
+	// each of them, so that the bytes sent per second stay bounded, but at most
+	// maxShareInterval, well within the time for which a report counts.
+	minShareInterval     = 2 * time.Second
+	shareIntervalPerPeer = 500 * time.Millisecond
+	maxShareInterval     = 10 * time.Second
+	shareTimeout         = time.Second
+	// minSharedRate is the lowest recent use, in requests per second, that is
+	// reported.
+	minSharedRate = 0.05
 )
 
-// limiter applies the workspaces' limits and retry budgets at one gateway. A
-// limit is split among the gateways by recent use; they tell each other.
+// limiter applies the limits and retry budgets of workspaces at one gateway.
+// The gateways split a limit by recent use, which they report to each other.
 type limiter struct {
 	g *Gateway
 
@@ -38,7 +40,7 @@
 	return &limiter{g: g, table: limits.NewTable(g.cfg.Name, len(g.cfg.Peers)), budgets: make(map[string]*limits.RetryBudget)}
 }
 
-// apply puts the document's limits in force.
+// apply applies the limits of a document.
 func (l *limiter) apply(doc *rudderv1.Document) {
 	all := make(map[string]limits.Limit, len(doc.Workspaces))
 	for _, w := range doc.Workspaces {
@@ -51,7 +53,8 @@
 	l.table.SetLimits(all, time.Now())
 }
 
-// admit counts a request in, or refuses it at once with a time to come back.
+// admit counts a request as in flight, or refuses it at once with a retry
+// delay.
 func (l *limiter) admit(workspace string, tokens uint64) *result.Err {
 	now := time.Now()
 	l.mu.Lock()
@@ -64,21 +67,22 @@
 	return nil
 }
 
-// done counts a request out.
+// done records that a request has ended.
 func (l *limiter) done(workspace string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.table.Done(workspace)
 }
 
-// retry takes one automatic retry out of the workspace's budget.
-func (l *limiter) retry(workspace string) bool {
+// allowRetry takes one automatic retry from the workspace's budget and reports
+// whether one was available.
+func (l *limiter) allowRetry(workspace string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.budget(workspace).AllowRetry(time.Now())
 }
 
-// budget returns a workspace's budget; the caller holds mu.
+// budget returns a workspace's retry budget. The caller must hold mu.
 func (l *limiter) budget(workspace string) *limits.RetryBudget {
 	b, ok := l.budgets[workspace]
 	if !ok {
@@ -88,7 +92,7 @@
 	return b
 }
 
-// loop follows the document's limits and shares the recent use.
+// loop applies the limits of each new document and shares the recent use.
 func (l *limiter) loop() {
 	tick := time.NewTicker(shareInterval(len(l.g.cfg.Peers)))
 	defer tick.Stop()
@@ -108,40 +112,42 @@
 	}
 }
 
-// shareInterval is the time between two words to so many peers.
+// shareInterval returns the time between two reports to the given number of
+// peers.
 func shareInterval(peers int) time.Duration {
-	return min(max(time.Duration(peers)*shareSpacing, shareEvery), shareMost)
+	return min(max(time.Duration(peers)*shareIntervalPerPeer, minShareInterval), maxShareInterval)
 }
 
-// share tells every peer what this gateway was lately asked for.
+// share reports this gateway's recent use to every peer.
 func (l *limiter) share() {
 	req := &rudderv1.ShareRequest{Gateway: l.g.cfg.Name}
 	l.mu.Lock()
 	now := time.Now()
 	l.table.Tick(now)
 	for _, u := range l.table.Demands(now) {
-		if u.RequestsPerSecond >= leastUse {
+		if u.RequestsPerSecond >= minSharedRate {
 			req.Uses = append(req.Uses, &rudderv1.WorkspaceUse{
 				Workspace: u.Workspace, RequestsPerSecond: float32(u.RequestsPerSecond), TokensPerSecond: float32(u.TokensPerSecond),
 			})
 		}
 	}
 	l.mu.Unlock()
-	for _, x := range l.g.peers.all {
-		l.g.loops.Go(func() { l.g.tell(x, req) })
+	for _, target := range l.g.peers.all {
+		l.g.background.Go(func() { l.g.shareWith(target, req) })
 	}
 }
 
-// tell sends the recent use to one peer; a lost message is made good by the next.
-func (g *Gateway) tell(x peer, req *rudderv1.ShareRequest) {
-	ctx, cancel := context.WithTimeout(g.ctx, shareTime)
+// shareWith reports the recent use to one peer. A lost message is made up for
+// by the next.
+func (g *Gateway) shareWith(target peer, req *rudderv1.ShareRequest) {
+	ctx, cancel := context.WithTimeout(g.ctx, shareTimeout)
 	defer cancel()
-	if _, err := x.client.Share(ctx, connect.NewRequest(req)); err != nil {
-		g.deps.Log.Debug("Share failed.", "peer", x.addr, "err", err)
+	if _, err := target.client.Share(ctx, connect.NewRequest(req)); err != nil {
+		g.deps.Log.Debug("Failed to report recent use to a peer.", "peer", target.addr, "err", err)
 	}
 }
 
-// Share takes in a peer's recent use.
+// Share records a peer's recent use.
 func (s *server) Share(_ context.Context, req *connect.Request[rudderv1.ShareRequest]) (*connect.Response[rudderv1.ShareResponse], error) {
 	uses := make([]limits.Demand, 0, len(req.Msg.Uses))
 	for _, u := range req.Msg.Uses {
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -23,57 +23,59 @@
 )
 
 const (
-	// redialFirst and redialMax bound the pause between two attempts to
-	// subscribe at an agent.
-	redialFirst = 100 * time.Millisecond
-	redialMax   = 3 * time.Second
+	// minResubscribeDelay and maxResubscribeDelay bound the delay between two
+	// attempts to subscribe to an agent.
+	minResubscribeDelay = 100 * time.Millisecond
+	maxResubscribeDelay = 3 * time.Second
 )
 
-// link is the gateway's connection to one agent with what it last heard.
+// link is the gateway's connection to one agent, together with the state that
+// the agent last reported.
 type link struct {
 	g        *Gateway
 	declared *rudderv1.Endpoint
 	client   rudderv1connect.AgentServiceClient
 	stop     context.CancelFunc
-	told     chan struct{} // holds one when a report came since it was last read
+	reported chan struct{} // signals that a report has arrived since the channel was last read
 
-	mu        sync.Mutex
-	report    *rudderv1.AgentReport
-	load      *rudderv1.Load
-	loadAt    time.Time // when the load arrived
-	heard     time.Time // when the last report arrived
-	connected bool
-	models    map[string]bool
-	pending   time.Duration // predicted work sent since the agent last told its load
-	pendingL  time.Duration // the long part of it
-	pendingN  int
-	restsTo   time.Time // the endpoint wants no new work before
-	breaker   limits.Breaker
-	slowness  cost.Slowness
-	cache     *affinity.Set // blocks that the endpoint is believed to hold
+	mu              sync.Mutex
+	report          *rudderv1.AgentReport
+	load            *rudderv1.Load
+	loadAt          time.Time // when the load was received
+	lastReportAt    time.Time // when the last report was received
+	connected       bool
+	models          map[string]bool
+	pending         time.Duration // predicted work of the orders sent whose answer has not begun
+	pendingLong     time.Duration // the part of pending that is long work
+	pendingRequests int
+	backOffUntil    time.Time // the endpoint has asked for no new work until then
+	breaker         limits.Breaker
+	slowness        cost.Slowness
+	cache           *affinity.Set // blocks that the endpoint is assumed to have cached
 }
 
 func newLink(g *Gateway, e *rudderv1.Endpoint) *link {
 	client := rudderv1connect.NewAgentServiceClient(g.deps.Client, g.deps.Client.URL(e.AgentAddress), inner.ClientOptions()...)
-	return &link{g: g, declared: e, client: client, cache: affinity.New(e.MemoryTokens), told: make(chan struct{}, 1)}
+	return &link{g: g, declared: e, client: client, cache: affinity.New(e.MemoryTokens), reported: make(chan struct{}, 1)}
 }
 
-// run subscribes at the agent for as long as ctx lasts.
+// run keeps a subscription to the agent open until ctx ends.
 func (l *link) run(ctx context.Context) {
-	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = redialFirst, redialMax
+	retryDelay := backoff.NewExponentialBackOff()
+	retryDelay.InitialInterval, retryDelay.MaxInterval = minResubscribeDelay, maxResubscribeDelay
 	for ctx.Err() == nil {
 		if l.subscribe(ctx) {
-			wait.Reset()
+			retryDelay.Reset()
 		}
 		select {
-		case <-time.After(wait.NextBackOff()):
+		case <-time.After(retryDelay.NextBackOff()):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// subscribe reads reports until the stream breaks; it reports whether any came.
+// subscribe reads reports until the stream breaks. It returns whether any was
+// received.
 func (l *link) subscribe(ctx context.Context) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -84,39 +86,40 @@
 		return false
 	}
 	defer func() { _ = stream.Close() }()
-	any := false
+	received := false
 	for stream.Receive() {
-		any = true
-		r := l.take(stream.Msg())
-		l.g.members.reported(l.declared.Name, r)
-		l.g.members.inherited(l.declared.AgentAddress, r)
+		received = true
+		r := l.handleReport(stream.Msg())
+		l.g.members.applyReport(l.declared.Name, r)
+		l.g.members.updateRecordOwners(l.declared.AgentAddress, r)
 	}
 	l.mu.Lock()
 	l.connected = false
 	l.mu.Unlock()
-	if ctx.Err() == nil { // else the link was closed: its successor may be connected
+	if ctx.Err() == nil { // else the link was closed, and the link that replaces it may be connected
 		l.g.members.apply(membership.ConnectionLost{Endpoint: l.declared.Name})
 	}
-	return any
+	return received
 }
 
-// take records a report, wakes the offers and returns the report as a whole.
-func (l *link) take(r *rudderv1.AgentReport) *rudderv1.AgentReport {
-	r = l.record(r)
+// handleReport records a report, wakes the offer loop and returns the complete
+// report.
+func (l *link) handleReport(r *rudderv1.AgentReport) *rudderv1.AgentReport {
+	r = l.recordReport(r)
 	select {
-	case l.told <- struct{}{}:
+	case l.reported <- struct{}{}:
 	default:
 	}
 	return r
 }
 
-func (l *link) record(r *rudderv1.AgentReport) *rudderv1.AgentReport {
+func (l *link) recordReport(r *rudderv1.AgentReport) *rudderv1.AgentReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard, l.connected = time.Now(), true
+	l.lastReportAt, l.connected = time.Now(), true
 	if r.GenerationOnly && l.report != nil {
-		l.report = merged(l.report, r)
-		l.noteLoad(l.report.Load) // a reply may have brought another one since
+		l.report = mergeReport(l.report, r)
+		l.setLoad(l.report.Load) // a reply may have set another load in the meantime
 		return l.report
 	}
 	l.report = r
@@ -125,42 +128,43 @@
 		if m.Loading || m.Unloading {
 			continue
 		}
-		held := engine.Model{Name: m.Model, Version: m.Version, Adapters: m.Adapters}
-		for _, name := range append(orders.Names(held), orders.VariantNames(held)...) {
+		loaded := engine.Model{Name: m.Model, Version: m.Version, Adapters: m.Adapters}
+		for _, name := range append(orders.Names(loaded), orders.VariantNames(loaded)...) {
 			l.models[name] = true
 		}
 	}
-	l.noteLoad(r.Load)
+	l.setLoad(r.Load)
 	return r
 }
 
-// merged merges a short report into the last whole one, of which it returns a
-// copy.
-func merged(last, short *rudderv1.AgentReport) *rudderv1.AgentReport {
-	whole := proto.CloneOf(last)
-	whole.AgentMs, whole.Generation, whole.OfferRank = short.AgentMs, short.Generation, short.OfferRank
+// mergeReport returns a copy of the last complete report, updated with a short
+// one.
+func mergeReport(last, short *rudderv1.AgentReport) *rudderv1.AgentReport {
+	merged := proto.CloneOf(last)
+	merged.AgentMs, merged.Generation, merged.OfferRank = short.AgentMs, short.Generation, short.OfferRank
 	if short.Load != nil {
-		whole.Load = short.Load
+		merged.Load = short.Load
 	}
-	return whole
+	return merged
 }
 
-// takeLoad records the load that came with a reply and settles what was pending.
-func (l *link) takeLoad(load *rudderv1.Load) {
+// recordLoad records the load that came with a reply.
+func (l *link) recordLoad(load *rudderv1.Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.noteLoad(load)
+	l.setLoad(load)
 }
 
-// noteLoad records a load, if there is one; the caller holds mu.
-func (l *link) noteLoad(load *rudderv1.Load) {
+// setLoad records a load, if there is one. The caller must hold mu.
+func (l *link) setLoad(load *rudderv1.Load) {
 	if load != nil {
 		l.load, l.loadAt = load, time.Now()
 	}
 }
 
-// sent counts predicted work towards the agent until settled is called.
-func (l *link) sent(class routing.Class, work time.Duration) (settled func()) {
+// recordSend counts predicted work as pending at the agent until settled is
+// called.
+func (l *link) recordSend(class routing.Class, work time.Duration) (settled func()) {
 	long := time.Duration(0)
 	if class >= routing.ClassLong {
 		long = work
@@ -168,21 +172,21 @@
 	l.mu.Lock()
 	l.breaker.RecordSend(time.Now())
 	l.pending += work
-	l.pendingL += long
-	l.pendingN++
+	l.pendingLong += long
+	l.pendingRequests++
 	l.mu.Unlock()
 	return sync.OnceFunc(func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.pending -= work
-		l.pendingL -= long
-		l.pendingN--
+		l.pendingLong -= long
+		l.pendingRequests--
 	})
 }
 
-// outcome teaches the breaker how an attempt ended. Only the loss or failure
-// of the endpoint or its agent counts against it.
-func (l *link) outcome(c result.Code) {
+// recordOutcome records in the breaker how an attempt ended. Only the loss or
+// failure of the endpoint or its agent counts as a failure.
+func (l *link) recordOutcome(c result.Code) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -196,32 +200,34 @@
 	}
 }
 
-// observe teaches the slowness how long a first token took against the prediction.
-func (l *link) observe(predicted, took time.Duration) {
+// recordPrefill updates the slowdown estimate with a predicted and an actual
+// prefill time.
+func (l *link) recordPrefill(predicted, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.slowness.Observe(predicted, took, time.Now())
 }
 
-// incarnation returns the agent's incarnation and its clock now, as last heard.
+// incarnation returns the agent's incarnation and an estimate of its current
+// clock.
 func (l *link) incarnation() (string, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.report == nil {
 		return "", 0
 	}
-	return l.report.Incarnation, l.report.AgentMs + time.Since(l.heard).Milliseconds()
+	return l.report.Incarnation, l.report.AgentMs + time.Since(l.lastReportAt).Milliseconds()
 }
 
-// candidate is the link as routing sees it.
+// candidate returns the link's state as input of routing.
 func (l *link) candidate(v membership.Verdict, now time.Time) routing.Candidate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := routing.Candidate{
 		Endpoint: l.declared.Name, Host: l.declared.Host, DataCentre: l.declared.DataCentre, Service: l.declared.Service,
-		MemoryTokens: l.declared.MemoryTokens, Models: l.models, Pending: l.pending, PendingLong: l.pendingL, PendingRequests: l.pendingN,
+		MemoryTokens: l.declared.MemoryTokens, Models: l.models, Pending: l.pending, PendingLong: l.pendingLong, PendingRequests: l.pendingRequests,
 		Connected: v.Usable(), Leaving: v.State == membership.Leaving,
-		BackingOff: now.Before(l.restsTo), BreakerOpen: l.breaker.Blocks(now), InLongLane: l.g.lanes.has(l.declared.Name),
+		BackingOff: now.Before(l.backOffUntil), BreakerOpen: l.breaker.Blocks(now), InLongLane: l.g.lanes.contains(l.declared.Name),
 		SlowdownFactor: l.slowness.Factor(now), Cached: l.cache.Cached,
 	}
 	if l.report == nil {
@@ -249,7 +255,7 @@
 	c.Cost = costOf(load)
 }
 
-// costOf returns the learned cost in a load; zero when none is known.
+// costOf returns the learned cost in a load, or zero if none is known.
 func costOf(load *rudderv1.Load) routing.Cost {
 	return routing.Cost{
 		PrefillPerToken:        time.Duration(load.GetPrefillUsPerToken() * float64(time.Microsecond)),
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -13,22 +13,22 @@
 
 // links holds one link per declared endpoint and follows the document.
 type links struct {
-	g      *Gateway
-	offers chan struct{} // one for each offer in progress
-	asking sync.Mutex    // held while an agent is asked for a newer document
+	g          *Gateway
+	offerSlots chan struct{} // one token for each offer in progress
+	fetchMu    sync.Mutex    // held while an agent is queried for a newer document
 
-	mu     sync.RWMutex
-	byName map[string]*link
-	byAddr map[string]*link
-	order  []*link  // in the document's order
-	names  []string // of order
+	mu      sync.RWMutex
+	byName  map[string]*link
+	byAddr  map[string]*link
+	inOrder []*link  // in the order of the document
+	names   []string // endpoint names, parallel to inOrder
 }
 
 func newLinks(g *Gateway) *links {
-	return &links{g: g, offers: make(chan struct{}, offersAtOnce), byName: make(map[string]*link), byAddr: make(map[string]*link)}
+	return &links{g: g, offerSlots: make(chan struct{}, maxConcurrentOffers), byName: make(map[string]*link), byAddr: make(map[string]*link)}
 }
 
-// loop keeps the links equal to the current document's endpoints.
+// loop keeps the links in step with the endpoints of the current document.
 func (ls *links) loop() {
 	for {
 		changed := ls.g.deps.Keeper.Changed()
@@ -42,15 +42,15 @@
 	}
 }
 
-// apply opens and closes links for the document's endpoints.
+// apply opens and closes links to match the document's endpoints.
 func (ls *links) apply(doc *rudderv1.Document) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	ls.g.members.declare(doc)
+	ls.g.members.applyDeclaration(doc)
 	old := ls.byName
 	ls.byName = make(map[string]*link, len(doc.Endpoints))
 	ls.byAddr = make(map[string]*link, len(doc.Endpoints))
-	ls.order, ls.names = nil, nil
+	ls.inOrder, ls.names = nil, nil
 	for _, e := range doc.Endpoints {
 		l, ok := old[e.Name]
 		if ok && proto.Equal(l.declared, e) {
@@ -60,7 +60,7 @@
 		}
 		ls.byName[e.Name] = l
 		ls.byAddr[e.AgentAddress] = l
-		ls.order = append(ls.order, l)
+		ls.inOrder = append(ls.inOrder, l)
 		ls.names = append(ls.names, e.Name)
 	}
 	for _, l := range old {
@@ -72,31 +72,32 @@
 	l := newLink(ls.g, e)
 	ctx, cancel := context.WithCancel(ls.g.ctx)
 	l.stop = cancel
-	ls.g.loops.Go(func() { l.run(ctx) })
-	ls.g.loops.Go(func() { l.offerLoop(ctx) })
+	ls.g.background.Go(func() { l.run(ctx) })
+	ls.g.background.Go(func() { l.offerLoop(ctx) })
 	return l
 }
 
-// all returns the links in the document's order.
+// all returns the links in the order of the document.
 func (ls *links) all() []*link {
 	ls.mu.RLock()
 	defer ls.mu.RUnlock()
-	return ls.order
+	return ls.inOrder
 }
 
-// named returns the endpoints' names with their links, index by index.
-func (ls *links) named() ([]string, []*link) {
+// namesAndLinks returns the endpoint names and their links as parallel slices.
+func (ls *links) namesAndLinks() ([]string, []*link) {
 	ls.mu.RLock()
 	defer ls.mu.RUnlock()
-	return ls.names, ls.order
+	return ls.names, ls.inOrder
 }
 
-// view returns the candidates with their links, index by index.
-func (ls *links) view(now time.Time) ([]routing.Candidate, []*link) {
-	names, order := ls.named()
-	view := make([]routing.Candidate, len(order))
+// candidates returns the candidates for routing and their links as parallel
+// slices.
+func (ls *links) candidates(now time.Time) ([]routing.Candidate, []*link) {
+	names, inOrder := ls.namesAndLinks()
+	candidates := make([]routing.Candidate, len(inOrder))
 	for i, v := range ls.g.members.verdicts(names, now) {
-		view[i] = order[i].candidate(v, now)
+		candidates[i] = inOrder[i].candidate(v, now)
 	}
-	return view, order
+	return candidates, inOrder
 }
--- a/gateway/membergauges.go
+++ b/gateway/membergauges.go
@@ -7,11 +7,11 @@
 	"github.com/micarudder/micarudder/membership"
 )
 
-// gaugeMembers adds the gauges of endpoints by their state, and of this
-// gateway being cut off.
-func (g *Gateway) gaugeMembers() {
+// registerMemberGauges registers the gauges for the number of endpoints in each
+// state and for whether this gateway is cut off.
+func (g *Gateway) registerMemberGauges() {
 	for _, s := range membership.States {
-		g.meter.set.NewGauge(fmt.Sprintf("rudder_gateway_endpoints{state=%q}", s), func() float64 { return g.inState(s) })
+		g.meter.set.NewGauge(fmt.Sprintf("rudder_gateway_endpoints{state=%q}", s), func() float64 { return g.countInState(s) })
 	}
 	g.meter.set.NewGauge("rudder_gateway_cut_off", func() float64 {
 		if g.members.cutOff() {
@@ -21,9 +21,9 @@
 	})
 }
 
-// inState counts the endpoints in a state.
-func (g *Gateway) inState(s membership.State) float64 {
-	names, _ := g.links.named()
+// countInState returns the number of endpoints in a state.
+func (g *Gateway) countInState(s membership.State) float64 {
+	names, _ := g.links.namesAndLinks()
 	n := 0
 	for _, v := range g.members.verdicts(names, time.Now()) {
 		if v.State == s {
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -16,50 +16,53 @@
 )
 
 const (
-	// listInterval is the mean time between two readings of the platform's
-	// list of hosts; each is spread by half of it.
-	listInterval = time.Second
-	// leaveLease is how long one word of the list holds at an agent.
-	leaveLease = 10 * time.Second
-	// leaveInterval is how often that word is repeated.
-	leaveInterval = 3 * time.Second
-	leaveTime     = 2 * time.Second
+	// hostListInterval is the mean time between two reads of the platform's
+	// list of hosts. Each interval is randomized by up to half of it either
+	// way.
+	hostListInterval = time.Second
+	// leaveNoticeTTL is how long an agent acts on one leave notice.
+	leaveNoticeTTL = 10 * time.Second
+	// leaveNoticeInterval is how often a leave notice is repeated.
+	leaveNoticeInterval = 3 * time.Second
+	leaveNoticeTimeout  = 2 * time.Second
 )
 
-// members guards the gateway's view of the endpoints' membership.
+// members is the gateway's view of the endpoints' membership, safe for
+// concurrent use.
 type members struct {
-	mu    sync.Mutex
-	view  *membership.View
-	heirs *membership.RecordOwners
+	mu           sync.Mutex
+	view         *membership.View
+	recordOwners *membership.RecordOwners
 }
 
 func newMembers() *members {
-	return &members{view: membership.NewView(membership.Default()), heirs: membership.NewRecordOwners()}
+	return &members{view: membership.NewView(membership.Default()), recordOwners: membership.NewRecordOwners()}
 }
 
-// apply takes one piece of evidence.
+// apply applies one membership event.
 func (m *members) apply(ev membership.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.Apply(ev, time.Now())
 }
 
-// verdicts judges the named endpoints.
+// verdicts returns the verdicts for the named endpoints.
 func (m *members) verdicts(names []string, now time.Time) []membership.Verdict {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Verdicts(names, now)
 }
 
-// cutOff reports whether the gateway itself seems to be cut off.
+// cutOff reports whether the gateway itself seems to be cut off from the
+// network.
 func (m *members) cutOff() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.CutOff(time.Now())
 }
 
-// declare hands membership the document's endpoints.
-func (m *members) declare(doc *rudderv1.Document) {
+// applyDeclaration passes the document's endpoints to membership.
+func (m *members) applyDeclaration(doc *rudderv1.Document) {
 	leaving := make(map[string]bool, len(doc.Hosts))
 	for _, h := range doc.Hosts {
 		leaving[h.Name] = h.Leaving
@@ -73,17 +76,17 @@
 	m.apply(ev)
 }
 
-// heir returns the address of the agent that answers for an incarnation;
-// empty when its own does.
-func (m *members) heir(incarnation string) string {
+// recordOwner returns the address of the agent that holds the run records of a
+// stopped incarnation, or "" if no other agent does.
+func (m *members) recordOwner(incarnation string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.heirs.Address(incarnation)
+	return m.recordOwners.Address(incarnation)
 }
 
-// inherited learns which agent answers for which incarnations: the reporting
-// one, or its successor.
-func (m *members) inherited(address string, r *rudderv1.AgentReport) {
+// updateRecordOwners records which agent holds the run records of which
+// incarnations: the reporting agent or its successor.
+func (m *members) updateRecordOwners(address string, r *rudderv1.AgentReport) {
 	if len(r.Inherited) == 0 && r.Successor == "" {
 		return
 	}
@@ -91,14 +94,14 @@
 	defer m.mu.Unlock()
 	now := time.Now()
 	if r.Successor == "" {
-		m.heirs.Confirm(address, r.Inherited, now)
+		m.recordOwners.Confirm(address, r.Inherited, now)
 		return
 	}
-	m.heirs.HandOver(address, r.Successor, append([]string{r.Incarnation}, r.Inherited...), now)
+	m.recordOwners.HandOver(address, r.Successor, append([]string{r.Incarnation}, r.Inherited...), now)
 }
 
-// reported hands membership an agent's report.
-func (m *members) reported(endpoint string, r *rudderv1.AgentReport) {
+// applyReport passes an agent's report to membership.
+func (m *members) applyReport(endpoint string, r *rudderv1.AgentReport) {
 	ev := membership.AgentReported{Endpoint: endpoint, Incarnation: r.Incarnation, AgentMS: r.AgentMs, State: r.State}
 	for _, lm := range r.Models {
 		if !lm.Loading && !lm.Unloading {
@@ -108,44 +111,47 @@
 	m.apply(ev)
 }
 
-// takeRefusal learns from an end that the agent is leaving, or that its endpoint wants no new work for a while.
-func (l *link) takeRefusal(e *rudderv1.End) {
+// recordRefusal evaluates an end that shows that the agent is leaving, or that
+// its endpoint accepts no new work for a while.
+func (l *link) recordRefusal(e *rudderv1.End) {
 	switch result.Code(e.Code) {
 	case result.Draining:
 		l.g.members.apply(membership.OrderRefused{Endpoint: l.declared.Name})
 	case result.EndpointRefused:
-		l.rest(time.Duration(e.RetryAfterMs)*time.Millisecond, time.Now())
+		l.recordBackOff(time.Duration(e.RetryAfterMs)*time.Millisecond, time.Now())
 	}
 }
 
-// rest takes in for how long the endpoint wants no new work; 0: its agent does not say.
-func (l *link) rest(d time.Duration, now time.Time) {
+// recordBackOff records for how long the endpoint accepts no new work. A
+// duration of 0 means that the agent did not say.
+func (l *link) recordBackOff(d time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if until := now.Add(d); d > 0 && until.After(l.restsTo) {
-		l.restsTo = until
+	if until := now.Add(d); d > 0 && until.After(l.backOffUntil) {
+		l.backOffUntil = until
 		l.g.deps.Log.Info("Endpoint asks for rest.", "endpoint", l.declared.Name, "for", d)
 	}
 }
 
-// restLeft returns when the first endpoint that rests takes work again, comeBack where none rests.
-func (ls *links) restLeft(now time.Time) time.Duration {
-	least := time.Duration(0)
+// shortestBackOff returns the time until the first endpoint that is backing off
+// accepts work again, or defaultRetryAfter if none is backing off.
+func (ls *links) shortestBackOff(now time.Time) time.Duration {
+	shortest := time.Duration(0)
 	for _, l := range ls.all() {
 		l.mu.Lock()
-		left := l.restsTo.Sub(now)
+		remaining := l.backOffUntil.Sub(now)
 		l.mu.Unlock()
-		if left > 0 && (least == 0 || left < least) {
-			least = left
+		if remaining > 0 && (shortest == 0 || remaining < shortest) {
+			shortest = remaining
 		}
 	}
-	return cmp.Or(least, comeBack)
+	return cmp.Or(shortest, defaultRetryAfter)
 }
 
-// followHosts reads the platform's list of hosts for as long as the gateway
-// lives and tells agents whose hosts it takes away.
+// followHosts reads the platform's list of hosts until the gateway stops, and
+// notifies the agents whose hosts are leaving according to that list.
 func (g *Gateway) followHosts() {
-	told := make(map[string]time.Time)
+	lastNotified := make(map[string]time.Time)
 	for g.ctx.Err() == nil {
 		if hosts, err := g.deps.Hosts.Hosts(g.ctx); err == nil {
 			var ev membership.HostsListed
@@ -154,41 +160,42 @@
 			}
 			g.members.apply(ev)
 		}
-		g.tellLeaving(told)
+		g.notifyLeaving(lastNotified)
 		select {
-		case <-time.After(listInterval/2 + rand.N(listInterval)):
+		case <-time.After(hostListInterval/2 + rand.N(hostListInterval)):
 		case <-g.ctx.Done():
 		}
 	}
 }
 
-// tellLeaving repeats the list's word to each agent that it concerns. told
-// holds when each was last told.
-func (g *Gateway) tellLeaving(told map[string]time.Time) {
+// notifyLeaving sends a leave notice to each agent whose host is leaving
+// according to the list. lastNotified holds the time of the last notice by
+// endpoint name.
+func (g *Gateway) notifyLeaving(lastNotified map[string]time.Time) {
 	now := time.Now()
-	names, order := g.links.named()
+	names, byIndex := g.links.namesAndLinks()
 	for i, v := range g.members.verdicts(names, now) {
 		if v.Evidence != membership.ByList || v.State != membership.Leaving {
 			continue
 		}
-		if now.Sub(told[names[i]]) < leaveInterval {
+		if now.Sub(lastNotified[names[i]]) < leaveNoticeInterval {
 			continue
 		}
-		told[names[i]] = now
-		g.loops.Go(order[i].tellLeaving)
+		lastNotified[names[i]] = now
+		g.background.Go(byIndex[i].notifyLeaving)
 	}
 }
 
-// tellLeaving tells the agent that its host leaves. The agent checks the
-// incarnation and its own clock, so a word that is late does nothing.
-func (l *link) tellLeaving() {
-	ctx, cancel := context.WithTimeout(l.g.ctx, leaveTime)
+// notifyLeaving tells the agent that its host is leaving. The agent checks the
+// incarnation and the time by its own clock, so a late notice has no effect.
+func (l *link) notifyLeaving() {
+	ctx, cancel := context.WithTimeout(l.g.ctx, leaveNoticeTimeout)
 	defer cancel()
 	incarnation, clock := l.incarnation()
 	_, err := l.client.Leave(ctx, connect.NewRequest(&rudderv1.LeaveRequest{
-		Gateway: l.g.cfg.Name, Incarnation: incarnation, DecidedAgentMs: clock, LeaseMs: leaveLease.Milliseconds(),
+		Gateway: l.g.cfg.Name, Incarnation: incarnation, DecidedAgentMs: clock, LeaseMs: leaveNoticeTTL.Milliseconds(),
 	}))
 	if err != nil {
-		l.g.deps.Log.Warn("An agent was not told that its host leaves.", "endpoint", l.declared.Name, "err", err)
+		l.g.deps.Log.Warn("Failed to tell an agent that its host is leaving.", "endpoint", l.declared.Name, "err", err)
 	}
 }
--- a/gateway/meter_test.go
+++ b/gateway/meter_test.go
@@ -12,24 +12,24 @@
 	"github.com/micarudder/micarudder/routing"
 )
 
-func TestCompare(t *testing.T) {
+func TestSlowdownMetrics(t *testing.T) {
 	const ms = time.Millisecond
 	cases := []struct {
 		name             string
 		class            routing.Class
-		took, alone      time.Duration
+		took, unloaded   time.Duration
 		compared, slowed bool
 	}{
-		{"in time", routing.ClassShort, 110 * ms, 100 * ms, true, false},
+		{"not slowed", routing.ClassShort, 110 * ms, 100 * ms, true, false},
 		{"slowed", routing.ClassShort, 130 * ms, 100 * ms, true, true},
-		{"too short to tell", routing.ClassShort, 130 * ms, 10 * ms, false, false},
+		{"too short to compare", routing.ClassShort, 130 * ms, 10 * ms, false, false},
 		{"not short", routing.ClassMedium, 900 * ms, 100 * ms, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			m := &meter{set: metrics.NewSet()}
-			m.compare(c.class, c.took, c.alone, `{class="x"}`)
+			m.compare(c.class, c.took, c.unloaded, `{class="x"}`)
 			var b bytes.Buffer
 			m.set.WritePrometheus(&b)
 			is.Equal(strings.Contains(b.String(), "rudder_compared_total"), c.compared)
--- a/gateway/offer.go
+++ b/gateway/offer.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	offerTime = 2 * time.Second
-	// offerStagger is how much later than the one before it each gateway
-	// offers a document to an agent that has not reported it by then; it is
+	offerTimeout = 2 * time.Second
+	// offerStagger is how much later than the previous gateway each gateway
+	// offers a document to an agent that has not reported it by then. It is
 	// longer than an agent takes to report a new generation.
 	offerStagger = 400 * time.Millisecond
-	// maxStagger bounds the wait when many gateways are before this one.
-	maxStagger = 4
-	// offerRetry is the wait after a failed offer.
-	offerRetry = time.Second
-	// offersAtOnce bounds the offers in progress.
-	offersAtOnce = 16
-	// askDelay to twice of it is how long a gateway that hears of a newer
-	// generation from an agent waits to learn it from elsewhere; a peer tells it
-	// within twice fetchGrace.
-	askDelay = 600 * time.Millisecond
+	// maxStaggerSteps bounds the delay if many gateways come before this one.
+	maxStaggerSteps = 4
+	// offerRetryDelay is the delay after a failed offer.
+	offerRetryDelay = time.Second
+	// maxConcurrentOffers is the maximum number of offers in progress.
+	maxConcurrentOffers = 16
+	// fetchDelay is the minimum time that a gateway waits to learn a newer
+	// generation elsewhere after it has heard of it from an agent; the maximum
+	// is twice that. A peer sends it within twice longPollAnswerDelay.
+	fetchDelay = 600 * time.Millisecond
 )
 
-// offerLoop brings the agent every document that no other gateway has brought
-// it, and asks it for one that is newer than the gateway's.
+// offerLoop offers the agent every document that it has not received from
+// another gateway, and fetches its document if that is newer than the
+// gateway's.
 func (l *link) offerLoop(ctx context.Context) {
 	k := l.g.deps.Keeper
 	for {
@@ -40,11 +41,11 @@
 		ok := true
 		switch has, connected := l.generation(); {
 		case !connected || has == k.Generation():
-			ok = l.waitNews(ctx, changed)
+			ok = l.waitForChange(ctx, changed)
 		case has < k.Generation():
-			ok = l.offerInTurn(ctx)
+			ok = l.offerAfterStagger(ctx)
 		default:
-			ok = l.askInTime(ctx, changed)
+			ok = l.fetchAfterDelay(ctx, changed)
 		}
 		if !ok {
 			return
@@ -52,47 +53,49 @@
 	}
 }
 
-// generation returns the agent's generation as last heard.
+// generation returns the agent's generation as last reported.
 func (l *link) generation() (has uint64, connected bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.report.GetGeneration(), l.connected
 }
 
-// waitNews waits for a report or a new document; it reports false when ctx ended.
-func (l *link) waitNews(ctx context.Context, changed <-chan struct{}) bool {
+// waitForChange waits for a report or a new document. It returns false if ctx
+// ended.
+func (l *link) waitForChange(ctx context.Context, changed <-chan struct{}) bool {
 	select {
 	case <-changed:
-	case <-l.told:
+	case <-l.reported:
 	case <-ctx.Done():
 		return false
 	}
 	return true
 }
 
-// offerInTurn waits until it is this gateway's turn and offers the document if
-// the agent still lacks it; it reports false when ctx ended.
-func (l *link) offerInTurn(ctx context.Context) bool {
+// offerAfterStagger waits for this gateway's turn and offers the document if
+// the agent still lacks it. It returns false if ctx ended.
+func (l *link) offerAfterStagger(ctx context.Context) bool {
 	l.mu.Lock()
 	rank := l.report.GetOfferRank()
 	l.mu.Unlock()
-	if rank > 0 && !sleep.For(ctx, time.Duration(min(rank, maxStagger))*offerStagger+rand.N(offerStagger/4)) {
+	if rank > 0 && !sleep.For(ctx, time.Duration(min(rank, maxStaggerSteps))*offerStagger+rand.N(offerStagger/4)) {
 		return false
 	}
 	if has, connected := l.generation(); !connected || has >= l.g.deps.Keeper.Generation() {
 		return true
 	}
 	if err := l.offer(ctx); err != nil {
-		l.g.deps.Log.Warn("Offer failed.", "endpoint", l.declared.Name, "err", err)
-		return sleep.For(ctx, offerRetry)
+		l.g.deps.Log.Warn("Failed to offer the configuration to an agent.", "endpoint", l.declared.Name, "err", err)
+		return sleep.For(ctx, offerRetryDelay)
 	}
 	return true
 }
 
-// askInTime waits whether the gateway learns the agent's newer document from
-// elsewhere, and asks the agent for it otherwise.
-func (l *link) askInTime(ctx context.Context, changed <-chan struct{}) bool {
-	t := time.NewTimer(askDelay + rand.N(askDelay))
+// fetchAfterDelay waits for the gateway to learn the agent's newer document
+// elsewhere, and fetches it from the agent if that does not happen. It returns
+// false if ctx ended.
+func (l *link) fetchAfterDelay(ctx context.Context, changed <-chan struct{}) bool {
+	t := time.NewTimer(fetchDelay + rand.N(fetchDelay))
 	defer t.Stop()
 	select {
 	case <-changed:
@@ -101,18 +104,18 @@
 		return false
 	case <-t.C:
 	}
-	if err := l.ask(ctx); err != nil {
-		l.g.deps.Log.Warn("No newer configuration from the agent.", "endpoint", l.declared.Name, "err", err)
-		return sleep.For(ctx, offerRetry)
+	if err := l.fetchNewer(ctx); err != nil {
+		l.g.deps.Log.Warn("Failed to fetch a newer configuration from an agent.", "endpoint", l.declared.Name, "err", err)
+		return sleep.For(ctx, offerRetryDelay)
 	}
 	return true
 }
 
-// ask learns the agent's newer document. Of all links that want to ask, one
-// does so at a time.
-func (l *link) ask(ctx context.Context) error {
-	l.g.links.asking.Lock()
-	defer l.g.links.asking.Unlock()
+// fetchNewer fetches the agent's newer document. Only one link does so at a
+// time.
+func (l *link) fetchNewer(ctx context.Context) error {
+	l.g.links.fetchMu.Lock()
+	defer l.g.links.fetchMu.Unlock()
 	have := l.g.deps.Keeper.Generation()
 	if has, _ := l.generation(); has <= have {
 		return nil
@@ -121,14 +124,15 @@
 	if err != nil {
 		return err
 	}
-	return l.takeNewer(ctx, resp)
+	return l.learnNewer(ctx, resp)
 }
 
-// offer hands the agent the current document, by delta if it holds the base.
+// offer offers the agent the current document, as a delta if the agent has its
+// base.
 func (l *link) offer(ctx context.Context) error {
 	select {
-	case l.g.links.offers <- struct{}{}:
-		defer func() { <-l.g.links.offers }()
+	case l.g.links.offerSlots <- struct{}{}:
+		defer func() { <-l.g.links.offerSlots }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -144,24 +148,24 @@
 	if err != nil {
 		return err
 	}
-	return l.takeNewer(ctx, resp)
+	return l.learnNewer(ctx, resp)
 }
 
-// send makes one offer and notes the generation that the agent then has.
-func (l *link) send(ctx context.Context, o *rudderv1.OfferRequest) (*rudderv1.OfferResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, offerTime)
+// send makes one offer and records the generation that the agent then has.
+func (l *link) send(ctx context.Context, offer *rudderv1.OfferRequest) (*rudderv1.OfferResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
-	l.g.meter.sent(toAgent, o)
-	resp, err := l.client.Offer(ctx, connect.NewRequest(o))
+	l.g.meter.recordOffer(toAgent, offer)
+	resp, err := l.client.Offer(ctx, connect.NewRequest(offer))
 	if err != nil {
 		return nil, err
 	}
-	l.reached(resp.Msg.Generation)
+	l.raiseGeneration(resp.Msg.Generation)
 	return resp.Msg, nil
 }
 
-// reached notes a generation that the agent is known to have.
-func (l *link) reached(gen uint64) {
+// raiseGeneration records that the agent has at least the given generation.
+func (l *link) raiseGeneration(gen uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.report == nil || l.report.Generation >= gen {
@@ -171,16 +175,16 @@
 	l.report.Generation = gen
 }
 
-// takeNewer learns the newer document in an agent's answer.
-func (l *link) takeNewer(ctx context.Context, resp *rudderv1.OfferResponse) error {
+// learnNewer learns the newer document in an agent's answer.
+func (l *link) learnNewer(ctx context.Context, resp *rudderv1.OfferResponse) error {
 	offer := &rudderv1.OfferRequest{Document: resp.Newer, Delta: resp.NewerDelta}
-	return l.learnFrom(ctx, offer)
+	return l.learnFromAgent(ctx, offer)
 }
 
-// learnFrom takes what the agent handed back, and asks it for the whole
-// document when its delta does not fit.
-func (l *link) learnFrom(ctx context.Context, offer *rudderv1.OfferRequest) error {
-	return l.g.learnOr(offer, fromAgent, func() (*rudderv1.Document, error) {
+// learnFromAgent learns a document or delta that the agent returned. If the
+// delta cannot be applied, it asks the agent for the complete document.
+func (l *link) learnFromAgent(ctx context.Context, offer *rudderv1.OfferRequest) error {
+	return l.g.learnOrFetch(offer, fromAgent, func() (*rudderv1.Document, error) {
 		resp, err := l.send(ctx, &rudderv1.OfferRequest{})
 		if err != nil {
 			return nil, err
@@ -189,10 +193,10 @@
 	})
 }
 
-// relearn takes the newer configuration that came with the refusal of an order
-// that was planned under an older one.
-func (l *link) relearn(ctx context.Context, refusal *rudderv1.End) {
-	if err := l.learnFrom(ctx, refusal.GetNewer()); err != nil {
-		l.g.deps.Log.Warn("A newer configuration could not be learned.", "endpoint", l.declared.Name, "err", err)
+// learnFromRefusal learns the newer configuration that came with the refusal of
+// an order planned under an older one.
+func (l *link) learnFromRefusal(ctx context.Context, refusal *rudderv1.End) {
+	if err := l.learnFromAgent(ctx, refusal.GetNewer()); err != nil {
+		l.g.deps.Log.Warn("Failed to learn the newer configuration from an order refusal.", "endpoint", l.declared.Name, "err", err)
 	}
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -20,31 +20,33 @@
 )
 
 const (
-	// fetchWait is the length of one long poll at a peer.
-	fetchWait  = 20 * time.Second
-	fetchSlack = 5 * time.Second
-	// fetchGrace to twice of it is how long a gateway keeps a new document
-	// from the peers that poll it, so that those who learn it from the
-	// platform need not be sent it.
-	fetchGrace = 250 * time.Millisecond
-	// firstFetch bounds the questions to the peers at the start.
-	firstFetch = 2 * time.Second
-	// polledPeers is the number of peers that a gateway polls at a time. Each
-	// poll goes to another one, so no group of gateways stays among itself.
-	polledPeers = 3
-	// onlyGeneration as the generation held asks for the peer's number alone.
-	onlyGeneration = math.MaxUint64
+	// longPollTime is the duration of one long poll to a peer.
+	longPollTime  = 20 * time.Second
+	longPollSlack = 5 * time.Second
+	// longPollAnswerDelay is the minimum time for which a new document is
+	// withheld from polling peers; the maximum is twice that. Peers that learn
+	// it from the platform in the meantime need not be sent it.
+	longPollAnswerDelay = 250 * time.Millisecond
+	// initialFetchTimeout limits the queries to all peers at start.
+	initialFetchTimeout = 2 * time.Second
+	// concurrentPolls is the number of peers that a gateway polls at the same
+	// time. Each poll goes to another random peer, so that no group of gateways
+	// polls only among its own members.
+	concurrentPolls = 3
+	// haveEverything, as the generation that the caller has, requests only the
+	// number of the peer's generation.
+	haveEverything = math.MaxUint64
 )
 
-// peers are the other gateways, from which a gateway learns what the platform
-// does not tell it.
+// peers are the other gateways. From them a gateway learns documents that it
+// does not get from the platform.
 type peers struct {
-	g     *Gateway
-	all   []peer
-	asked atomic.Bool // every peer was asked once, or did not answer in time
+	g          *Gateway
+	all        []peer
+	allQueried atomic.Bool // every peer has answered the initial query or timed out
 
 	mu   sync.Mutex
-	free []peer // not being polled
+	idle []peer // peers that no loop is polling
 }
 
 type peer struct {
@@ -57,88 +59,90 @@
 	for _, addr := range g.cfg.Peers {
 		p.all = append(p.all, peer{addr, rudderv1connect.NewGatewayServiceClient(g.deps.Client, g.deps.Client.URL(addr), inner.ClientOptions()...)})
 	}
-	p.free = slices.Clone(p.all)
+	p.idle = slices.Clone(p.all)
 	return p
 }
 
-// start asks every peer for the highest generation and goes on polling some.
+// start queries every peer for the highest generation and starts the polling
+// loops.
 func (p *peers) start() {
-	p.g.loops.Go(func() {
-		p.askAll(p.all)
-		p.asked.Store(true)
+	p.g.background.Go(func() {
+		p.fetchNewest(p.all)
+		p.allQueried.Store(true)
 	})
-	for range min(len(p.all), polledPeers) {
-		p.g.loops.Go(p.pollLoop)
+	for range min(len(p.all), concurrentPolls) {
+		p.g.background.Go(p.pollLoop)
 	}
 }
 
-// askAll learns the highest document that the peers hold.
-func (p *peers) askAll(all []peer) {
-	ctx, cancel := context.WithTimeout(p.g.ctx, firstFetch)
+// fetchNewest learns the document with the highest generation that the given
+// peers have.
+func (p *peers) fetchNewest(all []peer) {
+	ctx, cancel := context.WithTimeout(p.g.ctx, initialFetchTimeout)
 	defer cancel()
-	has := make([]uint64, len(all))
+	generations := make([]uint64, len(all))
 	var wg sync.WaitGroup
 	for i, peer := range all {
 		wg.Go(func() {
-			resp, err := peer.client.Fetch(ctx, connect.NewRequest(&rudderv1.FetchRequest{Have: onlyGeneration}))
+			resp, err := peer.client.Fetch(ctx, connect.NewRequest(&rudderv1.FetchRequest{Have: haveEverything}))
 			if err == nil {
-				has[i] = resp.Msg.Generation
+				generations[i] = resp.Msg.Generation
 			}
 		})
 	}
 	wg.Wait()
 	for {
 		best := 0
-		for i := range has {
-			if has[i] > has[best] {
+		for i := range generations {
+			if generations[i] > generations[best] {
 				best = i
 			}
 		}
-		if len(has) == 0 || has[best] <= p.g.deps.Keeper.Generation() {
+		if len(generations) == 0 || generations[best] <= p.g.deps.Keeper.Generation() {
 			return
 		}
 		if p.fetch(ctx, all[best], 0) == nil {
 			return
 		}
-		has[best] = 0
+		generations[best] = 0
 	}
 }
 
 // pollLoop polls one peer after the other.
 func (p *peers) pollLoop() {
-	wait := backoff.NewExponentialBackOff()
+	retryDelay := backoff.NewExponentialBackOff()
 	for p.g.ctx.Err() == nil {
-		peer := p.pick()
+		peer := p.takeIdle()
 		err := p.poll(peer)
 		p.release(peer)
 		if err == nil {
-			wait.Reset()
+			retryDelay.Reset()
 			continue
 		}
-		sleep.For(p.g.ctx, wait.NextBackOff())
+		sleep.For(p.g.ctx, retryDelay.NextBackOff())
 	}
 }
 
-// pick takes a random peer that no other loop polls.
-func (p *peers) pick() peer {
+// takeIdle takes a random peer that no other loop is polling.
+func (p *peers) takeIdle() peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	i := rand.IntN(len(p.free))
-	chosen := p.free[i]
-	p.free = append(p.free[:i], p.free[i+1:]...)
+	i := rand.IntN(len(p.idle))
+	chosen := p.idle[i]
+	p.idle = append(p.idle[:i], p.idle[i+1:]...)
 	return chosen
 }
 
-func (p *peers) release(x peer) {
+func (p *peers) release(target peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.free = append(p.free, x)
+	p.idle = append(p.idle, target)
 }
 
-// poll waits at a peer for a newer document, and gives up without an error
-// when the gateway has learned one elsewhere.
-func (p *peers) poll(x peer) error {
-	ctx, cancel := context.WithTimeout(p.g.ctx, fetchWait+fetchSlack)
+// poll waits for a newer document from a peer. It returns nil if the gateway
+// learned one elsewhere in the meantime.
+func (p *peers) poll(target peer) error {
+	ctx, cancel := context.WithTimeout(p.g.ctx, longPollTime+longPollSlack)
 	defer cancel()
 	changed := p.g.deps.Keeper.Changed()
 	go func() {
@@ -148,7 +152,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	err := p.fetch(ctx, x, fetchWait)
+	err := p.fetch(ctx, target, longPollTime)
 	select {
 	case <-changed:
 		return nil
@@ -157,9 +161,10 @@
 	}
 }
 
-// fetch asks a peer for a newer document and waits for one if need be.
-func (p *peers) fetch(ctx context.Context, x peer, wait time.Duration) error {
-	resp, err := x.client.Fetch(ctx, connect.NewRequest(&rudderv1.FetchRequest{
+// fetch requests a newer document from a peer, which waits up to the given time
+// for one.
+func (p *peers) fetch(ctx context.Context, target peer, wait time.Duration) error {
+	resp, err := target.client.Fetch(ctx, connect.NewRequest(&rudderv1.FetchRequest{
 		Have: p.g.deps.Keeper.Generation(), WaitMs: uint32(wait.Milliseconds()),
 	}))
 	if err != nil {
@@ -167,8 +172,8 @@
 	}
 	p.g.members.apply(membership.ExternalContact{})
 	offer := &rudderv1.OfferRequest{Document: resp.Msg.Document, Delta: resp.Msg.Delta}
-	return p.g.learnOr(offer, fromPeer, func() (*rudderv1.Document, error) {
-		resp, err := x.client.Fetch(ctx, connect.NewRequest(&rudderv1.FetchRequest{}))
+	return p.g.learnOrFetch(offer, fromPeer, func() (*rudderv1.Document, error) {
+		resp, err := target.client.Fetch(ctx, connect.NewRequest(&rudderv1.FetchRequest{}))
 		if err != nil {
 			return nil, err
 		}
@@ -176,7 +181,8 @@
 	})
 }
 
-// Fetch returns the current document once it is newer than the caller's.
+// Fetch returns the current document once it is newer than the caller's, or the
+// current generation without a document after the requested time.
 func (s *server) Fetch(ctx context.Context, req *connect.Request[rudderv1.FetchRequest]) (*connect.Response[rudderv1.FetchResponse], error) {
 	k := s.g.deps.Keeper
 	wait := min(time.Duration(req.Msg.WaitMs)*time.Millisecond, maxFetchWait)
@@ -184,11 +190,11 @@
 	defer timer.Stop()
 	changed := k.Changed()
 	if k.Generation() > req.Msg.Have {
-		return connect.NewResponse(s.g.fetched(req.Msg.Have)), nil
+		return connect.NewResponse(s.g.fetchResponse(req.Msg.Have)), nil
 	}
 	select {
 	case <-changed:
-		if !sleep.For(ctx, fetchGrace+rand.N(fetchGrace)) {
+		if !sleep.For(ctx, longPollAnswerDelay+rand.N(longPollAnswerDelay)) {
 			return nil, ctx.Err()
 		}
 	case <-timer.C:
@@ -197,15 +203,15 @@
 	case <-s.g.ctx.Done():
 		return nil, connect.NewError(connect.CodeUnavailable, context.Canceled)
 	}
-	return connect.NewResponse(s.g.fetched(req.Msg.Have)), nil
+	return connect.NewResponse(s.g.fetchResponse(req.Msg.Have)), nil
 }
 
-// fetched is the answer to a peer that holds generation have.
-func (g *Gateway) fetched(have uint64) *rudderv1.FetchResponse {
+// fetchResponse returns the answer to a peer that has generation have.
+func (g *Gateway) fetchResponse(have uint64) *rudderv1.FetchResponse {
 	resp := &rudderv1.FetchResponse{Generation: g.deps.Keeper.Generation()}
 	if u := g.deps.Keeper.Update(have); u != nil {
 		resp.Document, resp.Delta = u.Document, u.Delta
-		g.meter.sent(toPeer, u)
+		g.meter.recordOffer(toPeer, u)
 	}
 	return resp
 }
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -15,55 +15,55 @@
 )
 
 const (
-	placeInterval = 250 * time.Millisecond // between two rounds
-	// permitLife is how long an agent may take a permit, on its own clock. It
-	// is below the margin by which a lease ends earlier for its holder, so no
-	// permit outlives the lease it was given under.
-	permitLife = time.Second
-	placeTime  = time.Second // for one call to an agent
-	// silence is how long after its last report a connected agent is still
-	// believed; agents report at least once per heartbeat.
-	silence = 12 * time.Second
+	roundInterval = 250 * time.Millisecond // between two rounds
+	// permitTTL is how long an agent may accept a permit, by its own clock. It
+	// is shorter than the safety margin by which a lease ends earlier for its
+	// holder, so no permit outlives the lease under which it was given.
+	permitTTL    = time.Second
+	placeTimeout = time.Second // for one call to an agent
+	// maxReportAge is how long the last report of a connected agent remains
+	// valid. Agents report at least once per heartbeat interval.
+	maxReportAge = 12 * time.Second
 )
 
-// placer permits orders to the agents of its own data centre while this
-// gateway holds the data centre's lease. Only its loop uses its fields, except
-// under mu.
+// placer permits orders to the agents of its own data centre while this gateway
+// holds the data centre's placer lease. Only its loop uses the fields that mu
+// does not guard.
 type placer struct {
-	g        *Gateway
-	presence *placement.FlapDamper
-	tenure   *tenure
+	g          *Gateway
+	flapDamper *placement.FlapDamper
+	lease      *placerLease
 
-	generation uint64 // of assigned
+	generation uint64 // generation for which assigned was computed
 	live       map[string]bool
 	assigned   placement.Assignments
 
 	mu        sync.Mutex
 	grants    placement.Grants
-	lease     metastore.LeaseID    // held in the latest round; 0: none
-	decided   map[string]word      // the reports that the latest round went by
-	confirmed map[string]word      // what agents said when asked under the present lease
-	notBefore map[string]time.Time // when to permit to an endpoint again
+	leaseID   metastore.LeaseID    // lease held in the latest round; 0: none
+	decidedOn map[string]reportID  // the reports on which the latest round was based
+	confirmed map[string]reportID  // the agents' answers to the query under the current lease
+	notBefore map[string]time.Time // when the endpoint may get a permit again
 }
 
-// word names one report of an agent.
-type word struct {
+// reportID identifies one report of an agent.
+type reportID struct {
 	incarnation string
 	holds       uint64
 	reportMS    int64 // the agent's clock when it made the report
-	clockMS     int64 // and when the report was looked at, at least
+	clockMS     int64 // lower bound of the agent's clock when the report was evaluated
 }
 
 func newPlacer(g *Gateway) *placer {
-	p := &placer{g: g, presence: placement.NewFlapDamper(), grants: make(placement.Grants), notBefore: make(map[string]time.Time)}
-	p.tenure = newTenure(g)
+	p := &placer{g: g, flapDamper: placement.NewFlapDamper(), grants: make(placement.Grants), notBefore: make(map[string]time.Time)}
+	p.lease = newPlacerLease(g)
 	return p
 }
 
 func (p *placer) loop() {
-	tick := time.NewTicker(placeInterval)
+	tick := time.NewTicker(roundInterval)
 	defer tick.Stop()
-	defer p.tenure.release()
+	defer p.lease.release()
 	for {
 		p.round()
 		select {
@@ -74,37 +74,39 @@
 	}
 }
 
-// round looks at the data centre once and permits what may be done now.
+// round evaluates the state of the data centre once and permits the orders that
+// may be given now.
 func (p *placer) round() {
 	now := time.Now()
 	doc := p.g.deps.Keeper.Document()
-	links := p.own()
+	links := p.ownLinks()
 	if p.g.draining.Load() {
-		p.tenure.release()
+		p.lease.release()
 		return
 	}
 	if doc.Generation == 0 || len(links) == 0 {
-		p.tenure.rest(now)
+		p.lease.markIdle(now)
 		return
 	}
-	steps := p.steps(doc, links, now)
-	if len(steps) == 0 {
-		p.tenure.rest(now)
+	planned := p.nextOrders(doc, links, now)
+	if len(planned) == 0 {
+		p.lease.markIdle(now)
 		return
 	}
-	switch p.tenure.claim(now) {
-	case holding:
+	switch p.lease.stateOrAcquire(now) {
+	case leaseHeld:
 		if p.confirm(links) {
-			p.permitAll(steps, doc.Generation, now)
+			p.permitAll(planned, doc.Generation, now)
 		}
-	case platformAway:
-		p.permitAll(additions(steps), doc.Generation, now)
-	case notHolding:
+	case platformUnreachable:
+		p.permitAll(loadOrders(planned), doc.Generation, now)
+	case leaseNotHeld:
 	}
 }
 
-// own returns the links to the model engines of this gateway's data centre.
-func (p *placer) own() map[string]*link {
+// ownLinks returns the links to the model engines of this gateway's data centre
+// by endpoint name.
+func (p *placer) ownLinks() map[string]*link {
 	out := make(map[string]*link)
 	for _, l := range p.g.links.all() {
 		if l.declared.DataCentre == p.g.cfg.DataCentre && l.declared.Service == "" {
@@ -114,57 +116,58 @@
 	return out
 }
 
-// steps returns what placement asks for on the present view.
-func (p *placer) steps(doc *rudderv1.Document, links map[string]*link, now time.Time) []placement.PlannedOrder {
+// nextOrders returns the orders that placement plans for the current view.
+func (p *placer) nextOrders(doc *rudderv1.Document, links map[string]*link, now time.Time) []placement.PlannedOrder {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if lease := p.tenure.held(now); lease != p.lease {
-		p.lease, p.confirmed = lease, nil
+	if lease := p.lease.heldID(now); lease != p.leaseID {
+		p.leaseID, p.confirmed = lease, nil
 	}
-	p.forget(links)
+	p.forgetUndeclared(links)
 	view, live := p.view(links, now)
-	p.assign(doc, live)
-	steps, _ := placement.Next(doc, p.g.cfg.DataCentre, p.assigned, view)
-	return steps
+	p.updateAssignments(doc, live)
+	planned, _ := placement.Next(doc, p.g.cfg.DataCentre, p.assigned, view)
+	return planned
 }
 
-// view returns what the endpoints hold by the reports that count, as if every
-// permit had been taken, and which endpoints are live; the caller holds mu.
+// view returns the state of the endpoints according to the current reports, as
+// if every outstanding permit had been accepted, and which endpoints are live.
+// The caller must hold mu.
 func (p *placer) view(links map[string]*link, now time.Time) (placement.View, map[string]bool) {
-	p.decided = make(map[string]word, len(links))
+	p.decidedOn = make(map[string]reportID, len(links))
 	view, live := make(placement.View, len(links)), make(map[string]bool, len(links))
 	for name, l := range links {
-		h, w, ok := l.held(now)
-		live[name] = p.presence.Observe(name, ok, now)
+		state, id, ok := l.reportedState(now)
+		live[name] = p.flapDamper.Observe(name, ok, now)
 		if !ok {
 			continue
 		}
-		p.grants.DropReported(name, w.incarnation, w.holds, w.reportMS)
-		if p.believed(name, w) {
-			view[name], p.decided[name] = h, w
+		p.grants.DropReported(name, id.incarnation, id.holds, id.reportMS)
+		if p.isCurrent(name, id) {
+			view[name], p.decidedOn[name] = state, id
 		}
 	}
 	p.grants.Apply(view)
 	return view, live
 }
 
-// believed tells whether a report counts: under a lease only one that is not
-// older than the agent's answer to this holder, for an earlier holder may have
-// permitted something after it.
-func (p *placer) believed(name string, w word) bool {
-	if p.lease == 0 || p.confirmed == nil {
+// isCurrent reports whether a report may be used. Under a lease, it must not be
+// older than the agent's answer to this holder, because an earlier holder may
+// have given permits after the report.
+func (p *placer) isCurrent(name string, id reportID) bool {
+	if p.leaseID == 0 || p.confirmed == nil {
 		return true
 	}
 	c, ok := p.confirmed[name]
-	return ok && (c.incarnation != w.incarnation || w.holds >= c.holds)
+	return ok && (c.incarnation != id.incarnation || id.holds >= c.holds)
 }
 
-func (p *placer) forget(links map[string]*link) {
+func (p *placer) forgetUndeclared(links map[string]*link) {
 	declared := make(map[string]bool, len(links))
 	for name := range links {
 		declared[name] = true
 	}
-	p.presence.Forget(declared)
+	p.flapDamper.Forget(declared)
 	for name := range p.grants {
 		if !declared[name] {
 			delete(p.grants, name)
@@ -177,9 +180,9 @@
 	}
 }
 
-// assign computes the assignments anew when the document or the live
-// endpoints changed.
-func (p *placer) assign(doc *rudderv1.Document, live map[string]bool) {
+// updateAssignments recomputes the assignments if the document or the set of
+// live endpoints has changed.
+func (p *placer) updateAssignments(doc *rudderv1.Document, live map[string]bool) {
 	same := p.assigned != nil && p.generation == doc.Generation && len(live) == len(p.live)
 	for name, is := range live {
 		same = same && p.live[name] == is
@@ -191,10 +194,10 @@
 	p.assigned = placement.AssignIn(doc, p.g.cfg.DataCentre, live)
 }
 
-// additions are the steps that take nothing away; they need no lease.
-func additions(steps []placement.PlannedOrder) []placement.PlannedOrder {
+// loadOrders returns the orders that only load something. They need no lease.
+func loadOrders(planned []placement.PlannedOrder) []placement.PlannedOrder {
 	var out []placement.PlannedOrder
-	for _, s := range steps {
+	for _, s := range planned {
 		if s.Order.Kind == engine.OrderLoadModel || s.Order.Kind == engine.OrderLoadAdapter {
 			out = append(out, s)
 		}
@@ -202,37 +205,38 @@
 	return out
 }
 
-// confirm asks every reachable agent for its report, once under each lease. It
-// returns true when that was done before; otherwise the steps have to be
-// decided anew.
+// confirm queries the reachable agents that have not yet answered under the
+// current lease for their reports. It returns true if earlier calls already had
+// all answers; otherwise the orders must be planned again.
 func (p *placer) confirm(links map[string]*link) bool {
 	p.mu.Lock()
 	first := p.confirmed == nil
-	var ask []*link
+	var unconfirmed []*link
 	for name, l := range links {
 		if _, ok := p.confirmed[name]; !ok && l.reachable() {
-			ask = append(ask, l)
+			unconfirmed = append(unconfirmed, l)
 		}
 	}
 	if first {
-		p.confirmed = make(map[string]word)
+		p.confirmed = make(map[string]reportID)
 	}
 	p.mu.Unlock()
-	p.each(ask, func(ctx context.Context, l *link) {
+	p.forEachLink(unconfirmed, func(ctx context.Context, l *link) {
 		resp, err := l.client.Place(ctx, connect.NewRequest(&rudderv1.PlaceRequest{Gateway: p.g.cfg.Name}))
 		if err != nil {
 			return
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.confirmed[l.declared.Name] = word{incarnation: resp.Msg.Report.GetIncarnation(), holds: resp.Msg.Report.GetHolds()}
+		p.confirmed[l.declared.Name] = reportID{incarnation: resp.Msg.Report.GetIncarnation(), holds: resp.Msg.Report.GetHolds()}
 	})
-	return len(ask) == 0 && !first
+	return len(unconfirmed) == 0 && !first
 }
 
-// each calls f for all links at once and waits.
-func (p *placer) each(links []*link, f func(context.Context, *link)) {
-	ctx, cancel := context.WithTimeout(p.g.ctx, placeTime)
+// forEachLink calls f concurrently for all links and waits for the calls to
+// return.
+func (p *placer) forEachLink(links []*link, f func(context.Context, *link)) {
+	ctx, cancel := context.WithTimeout(p.g.ctx, placeTimeout)
 	defer cancel()
 	var calls sync.WaitGroup
 	for _, l := range links {
@@ -241,54 +245,55 @@
 	calls.Wait()
 }
 
-// permitAll sends the permits for the steps decided at the given time.
-func (p *placer) permitAll(steps []placement.PlannedOrder, generation uint64, decided time.Time) {
+// permitAll sends permits for the orders that were planned at the given time.
+func (p *placer) permitAll(planned []placement.PlannedOrder, generation uint64, decided time.Time) {
 	var links []*link
 	requests := make(map[*link]*rudderv1.PlaceRequest)
-	own := p.own()
+	linkByName := p.ownLinks()
 	p.mu.Lock()
-	for _, s := range steps {
-		l := own[s.Endpoint]
+	for _, s := range planned {
+		l := linkByName[s.Endpoint]
 		if l == nil || decided.Before(p.notBefore[s.Endpoint]) {
 			continue
 		}
-		req := p.request(s.Order, generation, p.decided[s.Endpoint])
+		req := p.permitRequest(s.Order, generation, p.decidedOn[s.Endpoint])
 		p.grants[s.Endpoint] = placement.Grant{Order: s.Order, Incarnation: req.Incarnation, Holds: req.Holds, ExpiresMS: req.ExpiresAgentMs}
 		links = append(links, l)
 		requests[l] = req
 	}
 	p.mu.Unlock()
-	p.each(links, func(ctx context.Context, l *link) { p.permit(ctx, l, requests[l]) })
+	p.forEachLink(links, func(ctx context.Context, l *link) { p.permit(ctx, l, requests[l]) })
 }
 
-// request makes the permit of an order that was decided on the given report.
-func (p *placer) request(o engine.Order, generation uint64, w word) *rudderv1.PlaceRequest {
+// permitRequest returns the permit for an order that was planned on the given
+// report.
+func (p *placer) permitRequest(o engine.Order, generation uint64, decidedOn reportID) *rudderv1.PlaceRequest {
 	return &rudderv1.PlaceRequest{
-		Gateway: p.g.cfg.Name, Incarnation: w.incarnation, Generation: generation, Holds: w.holds,
-		ExpiresAgentMs: w.clockMS + permitLife.Milliseconds(),
+		Gateway: p.g.cfg.Name, Incarnation: decidedOn.incarnation, Generation: generation, Holds: decidedOn.holds,
+		ExpiresAgentMs: decidedOn.clockMS + permitTTL.Milliseconds(),
 		Kind:           string(o.Kind), Model: o.Model, Version: o.Version, Adapter: o.Adapter, Role: o.Role,
 	}
 }
 
-// permit sends one permit. A permit whose answer is lost counts as taken until
-// a report tells.
+// permit sends one permit. If the answer is lost, the permit counts as accepted
+// until a report shows the result.
 func (p *placer) permit(ctx context.Context, l *link, req *rudderv1.PlaceRequest) {
 	resp, err := l.client.Place(ctx, connect.NewRequest(req))
-	p.g.meter.permit(req.Kind, resp, err)
+	p.g.meter.recordPermit(req.Kind, resp, err)
 	if err != nil {
-		p.g.deps.Log.Warn("The answer to a permit was lost.", "endpoint", l.declared.Name, "err", err)
+		p.g.deps.Log.Warn("No answer to a permit; assuming that it was accepted.", "endpoint", l.declared.Name, "err", err)
 		return
 	}
 	if resp.Msg.Accepted {
-		p.g.deps.Log.Info("Permitted an order.", "endpoint", l.declared.Name, "kind", req.Kind, "model", req.Model, "version", req.Version, "adapter", req.Adapter)
+		p.g.deps.Log.Info("Order permitted.", "endpoint", l.declared.Name, "kind", req.Kind, "model", req.Model, "version", req.Version, "adapter", req.Adapter)
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.grants, l.declared.Name)
-	wait := max(time.Duration(resp.Msg.RetryAfterMs)*time.Millisecond, placeInterval)
+	wait := max(time.Duration(resp.Msg.RetryAfterMs)*time.Millisecond, roundInterval)
 	p.notBefore[l.declared.Name] = time.Now().Add(wait)
 	if result.Code(resp.Msg.Code) != result.BreakerOpen {
-		p.g.deps.Log.Debug("A permit was refused.", "endpoint", l.declared.Name, "code", resp.Msg.Code, "detail", resp.Msg.Detail)
+		p.g.deps.Log.Debug("Permit refused.", "endpoint", l.declared.Name, "code", resp.Msg.Code, "detail", resp.Msg.Detail)
 	}
 }
--- a/gateway/placer_test.go
+++ b/gateway/placer_test.go
@@ -17,9 +17,10 @@
 
 const zone = "hall-mlynska"
 
-// heardOf returns a gateway that is not started and has heard of n engines,
-// all with version 1 where the document wants version 2.
-func heardOf(t testing.TB, n int) *Gateway {
+// gatewayWithReports returns a gateway that has not been started and that has
+// reports of n engines, all with version 1 of a model that the document
+// declares with version 2.
+func gatewayWithReports(t testing.TB, n int) *Gateway {
 	t.Helper()
 	client, err := inner.NewClient(inner.KeyFiles{}, nil)
 	if err != nil {
@@ -33,70 +34,71 @@
 	g.deps.Keeper.Offer(doc)
 	for _, e := range doc.Endpoints {
 		l := newLink(g, e)
-		l.connected, l.heard = true, time.Now()
+		l.connected, l.lastReportAt = true, time.Now()
 		l.report = &rudderv1.AgentReport{
 			Incarnation: "i", AgentMs: 5000, Holds: 7, State: rudderv1.AgentState_AGENT_STATE_SERVING, Generation: 2,
 			Models: []*rudderv1.LoadedModel{{Model: "m", Version: "1"}},
 		}
 		g.links.byName[e.Name] = l
-		g.links.order = append(g.links.order, l)
+		g.links.inOrder = append(g.links.inOrder, l)
 	}
 	return g
 }
 
-func TestPermitNamesTheReportItWasDecidedOn(t *testing.T) {
+func TestPermitNamesReportItWasPlannedOn(t *testing.T) {
 	is := is.New(t)
-	g := heardOf(t, 4)
+	g := gatewayWithReports(t, 4)
 	p := g.placer
-	steps := p.steps(g.deps.Keeper.Document(), p.own(), time.Now().Add(300*time.Millisecond))
-	is.Equal(len(steps), 1)
-	l := g.links.byName[steps[0].Endpoint]
-	l.report.Holds, l.report.AgentMs = 8, 60_000 // a later report is not what was looked at
-	req := p.request(steps[0].Order, 2, p.decided[steps[0].Endpoint])
+	planned := p.nextOrders(g.deps.Keeper.Document(), p.ownLinks(), time.Now().Add(300*time.Millisecond))
+	is.Equal(len(planned), 1)
+	l := g.links.byName[planned[0].Endpoint]
+	l.report.Holds, l.report.AgentMs = 8, 60_000 // the plan was not based on this later report
+	req := p.permitRequest(planned[0].Order, 2, p.decidedOn[planned[0].Endpoint])
 	is.Equal(req.Kind, string(engine.OrderUnloadModel))
 	is.Equal(req.Holds, uint64(7))
 	is.True(req.ExpiresAgentMs >= 6300 && req.ExpiresAgentMs < 60_000)
 }
 
-func TestReportsThatDoNotCount(t *testing.T) {
+func TestUnusableReports(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*Gateway, *link)
-		want   bool // it counts and may get an order
+		want   bool // the report is used and the endpoint may get an order
 	}{
-		{"all as usual", func(*Gateway, *link) {}, true},
+		{"usable", func(*Gateway, *link) {}, true},
 		{"not connected", func(_ *Gateway, l *link) { l.connected = false }, false},
-		{"silent", func(_ *Gateway, l *link) { l.heard = time.Now().Add(-silence) }, false},
+		{"silent", func(_ *Gateway, l *link) { l.lastReportAt = time.Now().Add(-maxReportAge) }, false},
 		{"leaving", func(_ *Gateway, l *link) { l.report.State = rudderv1.AgentState_AGENT_STATE_LEAVING }, false},
-		{"unloads already", func(_ *Gateway, l *link) { l.report.Models[0].Unloading = true; l.report.Order = unloading() }, false},
+		{"already unloading", func(_ *Gateway, l *link) { l.report.Models[0].Unloading = true; l.report.Order = unloadOrder() }, false},
 		{"older than the agent's answer", func(g *Gateway, l *link) {
-			g.placer.lease = 1
-			g.placer.confirmed = map[string]word{l.declared.Name: {incarnation: "i", holds: 8}}
+			g.placer.leaseID = 1
+			g.placer.confirmed = map[string]reportID{l.declared.Name: {incarnation: "i", holds: 8}}
 		}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			g := heardOf(t, 2)
+			g := gatewayWithReports(t, 2)
 			l := g.links.byName["e000"]
 			c.change(g, l)
 			p := g.placer
-			view, _ := p.view(p.own(), time.Now())
+			view, _ := p.view(p.ownLinks(), time.Now())
 			_, counts := view["e000"]
 			is.Equal(counts && !view["e000"].Busy, c.want)
 		})
 	}
 }
 
-func unloading() *rudderv1.OrderStatus {
+func unloadOrder() *rudderv1.OrderStatus {
 	return &rudderv1.OrderStatus{Phase: rudderv1.OrderPhase_ORDER_PHASE_WAITING, Kind: string(engine.OrderUnloadModel), Model: "m", Version: "1"}
 }
 
-// BenchmarkPlacerRound is one look at the data centre of the target size.
+// BenchmarkPlacerRound measures one planning round for a data centre of the
+// target size.
 func BenchmarkPlacerRound(b *testing.B) {
-	g := heardOf(b, 181)
+	g := gatewayWithReports(b, 181)
 	now := time.Now()
 	for b.Loop() {
-		g.placer.steps(g.deps.Keeper.Document(), g.placer.own(), now)
+		g.placer.nextOrders(g.deps.Keeper.Document(), g.placer.ownLinks(), now)
 	}
 }
--- a/gateway/problem.go
+++ b/gateway/problem.go
@@ -11,7 +11,7 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// Headers of the callers' face.
+// Headers of the callers' API.
 const (
 	headerTicket     = "Rudder-Ticket"
 	headerRequest    = "Rudder-Request-Id"
@@ -22,16 +22,16 @@
 	headerEarly      = "Rudder-Early-Ticket"
 )
 
-// setNames names the run in the response's headers.
-func setNames(h http.Header, ticket, id string) {
+// setRunHeaders sets the response headers that identify the run.
+func setRunHeaders(h http.Header, ticket, id string) {
 	h.Set(headerTicket, ticket)
 	h.Set(headerRequest, id)
 }
 
-// earlyTicket sends the headers set so far as an informational response, to a
-// caller that asked for it: some HTTP clients take any informational response
-// but 100 for the answer.
-func earlyTicket(x *exchange) bool {
+// sendEarlyHints sends the ticket and the request ID as an informational
+// response. It does so only if the caller has asked for it, because some HTTP
+// clients take any informational response other than 100 for the final one.
+func sendEarlyHints(x *exchange) bool {
 	if x.r.Header.Get(headerEarly) != "true" {
 		return false
 	}
@@ -55,7 +55,7 @@
 	Ticket       string `json:"ticket,omitempty"`
 }
 
-// problemOf describes an end that is not a whole answer.
+// problemOf returns the problem for an end other than a complete answer.
 func problemOf(end *rudderv1.End, id, ticket string) problem {
 	info := result.Lookup(result.Code(end.Code))
 	p := problem{
@@ -69,17 +69,17 @@
 		p.Status = http.StatusInternalServerError
 	}
 	if info.Advice == result.AdviceLater && p.RetryAfterMS <= 0 {
-		p.RetryAfterMS = comeBack.Milliseconds()
+		p.RetryAfterMS = defaultRetryAfter.Milliseconds()
 	}
 	return p
 }
 
-// writeProblem sends the problem as the whole response.
+// writeProblem writes the problem as the complete response.
 func writeProblem(w http.ResponseWriter, p problem) {
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
 	if p.RetryAfterMS > 0 {
-		h.Set("Retry-After", strconv.FormatInt(seconds(p.RetryAfterMS), 10))
+		h.Set("Retry-After", strconv.FormatInt(ceilSeconds(p.RetryAfterMS), 10))
 	}
 	if p.RequestID != "" {
 		h.Set(headerRequest, p.RequestID)
@@ -91,22 +91,24 @@
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// refuse answers a request that was not admitted. Under a name that the caller
-// presents, an earlier presentation may have run.
+// refuse answers a request that was not admitted. If the request names a run,
+// an earlier presentation of that name may have run, so the outcome is not
+// reported as "not run".
 func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, err *result.Err) {
-	g.meter.refusedEarly(err.Code)
+	g.meter.recordRefusal(err.Code)
 	end := endOf(err)
-	if named(r) && !nameless(err.Code) && end.Outcome == rudderv1.Outcome_OUTCOME_NOT_RUN {
+	if namesRun(r) && !rejectsName(err.Code) && end.Outcome == rudderv1.Outcome_OUTCOME_NOT_RUN {
 		end.Outcome = rudderv1.Outcome_OUTCOME_MAY_HAVE_RUN
 	}
 	writeProblem(w, problemOf(end, "", ""))
 }
 
-// named reports whether the request presents a name of a run.
-func named(r *http.Request) bool {
-	return r.Header.Get(headerTicket) != "" || r.Header.Get(headerKey) != "" || strings.HasPrefix(r.URL.Path, pathRuns)
+// namesRun reports whether the request names a run, by a ticket or an
+// idempotency key.
+func namesRun(r *http.Request) bool {
+	return r.Header.Get(headerTicket) != "" || r.Header.Get(headerKey) != "" || strings.HasPrefix(r.URL.Path, runsPath)
 }
 
-// nameless reports whether the code says that the presented name is not one of
-// this request.
-func nameless(c result.Code) bool { return c == result.BadTicket || c == result.KeyReused }
+// rejectsName reports whether the code means that the presented name does not
+// belong to this request.
+func rejectsName(c result.Code) bool { return c == result.BadTicket || c == result.KeyReused }
--- a/gateway/process.go
+++ b/gateway/process.go
@@ -69,7 +69,7 @@
 	return out
 }
 
-// config returns the gateway's own part of the settings.
+// config returns the part of the settings that the gateway itself uses.
 func (s *Settings) config() Config {
 	c := Config{
 		Name: s.Gateway.Name, DataCentre: s.Gateway.DataCentre,
@@ -83,7 +83,7 @@
 	return c
 }
 
-// policies are the routing policies by their name in the settings.
+// policies maps the names in the settings to routing policies.
 var policies = map[string]func() routing.Policy{
 	"default": routing.Default, "round-robin": routing.RoundRobin, "least-load": routing.LeastLoad, "no-lanes": routing.NoLanes,
 }
@@ -96,7 +96,7 @@
 	inner    *http.Server
 }
 
-// Open wires a gateway from its settings and starts it.
+// Open creates a gateway from its settings and starts it.
 func Open(s *Settings, env daemon.Env) (*Process, error) {
 	signer, err := s.Tickets.Signer()
 	if err != nil {
@@ -130,13 +130,13 @@
 	return metastore.NewClient(metastore.Options{Addresses: addrs, Timeout: s.Platform.Timeout, ReadRate: s.Platform.ReadRate, WriteRate: s.Platform.WriteRate, Metrics: env.Metrics})
 }
 
-// listen opens both listeners and serves them.
+// listen opens both listeners and starts to serve them.
 func (p *Process) listen(s *Settings, env daemon.Env) error {
-	face, err := p.g.Handler()
+	handler, err := p.g.Handler()
 	if err != nil {
 		return err
 	}
-	p.callers = &http.Server{Handler: face, ReadHeaderTimeout: s.Callers.HeaderTime, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 64 << 10}
+	p.callers = &http.Server{Handler: handler, ReadHeaderTimeout: s.Callers.HeaderTime, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 64 << 10}
 	m := http.NewServeMux()
 	m.Handle(p.g.InnerHandler())
 	if p.inner, err = inner.NewServer(m, s.TLS.Files()); err != nil {
--- a/gateway/read.go
+++ b/gateway/read.go
@@ -16,8 +16,8 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// completionBody is what the gateway reads of a completion request; the body
-// itself goes on unchanged.
+// completionBody is the part of a completion request that the gateway reads.
+// The body itself is forwarded unchanged.
 type completionBody struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
@@ -32,9 +32,9 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// readBody reads the whole body within its limits of size and time. After a
-// failure the read deadline stays, so that the server does not wait for the
-// rest of the body before it answers.
+// readBody reads the complete body within the limits on size and time. If that
+// fails, it leaves the read deadline set, so that the server does not wait for
+// the rest of the body before it answers.
 func (g *Gateway) readBody(x *exchange) ([]byte, *result.Err) {
 	if x.r.ContentLength > g.cfg.MaxBody {
 		return nil, result.New(result.TooLarge, "")
@@ -56,7 +56,7 @@
 	}
 }
 
-// readCompletion reads a completion's parameters.
+// readCompletion parses the parameters of a completion request.
 func readCompletion(body []byte) (*completionBody, *result.Err) {
 	c := new(completionBody)
 	if err := json.Unmarshal(body, c); err != nil {
@@ -71,7 +71,8 @@
 	return c, nil
 }
 
-// text returns the prompt's text: a string prompt, or the joined contents.
+// text returns the text of the prompt: the contents of all messages and the
+// prompt field, concatenated.
 func (c *completionBody) text() []byte {
 	var out []byte
 	for _, m := range c.Messages {
@@ -80,7 +81,8 @@
 	return append(out, contentText(c.Prompt)...)
 }
 
-// contentText reads a string, or a list of strings or text parts.
+// contentText returns the text of a content value, which is a string or a list
+// of strings and text parts.
 func contentText(raw json.RawMessage) []byte {
 	if len(raw) == 0 {
 		return nil
@@ -112,8 +114,9 @@
 	return []byte(part.Text)
 }
 
-// completion checks the model against the workspace and the document.
-func (g *Gateway) completion(c *completionBody, path string, ws *rudderv1.Workspace) (*rudderv1.Completion, *result.Err) {
+// newCompletion checks the request against the workspace and the document and
+// returns the completion to order.
+func (g *Gateway) newCompletion(c *completionBody, path string, ws *rudderv1.Workspace) (*rudderv1.Completion, *result.Err) {
 	m := findModel(g.deps.Keeper.Document(), c.Model)
 	if m == nil || !allowed(ws.Models, m.Name) {
 		return nil, result.New(result.UnknownModel, c.Model)
@@ -135,15 +138,16 @@
 	return out, nil
 }
 
-// mayUse tells whether a workspace may use the model or adapter of a name.
-func (g *Gateway) mayUse(ws *rudderv1.Workspace, name string) bool {
+// mayUseModel reports whether a workspace may use the model or adapter with the
+// given name.
+func (g *Gateway) mayUseModel(ws *rudderv1.Workspace, name string) bool {
 	m := findModel(g.deps.Keeper.Document(), name)
 	return m != nil && allowed(ws.Models, m.Name)
 }
 
-// findModel finds a model, or the base model of an adapter, by its name. Both
-// may be named with a version, whichever it is: while the document moves to a
-// new one, endpoints serve the old one as well.
+// findModel returns the model with the given name, or the base model of the
+// adapter with that name. The name may carry any version: while endpoints
+// change to a new version, some still serve the old one.
 func findModel(doc *rudderv1.Document, name string) *rudderv1.Model {
 	name, _, _ = strings.Cut(name, "@")
 	for _, m := range doc.Models {
@@ -168,7 +172,7 @@
 	return false
 }
 
-// readDeadline returns the request's deadline.
+// readDeadline returns the deadline of the request.
 func (g *Gateway) readDeadline(r *http.Request, now time.Time) (time.Time, *result.Err) {
 	text := r.Header.Get(headerDeadline)
 	if text == "" {
@@ -195,7 +199,7 @@
 	}
 }
 
-// readOffset returns the answer bytes that the caller has already.
+// readOffset returns the number of answer bytes that the caller already has.
 func readOffset(r *http.Request) (uint64, *result.Err) {
 	text := r.Header.Get(headerLastEvent)
 	if text == "" {
--- a/gateway/reattach.go
+++ b/gateway/reattach.go
@@ -4,52 +4,54 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// attachedModel is the model name in re-attached answers, where the original
-// request is not at hand.
-const attachedModel = ""
-
-// attachWriter writes the answer of a run whose kind shows only when the
-// answer begins: a plain service's has a head.
-type attachWriter struct {
+// reattachedModel is the model name in the answer of a run that is attached to
+// by its ticket. The original request, which names the model, is not available
+// then.
+const reattachedModel = ""
+
+// reattachWriter writes the answer of a run that may be a completion or a call
+// to a plain service. The kind is not known until the answer begins: only that
+// of a service has a head.
+type reattachWriter struct {
 	g      *Gateway
 	x      *exchange
-	o      *order
+	cr     *callerRequest
 	stream bool
-	to     writer
+	out    finishingSink
 }
 
-// writer is a sink that also tells the end.
-type writer interface {
+// finishingSink is a sink that also writes the end.
+type finishingSink interface {
 	sink
 	finish(end *rudderv1.End)
 }
 
-func (a *attachWriter) writer() writer {
-	if a.to == nil {
-		a.to = newCompletionWriter(a.g, a.x, a.o, attachedModel, a.stream, pathChat)
+func (a *reattachWriter) target() finishingSink {
+	if a.out == nil {
+		a.out = newCompletionWriter(a.g, a.x, a.cr, reattachedModel, a.stream, chatPath)
 	}
-	return a.to
+	return a.out
 }
 
-// Named implements sink. The caller has the ticket already.
-func (a *attachWriter) Named(ticket string) { setNames(a.x.w.Header(), ticket, a.o.id) }
+// SetTicket implements sink. The caller already has the ticket.
+func (a *reattachWriter) SetTicket(ticket string) { setRunHeaders(a.x.w.Header(), ticket, a.cr.id) }
 
-// Known implements sink.
-func (a *attachWriter) Known() bool { return true }
+// TicketSent implements sink.
+func (a *reattachWriter) TicketSent() bool { return true }
 
 // Head implements sink.
-func (a *attachWriter) Head(h *rudderv1.ServiceHead) error {
-	if a.to == nil {
-		a.to = newCallWriter(a.g, a.x, a.o)
-		a.o.skip = 0 // a service's answer comes whole or not at all
+func (a *reattachWriter) Head(h *rudderv1.ServiceHead) error {
+	if a.out == nil {
+		a.out = newServiceWriter(a.g, a.x, a.cr)
+		a.cr.resumeOffset = 0 // the answer of a service is sent complete or not at all
 	}
-	return a.to.Head(h)
+	return a.out.Head(h)
 }
 
 // Text implements sink.
-func (a *attachWriter) Text(text []byte, end uint64) error { return a.writer().Text(text, end) }
+func (a *reattachWriter) Text(text []byte, end uint64) error { return a.target().Text(text, end) }
 
 // Restart implements sink.
-func (a *attachWriter) Restart() error { return a.writer().Restart() }
+func (a *reattachWriter) Restart() error { return a.target().Restart() }
 
-func (a *attachWriter) finish(end *rudderv1.End) { a.writer().finish(end) }
+func (a *reattachWriter) finish(end *rudderv1.End) { a.target().finish(end) }
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -6,12 +6,12 @@
 	"github.com/micarudder/micarudder/daemon"
 )
 
-// Reload implements daemon.Reloader: it takes the ticket keys; every other
-// setting takes effect at the next start.
+// Reload implements daemon.Reloader. It applies the ticket keys; all other
+// settings take effect at the next start.
 func (p *Process) Reload(fresh any) error {
 	s, ok := fresh.(*Settings)
 	if !ok {
-		return trace.BadParameter("settings of another process")
+		return trace.BadParameter("settings are not those of a gateway")
 	}
 	if err := daemon.TakeKeys(s.TLS, s.Tickets.Tickets, p.g.deps.Signer); err != nil {
 		return err
--- a/gateway/reload_test.go
+++ b/gateway/reload_test.go
@@ -16,7 +16,7 @@
 	newKey = "2:0f0e0d0c0b0a09080706050403020100"
 )
 
-func keyed(keys ...string) *Settings {
+func settingsWithKeys(keys ...string) *Settings {
 	s := new(Settings)
 	s.Tickets.Keys = keys
 	return s
@@ -27,22 +27,22 @@
 		name   string
 		fresh  any
 		change func(*Settings)
-		signs  byte // id of the key that signs afterwards
+		signs  byte // ID of the key that signs afterwards
 		fails  bool
 		warns  bool
 	}{
-		{"the same", keyed(oldKey), nil, 1, false, false},
-		{"a second key", keyed(oldKey, newKey), nil, 1, false, false},
-		{"a new first key", keyed(newKey, oldKey), nil, 2, false, false},
-		{"another setting", keyed(newKey), func(s *Settings) { s.Gateway.Name = "other" }, 2, false, true},
-		{"files that are not there", keyed(newKey), func(s *Settings) { s.TLS.Cert, s.TLS.Key, s.TLS.CA = "x", "y", "z" }, 1, true, false},
-		{"a key that is none", keyed("3:xyz"), nil, 1, true, false},
-		{"another process's settings", 7, nil, 1, true, false},
+		{"the same", settingsWithKeys(oldKey), nil, 1, false, false},
+		{"a second key", settingsWithKeys(oldKey, newKey), nil, 1, false, false},
+		{"a new first key", settingsWithKeys(newKey, oldKey), nil, 2, false, false},
+		{"another setting", settingsWithKeys(newKey), func(s *Settings) { s.Gateway.Name = "other" }, 2, false, true},
+		{"missing TLS files", settingsWithKeys(newKey), func(s *Settings) { s.TLS.Cert, s.TLS.Key, s.TLS.CA = "x", "y", "z" }, 1, true, false},
+		{"malformed key", settingsWithKeys("3:xyz"), nil, 1, true, false},
+		{"settings of another type", 7, nil, 1, true, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			old := keyed(oldKey)
+			old := settingsWithKeys(oldKey)
 			signer, err := old.Tickets.Signer()
 			is.NoErr(err)
 			var text bytes.Buffer
@@ -59,10 +59,10 @@
 	}
 }
 
-// keyID finds which of the two keys signed a ticket.
+// keyID returns the ID of the key that signed a ticket.
 func keyID(t *testing.T, signed string) byte {
 	for id, key := range map[byte]string{1: oldKey, 2: newKey} {
-		s, err := keyed(key).Tickets.Signer()
+		s, err := settingsWithKeys(key).Tickets.Signer()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/gateway/runs.go
+++ b/gateway/runs.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// maxTickets bounds one batch of tickets fetched in advance.
+	// maxTickets is the maximum number of tickets in one request.
 	maxTickets = 100
-	// pathRuns is where runs are found by their ticket.
-	pathRuns = "/v1/runs/"
+	// runsPath is the path prefix under which runs are found by their ticket.
+	runsPath = "/v1/runs/"
 )
 
 // ticketRequest is the body of POST /v1/tickets.
@@ -25,12 +25,12 @@
 	Count   int    `json:"count"`
 	Model   string `json:"model"`
 	Service string `json:"service"`
-	// PromptTokens is the expected prompt length, for choosing the endpoint.
+	// PromptTokens is the expected prompt length, used to select the endpoint.
 	PromptTokens uint64 `json:"prompt_tokens"`
 	Repeatable   bool   `json:"repeatable"`
 }
 
-// serveTickets hands out tickets in advance.
+// serveTickets issues tickets in advance.
 func (g *Gateway) serveTickets(x *exchange) {
 	body, err := g.readBody(x)
 	if err != nil {
@@ -46,7 +46,7 @@
 		g.refuse(x.w, x.r, result.New(result.BadRequest, "count must be from 1 to 100"))
 		return
 	}
-	tickets, end := g.tickets(x, req)
+	tickets, end := g.issueTickets(x, req)
 	if end != nil {
 		writeProblem(x.w, problemOf(end, "", ""))
 		return
@@ -54,8 +54,8 @@
 	writeJSON(x.w, map[string]any{"tickets": tickets, "expires_in_ms": g.cfg.TicketLife.Milliseconds()})
 }
 
-func (g *Gateway) tickets(x *exchange, req ticketRequest) ([]string, *rudderv1.End) {
-	if req.Model != "" && !g.mayUse(x.workspace, req.Model) {
+func (g *Gateway) issueTickets(x *exchange, req ticketRequest) ([]string, *rudderv1.End) {
+	if req.Model != "" && !g.mayUseModel(x.workspace, req.Model) {
 		return nil, endOf(result.New(result.UnknownModel, req.Model))
 	}
 	if req.Service != "" && !allowed(x.workspace.Services, req.Service) {
@@ -63,14 +63,14 @@
 	}
 	var out []string
 	for range req.Count {
-		o := &order{id: newID(), workspace: x.workspace, repeatable: req.Repeatable, deadline: time.Now().Add(g.cfg.DefaultDeadline)}
+		cr := &callerRequest{id: newID(), workspace: x.workspace, repeatable: req.Repeatable, deadline: time.Now().Add(g.cfg.DefaultDeadline)}
 		if req.Model != "" {
-			o.completion = &rudderv1.Completion{Model: req.Model, PromptTokens: req.PromptTokens, MaxTokens: g.cfg.DefaultTokens}
+			cr.completion = &rudderv1.Completion{Model: req.Model, PromptTokens: req.PromptTokens, MaxTokens: g.cfg.DefaultTokens}
 		} else {
-			o.call = &rudderv1.ServiceCall{Service: req.Service}
+			cr.call = &rudderv1.ServiceCall{Service: req.Service}
 		}
-		s := &session{g: g, o: o}
-		if _, end := s.place(); end != nil {
+		s := &session{g: g, cr: cr}
+		if _, end := s.selectEndpoint(); end != nil {
 			return nil, end
 		}
 		out = append(out, s.ticket)
@@ -78,7 +78,8 @@
 	return out, nil
 }
 
-// serveAttach reads the answer of a known run again, from Last-Event-ID.
+// serveAttach sends the answer of an existing run again, from the offset in
+// Last-Event-ID.
 func (g *Gateway) serveAttach(x *exchange) {
 	claims, err := g.readTicket(x.param("ticket"), x.workspace)
 	if err != nil {
@@ -95,59 +96,60 @@
 		g.refuse(x.w, x.r, err)
 		return
 	}
-	o := &order{
+	o := &callerRequest{
 		id: claims.RequestId, workspace: x.workspace, ticket: x.param("ticket"), claims: claims,
-		repeatable: claims.Repeatable, deadline: deadline, skip: skip,
+		repeatable: claims.Repeatable, deadline: deadline, resumeOffset: skip,
 	}
-	out := &attachWriter{g: g, x: x, o: o, stream: x.r.URL.Query().Get("stream") != "false"}
+	out := &reattachWriter{g: g, x: x, cr: o, stream: x.r.URL.Query().Get("stream") != "false"}
 	if !out.stream {
-		o.skip = 0
+		o.resumeOffset = 0
 	}
-	out.finish(g.attach(x, o, out))
+	out.finish(g.relayRun(x, o, out))
 }
 
-// attach relays a run's answer without ever starting one.
-func (g *Gateway) attach(x *exchange, o *order, out sink) *rudderv1.End {
-	s := &session{g: g, o: o, out: out, ticket: o.ticket, began: time.Now()}
-	s.life = lifecycle.Dispatch{Repeatable: o.repeatable, HasName: true}
-	ctx, cancel := context.WithDeadline(x.r.Context(), o.deadline)
+// relayRun relays the answer of an existing run. It never starts one.
+func (g *Gateway) relayRun(x *exchange, cr *callerRequest, out sink) *rudderv1.End {
+	s := &session{g: g, cr: cr, out: out, ticket: cr.ticket, start: time.Now()}
+	s.dispatch = lifecycle.Dispatch{Repeatable: cr.repeatable, HasName: true}
+	ctx, cancel := context.WithDeadline(x.r.Context(), cr.deadline)
 	defer cancel()
-	l := g.linkOf(o.claims)
+	l := g.linkForClaims(cr.claims)
 	end := s.attach(ctx, l)
-	if s.forwarded(l, end) {
-		end = s.attach(ctx, g.linkOf(o.claims))
+	if s.movedToSuccessor(l, end) {
+		end = s.attach(ctx, g.linkForClaims(cr.claims))
 	}
-	return s.settle(end)
+	return s.reportableEnd(end)
 }
 
 func (s *session) attach(ctx context.Context, l *link) *rudderv1.End {
 	stream, err := l.client.Attach(ctx, connect.NewRequest(&rudderv1.AttachRequest{
-		Ticket: s.ticket, RemainingMs: time.Until(s.o.deadline).Milliseconds(),
+		Ticket: s.ticket, RemainingMs: time.Until(s.cr.deadline).Milliseconds(),
 	}))
 	if err != nil {
-		return s.broken(ctx, err, true)
+		return s.brokenEnd(ctx, err, true)
 	}
 	defer func() { _ = stream.Close() }()
 	for stream.Receive() {
 		if stream.Msg().GetAccepted() != nil {
-			s.accepted(l, stream.Msg())
+			s.handleAccepted(l, stream.Msg())
 			continue
 		}
-		if end := s.frame(l, stream.Msg()); end != nil {
+		if end := s.handleFrame(l, stream.Msg()); end != nil {
 			return end
 		}
 	}
-	return s.broken(ctx, stream.Err(), true)
+	return s.brokenEnd(ctx, stream.Err(), true)
 }
 
-// voidReply is the body of DELETE /v1/runs/{ticket}.
-type voidReply struct {
+// voidResponse is the body of the response to DELETE /v1/runs/{ticket}.
+type voidResponse struct {
 	Code     uint32 `json:"code"`
 	Outcome  string `json:"outcome"`
 	Finished bool   `json:"finished"`
 }
 
-// serveVoid turns an unknown outcome into a certain "not run", or says what ran.
+// serveVoid voids a ticket. It turns an unknown outcome into a definite "not
+// run", or reports the outcome of the run.
 func (g *Gateway) serveVoid(x *exchange) {
 	text := x.param("ticket")
 	claims, err := g.readTicket(text, x.workspace)
@@ -155,14 +157,14 @@
 		g.refuse(x.w, x.r, err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(x.r.Context(), voidTime)
+	ctx, cancel := context.WithTimeout(x.r.Context(), voidTimeout)
 	defer cancel()
-	resp, rpcErr := g.linkOf(claims).client.Void(ctx, connect.NewRequest(&rudderv1.VoidRequest{Ticket: text}))
+	resp, rpcErr := g.linkForClaims(claims).client.Void(ctx, connect.NewRequest(&rudderv1.VoidRequest{Ticket: text}))
 	if rpcErr != nil {
 		writeProblem(x.w, problemOf(endOf(result.New(result.AgentLost, rpcErr.Error())), claims.RequestId, text))
 		return
 	}
-	writeJSON(x.w, voidReply{resp.Msg.Code, result.Outcome(resp.Msg.Outcome).String(), resp.Msg.Finished})
+	writeJSON(x.w, voidResponse{resp.Msg.Code, result.Outcome(resp.Msg.Outcome).String(), resp.Msg.Finished})
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -12,7 +12,7 @@
 	"github.com/micarudder/micarudder/rudderv1/rudderv1connect"
 )
 
-// maxFetchWait bounds a peer's long poll.
+// maxFetchWait is the maximum duration of a peer's long poll.
 const maxFetchWait = time.Minute
 
 // server implements rudder.v1.GatewayService.
@@ -23,18 +23,18 @@
 	return rudderv1connect.NewGatewayServiceHandler(&server{g}, inner.HandlerOptions()...)
 }
 
-// Status reports what the gateway knows of the fleet.
+// Status reports the gateway's view of the fleet.
 func (s *server) Status(context.Context, *connect.Request[rudderv1.StatusRequest]) (*connect.Response[rudderv1.StatusResponse], error) {
 	g := s.g
-	silent := g.platform.silent()
+	silent := g.platform.silence()
 	resp := &rudderv1.StatusResponse{
 		Gateway: g.cfg.Name, DataCentre: g.cfg.DataCentre, Generation: g.deps.Keeper.Generation(),
 		PlatformReachable: g.platform.reachable(), PlatformSilentMs: silent.Milliseconds(), Draining: g.leaving.Load(),
-		Placing: g.placer.tenure.held(time.Now()) != 0,
+		Placing: g.placer.lease.heldID(time.Now()) != 0,
 	}
-	names, order := g.links.named()
+	names, byIndex := g.links.namesAndLinks()
 	verdicts := g.members.verdicts(names, time.Now())
-	for i, l := range order {
+	for i, l := range byIndex {
 		st := l.status()
 		st.Membership = verdicts[i].String()
 		resp.Endpoints = append(resp.Endpoints, st)
@@ -51,11 +51,11 @@
 		st.SilentMs = -1
 		return st
 	}
-	st.SilentMs = time.Since(l.heard).Milliseconds()
+	st.SilentMs = time.Since(l.lastReportAt).Milliseconds()
 	return st
 }
 
-// Explain returns the routing decisions of one request.
+// Explain returns the recorded routing decisions of one request.
 func (s *server) Explain(_ context.Context, req *connect.Request[rudderv1.ExplainRequest]) (*connect.Response[rudderv1.ExplainResponse], error) {
 	found, decisions := s.g.explain.lookup(req.Msg.RequestId)
 	return connect.NewResponse(&rudderv1.ExplainResponse{Found: found, Decisions: decisions}), nil
--- a/gateway/session.go
+++ b/gateway/session.go
@@ -13,210 +13,221 @@
 )
 
 const (
-	// comeBack is the time to come back given when nothing better is known.
-	comeBack = time.Second
-	// voidTime bounds a void order that settles a refusal.
-	voidTime = time.Second
-	// minRemaining is the shortest time left that is worth an order.
+	// defaultRetryAfter is the retry delay reported to callers if no better
+	// value is known.
+	defaultRetryAfter = time.Second
+	// voidTimeout limits the call that voids or cancels a run.
+	voidTimeout = time.Second
+	// minRemaining is the shortest remaining time with which an order is still
+	// sent.
 	minRemaining = 5 * time.Millisecond
 )
 
-// order is one caller's request, read and checked.
-type order struct {
-	id         string
-	workspace  *rudderv1.Workspace
-	completion *rudderv1.Completion  // set for a model request
-	call       *rudderv1.ServiceCall // set for a service call
-	body       []byte
-	repeatable bool
-	keyed      bool // the caller gave an idempotency key
-	deadline   time.Time
-	ticket     string                 // presented or claimed; empty otherwise
-	claims     *rudderv1.TicketClaims // of the ticket
-	skip       uint64                 // answer bytes that the caller has already
+// callerRequest is a parsed and validated request of a caller.
+type callerRequest struct {
+	id           string
+	workspace    *rudderv1.Workspace
+	completion   *rudderv1.Completion  // set for a model request
+	call         *rudderv1.ServiceCall // set for a call to a plain service
+	body         []byte
+	repeatable   bool
+	hasKey       bool // the caller sent an idempotency key
+	deadline     time.Time
+	ticket       string                 // presented by the caller or read from a claim; else empty
+	claims       *rudderv1.TicketClaims // of the ticket
+	resumeOffset uint64                 // number of answer bytes that the caller already has
 }
 
-// sink is where an answer goes. Each method's error means that the caller is gone.
+// sink is the destination of an answer. An error of a method means that the
+// caller can no longer be reached, except for Restart.
 type sink interface {
-	// Named offers the caller its ticket before the answer.
-	Named(ticket string)
-	// Known reports whether the caller may have been told a ticket.
-	Known() bool
-	// Head passes on a plain service's status and headers.
+	// SetTicket passes the caller's ticket on before the answer.
+	SetTicket(ticket string)
+	// TicketSent reports whether the caller may have received a ticket.
+	TicketSent() bool
+	// Head writes the status and headers of a plain service's answer.
 	Head(h *rudderv1.ServiceHead) error
-	// Text passes on answer text; end is the offset after it.
+	// Text writes answer text; end is the offset of its end in the answer.
 	Text(text []byte, end uint64) error
-	// Restart tells the caller that the answer begins again; an error says that
-	// it cannot.
+	// Restart tells the caller that the answer begins again. It returns an
+	// error if that is not possible.
 	Restart() error
 }
 
-// session serves one order over all its attempts.
+// session serves one request over all its attempts.
 type session struct {
-	g         *Gateway
-	o         *order
-	out       sink
-	life      lifecycle.Dispatch
-	asm       lifecycle.Assembler
-	attempt   uint32
-	attached  bool   // the current attempt's run existed before
-	delivered []byte // the answer so far, where another attempt can go on after it
-	using     string // what the answer began under, see link.using
-	excluded  map[string]bool
-	ticket    string // of the current attempt
-	group     *group // set while the prompt is run by several endpoints
-	gone      error  // why the caller cannot be written to
-	began     time.Time
-	firstText time.Time
-	alone     time.Duration // predicted prefill with nothing beside it, at the first order
+	g               *Gateway
+	cr              *callerRequest
+	out             sink
+	dispatch        lifecycle.Dispatch
+	asm             lifecycle.Assembler
+	attempt         uint32
+	attached        bool   // the current attempt is attached to an existing run
+	delivered       []byte // the answer so far, if another attempt can continue it
+	servedVariant   string // variant that produces the answer, see link.servedVariant
+	excluded        map[string]bool
+	ticket          string // of the current attempt
+	group           *group // set while several endpoints prefill the prompt
+	callerErr       error  // why nothing can be written to the caller
+	start           time.Time
+	firstTextAt     time.Time
+	unloadedPrefill time.Duration // predicted prefill time on an idle endpoint, at the first order
 }
 
-// serve runs the order to its end and returns what to tell the caller.
-func (g *Gateway) serve(ctx context.Context, o *order, out sink) *rudderv1.End {
-	s := &session{g: g, o: o, out: out, excluded: make(map[string]bool), began: time.Now(), ticket: o.ticket}
-	s.life = lifecycle.Dispatch{Repeatable: o.repeatable, HasName: o.ticket != "" || o.keyed, Resumable: o.resumable()}
-	ctx, cancel := context.WithDeadline(ctx, o.deadline)
+// serve serves the request and returns the end to report to the caller.
+func (g *Gateway) serve(ctx context.Context, cr *callerRequest, out sink) *rudderv1.End {
+	s := &session{g: g, cr: cr, out: out, excluded: make(map[string]bool), start: time.Now(), ticket: cr.ticket}
+	s.dispatch = lifecycle.Dispatch{Repeatable: cr.repeatable, HasName: cr.ticket != "" || cr.hasKey, Resumable: cr.resumable()}
+	ctx, cancel := context.WithDeadline(ctx, cr.deadline)
 	defer cancel()
-	end := s.settle(s.run(ctx))
-	g.meter.done(s, end)
+	end := s.reportableEnd(s.run(ctx))
+	g.meter.recordEnd(s, end)
 	return end
 }
 
-// resumable reports whether an answer can go on at another endpoint.
-func (o *order) resumable() bool { return o.repeatable && o.completion != nil }
+// resumable reports whether another endpoint can continue a partly delivered
+// answer.
+func (cr *callerRequest) resumable() bool { return cr.repeatable && cr.completion != nil }
 
 func (s *session) run(ctx context.Context) *rudderv1.End {
 	last := endOf(result.New(result.NoEndpoint, ""))
-	defer s.disband()
+	defer s.releaseGroup()
 	for {
-		if end := s.timeOver(ctx, last); end != nil {
+		if end := s.endIfExpired(ctx, last); end != nil {
 			return end
 		}
 		l, end := s.prepare(ctx)
 		if end != nil {
-			return s.unplaced(ctx, end, last)
+			return s.endUnplaced(ctx, end, last)
 		}
-		last = s.attempted(ctx, l)
-		if s.gone != nil {
-			s.abandon(ctx, l)
+		last = s.runAttempt(ctx, l)
+		if s.callerErr != nil {
+			s.cancelAbandoned(ctx, l)
 			return last
 		}
-		if s.forwarded(l, last) {
+		if s.movedToSuccessor(l, last) {
 			continue
 		}
-		switch step := s.life.Next(s.ending(last), s.budget); step {
+		switch step := s.dispatch.Next(s.attemptResult(last), s.allowRetry); step {
 		case lifecycle.StepAnswer:
 			return last
 		case lifecycle.StepVoid:
 			return s.void(ctx, l, last)
 		case lifecycle.StepReattach:
-			s.stay()
+			s.retrySameAgent()
 		case lifecycle.StepResend:
-			l.relearn(ctx, last)
+			l.learnFromRefusal(ctx, last)
 		default:
-			if step == lifecycle.StepRestart && s.restart() != nil {
+			if step == lifecycle.StepRestart && s.restartAnswer() != nil {
 				return last
 			}
-			s.moveOn(l, last)
+			s.retryElsewhere(l, last)
 		}
 	}
 }
 
-// forwarded reports whether the agent of the presented ticket stopped while it
-// was asked, and another one answers for it now.
-func (s *session) forwarded(l *link, last *rudderv1.End) bool {
-	if s.o.claims == nil || s.life.Attempts >= lifecycle.MaxAttempts {
+// movedToSuccessor reports whether the agent of the presented ticket stopped
+// during the attempt and a successor now holds its run records.
+func (s *session) movedToSuccessor(l *link, last *rudderv1.End) bool {
+	if s.cr.claims == nil || s.dispatch.Attempts >= lifecycle.MaxAttempts {
 		return false
 	}
 	switch result.Code(last.Code) {
 	case result.AgentLost, result.IncarnationGone, result.OrderUnanswered:
-		return s.g.linkOf(s.o.claims).declared.AgentAddress != l.declared.AgentAddress
+		return s.g.linkForClaims(s.cr.claims).declared.AgentAddress != l.declared.AgentAddress
 	default:
 		return false
 	}
 }
 
-// timeOver returns the final answer when no time is left for another attempt.
-func (s *session) timeOver(ctx context.Context, last *rudderv1.End) *rudderv1.End {
-	if ctx.Err() == nil && time.Until(s.o.deadline) > minRemaining {
+// endIfExpired returns the final end if there is not enough time left for
+// another attempt, else nil.
+func (s *session) endIfExpired(ctx context.Context, last *rudderv1.End) *rudderv1.End {
+	if ctx.Err() == nil && time.Until(s.cr.deadline) > minRemaining {
 		return nil
 	}
-	if s.life.Attempts > 0 {
+	if s.dispatch.Attempts > 0 {
 		return last
 	}
 	return endOf(result.New(result.DeadlineTooNear, ""))
 }
 
-// unplaced is the answer when no attempt could be made: what the last attempt
-// said, or else the reason. Nothing ran for it, but an unrepeatable request with
-// a name may run through another gateway unless its agent seals it.
-func (s *session) unplaced(ctx context.Context, end, last *rudderv1.End) *rudderv1.End {
-	if s.life.Attempts > 0 {
+// endUnplaced returns the end if no attempt could be made: the end of the last
+// attempt if there was one, else the given reason. Nothing has run then, but an
+// unrepeatable request with a name may still run through another gateway unless
+// its agent seals the name.
+func (s *session) endUnplaced(ctx context.Context, end, last *rudderv1.End) *rudderv1.End {
+	if s.dispatch.Attempts > 0 {
 		return last
 	}
-	if s.o.claims != nil && !s.o.repeatable {
-		return s.void(ctx, s.g.linkOf(s.o.claims), end)
+	if s.cr.claims != nil && !s.cr.repeatable {
+		return s.void(ctx, s.g.linkForClaims(s.cr.claims), end)
 	}
 	return end
 }
 
-// stay keeps the next attempt at the agent that the current ticket names.
-func (s *session) stay() {
-	if claims, err := s.g.readTicket(s.ticket, s.o.workspace); err == nil {
-		s.o.claims = claims
+// retrySameAgent sends the next attempt to the agent named by the current
+// ticket.
+func (s *session) retrySameAgent() {
+	if claims, err := s.g.readTicket(s.ticket, s.cr.workspace); err == nil {
+		s.cr.claims = claims
 	}
 }
 
-// moveOn prepares the next attempt after one at l ended as last. What became of
-// an earlier presentation says nothing against its endpoint; the request goes
-// on under an id of its own, for the old id leads to the old run.
-func (s *session) moveOn(l *link, last *rudderv1.End) {
-	gone := s.o.claims != nil && result.Code(last.Code) == result.IncarnationGone
-	s.o.claims = nil
+// retryElsewhere prepares the next attempt after the one at l ended with last.
+// If that attempt was attached to an earlier run, or the ticket's incarnation
+// is gone, the endpoint is not excluded, because the failure is not evidence
+// against it. The request then continues under a new ID, since the old one
+// leads to the old run.
+func (s *session) retryElsewhere(l *link, last *rudderv1.End) {
+	gone := s.cr.claims != nil && result.Code(last.Code) == result.IncarnationGone
+	s.cr.claims = nil
 	if s.attached || gone {
-		s.o.id = newID()
+		s.cr.id = newID()
 		return
 	}
 	s.excluded[l.declared.Name] = true
 }
 
-// restart begins the answer again at offset 0 and tells the caller.
-func (s *session) restart() error {
+// restartAnswer restarts the answer at offset 0 and tells the caller.
+func (s *session) restartAnswer() error {
 	if err := s.out.Restart(); err != nil {
 		return err
 	}
 	s.asm.Restart(s.attempt)
-	s.delivered, s.life.Delivered, s.o.skip = nil, 0, 0
+	s.delivered, s.dispatch.Delivered, s.cr.resumeOffset = nil, 0, 0
 	return nil
 }
 
-// budget reports whether the workspace may spend another retry.
-func (s *session) budget() bool {
-	ok := s.g.limits.retry(s.o.workspace.Name)
-	s.g.meter.retry(s.o.workspace.Name, ok)
+// allowRetry reports whether the workspace's retry budget permits another
+// retry.
+func (s *session) allowRetry() bool {
+	ok := s.g.limits.allowRetry(s.cr.workspace.Name)
+	s.g.meter.recordRetry(s.cr.workspace.Name, ok)
 	return ok
 }
 
-// place chooses the endpoint of the next attempt and makes its ticket.
-func (s *session) place() (*link, *rudderv1.End) {
-	if s.o.claims != nil {
-		return s.g.linkOf(s.o.claims), nil
+// selectEndpoint selects the endpoint of the next attempt and issues its
+// ticket.
+func (s *session) selectEndpoint() (*link, *rudderv1.End) {
+	if s.cr.claims != nil {
+		return s.g.linkForClaims(s.cr.claims), nil
 	}
-	l, decision := s.chooseAtStart()
+	l, decision := s.chooseOrAwaitAgent()
 	if l == nil {
 		err := result.New(result.NoEndpoint, decision.Reason)
-		err.RetryAfter = comeBack.Milliseconds()
+		err.RetryAfter = defaultRetryAfter.Milliseconds()
 		if decision.Reason == routing.FilterBackoff {
-			err.RetryAfter = s.g.links.restLeft(time.Now()).Milliseconds()
+			err.RetryAfter = s.g.links.shortestBackOff(time.Now()).Milliseconds()
 		}
 		return nil, endOf(err)
 	}
-	return s.named(l)
+	return s.issueTicket(l)
 }
 
-// named makes the ticket of an attempt at l.
-func (s *session) named(l *link) (*link, *rudderv1.End) {
-	t, err := s.g.mint(l, s.o)
+// issueTicket issues the ticket of an attempt at l.
+func (s *session) issueTicket(l *link) (*link, *rudderv1.End) {
+	t, err := s.g.issueTicket(l, s.cr)
 	if err != nil {
 		return nil, endOf(result.New(result.NoEndpoint, err.Error()))
 	}
@@ -225,90 +236,93 @@
 }
 
 func (s *session) choose() (*link, routing.Decision) {
-	if c := s.o.completion; c != nil && s.g.needsGroup(c) {
-		return s.chooseLast()
+	if c := s.cr.completion; c != nil && s.g.needsGroup(c) {
+		return s.chooseLastMember()
 	}
-	l, d := s.pick(s.route())
-	if l != nil || s.using == "" || len(s.delivered) == 0 {
+	l, d := s.applyPolicy(s.routingRequest())
+	if l != nil || s.servedVariant == "" || len(s.delivered) == 0 {
 		return l, d
 	}
-	// Nobody serves the version that the answer began under any more.
-	s.using = ""
-	if l, d = s.pick(s.route()); l != nil {
-		s.gone = s.restart()
+	// No endpoint serves the version that produced the beginning of the answer
+	// any more.
+	s.servedVariant = ""
+	if l, d = s.applyPolicy(s.routingRequest()); l != nil {
+		s.callerErr = s.restartAnswer()
 	}
 	return l, d
 }
 
-// pick asks the policy and records its decision.
-func (s *session) pick(req routing.Request) (*link, routing.Decision) {
-	view, order := s.g.links.view(time.Now())
+// applyPolicy runs the routing policy and records its decision.
+func (s *session) applyPolicy(req routing.Request) (*link, routing.Decision) {
+	view, byIndex := s.g.links.candidates(time.Now())
 	d := s.g.deps.Policy.Choose(req, view, rand.IntN, true)
 	if d.Index < 0 {
-		s.g.explain.record(s.o.id, s.life.Attempts+1, "", d)
+		s.g.explain.record(s.cr.id, s.dispatch.Attempts+1, "", d)
 		return nil, d
 	}
-	l := order[d.Index]
-	s.g.explain.record(s.o.id, s.life.Attempts+1, l.declared.Name, d)
+	l := byIndex[d.Index]
+	s.g.explain.record(s.cr.id, s.dispatch.Attempts+1, l.declared.Name, d)
 	return l, d
 }
 
-// route is the request as routing sees it. An answer that has begun goes on
-// under the version that it began under.
-func (s *session) route() routing.Request {
-	c := s.o.completion
+// routingRequest returns the request as input of routing. A partly delivered
+// answer continues with the version that it began with.
+func (s *session) routingRequest() routing.Request {
+	c := s.cr.completion
 	model := c.GetModel()
-	if s.using != "" && len(s.delivered) > 0 {
-		model = s.using
+	if s.servedVariant != "" && len(s.delivered) > 0 {
+		model = s.servedVariant
 	}
 	return routing.Request{
-		ID: s.o.id, Workspace: s.o.workspace.Name, Model: model, Service: s.o.call.GetService(),
+		ID: s.cr.id, Workspace: s.cr.workspace.Name, Model: model, Service: s.cr.call.GetService(),
 		PromptTokens: c.GetPromptTokens(), MaxTokens: c.GetMaxTokens(), Prefix: c.GetPrefix(),
-		Remaining: time.Until(s.o.deadline), DataCentre: s.g.cfg.DataCentre, Excluded: s.excluded,
+		Remaining: time.Until(s.cr.deadline), DataCentre: s.g.cfg.DataCentre, Excluded: s.excluded,
 	}
 }
 
-// request is the order as the agent gets it.
-func (s *session) request(l *link) *rudderv1.RunRequest {
+// runRequest returns the order to send to the agent.
+func (s *session) runRequest(l *link) *rudderv1.RunRequest {
 	_, clock := l.incarnation()
 	req := &rudderv1.RunRequest{
-		RequestId: s.o.id, Attempt: s.attempt, Ticket: s.ticket, Workspace: s.o.workspace.Name,
-		Repeatable: s.o.repeatable, RemainingMs: time.Until(s.o.deadline).Milliseconds(),
-		Priority: s.o.workspace.Priority, Weight: s.o.workspace.Weight,
+		RequestId: s.cr.id, Attempt: s.attempt, Ticket: s.ticket, Workspace: s.cr.workspace.Name,
+		Repeatable: s.cr.repeatable, RemainingMs: time.Until(s.cr.deadline).Milliseconds(),
+		Priority: s.cr.workspace.Priority, Weight: s.cr.workspace.Weight,
 		Generation: s.g.deps.Keeper.Generation(), Gateway: s.g.cfg.Name,
-		Completion: s.o.completion, Call: s.o.call, Body: s.o.body, Ephemeral: !s.life.HasName && !s.life.EarlierMayHaveRun(),
+		Completion: s.cr.completion, Call: s.cr.call, Body: s.cr.body, Ephemeral: !s.dispatch.HasName && !s.dispatch.EarlierMayHaveRun(),
 		SentAgentMs: clock,
 	}
-	if c := s.o.completion; c != nil && (len(s.delivered) > 0 || s.group != nil) {
+	if c := s.cr.completion; c != nil && (len(s.delivered) > 0 || s.group != nil) {
 		req.Completion = &rudderv1.Completion{
 			Model: c.Model, Path: c.Path, PromptTokens: c.PromptTokens, MaxTokens: c.MaxTokens,
 			Prefix: c.Prefix, ResumeText: s.delivered,
 		}
-		s.group.fill(req.Completion)
+		s.group.fillCompletion(req.Completion)
 	}
 	return req
 }
 
-// learn takes in what a whole run tells about the endpoint.
-func (s *session) learn(l *link, believed int, end *rudderv1.End) {
-	c := s.o.completion
+// recordRun updates the cache and cost estimates of the endpoint after a
+// complete run.
+func (s *session) recordRun(l *link, assumedCached int, end *rudderv1.End) {
+	c := s.cr.completion
 	if result.Code(end.Code) != result.OK || c == nil || s.group != nil {
 		return
 	}
-	l.cache.RecordRun(c.Prefix, believed, end.GetUsage().GetCachedTokens())
-	l.observe(l.prefill(c.PromptTokens, end.GetUsage().GetCachedTokens()), time.Duration(end.GetTimes().GetPrefillUs())*time.Microsecond)
+	l.cache.RecordRun(c.Prefix, assumedCached, end.GetUsage().GetCachedTokens())
+	l.recordPrefill(l.prefillTime(c.PromptTokens, end.GetUsage().GetCachedTokens()), time.Duration(end.GetTimes().GetPrefillUs())*time.Microsecond)
 }
 
-// predict estimates the prefill that an order brings, and how many leading
-// blocks of it the endpoint is believed to hold.
-func (l *link) predict(req *rudderv1.RunRequest) (work time.Duration, believed int) {
+// predictPrefill estimates the prefill time of an order, and how many leading
+// blocks of its prompt the endpoint has cached.
+func (l *link) predictPrefill(req *rudderv1.RunRequest) (work time.Duration, assumedCached int) {
 	c := req.GetCompletion()
-	believed = l.cache.Cached(c.GetPrefix())
-	return l.prefill(c.GetPromptTokens(), uint64(believed)*prefix.BlockTokens), believed
+	assumedCached = l.cache.Cached(c.GetPrefix())
+	return l.prefillTime(c.GetPromptTokens(), uint64(assumedCached)*prefix.BlockTokens), assumedCached
 }
 
-// prefill estimates the time to prefill a prompt of which a part is cached.
-func (l *link) prefill(prompt, cached uint64) time.Duration {
+// prefillTime estimates the time to prefill a prompt of which the first cached
+// tokens are in the prefix cache.
+func (l *link) prefillTime(prompt, cached uint64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return costOf(l.load).OrDefault().Prefill(prompt, cached)
--- a/gateway/starting.go
+++ b/gateway/starting.go
@@ -10,17 +10,17 @@
 
 const (
 	// startGrace is how long after its start a gateway lets requests wait for
-	// the configuration and for the first word of the agents.
-	startGrace = 2 * time.Second
-	startPoll  = 10 * time.Millisecond
+	// the configuration and for the first reports of agents.
+	startGrace        = 2 * time.Second
+	startPollInterval = 10 * time.Millisecond
 )
 
-// starting reports whether the gateway may still be waiting for the first word
-// of the configuration or the agents.
+// starting reports whether the gateway is still within startGrace.
 func (g *Gateway) starting() bool { return time.Since(g.started) < startGrace }
 
-// configured waits, at the start only, for the first document.
-func (g *Gateway) configured(ctx context.Context) *rudderv1.Document {
+// awaitConfiguration returns the current document. Within startGrace, it waits
+// for the first one.
+func (g *Gateway) awaitConfiguration(ctx context.Context) *rudderv1.Document {
 	for {
 		changed := g.deps.Keeper.Changed()
 		doc := g.deps.Keeper.Document()
@@ -39,12 +39,12 @@
 	}
 }
 
-// chooseAtStart chooses an endpoint; at the start only, it waits until an
-// agent of the model or service has been heard.
-func (s *session) chooseAtStart() (*link, routing.Decision) {
+// chooseOrAwaitAgent chooses an endpoint. Within startGrace, it waits until one
+// can be chosen.
+func (s *session) chooseOrAwaitAgent() (*link, routing.Decision) {
 	l, d := s.choose()
-	for l == nil && s.g.starting() && time.Until(s.o.deadline) > startPoll {
-		time.Sleep(startPoll)
+	for l == nil && s.g.starting() && time.Until(s.cr.deadline) > startPollInterval {
+		time.Sleep(startPollInterval)
 		l, d = s.choose()
 	}
 	return l, d
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// closeTime bounds the end of responses whose requests have ended.
-const closeTime = time.Second
+// closeTimeout limits the time to close the listeners after all requests have
+// ended.
+const closeTimeout = time.Second
 
-// Stop ends the gateway in order: Drain, then its listeners close once the
-// last bytes are out, then its background work ends.
+// Stop shuts the gateway down in order: it drains requests, closes the
+// listeners once the last bytes are sent, and stops the background work.
 func (g *Gateway) Stop(ctx context.Context, callers, inner *http.Server) error {
 	err := g.Drain(ctx)
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTimeout)
 	defer cancel()
 	_ = callers.Shutdown(ctx)
 	_ = callers.Close()
@@ -23,12 +24,13 @@
 	return err
 }
 
-// Drain ends the gateway's service: it is not ready any more, so that the
-// balancer looks elsewhere, and after the leave time refuses new requests. It
-// returns when those in flight have ended or ctx ends.
+// Drain takes the gateway out of service. The gateway becomes not ready, so
+// that the load balancer stops sending requests to it, and refuses new requests
+// after the leave time. Drain returns when the requests in flight have ended or
+// ctx ends.
 func (g *Gateway) Drain(ctx context.Context) error {
 	g.leaving.Store(true)
-	g.deps.Log.Info("Leaving the balancer.", "requests", g.active.Load())
+	g.deps.Log.Info("Not ready any more; waiting for the load balancer to notice.", "requests", g.active.Load())
 	select {
 	case <-time.After(g.cfg.LeaveTime):
 	case <-ctx.Done():
