--- a/gateway/tenure.go
+++ b/gateway/tenure.go
@@ -14,44 +14,47 @@
 
 const (
 	placerTTL = 10 * time.Second // of the lease
-	// claimPause is the mean pause between two attempts to get the lease, of
-	// a gateway that sees work to do.
-	claimPause = 6 * time.Second
-	claimFirst = 500 * time.Millisecond // longest wait before the first attempt
-	tenureTime = 3 * time.Second        // for one attempt
-	revokeTime = time.Second
-	// restAfter is how long a holder without work keeps the lease.
-	restAfter = 30 * time.Second
+	// acquireInterval is the mean interval between two attempts to acquire the
+	// lease while there is work to do.
+	acquireInterval = 6 * time.Second
+	maxFirstDelay   = 500 * time.Millisecond // maximum delay before the first attempt
+	acquireTimeout  = 3 * time.Second        // for one attempt
+	revokeTimeout   = time.Second
+	// releaseAfterIdle is how long a holder without work keeps the lease.
+	releaseAfterIdle = 30 * time.Second
 )
 
-// standing is what a gateway may do as placer.
-type standing int
+// leaseState tells what a gateway may do as placer.
+type leaseState int
 
 const (
-	notHolding standing = iota
-	holding
-	platformAway // nobody can get the lease
+	leaseNotHeld leaseState = iota
+	leaseHeld
+	platformUnreachable // no gateway can acquire the lease
 )
 
-// tenure is the gateway's side of the lease of its data centre's placer. It
-// costs no call while there is nothing to do, one read per pause while another
-// gateway holds it, and the renewals while this one does.
-type tenure struct {
-	g    *Gateway
-	name string // unique, so that an answer that was lost can be told
-
-	mu     sync.Mutex
-	lease  *metastore.Lease
-	away   bool
-	trying bool
-	next   time.Time // of the next attempt; zero while there is nothing to do
-	idle   time.Time // since when the holder has had nothing to do
+// placerLease manages the lease that makes this gateway the placer of its data
+// centre. It makes no calls while there is nothing to do, one read per interval
+// while another gateway holds the lease, and only renewals while this gateway
+// holds it.
+type placerLease struct {
+	g        *Gateway
+	holderID string // unique, to recognise an own write whose answer was lost
+
+	mu          sync.Mutex
+	lease       *metastore.Lease
+	unreachable bool
+	acquiring   bool
+	nextAttempt time.Time // zero while there is nothing to do
+	idleSince   time.Time // since when the holder has had nothing to do
 }
 
-func newTenure(g *Gateway) *tenure { return &tenure{g: g, name: g.cfg.Name + " " + uuid.NewString()} }
+func newPlacerLease(g *Gateway) *placerLease {
+	return &placerLease{g: g, holderID: g.cfg.Name + " " + uuid.NewString()}
+}
 
-// held returns the lease that is held at now, or 0.
-func (t *tenure) held(now time.Time) metastore.LeaseID {
+// heldID returns the ID of the lease if it is held at the given time, else 0.
+func (t *placerLease) heldID(now time.Time) metastore.LeaseID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.lease == nil || !t.lease.Held(now) {
@@ -60,66 +63,66 @@
 	return t.lease.ID()
 }
 
-// claim says what the gateway may do at now, and tries to get the lease when
-// it is time for that.
-func (t *tenure) claim(now time.Time) standing {
+// stateOrAcquire returns what the gateway may do at the given time, and starts
+// an attempt to acquire the lease if one is due.
+func (t *placerLease) stateOrAcquire(now time.Time) leaseState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.idle = time.Time{}
+	t.idleSince = time.Time{}
 	if t.lease != nil && t.lease.Held(now) {
-		return holding
+		return leaseHeld
 	}
-	if t.next.IsZero() {
-		t.next = now.Add(rand.N(claimFirst))
+	if t.nextAttempt.IsZero() {
+		t.nextAttempt = now.Add(rand.N(maxFirstDelay))
 	}
-	if !t.trying && !now.Before(t.next) {
-		t.trying = true
-		t.g.loops.Go(t.try)
+	if !t.acquiring && !now.Before(t.nextAttempt) {
+		t.acquiring = true
+		t.g.background.Go(t.tryAcquire)
 	}
-	if t.away {
-		return platformAway
+	if t.unreachable {
+		return platformUnreachable
 	}
-	return notHolding
+	return leaseNotHeld
 }
 
-// rest tells that there is nothing to do.
-func (t *tenure) rest(now time.Time) {
+// markIdle records that there is nothing to do.
+func (t *placerLease) markIdle(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.lease == nil {
-		t.next = time.Time{}
+		t.nextAttempt = time.Time{}
 		return
 	}
-	if t.idle.IsZero() {
-		t.idle = now
+	if t.idleSince.IsZero() {
+		t.idleSince = now
 	}
-	if now.Sub(t.idle) >= restAfter {
+	if now.Sub(t.idleSince) >= releaseAfterIdle {
 		l := t.lease
 		t.lease = nil
-		t.g.loops.Go(func() { t.revoke(l) })
+		t.g.background.Go(func() { t.revoke(l) })
 	}
 }
 
-// try makes one attempt to get the lease.
-func (t *tenure) try() {
-	ctx, cancel := context.WithTimeout(t.g.ctx, tenureTime)
+// tryAcquire makes one attempt to acquire the lease.
+func (t *placerLease) tryAcquire() {
+	ctx, cancel := context.WithTimeout(t.g.ctx, acquireTimeout)
 	defer cancel()
 	l, err := t.acquire(ctx)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.trying = false
-	t.away = err != nil && !errors.Is(err, metastore.ErrConflict)
-	t.next = time.Now().Add(claimPause/2 + rand.N(claimPause))
+	t.acquiring = false
+	t.unreachable = err != nil && !errors.Is(err, metastore.ErrConflict)
+	t.nextAttempt = time.Now().Add(acquireInterval/2 + rand.N(acquireInterval))
 	if err != nil {
 		return
 	}
 	t.lease = l
-	t.g.deps.Log.Info("Placing models for the data centre.", "data_centre", t.g.cfg.DataCentre)
-	t.g.loops.Go(func() { t.keep(l) })
+	t.g.deps.Log.Info("Acquired the placer lease of the data centre.", "data_centre", t.g.cfg.DataCentre)
+	t.g.background.Go(func() { t.keepAlive(l) })
 }
 
-// acquire returns the lease, or ErrConflict when another gateway holds it.
-func (t *tenure) acquire(ctx context.Context) (*metastore.Lease, error) {
+// acquire returns the lease, or ErrConflict if another gateway holds it.
+func (t *placerLease) acquire(ctx context.Context) (*metastore.Lease, error) {
 	store, key := t.g.deps.Store, metastore.PrefixPlacers+t.g.cfg.DataCentre
 	_, err := store.Get(ctx, key)
 	if err == nil {
@@ -132,28 +135,28 @@
 	if err != nil {
 		return nil, err
 	}
-	value := []byte(t.name + " " + uuid.NewString())
+	value := []byte(t.holderID + " " + uuid.NewString())
 	same := func(e metastore.Entry) bool { return string(e.Value) == string(value) }
 	if _, err := metastore.Settle(ctx, store, key, 0, value, l.ID(), same); err != nil {
-		t.g.loops.Go(func() { t.revoke(l) })
+		t.g.background.Go(func() { t.revoke(l) })
 		return nil, err
 	}
 	return l, nil
 }
 
-// keep renews the lease until it is over.
-func (t *tenure) keep(l *metastore.Lease) {
+// keepAlive renews the lease until it ends.
+func (t *placerLease) keepAlive(l *metastore.Lease) {
 	err := l.Keep(t.g.ctx)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.lease == l && t.g.ctx.Err() == nil {
-		t.g.deps.Log.Warn("The placer's lease is over.", "err", err)
+		t.g.deps.Log.Warn("Lost the placer lease.", "err", err)
 		t.lease = nil
 	}
 }
 
-// release gives the lease up, if it is held.
-func (t *tenure) release() {
+// release releases the lease if it is held.
+func (t *placerLease) release() {
 	t.mu.Lock()
 	l := t.lease
 	t.lease = nil
@@ -163,8 +166,8 @@
 	}
 }
 
-func (t *tenure) revoke(l *metastore.Lease) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(t.g.ctx), revokeTime)
+func (t *placerLease) revoke(l *metastore.Lease) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(t.g.ctx), revokeTimeout)
 	defer cancel()
 	_ = l.Release(ctx)
 }
--- a/gateway/tickets.go
+++ b/gateway/tickets.go
@@ -9,25 +9,26 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// mint makes a ticket that binds the order to the agent's incarnation.
-func (g *Gateway) mint(l *link, o *order) (string, error) {
+// issueTicket issues a ticket that binds the request to the agent's
+// incarnation.
+func (g *Gateway) issueTicket(l *link, cr *callerRequest) (string, error) {
 	incarnation, clock := l.incarnation()
 	if incarnation == "" {
 		return "", errors.New("agent not heard yet")
 	}
 	return g.deps.Signer.Sign(&rudderv1.TicketClaims{
-		RequestId: o.id, Workspace: o.workspace.Name, Endpoint: l.declared.Name, AgentAddress: l.declared.AgentAddress,
-		Incarnation: incarnation, ExpiresAgentMs: clock + g.cfg.TicketLife.Milliseconds(), Repeatable: o.repeatable,
+		RequestId: cr.id, Workspace: cr.workspace.Name, Endpoint: l.declared.Name, AgentAddress: l.declared.AgentAddress,
+		Incarnation: incarnation, ExpiresAgentMs: clock + g.cfg.TicketLife.Milliseconds(), Repeatable: cr.repeatable,
 	})
 }
 
-// linkOf returns the link to the agent that answers for a ticket: the one it
-// names, or that one's successor. An agent that is no longer declared is still
-// asked: it may hold the run.
-func (g *Gateway) linkOf(c *rudderv1.TicketClaims) *link {
+// linkForClaims returns the link to the agent that is responsible for a ticket:
+// the agent that it names, or the successor of that agent. An agent that is no
+// longer declared is still asked, because it may have the run.
+func (g *Gateway) linkForClaims(c *rudderv1.TicketClaims) *link {
 	address := c.AgentAddress
-	if heir := g.members.heir(c.Incarnation); heir != "" {
-		address = heir
+	if owner := g.members.recordOwner(c.Incarnation); owner != "" {
+		address = owner
 	}
 	g.links.mu.RLock()
 	l, ok := g.links.byAddr[address]
@@ -38,17 +39,17 @@
 	return newLink(g, &rudderv1.Endpoint{Name: c.Endpoint, AgentAddress: address})
 }
 
-// linkOfTicket returns the link to the agent that answers for a ticket of this
-// installation, or l when that cannot be told.
-func (g *Gateway) linkOfTicket(ticket string, l *link) *link {
+// linkForTicket returns the link to the agent that is responsible for a ticket,
+// or l if the ticket cannot be verified.
+func (g *Gateway) linkForTicket(ticket string, l *link) *link {
 	claims, err := g.deps.Signer.Parse(ticket)
 	if err != nil {
 		return l
 	}
-	return g.linkOf(claims)
+	return g.linkForClaims(claims)
 }
 
-// readTicket checks a ticket that a caller presents.
+// readTicket verifies a ticket that a caller presents.
 func (g *Gateway) readTicket(text string, ws *rudderv1.Workspace) (*rudderv1.TicketClaims, *result.Err) {
 	claims, err := g.deps.Signer.Parse(text)
 	if err != nil || claims.Workspace != ws.Name {
