--- a/gateway/claim.go
+++ b/gateway/claim.go
@@ -30,7 +30,7 @@
 // claimRecord is the value of a claim in the platform's service.
 type claimRecord struct {
 	Ticket string `json:"ticket"`
-	Digest string `json:"digest"` // digest of the request that claimed the key
+	Digest string `json:"digest"` // of the request that claimed the key
 }
 
 // claim binds an unrepeatable request that has only an idempotency key to one
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -28,7 +28,7 @@
 // platformHealth is the gateway's view of the platform's service.
 type platformHealth struct {
 	contact    metastore.Contact // nil: the store does not report contact
-	generation atomic.Uint64     // generation of the document last read from the store; 0: none
+	generation atomic.Uint64     // of the document last read from the store; 0: none
 	restored   atomic.Uint64     // number of times that the store was restored to an older state
 }
 
--- a/gateway/group.go
+++ b/gateway/group.go
@@ -19,8 +19,7 @@
 	// once; others wait for a slot.
 	maxForming = 4
 	// groupLeaseTTL is the duration of a group's leases and renewInterval the
-	// time between renewals, chosen so that one or two lost renewals do no
-	// harm.
+	// time between renewals: one or two lost renewals do no harm.
 	groupLeaseTTL = 4 * time.Second
 	renewInterval = time.Second
 	// avoidDuration is how long an endpoint that failed a group is used only if
@@ -73,11 +72,11 @@
 func (g *Gateway) needsGroup(c *rudderv1.Completion) bool {
 	need, found := c.PromptTokens+c.MaxTokens, false
 	for _, l := range g.links.all() {
-		memory_, serves := l.memorySize(c.Model)
+		tokens, serves := l.memorySize(c.Model)
 		if !serves {
 			continue
 		}
-		if memory_ == 0 || need <= memory_ {
+		if tokens == 0 || need <= tokens {
 			return false
 		}
 		found = true
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -32,15 +32,15 @@
 type placer struct {
 	g          *Gateway
 	flapDamper *placement.FlapDamper
-	lease      *placerLease
+	elector    *elector
 
-	generation uint64 // generation for which assigned was computed
+	generation uint64 // for which assigned was computed
 	live       map[string]bool
 	assigned   placement.Assignments
 
 	mu        sync.Mutex
 	grants    placement.Grants
-	leaseID   metastore.LeaseID    // lease held in the latest round; 0: none
+	leaseID   metastore.LeaseID    // held in the latest round; 0: none
 	decidedOn map[string]reportID  // the reports on which the latest round was based
 	confirmed map[string]reportID  // the agents' answers to the query under the current lease
 	notBefore map[string]time.Time // when the endpoint may get a permit again
@@ -56,14 +56,14 @@
 
 func newPlacer(g *Gateway) *placer {
 	p := &placer{g: g, flapDamper: placement.NewFlapDamper(), grants: make(placement.Grants), notBefore: make(map[string]time.Time)}
-	p.lease = newPlacerLease(g)
+	p.elector = newElector(g)
 	return p
 }
 
 func (p *placer) loop() {
 	tick := time.NewTicker(roundInterval)
 	defer tick.Stop()
-	defer p.lease.release()
+	defer p.elector.release()
 	for {
 		p.round()
 		select {
@@ -81,19 +81,19 @@
 	doc := p.g.deps.Keeper.Document()
 	links := p.ownLinks()
 	if p.g.draining.Load() {
-		p.lease.release()
+		p.elector.release()
 		return
 	}
 	if doc.Generation == 0 || len(links) == 0 {
-		p.lease.markIdle(now)
+		p.elector.markIdle(now)
 		return
 	}
 	planned := p.nextOrders(doc, links, now)
 	if len(planned) == 0 {
-		p.lease.markIdle(now)
+		p.elector.markIdle(now)
 		return
 	}
-	switch p.lease.stateOrAcquire(now) {
+	switch p.elector.stateOrAcquire(now) {
 	case leaseHeld:
 		if p.confirm(links) {
 			p.permitAll(planned, doc.Generation, now)
@@ -120,7 +120,7 @@
 func (p *placer) nextOrders(doc *rudderv1.Document, links map[string]*link, now time.Time) []placement.PlannedOrder {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if lease := p.lease.heldID(now); lease != p.leaseID {
+	if lease := p.elector.heldID(now); lease != p.leaseID {
 		p.leaseID, p.confirmed = lease, nil
 	}
 	p.forgetUndeclared(links)
@@ -184,8 +184,8 @@
 // live endpoints has changed.
 func (p *placer) updateAssignments(doc *rudderv1.Document, live map[string]bool) {
 	same := p.assigned != nil && p.generation == doc.Generation && len(live) == len(p.live)
-	for name, is := range live {
-		same = same && p.live[name] == is
+	for name, isLive := range live {
+		same = same && p.live[name] == isLive
 	}
 	if same {
 		return
@@ -246,14 +246,14 @@
 }
 
 // permitAll sends permits for the orders that were planned at the given time.
-func (p *placer) permitAll(planned []placement.PlannedOrder, generation uint64, decided time.Time) {
+func (p *placer) permitAll(planned []placement.PlannedOrder, generation uint64, plannedAt time.Time) {
 	var links []*link
 	requests := make(map[*link]*rudderv1.PlaceRequest)
 	linkByName := p.ownLinks()
 	p.mu.Lock()
 	for _, s := range planned {
 		l := linkByName[s.Endpoint]
-		if l == nil || decided.Before(p.notBefore[s.Endpoint]) {
+		if l == nil || plannedAt.Before(p.notBefore[s.Endpoint]) {
 			continue
 		}
 		req := p.permitRequest(s.Order, generation, p.decidedOn[s.Endpoint])
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -30,7 +30,7 @@
 	resp := &rudderv1.StatusResponse{
 		Gateway: g.cfg.Name, DataCentre: g.cfg.DataCentre, Generation: g.deps.Keeper.Generation(),
 		PlatformReachable: g.platform.reachable(), PlatformSilentMs: silent.Milliseconds(), Draining: g.leaving.Load(),
-		Placing: g.placer.lease.heldID(time.Now()) != 0,
+		Placing: g.placer.elector.heldID(time.Now()) != 0,
 	}
 	names, byIndex := g.links.namesAndLinks()
 	verdicts := g.members.verdicts(names, time.Now())
--- a/gateway/tenure.go
+++ b/gateway/tenure.go
@@ -33,13 +33,13 @@
 	platformUnreachable // no gateway can acquire the lease
 )
 
-// placerLease manages the lease that makes this gateway the placer of its data
+// elector manages the lease that makes this gateway the placer of its data
 // centre. It makes no calls while there is nothing to do, one read per interval
 // while another gateway holds the lease, and only renewals while this gateway
 // holds it.
-type placerLease struct {
-	g        *Gateway
-	holderID string // unique, to recognise an own write whose answer was lost
+type elector struct {
+	g  *Gateway
+	id string // unique, to recognize an own write whose answer was lost
 
 	mu          sync.Mutex
 	lease       *metastore.Lease
@@ -49,12 +49,10 @@
 	idleSince   time.Time // since when the holder has had nothing to do
 }
 
-func newPlacerLease(g *Gateway) *placerLease {
-	return &placerLease{g: g, holderID: g.cfg.Name + " " + uuid.NewString()}
-}
+func newElector(g *Gateway) *elector { return &elector{g: g, id: g.cfg.Name + " " + uuid.NewString()} }
 
 // heldID returns the ID of the lease if it is held at the given time, else 0.
-func (t *placerLease) heldID(now time.Time) metastore.LeaseID {
+func (t *elector) heldID(now time.Time) metastore.LeaseID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.lease == nil || !t.lease.Held(now) {
@@ -65,7 +63,7 @@
 
 // stateOrAcquire returns what the gateway may do at the given time, and starts
 // an attempt to acquire the lease if one is due.
-func (t *placerLease) stateOrAcquire(now time.Time) leaseState {
+func (t *elector) stateOrAcquire(now time.Time) leaseState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.idleSince = time.Time{}
@@ -86,7 +84,7 @@
 }
 
 // markIdle records that there is nothing to do.
-func (t *placerLease) markIdle(now time.Time) {
+func (t *elector) markIdle(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.lease == nil {
@@ -104,7 +102,7 @@
 }
 
 // tryAcquire makes one attempt to acquire the lease.
-func (t *placerLease) tryAcquire() {
+func (t *elector) tryAcquire() {
 	ctx, cancel := context.WithTimeout(t.g.ctx, acquireTimeout)
 	defer cancel()
 	l, err := t.acquire(ctx)
@@ -122,7 +120,7 @@
 }
 
 // acquire returns the lease, or ErrConflict if another gateway holds it.
-func (t *placerLease) acquire(ctx context.Context) (*metastore.Lease, error) {
+func (t *elector) acquire(ctx context.Context) (*metastore.Lease, error) {
 	store, key := t.g.deps.Store, metastore.PrefixPlacers+t.g.cfg.DataCentre
 	_, err := store.Get(ctx, key)
 	if err == nil {
@@ -135,7 +133,7 @@
 	if err != nil {
 		return nil, err
 	}
-	value := []byte(t.holderID + " " + uuid.NewString())
+	value := []byte(t.id + " " + uuid.NewString())
 	same := func(e metastore.Entry) bool { return string(e.Value) == string(value) }
 	if _, err := metastore.Settle(ctx, store, key, 0, value, l.ID(), same); err != nil {
 		t.g.background.Go(func() { t.revoke(l) })
@@ -145,7 +143,7 @@
 }
 
 // keepAlive renews the lease until it ends.
-func (t *placerLease) keepAlive(l *metastore.Lease) {
+func (t *elector) keepAlive(l *metastore.Lease) {
 	err := l.Keep(t.g.ctx)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,7 +154,7 @@
 }
 
 // release releases the lease if it is held.
-func (t *placerLease) release() {
+func (t *elector) release() {
 	t.mu.Lock()
 	l := t.lease
 	t.lease = nil
@@ -166,7 +164,7 @@
 	}
 }
 
-func (t *placerLease) revoke(l *metastore.Lease) {
+func (t *elector) revoke(l *metastore.Lease) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(t.g.ctx), revokeTimeout)
 	defer cancel()
 	_ = l.Release(ctx)
