--- a/gateway/grouped.go
+++ b/gateway/grouped.go
@@ -66,7 +66,7 @@
 	switch {
 	case s.group == nil || result.Code(end.Code) == result.OldGeneration:
 	case result.Code(end.Code) == result.OK:
-		s.group.stopRenewals() // the end of the run released the last lease
+		s.group.stopBackground() // the end of the run released the last lease
 		s.group = nil
 	default:
 		s.releaseGroup()
--- a/gateway/renew.go
+++ b/gateway/renew.go
@@ -86,9 +86,9 @@
 	calls.Wait()
 }
 
-// stopRenewals stops the renewals of the current attempt and waits for them to
-// end.
-func (gr *group) stopRenewals() {
+// stopBackground cancels the context of the current attempt and waits for its
+// renewals and preloads to end.
+func (gr *group) stopBackground() {
 	gr.cancel(nil)
 	gr.background.Wait()
 }
@@ -96,7 +96,7 @@
 // releaseAll ends the current attempt and releases every reservation that it
 // may hold. The lease of a run that was ordered lasts as long as the run.
 func (gr *group) releaseAll() {
-	gr.stopRenewals()
+	gr.stopBackground()
 	gr.mu.Lock()
 	held := gr.state.Holders(false)
 	gr.mu.Unlock()
--- a/gateway/tenure.go
+++ b/gateway/tenure.go
@@ -52,76 +52,76 @@
 func newElector(g *Gateway) *elector { return &elector{g: g, id: g.cfg.Name + " " + uuid.NewString()} }
 
 // heldID returns the ID of the lease if it is held at the given time, else 0.
-func (t *elector) heldID(now time.Time) metastore.LeaseID {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.lease == nil || !t.lease.Held(now) {
+func (e *elector) heldID(now time.Time) metastore.LeaseID {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.lease == nil || !e.lease.Held(now) {
 		return 0
 	}
-	return t.lease.ID()
+	return e.lease.ID()
 }
 
 // stateOrAcquire returns what the gateway may do at the given time, and starts
 // an attempt to acquire the lease if one is due.
-func (t *elector) stateOrAcquire(now time.Time) leaseState {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.idleSince = time.Time{}
-	if t.lease != nil && t.lease.Held(now) {
+func (e *elector) stateOrAcquire(now time.Time) leaseState {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.idleSince = time.Time{}
+	if e.lease != nil && e.lease.Held(now) {
 		return leaseHeld
 	}
-	if t.nextAttempt.IsZero() {
-		t.nextAttempt = now.Add(rand.N(maxFirstDelay))
+	if e.nextAttempt.IsZero() {
+		e.nextAttempt = now.Add(rand.N(maxFirstDelay))
 	}
-	if !t.acquiring && !now.Before(t.nextAttempt) {
-		t.acquiring = true
-		t.g.background.Go(t.tryAcquire)
+	if !e.acquiring && !now.Before(e.nextAttempt) {
+		e.acquiring = true
+		e.g.background.Go(e.tryAcquire)
 	}
-	if t.unreachable {
+	if e.unreachable {
 		return platformUnreachable
 	}
 	return leaseNotHeld
 }
 
 // markIdle records that there is nothing to do.
-func (t *elector) markIdle(now time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.lease == nil {
-		t.nextAttempt = time.Time{}
+func (e *elector) markIdle(now time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.lease == nil {
+		e.nextAttempt = time.Time{}
 		return
 	}
-	if t.idleSince.IsZero() {
-		t.idleSince = now
+	if e.idleSince.IsZero() {
+		e.idleSince = now
 	}
-	if now.Sub(t.idleSince) >= releaseAfterIdle {
-		l := t.lease
-		t.lease = nil
-		t.g.background.Go(func() { t.revoke(l) })
+	if now.Sub(e.idleSince) >= releaseAfterIdle {
+		l := e.lease
+		e.lease = nil
+		e.g.background.Go(func() { e.revoke(l) })
 	}
 }
 
 // tryAcquire makes one attempt to acquire the lease.
-func (t *elector) tryAcquire() {
-	ctx, cancel := context.WithTimeout(t.g.ctx, acquireTimeout)
+func (e *elector) tryAcquire() {
+	ctx, cancel := context.WithTimeout(e.g.ctx, acquireTimeout)
 	defer cancel()
-	l, err := t.acquire(ctx)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.acquiring = false
-	t.unreachable = err != nil && !errors.Is(err, metastore.ErrConflict)
-	t.nextAttempt = time.Now().Add(acquireInterval/2 + rand.N(acquireInterval))
+	l, err := e.acquire(ctx)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.acquiring = false
+	e.unreachable = err != nil && !errors.Is(err, metastore.ErrConflict)
+	e.nextAttempt = time.Now().Add(acquireInterval/2 + rand.N(acquireInterval))
 	if err != nil {
 		return
 	}
-	t.lease = l
-	t.g.deps.Log.Info("Acquired the placer lease of the data centre.", "data_centre", t.g.cfg.DataCentre)
-	t.g.background.Go(func() { t.keepAlive(l) })
+	e.lease = l
+	e.g.deps.Log.Info("Acquired the placer lease of the data centre.", "data_centre", e.g.cfg.DataCentre)
+	e.g.background.Go(func() { e.keepAlive(l) })
 }
 
 // acquire returns the lease, or ErrConflict if another gateway holds it.
-func (t *elector) acquire(ctx context.Context) (*metastore.Lease, error) {
-	store, key := t.g.deps.Store, metastore.PrefixPlacers+t.g.cfg.DataCentre
+func (e *elector) acquire(ctx context.Context) (*metastore.Lease, error) {
+	store, key := e.g.deps.Store, metastore.PrefixPlacers+e.g.cfg.DataCentre
 	_, err := store.Get(ctx, key)
 	if err == nil {
 		return nil, metastore.ErrConflict
@@ -133,39 +133,39 @@
 	if err != nil {
 		return nil, err
 	}
-	value := []byte(t.id + " " + uuid.NewString())
+	value := []byte(e.id + " " + uuid.NewString())
 	same := func(e metastore.Entry) bool { return string(e.Value) == string(value) }
 	if _, err := metastore.Settle(ctx, store, key, 0, value, l.ID(), same); err != nil {
-		t.g.background.Go(func() { t.revoke(l) })
+		e.g.background.Go(func() { e.revoke(l) })
 		return nil, err
 	}
 	return l, nil
 }
 
 // keepAlive renews the lease until it ends.
-func (t *elector) keepAlive(l *metastore.Lease) {
-	err := l.Keep(t.g.ctx)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.lease == l && t.g.ctx.Err() == nil {
-		t.g.deps.Log.Warn("Lost the placer lease.", "err", err)
-		t.lease = nil
+func (e *elector) keepAlive(l *metastore.Lease) {
+	err := l.Keep(e.g.ctx)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.lease == l && e.g.ctx.Err() == nil {
+		e.g.deps.Log.Warn("Lost the placer lease.", "err", err)
+		e.lease = nil
 	}
 }
 
 // release releases the lease if it is held.
-func (t *elector) release() {
-	t.mu.Lock()
-	l := t.lease
-	t.lease = nil
-	t.mu.Unlock()
+func (e *elector) release() {
+	e.mu.Lock()
+	l := e.lease
+	e.lease = nil
+	e.mu.Unlock()
 	if l != nil {
-		t.revoke(l)
+		e.revoke(l)
 	}
 }
 
-func (t *elector) revoke(l *metastore.Lease) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(t.g.ctx), revokeTimeout)
+func (e *elector) revoke(l *metastore.Lease) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(e.g.ctx), revokeTimeout)
 	defer cancel()
 	_ = l.Release(ctx)
 }
