--- a/catalog/table.go
+++ b/catalog/table.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// Table is a Configuration with the indexes that requests are looked up in. It
-// is immutable.
+// Table is a Configuration with indexes for looking up requests. It is
+// immutable.
 type Table struct {
 	*Configuration
-	hosts    map[string]map[string]*Route // host, then prefix
-	services map[string]*Service
-	keys     map[string]*Workspace
-	gaps     map[string]Gaps // by service
+	routesByHost    map[string]map[string]*Route // by host, then by path prefix
+	services        map[string]*Service
+	workspacesByKey map[string]*Workspace
+	gapsByService   map[string]Gaps // by service name
 }
 
-// Gaps are the objectives of the routes of a service for the pause between two
-// events; zero: no route has one.
+// Gaps summarizes the gap objectives of the routes to a service; its fields are zero if
+// no route has one.
 type Gaps struct {
 	Shortest time.Duration
-	Next     time.Duration // the shortest above Shortest, or Shortest where it is the only one
+	Next     time.Duration // the second shortest, or Shortest if all are equal
 	Longest  time.Duration
 }
 
-// NewTable indexes a configuration, which must not change afterwards.
+// NewTable builds the indexes of a configuration, which must not be modified afterwards.
 func NewTable(c *Configuration) *Table {
 	t := &Table{
-		Configuration: c,
-		hosts:         make(map[string]map[string]*Route),
-		services:      make(map[string]*Service, len(c.Services)),
-		keys:          make(map[string]*Workspace),
-		gaps:          make(map[string]Gaps),
+		Configuration:   c,
+		routesByHost:    make(map[string]map[string]*Route),
+		services:        make(map[string]*Service, len(c.Services)),
+		workspacesByKey: make(map[string]*Workspace),
+		gapsByService:   make(map[string]Gaps),
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		host := strings.ToLower(r.Host)
-		if t.hosts[host] == nil {
-			t.hosts[host] = make(map[string]*Route)
+		if t.routesByHost[host] == nil {
+			t.routesByHost[host] = make(map[string]*Route)
 		}
-		t.hosts[host][r.PathPrefix] = r
+		t.routesByHost[host][r.PathPrefix] = r
 		for _, target := range r.Targets {
-			t.gaps[target.Service] = t.gaps[target.Service].with(r.GapObjective)
+			t.gapsByService[target.Service] = t.gapsByService[target.Service].including(r.GapObjective)
 		}
 	}
 	for i := range c.Services {
@@ -49,19 +49,19 @@
 	}
 	for i := range c.Workspaces {
 		for _, key := range c.Workspaces[i].Keys {
-			t.keys[key] = &c.Workspaces[i]
+			t.workspacesByKey[key] = &c.Workspaces[i]
 		}
 	}
 	return t
 }
 
-// Route returns the route of the host whose prefix is the longest that begins
-// the path, or nil. A port in host does not count.
+// Route returns the route of the host with the longest path prefix that matches
+// path, or nil if there is none. A port in host is ignored.
 func (t *Table) Route(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
-	prefixes := t.hosts[strings.ToLower(host)]
+	prefixes := t.routesByHost[strings.ToLower(host)]
 	for end := len(path); end > 0; {
 		slash := strings.LastIndexByte(path[:end], '/')
 		if slash < 0 {
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// with returns the pauses with one more objective.
-func (p Gaps) with(gap time.Duration) Gaps {
+// including returns p with one more gap objective taken into account.
+func (p Gaps) including(gap time.Duration) Gaps {
 	if gap <= 0 {
 		return p
 	}
@@ -92,11 +92,11 @@
 	return p
 }
 
-// Gaps returns the pauses that the routes to a service allow.
-func (t *Table) Gaps(service string) Gaps { return t.gaps[service] }
+// Gaps returns the gap objectives of the routes to a service.
+func (t *Table) Gaps(service string) Gaps { return t.gapsByService[service] }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with that name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
 // Workspace returns the workspace that the key belongs to, or nil.
-func (t *Table) Workspace(key string) *Workspace { return t.keys[key] }
+func (t *Table) Workspace(key string) *Workspace { return t.workspacesByKey[key] }
--- a/catalog/table_test.go
+++ b/catalog/table_test.go
@@ -52,11 +52,11 @@
 	is.True(!(&Route{Kind: Unsafe, Resumable: true}).Idempotent())
 }
 
-// TestPauses: whatever the order of the routes, the two shortest pauses
-// and the longest are found.
-func TestPauses(t *testing.T) {
+// TestGaps checks that the two shortest gap objectives and the longest are
+// found in any order of the routes.
+func TestGaps(t *testing.T) {
 	is := is.New(t)
-	s := func(ms ...int) Gaps {
+	gapsOf := func(ms ...int) Gaps {
 		var c Configuration
 		for _, n := range ms {
 			c.Routes = append(c.Routes, Route{GapObjective: time.Duration(n) * time.Millisecond, Targets: []Target{{Service: "s", Weight: 1}}})
@@ -64,10 +64,10 @@
 		return NewTable(&c).Gaps("s")
 	}
 	all := Gaps{250 * time.Millisecond, 600 * time.Millisecond, time.Second}
-	is.Equal(s(250, 600, 1000), all)
-	is.Equal(s(1000, 0, 600, 250, 250), all)
-	is.Equal(s(600, 1000, 250), all)
-	is.Equal(s(250, 250), Gaps{250 * time.Millisecond, 250 * time.Millisecond, 250 * time.Millisecond})
-	is.Equal(s(600, 250), Gaps{250 * time.Millisecond, 600 * time.Millisecond, 600 * time.Millisecond})
-	is.Equal(s(), Gaps{})
+	is.Equal(gapsOf(250, 600, 1000), all)
+	is.Equal(gapsOf(1000, 0, 600, 250, 250), all)
+	is.Equal(gapsOf(600, 1000, 250), all)
+	is.Equal(gapsOf(250, 250), Gaps{250 * time.Millisecond, 250 * time.Millisecond, 250 * time.Millisecond})
+	is.Equal(gapsOf(600, 250), Gaps{250 * time.Millisecond, 600 * time.Millisecond, 600 * time.Millisecond})
+	is.Equal(gapsOf(), Gaps{})
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,6 +1,7 @@
-// Package daemon is what the mains of the gateway and the agent share: the
-// command line, the checked settings, logging, the admin listener with
-// metrics and health, and an ordered shutdown on SIGTERM or SIGINT.
+// Package daemon provides what the main functions of the gateways and the agent
+// have in common: the command line, validated settings, logging, the admin
+// listener with metrics and health checks, and a graceful shutdown on SIGTERM
+// or SIGINT.
 package daemon
 
 import (
@@ -30,13 +31,13 @@
 // Exit codes of the daemons.
 const (
 	ExitOK       = 0
-	ExitFailed   = 1 // could not start, or did not stop in order
-	ExitSettings = 2 // wrong command line or settings
+	ExitFailed   = 1 // could not start or did not shut down gracefully
+	ExitSettings = 2 // invalid command line or settings
 )
 
-const adminHeaderTime = 5 * time.Second
+const adminReadHeaderTimeout = 5 * time.Second
 
-// Common are the settings that every daemon has.
+// Common holds the settings that all daemons have.
 type Common struct {
 	AdminListen settings.Address `key:"admin_listen" required:"true" help:"address of /metrics, /healthz and /readyz"`
 	LogLevel    string           `key:"log_level" default:"info" allowed:"debug|info|warn|error" help:"least severe level that is logged"`
@@ -46,26 +47,26 @@
 	DrainTime   time.Duration    `key:"drain_time" default:"5m" min:"0s" max:"2h" help:"longest wait for work in flight at a planned stop"`
 }
 
-// Service is a wired process. Shutdown ends it in order: it stops taking new
-// work, lets work in flight end within ctx, and closes.
+// Service is the running part of a daemon. Shutdown stops it gracefully: it
+// accepts no new work, lets work in flight finish within ctx, and closes.
 type Service interface {
 	Ready() bool
 	Shutdown(ctx context.Context) error
 }
 
-// Reloader is a service that takes some changes of its settings without a
-// restart. Reload gets newly read and checked settings of the type that the
-// process was started with, and returns why it does not take them.
+// Reloader is a service that applies some changes of its settings without a
+// restart. Reload receives newly read and validated settings, of the type that
+// the process was started with, and returns an error if it rejects them.
 type Reloader interface {
 	Reload(fresh any) error
 }
 
-// Env is what a process is built with.
+// Env holds what a daemon passes to its service.
 type Env struct {
 	Log     *log.Logger
 	Metrics *metrics.Set
-	// Fail ends the process after an ordered shutdown, for an error that
-	// cannot be lived with, such as a listener that broke.
+	// Fail reports a fatal error, such as a failed listener, which ends the
+	// process after a graceful shutdown.
 	Fail func(error)
 }
 
@@ -75,8 +76,8 @@
 	Version bool   `long:"version" description:"print the release and exit"`
 }
 
-// Main runs a daemon and returns its exit code. The settings are read into
-// target; common points at the part of target that every daemon has.
+// Main runs a daemon and returns its exit code. It reads the settings into
+// target; common points to the part of target that all daemons have.
 func Main(name string, target any, common *Common, build func(Env) (Service, error)) int {
 	var opts options
 	parser := flags.NewNamedParser(name, flags.Default)
@@ -114,9 +115,9 @@
 	return code
 }
 
-// serve runs the wired process until a signal or a failure. At SIGHUP it reads
-// the settings anew.
-func serve(name string, common *Common, build func(Env) (Service, error), read func() (any, error)) int {
+// serve runs the service until a signal or a fatal error stops it, and returns
+// the exit code. On SIGHUP it reloads the settings.
+func serve(name string, common *Common, build func(Env) (Service, error), readSettings func() (any, error)) int {
 	debug.SetGCPercent(common.GCPercent)
 	logger := NewLogger(common, name)
 	set := metrics.NewSet()
@@ -146,20 +147,20 @@
 	for {
 		select {
 		case <-hup:
-			reload(logger, svc, read)
+			reload(logger, svc, readSettings)
 		case <-ctx.Done():
 			return shutdown(logger, common, svc, admin, ExitOK)
 		case err := <-failed:
-			logger.Error("Stopping after a failure.", "err", err)
+			logger.Error("Stopping after a fatal error.", "err", err)
 			return shutdown(logger, common, svc, admin, ExitFailed)
 		}
 	}
 }
 
-// reload gives the service the settings as they stand now. Settings that
-// cannot be used change nothing.
-func reload(logger *log.Logger, svc Service, read func() (any, error)) {
-	fresh, err := read()
+// reload reads the settings again and passes them to the service. Invalid
+// settings change nothing.
+func reload(logger *log.Logger, svc Service, readSettings func() (any, error)) {
+	fresh, err := readSettings()
 	if r, ok := svc.(Reloader); ok && err == nil {
 		err = r.Reload(fresh)
 	}
@@ -170,11 +171,13 @@
 	logger.Info("Settings read again.")
 }
 
+// shutdown stops the service within the drain time and returns the exit code,
+// which is code unless the shutdown fails.
 func shutdown(logger *log.Logger, common *Common, svc Service, admin *http.Server, code int) int {
 	ctx, cancel := context.WithTimeout(context.Background(), common.DrainTime)
 	defer cancel()
 	if err := svc.Shutdown(ctx); err != nil {
-		logger.Error("Stop was not in order.", "err", err)
+		logger.Error("Shutdown failed.", "err", err)
 		code = ExitFailed
 	}
 	_ = admin.Close()
@@ -182,7 +185,7 @@
 	return code
 }
 
-// NewLogger returns a logger with a fixed prefix.
+// NewLogger returns a logger that writes to standard error with a fixed prefix.
 func NewLogger(common *Common, prefix string) *log.Logger {
 	level, err := log.ParseLevel(common.LogLevel)
 	if err != nil {
@@ -198,7 +201,7 @@
 	return l
 }
 
-// startAdmin serves metrics and health.
+// startAdmin starts the admin listener, which serves metrics and health checks.
 func startAdmin(common *Common, set *metrics.Set, svc Service, fail func(error)) (*http.Server, error) {
 	l, err := net.Listen("tcp", string(common.AdminListen))
 	if err != nil {
@@ -208,7 +211,7 @@
 	if common.Profiling {
 		h = withProfiling(h)
 	}
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: adminHeaderTime}
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: adminReadHeaderTimeout}
 	go func() {
 		if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			fail(err)
@@ -235,7 +238,7 @@
 	return m
 }
 
-// withProfiling adds the profiles of net/http/pprof.
+// withProfiling adds the profiling handlers of net/http/pprof.
 func withProfiling(h http.Handler) http.Handler {
 	m := http.NewServeMux()
 	m.Handle("/", h)
@@ -245,12 +248,13 @@
 	return m
 }
 
-// WarnRestart logs a warning when settings have changed besides those that
-// were taken, which without clears in a copy.
-func WarnRestart[S any](logger *log.Logger, old, fresh *S, without func(*S)) {
+// WarnRestart logs a warning if settings have changed that take effect only
+// after a restart. clearReloadable clears the settings that take effect at once;
+// it is called on copies.
+func WarnRestart[S any](logger *log.Logger, old, fresh *S, clearReloadable func(*S)) {
 	a, b := *old, *fresh
-	without(&a)
-	without(&b)
+	clearReloadable(&a)
+	clearReloadable(&b)
 	if !reflect.DeepEqual(a, b) {
 		logger.Warn("Other settings have changed; they take effect at the next start.")
 	}
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -10,21 +10,21 @@
 	"github.com/matryer/is"
 )
 
-// reloaded is a service that tells what it is given.
-type reloaded struct{ got chan any }
+// reloadRecorder is a service that sends the settings passed to Reload to a channel.
+type reloadRecorder struct{ got chan any }
 
-func (r reloaded) Ready() bool                    { return true }
-func (r reloaded) Shutdown(context.Context) error { return nil }
-func (r reloaded) Reload(fresh any) error {
+func (r reloadRecorder) Ready() bool                    { return true }
+func (r reloadRecorder) Shutdown(context.Context) error { return nil }
+func (r reloadRecorder) Reload(fresh any) error {
 	r.got <- fresh
 	return nil
 }
 
-// TestHangup: at SIGHUP the service is given the settings read anew, and
-// settings that cannot be read change nothing.
-func TestHangup(t *testing.T) {
+// TestReloadOnSIGHUP checks that SIGHUP passes newly read settings to the service,
+// and that settings which cannot be read change nothing.
+func TestReloadOnSIGHUP(t *testing.T) {
 	is := is.New(t)
-	svc := reloaded{got: make(chan any)}
+	svc := reloadRecorder{got: make(chan any)}
 	reads := make(chan func() (any, error))
 	built := make(chan struct{})
 	ended := make(chan int)
--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -11,10 +11,10 @@
 	"github.com/micarudder/micarudder/ticket"
 )
 
-// minSecret is the least length of a ticket secret, in bytes.
-const minSecret = 16
+// minSecretBytes is the minimum length of a ticket secret.
+const minSecretBytes = 16
 
-// TLS are the key files of the inner protocol.
+// TLS holds the settings for the certificate and key files of the inner protocol.
 type TLS struct {
 	Cert string `key:"cert" help:"certificate of this process, PEM; empty for clear text"`
 	Key  string `key:"key" help:"its private key, PEM"`
@@ -24,7 +24,7 @@
 // Files returns the settings as inner.KeyFiles.
 func (t TLS) Files() inner.KeyFiles { return inner.KeyFiles{Cert: t.Cert, Key: t.Key, CA: t.CA} }
 
-// Check returns the mistakes in the settings.
+// Check returns the errors in the settings.
 func (t TLS) Check() []*settings.Mistake {
 	if err := t.Files().Check(); err != nil {
 		return []*settings.Mistake{{Section: "tls", Problem: err.Error()}}
@@ -32,31 +32,31 @@
 	return nil
 }
 
-// Tickets are the keys that sign tickets.
+// Tickets holds the settings for the keys that sign and verify tickets.
 type Tickets struct {
 	Keys []string `key:"keys" required:"true" help:"ticket keys as ID:HEX, ID from 0 to 255, HEX at least 32 digits; the first signs, all verify"`
 }
 
-// Signer returns the signer for the keys.
+// Signer returns a signer with the configured keys.
 func (t Tickets) Signer() (*ticket.Signer, error) {
-	keys, err := t.parse()
+	keys, err := t.parseKeys()
 	if err != nil {
 		return nil, err
 	}
 	return ticket.NewSigner(keys...)
 }
 
-// Rotate gives the signer the keys.
+// Rotate replaces the signer's keys by the configured ones.
 func (t Tickets) Rotate(s *ticket.Signer) error {
-	keys, err := t.parse()
+	keys, err := t.parseKeys()
 	if err != nil {
 		return err
 	}
 	return s.Rotate(keys...)
 }
 
-// TakeKeys gives the signer the keys of fresh settings. The TLS files are read
-// at each handshake and only checked here.
+// TakeKeys replaces the signer's keys by those of reloaded settings. It only
+// checks the TLS files, which are read at each handshake.
 func TakeKeys(t TLS, k Tickets, s *ticket.Signer) error {
 	if err := t.Files().Usable(); err != nil {
 		return err
@@ -64,7 +64,7 @@
 	return k.Rotate(s)
 }
 
-func (t Tickets) parse() ([]ticket.Key, error) {
+func (t Tickets) parseKeys() ([]ticket.Key, error) {
 	keys := make([]ticket.Key, 0, len(t.Keys))
 	for _, text := range t.Keys {
 		k, err := parseKey(text)
@@ -76,7 +76,7 @@
 	return keys, nil
 }
 
-// Check returns the mistakes in the settings; secrets are not repeated in them.
+// Check returns the errors in the settings. They do not contain secrets.
 func (t Tickets) Check() []*settings.Mistake {
 	if _, err := t.Signer(); err != nil {
 		return []*settings.Mistake{{Section: "tickets", Key: "keys", Problem: err.Error()}}
@@ -94,8 +94,8 @@
 		return ticket.Key{}, fmt.Errorf("ticket key id %q is not a number from 0 to 255", id)
 	}
 	b, err := hex.DecodeString(secret)
-	if err != nil || len(b) < minSecret {
-		return ticket.Key{}, fmt.Errorf("ticket key %d is not hexadecimal of at least %d digits", n, 2*minSecret)
+	if err != nil || len(b) < minSecretBytes {
+		return ticket.Key{}, fmt.Errorf("ticket key %d is not hexadecimal of at least %d digits", n, 2*minSecretBytes)
 	}
 	return ticket.Key{ID: byte(n), Secret: b}, nil
 }
