--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -20,7 +20,7 @@
 
 var now = time.Date(2026, 3, 2, 13, 0, 0, 0, time.UTC)
 
-func config(t *testing.T, text string) *slo.Config {
+func readConfig(t *testing.T, text string) *slo.Config {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "objectives.ini")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -33,8 +33,8 @@
 	return c
 }
 
-// history has two workspaces over an hour; the first tokens of one get late in
-// the last ten minutes.
+// history returns samples of two workspaces over one hour. In the last ten
+// minutes the first tokens of one workspace are late.
 func history() []slo.Sample {
 	var out []slo.Sample
 	for m := 0; m <= 60; m += 2 {
@@ -44,13 +44,13 @@
 			{Workspace: "bid-east", Class: "4k"}:   {Total: n, Bad: late},
 			{Workspace: "settlement", Class: "1M"}: {Total: n / 100},
 		}
-		ends := slo.Tallies{
+		outcomes := slo.Tallies{
 			{Workspace: "bid-east", Class: "4k"}:   {Total: n, Bad: float64(m) / 10},
 			{Workspace: "settlement", Class: "1M"}: {Total: n / 100},
 		}
 		out = append(out, slo.Sample{
 			At:       now.Add(time.Duration(m-60) * time.Minute),
-			Gateways: map[string]slo.Counters{"http://10.0.0.1:7000/metrics": {slo.FirstToken: first, slo.Outcomes: ends}},
+			Gateways: map[string]slo.Counters{"http://10.0.0.1:7000/metrics": {slo.FirstToken: first, slo.Outcomes: outcomes}},
 		})
 	}
 	return out
@@ -58,7 +58,7 @@
 
 func TestReportGolden(t *testing.T) {
 	is := is.New(t)
-	r := burn.NewReport(history(), now, config(t, ""))
+	r := burn.NewReport(history(), now, readConfig(t, ""))
 	is.Equal(r.Firing(), slo.Ticket)
 	g := goldie.New(t)
 	var text, js, page bytes.Buffer
@@ -67,15 +67,15 @@
 	is.NoErr(r.WriteHTML(&page))
 	g.Assert(t, "report.txt", text.Bytes())
 	g.Assert(t, "report.json", js.Bytes())
-	is.Equal(strings.Count(page.String(), "<svg"), 2) // no events of the slowdown
-	for _, outside := range []string{"src=", "@import", "<link", "<script"} {
-		is.True(!strings.Contains(page.String(), outside))
+	is.Equal(strings.Count(page.String(), "<svg"), 2) // the slowdown objective has no events
+	for _, reference := range []string{"src=", "@import", "<link", "<script"} {
+		is.True(!strings.Contains(page.String(), reference))
 	}
 }
 
 func TestReportWithoutSamples(t *testing.T) {
 	is := is.New(t)
-	r := burn.NewReport(nil, now, config(t, ""))
+	r := burn.NewReport(nil, now, readConfig(t, ""))
 	var text, page bytes.Buffer
 	is.NoErr(r.WriteText(&text))
 	is.NoErr(r.WriteHTML(&page))
@@ -85,7 +85,7 @@
 
 func TestConfig(t *testing.T) {
 	is := is.New(t)
-	c := config(t, "[window slow]\nlong = 2h\nshort = 10m\nrate = 2\nseverity = ticket\n[window fast]\nlong = 10m\nshort = 1m\nrate = 10\n")
+	c := readConfig(t, "[window slow]\nlong = 2h\nshort = 10m\nrate = 2\nseverity = ticket\n[window fast]\nlong = 10m\nshort = 1m\nrate = 10\n")
 	is.Equal(c.WindowList()[0], slo.Window{Long: 10 * time.Minute, Short: time.Minute, Rate: 10, Severity: slo.Page})
 	file := filepath.Join(t.TempDir(), "objectives.ini")
 	is.NoErr(os.WriteFile(file, []byte("[window fast]\nlong = 1m\nshort = 10m\nrate = 10\n"), 0o600))
@@ -93,7 +93,7 @@
 	is.True(err != nil)
 }
 
-func TestSampleNamesGatewaysThatDoNotAnswer(t *testing.T) {
+func TestSampleErrorNamesUnreachableGateways(t *testing.T) {
 	is := is.New(t)
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("rudder_requests_total{workspace=\"a\",class=\"4k\",outcome=\"ok\"} 3\n"))
@@ -125,11 +125,11 @@
 	is.True(err != nil && strings.Contains(err.Error(), "line 1"))
 }
 
-func TestPruneKeepsTheBase(t *testing.T) {
+func TestPruneKeepsWindowBaseline(t *testing.T) {
 	is := is.New(t)
 	windows := []slo.Window{{Long: 10 * time.Minute, Short: time.Minute}}
 	kept := burn.Prune(history(), now, windows)
 	is.Equal(kept[0].At, now.Add(-10*time.Minute))
-	is.Equal(burn.NewReport(kept, now, config(t, "")).Rows[0].Events, 1010.0)
+	is.Equal(burn.NewReport(kept, now, readConfig(t, "")).Rows[0].Events, 1010.0)
 	is.Equal(len(burn.Prune(nil, now, windows)), 0)
 }
--- a/burn/history.go
+++ b/burn/history.go
@@ -1,6 +1,6 @@
-// Package burn reports on service-level burn: it samples the gateways'
-// metrics, keeps the samples in a file of the operator's machine, and writes
-// what package slo computes from them as text, JSON and HTML.
+// Package burn reports how fast error budgets burn. It samples the gateways'
+// metrics, keeps the samples in a file on the operator's machine, and writes the
+// burn rates that package slo computes from them as text, JSON and HTML.
 package burn
 
 import (
@@ -24,21 +24,21 @@
 
 const (
 	fetchTimeout = 5 * time.Second
-	// maxSampleBytes bounds one line of a history file.
+	// maxSampleBytes limits the length of a line in a history file.
 	maxSampleBytes = 64 << 20
-	// maxMetricsBytes bounds one gateway's exposition.
+	// maxMetricsBytes limits the size of a gateway's metrics response.
 	maxMetricsBytes = 64 << 20
 )
 
-// Sampler fetches metrics.
+// Sampler fetches the metrics of gateways.
 type Sampler struct {
 	Client *http.Client
-	URLs   []string // of gateways' /metrics
+	URLs   []string // URLs of the gateways' /metrics
 	Goals  map[string]time.Duration
 }
 
-// Sample asks every gateway at once. Gateways that do not answer are missing
-// from the sample; the error names them.
+// Sample fetches the metrics of all gateways in parallel. Gateways that do not
+// answer are missing from the sample and named in the error.
 func (s *Sampler) Sample(ctx context.Context) (slo.Sample, error) {
 	out := slo.Sample{At: time.Now().UTC(), Gateways: make(map[string]slo.Counters)}
 	var mu sync.Mutex
@@ -73,13 +73,13 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, trace.BadParameter("status %d", resp.StatusCode)
+		return nil, trace.BadParameter("HTTP status %d, want 200", resp.StatusCode)
 	}
 	return slo.Read(io.LimitReader(resp.Body, maxMetricsBytes), s.Goals)
 }
 
-// ReadHistory reads a file of samples, one JSON document a line, ordered by
-// time. A missing file is an empty history.
+// ReadHistory reads a file with one sample per line, as JSON, and returns the
+// samples ordered by time. A missing file is an empty history.
 func ReadHistory(file string) ([]slo.Sample, error) {
 	f, err := os.Open(file)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -103,8 +103,8 @@
 	return out, trace.Wrap(lines.Err())
 }
 
-// WriteHistory replaces the file by the samples at once, so that a reader
-// never sees half of them.
+// WriteHistory atomically replaces the contents of the file, so that a reader
+// never sees a partial history.
 func WriteHistory(file string, samples []slo.Sample) error {
 	tmp, err := os.CreateTemp(filepath.Dir(file), filepath.Base(file)+".*")
 	if err != nil {
@@ -123,18 +123,18 @@
 	return trace.Wrap(os.Rename(tmp.Name(), file))
 }
 
-// Prune drops samples that no window reaches any more; the last sample before
-// the longest window stays as its base.
+// Prune drops samples older than all windows, except the last sample before the
+// longest window, which is the baseline for that window.
 func Prune(samples []slo.Sample, now time.Time, windows []slo.Window) []slo.Sample {
 	longest := time.Duration(0)
 	for _, w := range windows {
 		longest = max(longest, w.Long)
 	}
-	keep := 0
+	first := 0
 	for i, s := range samples {
 		if now.Sub(s.At) >= longest {
-			keep = i
+			first = i
 		}
 	}
-	return samples[keep:]
+	return samples[first:]
 }
--- a/burn/report.go
+++ b/burn/report.go
@@ -16,18 +16,18 @@
 )
 
 //go:embed report.html.tmpl
-var reportText string
+var reportTemplateText string
 
 var reportTemplate = template.Must(template.New("burn").Funcs(template.FuncMap{
-	"rate":    rate,
-	"percent": percent,
-	"span":    span,
-}).Parse(reportText))
+	"rate":    formatRate,
+	"percent": formatPercent,
+	"span":    formatDuration,
+}).Parse(reportTemplateText))
 
-// Report is the state of all objectives at one moment.
+// Report is the state of all objectives at one point in time.
 type Report struct {
 	At       time.Time `json:"at"`
-	Gateways int       `json:"gateways"` // in the last sample
+	Gateways int       `json:"gateways"` // number of gateways in the last sample
 	Samples  int       `json:"samples"`
 	Rows     []slo.Row `json:"rows"`
 
@@ -46,7 +46,7 @@
 	return r
 }
 
-// Firing returns the most urgent severity of all rows; "" when none fires.
+// Firing returns the most urgent severity of all rows, or "" if none fires.
 func (r *Report) Firing() slo.Severity {
 	out := slo.Severity("")
 	for _, row := range r.Rows {
@@ -57,13 +57,13 @@
 	return out
 }
 
-// WriteText writes a table, one line for each objective and target.
+// WriteText writes the report as a table with a line for each objective and target.
 func (r *Report) WriteText(w io.Writer) error {
 	fmt.Fprintf(w, "%s: %d samples, %d gateways\n\n", r.At.UTC().Format(time.RFC3339), r.Samples, r.Gateways)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "OBJECTIVE\tGOOD\tWORKSPACE\tCLASS\tEVENTS\tBAD")
-	for _, win := range r.windows {
-		fmt.Fprintf(t, "\t%s/%s", span(win.Long), span(win.Short))
+	for _, window := range r.windows {
+		fmt.Fprintf(t, "\t%s/%s", formatDuration(window.Long), formatDuration(window.Short))
 	}
 	fmt.Fprint(t, "\tSTATE\n")
 	for _, row := range r.Rows {
@@ -72,13 +72,13 @@
 	if err := t.Flush(); err != nil {
 		return trace.Wrap(err)
 	}
-	return r.writeUncovered(w)
+	return r.writePartialWindows(w)
 }
 
 func writeRow(w io.Writer, row slo.Row) {
-	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.0f\t%.0f", row.Indicator, percent(row.Good), row.Workspace, row.Class, row.Events, row.Bad)
+	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.0f\t%.0f", row.Indicator, formatPercent(row.Good), row.Workspace, row.Class, row.Events, row.Bad)
 	for _, b := range row.Burns {
-		fmt.Fprintf(w, "\t%s/%s", rate(b.LongBurn), rate(b.ShortBurn))
+		fmt.Fprintf(w, "\t%s/%s", formatRate(b.LongBurn), formatRate(b.ShortBurn))
 	}
 	state := string(row.Firing())
 	if state == "" {
@@ -87,15 +87,15 @@
 	fmt.Fprintf(w, "\t%s\n", state)
 }
 
-// writeUncovered names the windows that the samples do not fill.
-func (r *Report) writeUncovered(w io.Writer) error {
+// writePartialWindows lists the windows that the samples cover only partly.
+func (r *Report) writePartialWindows(w io.Writer) error {
 	if len(r.Rows) == 0 {
 		_, err := fmt.Fprintln(w, "\nno events yet; at least two samples are needed")
 		return trace.Wrap(err)
 	}
 	for _, b := range r.Rows[0].Burns {
 		if b.Covered < b.Long {
-			fmt.Fprintf(w, "\nthe samples reach back %s of the %s window", span(b.Covered), span(b.Long))
+			fmt.Fprintf(w, "\nthe samples reach back %s of the %s window", formatDuration(b.Covered), formatDuration(b.Long))
 		}
 	}
 	_, err := fmt.Fprintln(w)
@@ -109,13 +109,14 @@
 	return trace.Wrap(e.Encode(r))
 }
 
+// page is the data of the HTML template.
 type page struct {
 	*Report
 	Windows []slo.Window
 	Plots   []template.HTML
 }
 
-// WriteHTML writes the report as one page that needs no other file.
+// WriteHTML writes the report as a self-contained HTML page.
 func (r *Report) WriteHTML(w io.Writer) error {
 	p := page{Report: r, Windows: r.windows}
 	for _, o := range r.objectives {
@@ -130,23 +131,23 @@
 	return trace.Wrap(reportTemplate.Execute(w, p))
 }
 
-// chart shows an objective's burn rate over all workspaces and of each, over
-// the first pair's short window.
+// chart returns a chart of an objective's burn rate over the short window of the
+// first pair, for all workspaces together and for each of them.
 func (r *Report) chart(o slo.Objective) chart.Chart {
-	win := r.windows[0]
+	window := r.windows[0]
 	c := chart.Chart{
-		Title:  fmt.Sprintf("%s: burn rate over %s", o.Indicator, span(win.Short)),
+		Title:  fmt.Sprintf("%s: burn rate over %s", o.Indicator, formatDuration(window.Short)),
 		XLabel: "minutes before the report",
 		YLabel: "times the budget",
-		Goal:   win.Rate,
+		Goal:   window.Rate,
 	}
 	for _, row := range r.Rows {
 		if row.Objective != o || row.Class != slo.All {
 			continue
 		}
-		at, burn := slo.Series(r.samples, o, row.Target, win.Short)
-		s := chart.Series{Name: row.Workspace, Y: burn}
-		for _, t := range at {
+		times, rates := slo.Series(r.samples, o, row.Target, window.Short)
+		s := chart.Series{Name: row.Workspace, Y: rates}
+		for _, t := range times {
 			s.X = append(s.X, t.Sub(r.At).Minutes())
 		}
 		c.Series = append(c.Series, s)
@@ -154,12 +155,13 @@
 	return c
 }
 
-func rate(v float64) string { return fmt.Sprintf("%.2f", v) }
+func formatRate(v float64) string { return fmt.Sprintf("%.2f", v) }
 
-func percent(v float64) string { return fmt.Sprintf("%.4g%%", v*100) }
+func formatPercent(v float64) string { return fmt.Sprintf("%.4g%%", v*100) }
 
-// span writes a duration without its zero parts.
-func span(d time.Duration) string {
+// formatDuration formats a duration, without the units that are zero where it is a
+// multiple of an hour or a minute.
+func formatDuration(d time.Duration) string {
 	switch {
 	case d >= time.Hour && d%time.Hour == 0:
 		return fmt.Sprintf("%dh", d/time.Hour)
--- a/cmd/rudder-agent/main.go
+++ b/cmd/rudder-agent/main.go
@@ -1,4 +1,4 @@
-// Command rudder-agent runs the agent in the slot beside an endpoint.
+// Command rudder-agent runs the agent that accompanies an endpoint.
 package main
 
 import (
--- a/cmd/rudder-standin/commands.go
+++ b/cmd/rudder-standin/commands.go
@@ -12,10 +12,10 @@
 	"github.com/micarudder/micarudder/metastore"
 )
 
-// engineCommand sets up a stand-in engine. Times are modelled times; --speed
-// says how much faster than them the engine runs.
+// engineCommand runs a stand-in engine. Durations are in modelled time unless
+// stated otherwise; --speed is the ratio of modelled time to real time.
 type engineCommand struct {
-	listening
+	listenOptions
 	Name         string   `long:"name" default:"engine" description:"name in the incarnation and in logs"`
 	Models       []string `long:"model" value-name:"NAME[@VERSION]" description:"model held from the start; may be repeated (default: rudder-llm)"`
 	Role         string   `long:"role" default:"mixed" description:"role at the start"`
@@ -79,7 +79,7 @@
 }
 
 type platformCommand struct {
-	listening
+	listenOptions
 	ReadRate  float64  `long:"read-rate" description:"reads served a second; 0: no limit"`
 	WriteRate float64  `long:"write-rate" description:"writes served a second; 0: no limit"`
 	MaxValue  int      `long:"max-value" description:"largest value in bytes; 0: the service's own"`
@@ -110,11 +110,11 @@
 	return cfg, nil
 }
 
-// hostFields is the number of fields of --host.
+// hostFields is the number of fields in a value of --host.
 const hostFields = 3
 
 type serviceCommand struct {
-	listening
+	listenOptions
 	Name string   `long:"name" default:"service" description:"name in answers and logs"`
 	Work duration `long:"work" default:"5ms" description:"time that each call takes"`
 }
@@ -126,7 +126,7 @@
 }
 
 type weightsCommand struct {
-	listening
+	listenOptions
 	BytesPerSecond float64          `long:"bytes-per-second" default:"67108864" description:"rate shared by all readers"`
 	DefaultBytes   int64            `long:"default-bytes" default:"16777216" description:"length of weights not named by --size"`
 	Sizes          map[string]int64 `long:"size" value-name:"NAME:BYTES" description:"length of named weights; may be repeated"`
@@ -138,7 +138,8 @@
 	return c.serve("weights", s.Handler())
 }
 
-// duration is a time.Duration whose default go-flags prints with its unit.
+// duration is a time.Duration that go-flags parses, and prints with its unit as a
+// default value.
 type duration time.Duration
 
 // UnmarshalFlag implements flags.Unmarshaler.
--- a/cmd/rudder-standin/main.go
+++ b/cmd/rudder-standin/main.go
@@ -1,7 +1,7 @@
-// Command rudder-standin runs one stand-in for a system around the product: a
-// model engine, the platform's service, the weight store or a plain service.
-// It is for tests, the demo and benchmarks. Faults are switched by POST
-// /fault, executions read by GET /executions.
+// Command rudder-standin runs a stand-in for one of the systems around the
+// product: a model engine, the platform's service, the weight store or a plain
+// service. It is used in tests, the demo and benchmarks. POST /fault injects
+// faults, and GET /executions returns the record of executions.
 package main
 
 import (
@@ -25,14 +25,14 @@
 	readHeaderTimeout = 10 * time.Second
 )
 
-// listening is common to all sub-commands.
-type listening struct {
+// listenOptions are the options common to all sub-commands.
+type listenOptions struct {
 	Listen string `long:"listen" value-name:"IP:PORT" default:"127.0.0.1:0" description:"address to serve on"`
 }
 
 func main() { os.Exit(run()) }
 
-// run returns the exit code.
+// run runs the command line and returns the exit code.
 func run() int {
 	log.SetPrefix("standin")
 	log.SetReportTimestamp(true)
@@ -58,7 +58,7 @@
 func addCommands(p *flags.Parser) {
 	add := func(name, text string, c any) {
 		if _, err := p.AddCommand(name, text, text+".", c); err != nil {
-			panic(err) // a mistake in a flag's tag
+			panic(err) // an invalid flag tag
 		}
 	}
 	add("engine", "Serve a stand-in model engine", newEngineCommand())
@@ -67,8 +67,8 @@
 	add("weights", "Serve a stand-in weight store", &weightsCommand{})
 }
 
-// serve serves h until the process is told to stop.
-func (l listening) serve(name string, h http.Handler) error {
+// serve serves h until SIGTERM or an interrupt.
+func (l listenOptions) serve(name string, h http.Handler) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	ln, err := net.Listen("tcp", l.Listen)
--- a/cmd/rudder-standin/main_test.go
+++ b/cmd/rudder-standin/main_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		main()
 	}
 	testscript.Main(m, map[string]func(){"rudder-standin": main})
--- a/cmd/rudder-standin/process_test.go
+++ b/cmd/rudder-standin/process_test.go
@@ -20,23 +20,23 @@
 	standin "github.com/micarudder/micarudder/internal/standin/engine"
 )
 
-// asProgram makes the test binary run as rudder-standin.
-const asProgram = "RUDDER_STANDIN_TEST"
+// runAsProgramEnv is the environment variable that makes the test binary run as rudder-standin.
+const runAsProgramEnv = "RUDDER_STANDIN_TEST"
 
 var addressInLog = regexp.MustCompile(`address=(\S+)`)
 
-// process is a real stand-in engine on loopback.
+// process is a stand-in engine that runs in a process of its own.
 type process struct {
 	cmd    *exec.Cmd
 	base   string
 	client *engine.Client
 }
 
-// startEngine starts a process and waits until it serves.
+// startEngine starts an engine process and waits until it serves requests.
 func startEngine(t *testing.T, args ...string) *process {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], append([]string{"engine"}, args...)...)
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1")
 	logs, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 	return p
 }
 
-// stop stops the process and returns when all its threads have stopped.
+// stop suspends the process with SIGSTOP and returns when all its threads are stopped.
 func (p *process) stop() error {
 	if err := p.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -76,8 +76,9 @@
 	return engine.Request{ID: id, Path: "/v1/completions", Body: []byte(`{"model":"rudder-llm","prompt":"p","max_tokens":4000}`)}
 }
 
-// TestKilledProcess: over a real socket too, a stream of a killed engine is
-// lost, and what comes after it certainly did not run.
+// TestKilledProcess checks, with a real process and socket, that killing an engine
+// ends its streams with ErrLost, and that later requests fail with ErrUnreachable,
+// which means that they did not run.
 func TestKilledProcess(t *testing.T) {
 	is := is.New(t)
 	p := startEngine(t)
@@ -95,8 +96,8 @@
 	is.True(errors.Is(err, engine.ErrUnreachable))
 }
 
-// TestStoppedProcess: a request to a stopped engine is lost, not unreachable,
-// for it runs once the engine goes on.
+// TestStoppedProcess checks that a request to a suspended engine fails with ErrLost
+// and not with ErrUnreachable, since it runs when the engine resumes.
 func TestStoppedProcess(t *testing.T) {
 	is := is.New(t)
 	p := startEngine(t, "--speed", "10000")
@@ -118,7 +119,7 @@
 	is.Equal(p.executions(is).ByID, map[string]int{"1": 1, "2": 1})
 }
 
-// TestTerminatedProcess: SIGTERM ends the program with success.
+// TestTerminatedProcess checks that the program exits with status 0 on SIGTERM.
 func TestTerminatedProcess(t *testing.T) {
 	is := is.New(t)
 	p := startEngine(t)
--- a/cmd/rudderctl/main.go
+++ b/cmd/rudderctl/main.go
@@ -1,5 +1,5 @@
-// Command rudderctl is the operators' command line; docs/RUDDERCTL.md
-// describes it.
+// Command rudderctl is the operators' command line. It is documented in
+// docs/RUDDERCTL.md.
 package main
 
 import (
@@ -30,7 +30,7 @@
 	return int(ctl.Run(ctx, env, os.Args[1:]))
 }
 
-// operator names who runs the command, for the record.
+// operator returns the name of the operator, which is recorded with accepted plans.
 func operator() string {
 	if name := os.Getenv("RUDDER_OPERATOR"); name != "" {
 		return name
--- a/ctl/burn.go
+++ b/ctl/burn.go
@@ -21,13 +21,13 @@
 	HTML       string        `long:"html" value-name:"FILE" description:"write the report as a page"`
 }
 
-// unbounded implements longRunning: --samples and --every say how long it takes.
+// unbounded implements longRunning: --samples and --every determine the duration.
 func (c *burnCommand) unbounded() {}
 
 // Execute implements flags.Commander.
 func (c *burnCommand) Execute([]string) error {
 	if c.Samples > 0 && len(c.Admin) == 0 {
-		return usage("--admin is needed to take samples")
+		return usageError("--admin is needed to take samples")
 	}
 	conf, err := c.config()
 	if err != nil {
@@ -37,11 +37,11 @@
 	if err != nil {
 		return err
 	}
-	rep := burn.NewReport(samples, c.now(samples), conf)
+	rep := burn.NewReport(samples, c.reportTime(samples), conf)
 	if rep.Firing() != "" {
 		c.app.exit = ExitFiring
 	}
-	if err := toFile(c.HTML, rep.WriteHTML); err != nil {
+	if err := writeFile(c.HTML, rep.WriteHTML); err != nil {
 		return err
 	}
 	if c.app.JSON {
@@ -50,9 +50,9 @@
 	return rep.WriteText(c.app.Stdout)
 }
 
-// now is the moment of the report: the last sample taken, or the clock when
-// the history alone is read.
-func (c *burnCommand) now(samples []slo.Sample) time.Time {
+// reportTime returns the time of the report: that of the last sample taken, or the
+// current time if only the history is read.
+func (c *burnCommand) reportTime(samples []slo.Sample) time.Time {
 	if c.Samples > 0 && len(samples) > 0 {
 		return samples[len(samples)-1].At
 	}
@@ -70,15 +70,15 @@
 	return conf, nil
 }
 
-// collect reads the history, takes samples and writes the history back.
+// collect reads the history, takes samples and writes the pruned history back.
 func (c *burnCommand) collect(conf *slo.Config) ([]slo.Sample, error) {
 	var samples []slo.Sample
 	if c.History != "" {
-		old, err := burn.ReadHistory(c.History)
+		history, err := burn.ReadHistory(c.History)
 		if err != nil {
 			return nil, result.New(result.BadRequest, err.Error())
 		}
-		samples = old
+		samples = history
 	}
 	s := burn.Sampler{Client: http.DefaultClient, URLs: urls(c.Admin, "/metrics"), Goals: conf.Goals()}
 	for i := range c.Samples {
@@ -94,12 +94,12 @@
 	if c.History == "" || c.Samples == 0 {
 		return samples, nil
 	}
-	samples = burn.Prune(samples, c.now(samples), conf.WindowList())
+	samples = burn.Prune(samples, c.reportTime(samples), conf.WindowList())
 	return samples, burn.WriteHistory(c.History, samples)
 }
 
-// sample takes one sample. Some gateways missing make the command's result
-// partial; all missing fail it.
+// sample takes one sample. If some gateways do not answer, the command exits
+// with ExitPartial; if none answers, it fails.
 func (c *burnCommand) sample(s *burn.Sampler) (slo.Sample, error) {
 	one, err := s.Sample(c.app.ctx)
 	if err == nil {
--- a/ctl/check.go
+++ b/ctl/check.go
@@ -16,14 +16,14 @@
 	} `positional-args:"true"`
 }
 
-// checked is the JSON form of a passed check.
-type checked struct {
+// checkSummary is the JSON output of a successful check.
+type checkSummary struct {
 	Models     int `json:"models"`
 	Services   int `json:"services"`
 	Workspaces int `json:"workspaces"`
 	Hosts      int `json:"hosts"`
 	Endpoints  int `json:"endpoints"`
-	Bytes      int `json:"bytes"` // as stored by the platform
+	Bytes      int `json:"bytes"` // size of the document as stored in the platform
 }
 
 // Execute implements flags.Commander.
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	r := checked{len(d.Models), len(d.Services), len(d.Workspaces), len(d.Hosts), len(d.Endpoints), len(value)}
+	r := checkSummary{len(d.Models), len(d.Services), len(d.Workspaces), len(d.Hosts), len(d.Endpoints), len(value)}
 	if c.app.JSON {
 		return c.app.writeJSON(r)
 	}
--- a/ctl/completion.go
+++ b/ctl/completion.go
@@ -1,7 +1,7 @@
 package ctl
 
-// completionScript asks the program itself, through go-flags' own protocol.
-const completionScript = `_rudderctl() {
+// bashCompletionScript gets the completions from the program itself, through the protocol of go-flags.
+const bashCompletionScript = `_rudderctl() {
     local args=("${COMP_WORDS[@]:1:$COMP_CWORD}")
     local IFS=$'\n'
     COMPREPLY=($(GO_FLAGS_COMPLETION=1 "${COMP_WORDS[0]}" "${args[@]}"))
@@ -17,8 +17,8 @@
 // Execute implements flags.Commander.
 func (c *completionCommand) Execute([]string) error {
 	if c.app.JSON {
-		return c.app.writeJSON(map[string]string{"bash": completionScript})
+		return c.app.writeJSON(map[string]string{"bash": bashCompletionScript})
 	}
-	c.app.printf("%s", completionScript)
+	c.app.printf("%s", bashCompletionScript)
 	return nil
 }
--- a/ctl/confirm.go
+++ b/ctl/confirm.go
@@ -17,7 +17,7 @@
 
 // Execute implements flags.Commander.
 func (c *confirmCommand) Execute([]string) error {
-	p, err := c.read()
+	p, err := c.readPlan()
 	if err != nil {
 		return err
 	}
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	c.app.exit = exitOfCode[r.Code]
+	c.app.exit = exitByResult[r.Code]
 	if c.app.JSON {
 		return c.app.writeJSON(r)
 	}
@@ -41,7 +41,7 @@
 	return nil
 }
 
-func (c *confirmCommand) read() (*plan.Plan, error) {
+func (c *confirmCommand) readPlan() (*plan.Plan, error) {
 	var data []byte
 	var err error
 	if c.Args.Plan == "-" {
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -1,6 +1,6 @@
-// Package ctl is the operators' command line as a library: each sub-command
-// stands in a file of its own and is listed in registry.go. The outside world
-// (output, clock, platform, gateways) comes in as an Env.
+// Package ctl implements the operators' command line. Each sub-command has its
+// own file and is listed in registry.go. External dependencies, such as input
+// and output, the clock and the platform's store, are passed in an Env.
 package ctl
 
 import (
@@ -20,19 +20,19 @@
 // Version is the release, set by the linker.
 var Version = "development"
 
-// Env is what the command line needs from outside.
+// Env holds the external dependencies of the command line.
 type Env struct {
 	Stdin    io.Reader
 	Stdout   io.Writer
 	Stderr   io.Writer
 	Now      func() time.Time
 	Operator string // recorded with an accepted plan
-	// Store opens the platform's key-value service at an address.
+	// Store returns a client of the platform's key-value service at an address.
 	Store func(address string) (metastore.Store, error)
 }
 
-// globals are the options of every sub-command.
-type globals struct {
+// globalOptions are the options common to all sub-commands.
+type globalOptions struct {
 	JSON     bool          `long:"json" description:"write JSON instead of text"`
 	Platform string        `long:"platform" env:"RUDDER_PLATFORM" value-name:"IP:PORT" description:"address of the platform's key-value service"`
 	Gateways []string      `long:"gateway" env:"RUDDER_GATEWAYS" env-delim:"," value-name:"IP:PORT" description:"inner address of a gateway; may be repeated"`
@@ -43,22 +43,22 @@
 	Version  func()        `long:"version" description:"write the release and exit"`
 }
 
-// app is one invocation.
+// app holds the state of one invocation.
 type app struct {
 	Env
-	globals
+	globalOptions
 	ctx  context.Context
 	exit Exit
 }
 
-// errVersion ends parsing once the release is written.
+// errVersion ends the command when --version is given.
 var errVersion = errors.New("version written")
 
 // Run executes the command line and returns its exit code. args has no program name.
 func Run(ctx context.Context, env Env, args []string) Exit {
 	a := &app{Env: env, ctx: ctx}
 	showVersion := false
-	a.globals.Version = func() { showVersion = true }
+	a.globalOptions.Version = func() { showVersion = true }
 	p := newParser(a)
 	p.CommandHandler = func(c flags.Commander, rest []string) error {
 		if showVersion {
@@ -74,14 +74,14 @@
 		fmt.Fprintf(a.Stdout, "rudderctl %s\n", Version)
 		return ExitOK
 	}
-	return a.report(err)
+	return a.reportError(err)
 }
 
 func newParser(a *app) *flags.Parser {
 	p := flags.NewNamedParser("rudderctl", flags.HelpFlag|flags.PassDoubleDash)
 	p.SubcommandsOptional = true
-	if _, err := p.AddGroup("Common options", "", &a.globals); err != nil {
-		panic(err) // a fixed struct: only a programming error can end here
+	if _, err := p.AddGroup("Common options", "", &a.globalOptions); err != nil {
+		panic(err) // the struct is fixed, so this can only be a programming error
 	}
 	for _, c := range commands(a) {
 		if _, err := p.AddCommand(c.name, c.short, c.long, c.body); err != nil {
@@ -91,10 +91,11 @@
 	return p
 }
 
-// longRunning is a sub-command whose own options say how long it takes.
+// longRunning marks sub-commands whose own options determine how long they run;
+// --timeout does not apply to them.
 type longRunning interface{ unbounded() }
 
-// execute runs one sub-command under the command's time limit.
+// execute runs one sub-command, within --timeout unless it is longRunning.
 func (a *app) execute(c flags.Commander, rest []string) error {
 	if _, ok := c.(longRunning); !ok {
 		ctx, cancel := context.WithTimeout(a.ctx, a.Timeout)
@@ -108,7 +109,7 @@
 	return c.Execute(nil)
 }
 
-// writeJSON writes v to standard output; errors go to standard error.
+// writeJSON writes v to standard output as indented JSON.
 func (a *app) writeJSON(v any) error { return writeJSON(a.Stdout, v) }
 
 func writeJSON(w io.Writer, v any) error {
@@ -122,14 +123,15 @@
 	fmt.Fprintf(a.Stdout, format, args...)
 }
 
-// store opens the platform's service, which most commands need.
+// store returns a client of the platform's key-value service.
 func (a *app) store() (metastore.Store, error) {
 	if a.Platform == "" {
-		return nil, usage("--platform or RUDDER_PLATFORM is needed")
+		return nil, usageError("--platform or RUDDER_PLATFORM is needed")
 	}
 	return a.Env.Store(a.Platform)
 }
 
-func usage(text string) error {
+// usageError returns an error that ends the command with ExitUsage.
+func usageError(text string) error {
 	return &flags.Error{Type: flags.ErrRequired, Message: text}
 }
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -28,11 +28,11 @@
 )
 
 func TestMain(m *testing.M) {
-	testscript.Main(m, map[string]func(){"rudderctl": func() { os.Exit(int(program())) }})
+	testscript.Main(m, map[string]func(){"rudderctl": func() { os.Exit(int(runProgram())) }})
 }
 
-// program is the program with a fixed clock.
-func program() Exit {
+// runProgram runs the command line with a fixed clock.
+func runProgram() Exit {
 	return Run(context.Background(), Env{
 		Stdin: os.Stdin, Stdout: os.Stdout, Stderr: os.Stderr,
 		Now:      func() time.Time { return time.Date(2026, 3, 9, 8, 0, 0, 0, time.UTC) },
@@ -43,7 +43,8 @@
 	}, os.Args[1:])
 }
 
-// fakeGateway answers from the files status.json and explain.json of a script.
+// fakeGateway answers from the script's files status.json, fetch.json and
+// explain-REQUEST.json.
 type fakeGateway struct {
 	rudderv1connect.UnimplementedGatewayServiceHandler
 	dir string
@@ -76,7 +77,8 @@
 	return connect.NewResponse(m), protojson.Unmarshal(data, m)
 }
 
-// setup starts a platform and a gateway for one script.
+// setup starts the servers that one script needs and sets their addresses in
+// its environment.
 func setup(e *testscript.Env) error {
 	store := httptest.NewServer(standin.NewServer(standin.Config{}).Handler())
 	e.Defer(store.Close)
@@ -99,8 +101,8 @@
 	return err
 }
 
-// serveEngine starts a stand-in engine, which speaks the completion protocol
-// as a gateway does, and returns its address.
+// serveEngine starts a stand-in engine, which serves the same completion
+// protocol as a gateway, and returns its address.
 func serveEngine(e *testscript.Env) string {
 	cfg := engine.Default()
 	cfg.Speed = 1000
@@ -109,7 +111,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// serveMetrics serves the script's file metrics and returns its address.
+// serveMetrics serves the files of the script's work directory, such as metrics,
+// and returns the server's address.
 func serveMetrics(e *testscript.Env) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		http.ServeFile(w, r, e.WorkDir+r.URL.Path)
@@ -118,7 +121,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// exits runs a command and checks its exit code: exits 5 rudderctl confirm p.json
+// runExits implements the script command "exits", which runs a command and checks
+// its exit code: exits 5 rudderctl confirm p.json
 func runExits(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: exits CODE COMMAND...")
@@ -137,7 +141,8 @@
 	}
 }
 
-// runControl posts to the platform's control calls: control fault outage=reset
+// runControl implements the script command "control", which posts to the control
+// interface of the stand-in platform: control fault outage=reset
 func runControl(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) == 0 {
 		ts.Fatalf("usage: control CALL [NAME=VALUE...]")
@@ -168,7 +173,7 @@
 	for _, e := range exitCodes {
 		row := fmt.Sprintf("| %d | %s |", e.code, e.text)
 		if !strings.Contains(string(doc), row) {
-			t.Errorf("missing in docs/RUDDERCTL.md: %s", row)
+			t.Errorf("docs/RUDDERCTL.md lacks the row: %s", row)
 		}
 	}
 }
--- a/ctl/exit.go
+++ b/ctl/exit.go
@@ -11,10 +11,10 @@
 	"github.com/micarudder/micarudder/result"
 )
 
-// Exit is an exit code of the command line. docs/RUDDERCTL.md has the table.
+// Exit is an exit code of the command line. docs/RUDDERCTL.md documents the codes.
 type Exit int
 
-// The exit codes. A number is never reused.
+// Exit codes. The number of a removed code is never reused.
 const (
 	ExitOK          Exit = 0
 	ExitFailed      Exit = 1
@@ -32,7 +32,7 @@
 	ExitBroken      Exit = 13
 )
 
-// exitCodes describes the codes, in order.
+// exitCodes holds the descriptions of the exit codes, in numerical order.
 var exitCodes = []struct {
 	code Exit
 	text string
@@ -53,7 +53,8 @@
 	{ExitBroken, "`load`: a request showed a promise broken"},
 }
 
-var exitOfCode = map[result.Code]Exit{
+// exitByResult maps result codes to exit codes.
+var exitByResult = map[result.Code]Exit{
 	result.OK:             ExitOK,
 	result.BadRequest:     ExitUsage,
 	result.DeclarationBad: ExitDeclaration,
@@ -66,8 +67,8 @@
 	result.UnknownRun:     ExitNotFound,
 }
 
-// failure is the JSON form of an error.
-type failure struct {
+// errorOutput is the JSON output for an error.
+type errorOutput struct {
 	Code     result.Code            `json:"code,omitempty"`
 	Name     string                 `json:"name"`
 	Outcome  string                 `json:"outcome,omitempty"`
@@ -77,8 +78,8 @@
 	Clashes  []string               `json:"clashes,omitempty"`
 }
 
-// report writes the error and returns the exit code.
-func (a *app) report(err error) Exit {
+// reportError writes the error, if there is one, and returns the exit code.
+func (a *app) reportError(err error) Exit {
 	var help *flags.Error
 	if errors.As(err, &help) && help.Type == flags.ErrHelp {
 		fmt.Fprintln(a.Stdout, help.Message)
@@ -89,15 +90,15 @@
 	}
 	code, f := describe(err)
 	if a.JSON {
-		_ = writeJSON(a.Stderr, map[string]failure{"error": f})
+		_ = writeJSON(a.Stderr, map[string]errorOutput{"error": f})
 		return code
 	}
 	a.writeError(err)
 	return code
 }
 
-// writeError writes an error as text; mistakes keep the form FILE:LINE: ...
-// that editors understand.
+// writeError writes an error as text. Mistakes in declarations keep the form
+// FILE:LINE: ..., which editors can parse.
 func (a *app) writeError(err error) {
 	var mistakes declaration.Mistakes
 	if errors.As(err, &mistakes) {
@@ -116,35 +117,36 @@
 	}
 }
 
-func describe(err error) (Exit, failure) {
+// describe returns the exit code and the JSON output for an error.
+func describe(err error) (Exit, errorOutput) {
 	var (
-		mistakes declaration.Mistakes
-		stale    *plan.StaleError
-		coded    *result.Err
-		bad      *flags.Error
+		mistakes  declaration.Mistakes
+		stale     *plan.StaleError
+		resultErr *result.Err
+		usageErr  *flags.Error
 	)
-	f := failure{Name: "failed", Detail: err.Error()}
+	f := errorOutput{Name: "failed", Detail: err.Error()}
 	switch {
 	case errors.As(err, &mistakes):
-		f.fromCode(result.New(result.DeclarationBad, fmt.Sprintf("%d mistakes", len(mistakes))))
+		f.setResult(result.New(result.DeclarationBad, fmt.Sprintf("%d mistakes", len(mistakes))))
 		f.Mistakes = mistakes
 		return ExitDeclaration, f
 	case errors.As(err, &stale):
-		f.fromCode(stale.Err)
+		f.setResult(stale.Err)
 		f.Theirs, f.Clashes = stale.Theirs, stale.Clashes
 		return ExitStale, f
-	case errors.As(err, &coded):
-		f.fromCode(coded)
-		if e, ok := exitOfCode[coded.Code]; ok {
+	case errors.As(err, &resultErr):
+		f.setResult(resultErr)
+		if e, ok := exitByResult[resultErr.Code]; ok {
 			return e, f
 		}
-	case errors.As(err, &bad):
+	case errors.As(err, &usageErr):
 		f.Name = "usage"
 		return ExitUsage, f
 	}
 	return ExitFailed, f
 }
 
-func (f *failure) fromCode(e *result.Err) {
+func (f *errorOutput) setResult(e *result.Err) {
 	f.Code, f.Name, f.Outcome, f.Detail = e.Code, e.Code.String(), e.Known().String(), e.Detail
 }
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -21,8 +21,8 @@
 	} `positional-args:"true"`
 }
 
-// explained is the JSON form of one gateway's record.
-type explained struct {
+// gatewayDecisions is the JSON output for the decisions recorded by one gateway.
+type gatewayDecisions struct {
 	Gateway   string               `json:"gateway"`
 	Decisions []*rudderv1.Decision `json:"decisions"`
 }
@@ -33,63 +33,63 @@
 		return c.explainLogs()
 	}
 	if len(c.app.Gateways) == 0 {
-		return usage("--gateway or RUDDER_GATEWAYS is needed")
+		return usageError("--gateway or RUDDER_GATEWAYS is needed")
 	}
-	clients, err := c.app.gateways()
+	clients, err := c.app.gatewayClients()
 	if err != nil {
 		return err
 	}
-	var found []explained
-	var lost error
+	var found []gatewayDecisions
+	var lastErr error
 	for i, client := range clients {
 		r, err := client.Explain(c.app.ctx, connect.NewRequest(&rudderv1.ExplainRequest{RequestId: c.Args.Request}))
 		switch {
 		case err != nil:
-			lost = err
+			lastErr = err
 		case r.Msg.Found:
-			found = append(found, explained{c.app.Gateways[i], r.Msg.Decisions})
+			found = append(found, gatewayDecisions{c.app.Gateways[i], r.Msg.Decisions})
 		}
 	}
-	if lost != nil {
+	if lastErr != nil {
 		c.app.exit = ExitPartial
 	}
 	switch {
 	case len(found) > 0:
 		return c.write(found)
-	case lost != nil:
-		return result.New(result.PlatformAway, "no answering gateway knows the request: "+lost.Error())
+	case lastErr != nil:
+		return result.New(result.PlatformAway, "no answering gateway knows the request: "+lastErr.Error())
 	default:
 		return result.New(result.UnknownRun, "no gateway has a record of request "+c.Args.Request)
 	}
 }
 
-func (c *explainCommand) write(found []explained) error {
+func (c *explainCommand) write(found []gatewayDecisions) error {
 	if c.app.JSON {
 		return c.app.writeJSON(found)
 	}
 	for _, f := range found {
 		c.app.printf("gateway %s\n", f.Gateway)
 		for _, d := range f.Decisions {
-			c.decision(d)
+			c.printDecision(d)
 		}
 	}
 	return nil
 }
 
-func (c *explainCommand) decision(d *rudderv1.Decision) {
-	c.app.printf("  attempt %d, %d ms ago: %s: %s\n", d.Attempt, d.AgeMs, orDash(d.Picked), d.Reason)
+func (c *explainCommand) printDecision(d *rudderv1.Decision) {
+	c.app.printf("  attempt %d, %d ms ago: %s: %s\n", d.Attempt, d.AgeMs, firstOrDash(d.Picked), d.Reason)
 	t := tabwriter.NewWriter(c.app.Stdout, 0, 0, 2, ' ', 0)
 	for _, s := range d.Candidates {
 		if !s.Kept {
 			fmt.Fprintf(t, "    %s\tfiltered by %s\t\n", s.Endpoint, s.FilteredBy)
 			continue
 		}
-		fmt.Fprintf(t, "    %s\t%.3f\t%s\n", s.Endpoint, s.Score, partsText(s.Parts))
+		fmt.Fprintf(t, "    %s\t%.3f\t%s\n", s.Endpoint, s.Score, formatScoreParts(s.Parts))
 	}
 	_ = t.Flush()
 }
 
-func partsText(parts map[string]float64) string {
+func formatScoreParts(parts map[string]float64) string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(parts)) {
 		out = append(out, fmt.Sprintf("%s=%.3f", name, parts[name]))
--- a/ctl/explainlog.go
+++ b/ctl/explainlog.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// beliefTime is how long before a request lines about what its gateway
-	// believed are shown; a proof of the configuration is refused when older.
-	beliefTime = 10 * time.Second
+	// contextPeriod is the time before a request for which contextMessages of its
+	// gateways are shown. Older proofs of the configuration are refused.
+	contextPeriod = 10 * time.Second
 )
 
-// beliefs are the messages that tell what a gateway believes.
-var beliefs = map[string]bool{
+// contextMessages are the messages that describe a gateway's view of the system.
+var contextMessages = map[string]bool{
 	"Configuration in force.": true, "Dependency lost.": true, "Dependency regained.": true, "Endpoint changed.": true, "Endpoint suspect.": true,
 	"Started.": true, "Stop begun.": true, "Stopped.": true, "Settings read again.": true, "Lines were left out of this log.": true,
 	"Endpoint crashed.": true, "Host was suspended.": true,
 }
 
-// copies are the messages about other copies of the same work that are shown too: whether
-// it is sent depends on them.
-var copies = map[string]bool{"Exchange broke.": true, "Request quarantined.": true, "Request cleared.": true}
+// relatedMessages are the messages about other requests with the same fingerprint that are shown too,
+// since they determine whether the request is sent.
+var relatedMessages = map[string]bool{"Exchange broke.": true, "Request quarantined.": true, "Request cleared.": true}
 
-// explainLogs shows what the logs say of a request.
+// explainLogs shows the log lines that are relevant to the request.
 func (c *explainCommand) explainLogs() error {
 	var lines []eventlog.Line
 	for _, name := range c.Logs {
@@ -40,20 +40,20 @@
 		}
 		lines = append(lines, read...)
 	}
-	story := tellRequest(lines, c.Args.Request)
-	if len(story) == 0 {
+	related := requestLines(lines, c.Args.Request)
+	if len(related) == 0 {
 		return result.New(result.UnknownRun, "the logs have no line of request "+c.Args.Request)
 	}
 	if c.app.JSON {
-		return c.app.writeJSON(story)
+		return c.app.writeJSON(related)
 	}
-	for _, l := range story {
+	for _, l := range related {
 		c.app.printf("%s: %s\n", l.Source, l.Text)
 	}
 	return nil
 }
 
-// readLog reads one log; the name - stands for standard input.
+// readLog reads one log; the name "-" means standard input.
 func readLog(name string, stdin io.Reader) ([]eventlog.Line, error) {
 	if name == "-" {
 		return eventlog.Read(name, stdin)
@@ -66,20 +66,21 @@
 	return eventlog.Read(name, f)
 }
 
-// tellRequest returns the request's lines, and what its gateways believed before
-// and while they had it, in the order of their times.
-func tellRequest(lines []eventlog.Line, request string) []eventlog.Line {
-	type stretch struct{ from, to time.Time }
-	had := make(map[string]stretch) // by log
+// requestLines returns the lines of the request, the context lines of its gateways
+// from shortly before and during the request, and the related lines of requests with
+// the same fingerprint, ordered by time.
+func requestLines(lines []eventlog.Line, request string) []eventlog.Line {
+	type interval struct{ from, to time.Time }
+	intervals := make(map[string]interval) // of the request's lines, by log
 	endpoints := make(map[string]bool)
 	fingerprints := make(map[string]bool)
 	for _, l := range lines {
 		if l.Fields["request"] != request {
 			continue
 		}
-		s, ok := had[l.Source]
+		s, ok := intervals[l.Source]
 		if !ok {
-			s = stretch{l.At, l.At}
+			s = interval{l.At, l.At}
 		}
 		if l.At.Before(s.from) {
 			s.from = l.At
@@ -87,20 +88,20 @@
 		if l.At.After(s.to) {
 			s.to = l.At
 		}
-		had[l.Source] = s
+		intervals[l.Source] = s
 		fingerprints[l.Fields["fingerprint"]] = true
 		for _, id := range strings.Fields(strings.Trim(l.Fields["tried"], "[]") + " " + l.Fields["endpoint"]) {
 			endpoints[id] = true
 		}
 	}
-	delete(fingerprints, "") // most requests need none
+	delete(fingerprints, "") // lines without a fingerprint
 	var out []eventlog.Line
 	for _, l := range lines {
-		s, ok := had[l.Source]
-		near := ok && !l.At.Before(s.from.Add(-beliefTime)) && !l.At.After(s.to)
-		about := l.Fields["endpoint"]
-		if l.Fields["request"] == request || near && beliefs[l.Fields["msg"]] && (about == "" || endpoints[about]) ||
-			copies[l.Fields["msg"]] && fingerprints[l.Fields["fingerprint"]] {
+		s, ok := intervals[l.Source]
+		inContext := ok && !l.At.Before(s.from.Add(-contextPeriod)) && !l.At.After(s.to)
+		endpoint := l.Fields["endpoint"]
+		if l.Fields["request"] == request || inContext && contextMessages[l.Fields["msg"]] && (endpoint == "" || endpoints[endpoint]) ||
+			relatedMessages[l.Fields["msg"]] && fingerprints[l.Fields["fingerprint"]] {
 			out = append(out, l)
 		}
 	}
--- a/ctl/explainlog_test.go
+++ b/ctl/explainlog_test.go
@@ -25,25 +25,25 @@
 `
 )
 
-func TestTellRequest(t *testing.T) {
+func TestRequestLines(t *testing.T) {
 	is := is.New(t)
 	a, err := eventlog.Read("a", strings.NewReader(logA))
 	is.NoErr(err)
 	b, err := eventlog.Read("b", strings.NewReader(logB))
 	is.NoErr(err)
 	var got []string
-	for _, l := range tellRequest(append(a, b...), "r1") {
+	for _, l := range requestLines(append(a, b...), "r1") {
 		got = append(got, l.Source+" "+l.Fields["msg"]+l.Fields["endpoint"]+l.Fields["outcome"])
 	}
 	is.Equal(got, []string{
 		"a Endpoint changed.i-1", "b Dependency lost.", "b Request ended.refused-full", "a Endpoint chosen.i-1", "a Request ended.may-have-run",
 	})
-	is.Equal(len(tellRequest(a, "unknown")), 0)
+	is.Equal(len(requestLines(a, "unknown")), 0)
 }
 
-// TestTellCopies: of a request under which an endpoint crashed, the other copies of the same
-// work are shown too, wherever they came.
-func TestTellCopies(t *testing.T) {
+// TestRequestLinesOfQuarantinedRequest checks that for a quarantined request the crashes and the
+// quarantine of other requests with the same fingerprint are shown, from the logs of all gateways.
+func TestRequestLinesOfQuarantinedRequest(t *testing.T) {
 	is := is.New(t)
 	a, err := eventlog.Read("a", strings.NewReader(`time=2026-12-02T10:00:05Z level=info msg="Not sent: quarantined." request=r1 fingerprint=f1
 time=2026-12-02T10:00:01Z level=info msg="Exchange broke." request=r3 fingerprint=f2 endpoint=i-9
@@ -56,7 +56,7 @@
 `))
 	is.NoErr(err)
 	var got []string
-	for _, l := range tellRequest(append(a, b...), "r1") {
+	for _, l := range requestLines(append(a, b...), "r1") {
 		got = append(got, l.Fields["msg"]+l.Fields["request"])
 	}
 	is.Equal(got, []string{"Exchange broke.r2", "Request quarantined.r2", "Not sent: quarantined.r1"})
@@ -66,7 +66,7 @@
 	f.Add(logA)
 	f.Fuzz(func(t *testing.T, text string) {
 		if lines, err := eventlog.Read("f", strings.NewReader(text)); err == nil {
-			tellRequest(lines, "r1")
+			requestLines(lines, "r1")
 		}
 	})
 }
--- a/ctl/gateways.go
+++ b/ctl/gateways.go
@@ -13,11 +13,11 @@
 	"github.com/micarudder/micarudder/rudderv1/rudderv1connect"
 )
 
-// gateways opens the inner interface of every gateway named on the command line.
-func (a *app) gateways() ([]rudderv1connect.GatewayServiceClient, error) {
+// gatewayClients returns clients for the inner interfaces of all gateways named on the command line.
+func (a *app) gatewayClients() ([]rudderv1connect.GatewayServiceClient, error) {
 	keys := inner.KeyFiles{Cert: a.Cert, Key: a.Key, CA: a.CA}
 	if err := keys.Check(); err != nil {
-		return nil, usage(err.Error())
+		return nil, usageError(err.Error())
 	}
 	client, err := inner.NewClient(keys, nil)
 	if err != nil {
@@ -30,16 +30,17 @@
 	return out, nil
 }
 
-// gatewayView is one gateway's answer, or why there is none.
+// gatewayView is one gateway's status, or the error of the call.
 type gatewayView struct {
 	Address string
 	Status  *rudderv1.StatusResponse
 	Err     error
 }
 
-// askStatus asks all gateways at once and keeps the order they were given in.
-func (a *app) askStatus() ([]gatewayView, error) {
-	clients, err := a.gateways()
+// fetchStatuses fetches the status of all gateways in parallel and returns them in
+// the order of the command line.
+func (a *app) fetchStatuses() ([]gatewayView, error) {
+	clients, err := a.gatewayClients()
 	if err != nil {
 		return nil, err
 	}
@@ -60,59 +61,62 @@
 	return views, nil
 }
 
-// viewOf merges the gateways' views: an endpoint serves when one gateway is
-// connected to it, and its freshest report counts. It is nil when no gateway
-// answered.
-func viewOf(views []gatewayView) placement.View {
-	best := freshest(views)
-	if best == nil {
+// mergeViews merges the gateways' views using the best report of each endpoint, as
+// chosen by isNewerReport; an endpoint is serving only if a gateway is connected to
+// it. It returns nil if no gateway answered.
+func mergeViews(views []gatewayView) placement.View {
+	latest := latestReports(views)
+	if latest == nil {
 		return nil
 	}
-	out := make(placement.View, len(best))
-	for name, e := range best {
-		out[name] = heldOf(e)
+	out := make(placement.View, len(latest))
+	for name, e := range latest {
+		out[name] = endpointState(e)
 	}
 	return out
 }
 
-// freshest picks the best report of each endpoint; nil when no gateway answered.
-func freshest(views []gatewayView) map[string]*rudderv1.EndpointStatus {
-	var best map[string]*rudderv1.EndpointStatus
+// latestReports returns the best report of each endpoint, or nil if no gateway answered.
+func latestReports(views []gatewayView) map[string]*rudderv1.EndpointStatus {
+	var latest map[string]*rudderv1.EndpointStatus
 	for _, v := range views {
 		if v.Status == nil {
 			continue
 		}
-		if best == nil {
-			best = make(map[string]*rudderv1.EndpointStatus)
+		if latest == nil {
+			latest = make(map[string]*rudderv1.EndpointStatus)
 		}
 		for _, e := range v.Status.Endpoints {
 			name := e.GetReport().GetEndpoint()
-			if old := best[name]; old == nil || fresher(e, old) {
-				best[name] = e
+			if old := latest[name]; old == nil || isNewerReport(e, old) {
+				latest[name] = e
 			}
 		}
 	}
-	return best
+	return latest
 }
 
-func fresher(a, b *rudderv1.EndpointStatus) bool {
+// isNewerReport reports whether a is preferred to b: a report of a gateway that is connected
+// to the endpoint comes first, then the more recent one.
+func isNewerReport(a, b *rudderv1.EndpointStatus) bool {
 	if a.Connected != b.Connected {
 		return a.Connected
 	}
 	return a.SilentMs < b.SilentMs
 }
 
-func heldOf(e *rudderv1.EndpointStatus) placement.EndpointState {
+// endpointState converts a report to the planner's view of an endpoint.
+func endpointState(e *rudderv1.EndpointStatus) placement.EndpointState {
 	r := e.GetReport()
-	h := placement.EndpointState{
+	state := placement.EndpointState{
 		Role:    r.GetRole(),
 		Serving: e.Connected && r.GetState() == rudderv1.AgentState_AGENT_STATE_SERVING,
 	}
 	for _, m := range r.GetModels() {
 		if m.Unloading {
-			continue // it goes whatever is planned
+			continue // it is removed regardless of the plan
 		}
-		h.Models = append(h.Models, engine.Model{Name: m.Model, Version: m.Version, Adapters: m.Adapters, Loading: m.Loading})
+		state.Models = append(state.Models, engine.Model{Name: m.Model, Version: m.Version, Adapters: m.Adapters, Loading: m.Loading})
 	}
-	return h
+	return state
 }
--- a/ctl/generations.go
+++ b/ctl/generations.go
@@ -12,14 +12,15 @@
 	Max int `long:"max" default:"10" value-name:"N" description:"show at most N plans before the accepted one"`
 }
 
-// generations is the JSON form.
-type generations struct {
-	Accepted generationLine   `json:"accepted"`
-	Before   []generationLine `json:"before"`
-	Gateways []gatewayStatus  `json:"gateways,omitempty"`
+// generationsOutput is the JSON output of the command.
+type generationsOutput struct {
+	Accepted generationEntry   `json:"accepted"`
+	Before   []generationEntry `json:"before"`
+	Gateways []gatewayStatus   `json:"gateways,omitempty"`
 }
 
-type generationLine struct {
+// generationEntry is one accepted plan.
+type generationEntry struct {
 	Generation uint64   `json:"generation"`
 	PlanID     string   `json:"plan_id"`
 	Operator   string   `json:"operator,omitempty"`
@@ -37,7 +38,7 @@
 	if err != nil {
 		return result.New(result.PlatformAway, err.Error())
 	}
-	g := generations{Accepted: generationLine{Generation: d.Generation, PlanID: d.PlanId, Operator: d.Operator, Forced: d.Forced}}
+	g := generationsOutput{Accepted: generationEntry{Generation: d.Generation, PlanID: d.PlanId, Operator: d.Operator, Forced: d.Forced}}
 	if d.AcceptedUnixMs > 0 {
 		g.Accepted.AcceptedAt = time.UnixMilli(d.AcceptedUnixMs).UTC().Format(time.RFC3339)
 	}
@@ -45,24 +46,24 @@
 		if i >= c.Max {
 			break
 		}
-		g.Before = append(g.Before, generationLine{Generation: d.Generation - 1 - uint64(i), PlanID: id})
+		g.Before = append(g.Before, generationEntry{Generation: d.Generation - 1 - uint64(i), PlanID: id})
 	}
-	views, err := c.app.askStatus()
+	views, err := c.app.fetchStatuses()
 	if err != nil {
 		return err
 	}
-	f, missing := summarise(views)
+	f, unanswered := summarize(views)
 	g.Gateways = f.Gateways
-	if missing > 0 {
+	if unanswered > 0 {
 		c.app.exit = ExitPartial
 	}
 	if err := c.write(g); err != nil {
 		return err
 	}
-	return notBehind(d, views)
+	return checkPlatformNotBehind(d, views)
 }
 
-func (c *generationsCommand) write(g generations) error {
+func (c *generationsCommand) write(g generationsOutput) error {
 	if c.app.JSON {
 		return c.app.writeJSON(g)
 	}
@@ -72,7 +73,7 @@
 	}
 	c.app.printf("accepted: generation %d, plan %s", g.Accepted.Generation, g.Accepted.PlanID)
 	if g.Accepted.AcceptedAt != "" {
-		c.app.printf(", %s by %s", g.Accepted.AcceptedAt, orDash(g.Accepted.Operator))
+		c.app.printf(", %s by %s", g.Accepted.AcceptedAt, firstOrDash(g.Accepted.Operator))
 	}
 	c.app.printf("\n")
 	for _, f := range g.Accepted.Forced {
@@ -82,7 +83,7 @@
 		c.app.printf("before: generation %d, plan %s\n", l.Generation, l.PlanID)
 	}
 	for _, s := range g.Gateways {
-		c.app.printf("gateway %s: generation %d %s\n", orDash(s.Name, s.Address), s.Generation, s.Error)
+		c.app.printf("gateway %s: generation %d %s\n", firstOrDash(s.Name, s.Address), s.Generation, s.Error)
 	}
 	return nil
 }
--- a/ctl/load.go
+++ b/ctl/load.go
@@ -14,8 +14,8 @@
 	"github.com/micarudder/micarudder/result"
 )
 
-// runNameLen is the length of the name that tells the tags of two runs apart.
-const runNameLen = 8
+// runNameLength is the length of the random name that distinguishes the tags of different runs.
+const runNameLength = 8
 
 type loadCommand struct {
 	app     *app
@@ -31,7 +31,7 @@
 	} `positional-args:"true"`
 }
 
-// unbounded implements longRunning: the mix says how long a run takes.
+// unbounded implements longRunning: the load mix determines the duration of a run.
 func (c *loadCommand) unbounded() {}
 
 // Execute implements flags.Commander.
@@ -64,16 +64,16 @@
 	}
 	e.MixName = strings.TrimSuffix(filepath.Base(c.Args.Mix), filepath.Ext(c.Args.Mix))
 	e.Mix, e.Seed, e.Load = mix, c.Seed, c.Load
-	e.Name = uuid.NewString()[:runNameLen]
+	e.Name = uuid.NewString()[:runNameLength]
 	e.Gateways, e.Engines = urls(c.Callers, ""), urls(c.Engines, "")
 	return e, nil
 }
 
 func (c *loadCommand) write(rep *load.Report) error {
-	if err := toFile(c.HTML, rep.WriteHTML); err != nil {
+	if err := writeFile(c.HTML, rep.WriteHTML); err != nil {
 		return err
 	}
-	if err := toFile(c.Records, func(w io.Writer) error { return writeRecords(w, rep.Records) }); err != nil {
+	if err := writeFile(c.Records, func(w io.Writer) error { return writeRecords(w, rep.Records) }); err != nil {
 		return err
 	}
 	if c.app.JSON {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// urls turns addresses into URLs of a path.
+// urls returns the URLs of a path at the addresses.
 func urls(addresses []string, path string) []string {
 	out := make([]string, len(addresses))
 	for i, a := range addresses {
@@ -101,8 +101,9 @@
 	return out
 }
 
-// toFile writes a file; an empty name writes nothing.
-func toFile(name string, write func(io.Writer) error) error {
+// writeFile creates a file with the contents that write produces. It does nothing if
+// name is empty.
+func writeFile(name string, write func(io.Writer) error) error {
 	if name == "" {
 		return nil
 	}
--- a/ctl/order.go
+++ b/ctl/order.go
@@ -7,30 +7,30 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// orderStatus is the JSON form of an endpoint's latest order.
+// orderStatus is the JSON output for an endpoint's latest order.
 type orderStatus struct {
 	Phase     string `json:"phase"`
-	Kind      string `json:"kind,omitempty"` // empty for one found at the agent's start
+	Kind      string `json:"kind,omitempty"` // empty for an order that the agent found when it started
 	Object    string `json:"object,omitempty"`
 	WaitsFor  uint32 `json:"waits_for_runs,omitempty"`
-	Failures  uint32 `json:"failures,omitempty"` // in a row
+	Failures  uint32 `json:"failures,omitempty"` // consecutive
 	RetryInMS int64  `json:"retry_in_ms,omitempty"`
 	Detail    string `json:"detail,omitempty"`
 }
 
-func orderOf(o *rudderv1.OrderStatus) *orderStatus {
+func newOrderStatus(o *rudderv1.OrderStatus) *orderStatus {
 	if o == nil {
 		return nil
 	}
 	phase := strings.ToLower(strings.TrimPrefix(o.Phase.String(), "ORDER_PHASE_"))
 	return &orderStatus{
-		Phase: phase, Kind: o.Kind, Object: objectOf(o), WaitsFor: o.Runs,
+		Phase: phase, Kind: o.Kind, Object: orderObject(o), WaitsFor: o.Runs,
 		Failures: o.Failures, RetryInMS: o.RetryInMs, Detail: o.Detail,
 	}
 }
 
-// objectOf names what an order is about.
-func objectOf(o *rudderv1.OrderStatus) string {
+// orderObject returns the role, adapter or model that an order applies to.
+func orderObject(o *rudderv1.OrderStatus) string {
 	switch {
 	case o.Role != "":
 		return o.Role
@@ -43,7 +43,7 @@
 	}
 }
 
-// text describes the order in one cell of the table.
+// text returns the order's description for a table cell.
 func (o *orderStatus) text() string {
 	if o == nil {
 		return "-"
--- a/ctl/plan.go
+++ b/ctl/plan.go
@@ -30,14 +30,14 @@
 	}
 	o := plan.Options{Operator: c.app.Operator, Force: c.Force}
 	if len(c.app.Gateways) > 0 {
-		views, err := c.app.askStatus()
+		views, err := c.app.fetchStatuses()
 		if err != nil {
 			return err
 		}
-		if err := notBehind(base, views); err != nil {
+		if err := checkPlatformNotBehind(base, views); err != nil {
 			return err
 		}
-		if o.View = viewOf(views); o.View == nil {
+		if o.View = mergeViews(views); o.View == nil {
 			return result.New(result.PlatformAway, "no gateway answers; leave --gateway out to plan without the live view")
 		}
 	}
@@ -50,7 +50,7 @@
 	return err
 }
 
-// base reads the accepted document.
+// base reads the accepted document, on which the plan is based.
 func (c *planCommand) base() (*rudderv1.Document, error) {
 	store, err := c.app.store()
 	if err != nil {
@@ -63,8 +63,8 @@
 	return base, nil
 }
 
-// notBehind refuses to plan over a document older than one a gateway has seen.
-func notBehind(base *rudderv1.Document, views []gatewayView) error {
+// checkPlatformNotBehind returns an error if a gateway has seen a later generation than base.
+func checkPlatformNotBehind(base *rudderv1.Document, views []gatewayView) error {
 	for _, v := range views {
 		if v.Status != nil && v.Status.Generation > base.GetGeneration() {
 			return result.New(result.GenerationBack, fmt.Sprintf(
@@ -74,13 +74,13 @@
 	return nil
 }
 
-// write shows the plan; a refused plan is shown but not kept.
-func (c *planCommand) write(p *plan.Plan, keep bool) error {
+// write shows the plan, and saves it to --out if save is set; a refused plan is not saved.
+func (c *planCommand) write(p *plan.Plan, save bool) error {
 	data, err := p.Encode()
 	if err != nil {
 		return err
 	}
-	if c.Out != "" && keep {
+	if c.Out != "" && save {
 		if err := os.WriteFile(c.Out, data, 0o644); err != nil {
 			return result.New(result.BadRequest, err.Error())
 		}
@@ -90,7 +90,7 @@
 		return err
 	}
 	p.WriteText(c.app.Stdout)
-	if c.Out != "" && keep {
+	if c.Out != "" && save {
 		c.app.printf("\nconfirm with: rudderctl confirm %s\n", c.Out)
 	}
 	return nil
--- a/ctl/quarantine.go
+++ b/ctl/quarantine.go
@@ -15,7 +15,8 @@
 	"github.com/micarudder/micarudder/result"
 )
 
-// quarantineCommand lists what relaying gateways hold against requests, or clears one.
+// quarantineCommand lists the requests under which endpoints crashed, as recorded by relaying
+// gateways, or clears one of them.
 type quarantineCommand struct {
 	app   *app
 	Relay []string `long:"relay" value-name:"IP:PORT" description:"peer address of a relaying gateway; may be repeated, and the first one that answers is asked"`
@@ -25,16 +26,16 @@
 // Execute implements flags.Commander.
 func (c *quarantineCommand) Execute([]string) error {
 	if len(c.Relay) == 0 {
-		return usage("--relay is needed")
+		return usageError("--relay is needed")
 	}
 	if c.Clear != "" {
 		if _, err := quarantine.ParseFingerprint(c.Clear); err != nil {
-			return usage(err.Error())
+			return usageError(err.Error())
 		}
-		_, err := c.ask(http.MethodDelete, relay.PathQuarantine+"/"+c.Clear)
+		_, err := c.requestFromAny(http.MethodDelete, relay.PathQuarantine+"/"+c.Clear)
 		return err
 	}
-	body, err := c.ask(http.MethodGet, relay.PathQuarantine)
+	body, err := c.requestFromAny(http.MethodGet, relay.PathQuarantine)
 	if err != nil {
 		return err
 	}
@@ -55,33 +56,33 @@
 	return nil
 }
 
-// ask asks the gateways in turn until one answers.
-func (c *quarantineCommand) ask(method, path string) ([]byte, error) {
-	var last error
+// requestFromAny sends the request to the gateways in turn until one answers.
+func (c *quarantineCommand) requestFromAny(method, path string) ([]byte, error) {
+	var lastErr error
 	for _, address := range c.Relay {
 		body, status, err := c.call(method, "http://"+address+path)
 		switch {
 		case err != nil:
-			last = err
+			lastErr = err
 		case status == http.StatusNotFound:
 			return nil, result.New(result.UnknownRun, "nothing stands against the request")
 		case status != http.StatusOK:
-			last = fmt.Errorf("%s answered %d", address, status)
+			lastErr = fmt.Errorf("%s answered with status %d", address, status)
 		default:
 			return body, nil
 		}
 	}
-	return nil, result.New(result.PlatformAway, "no relaying gateway answered: "+last.Error())
+	return nil, result.New(result.PlatformAway, "no relaying gateway answered: "+lastErr.Error())
 }
 
-// relayTime bounds the question to one gateway, so that the next one can be asked.
-const relayTime = 2 * time.Second
+// relayTimeout limits the call to one gateway, so that the next one can be tried.
+const relayTimeout = 2 * time.Second
 
-// mostListed bounds the answer of a gateway: 4,096 requests, some 120 bytes each.
-const mostListed = 1 << 20
+// maxListBytes limits a gateway's answer, which lists up to 4,096 requests of about 120 bytes each.
+const maxListBytes = 1 << 20
 
 func (c *quarantineCommand) call(method, url string) (body []byte, status int, err error) {
-	ctx, cancel := context.WithTimeout(c.app.ctx, relayTime)
+	ctx, cancel := context.WithTimeout(c.app.ctx, relayTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
@@ -92,6 +93,6 @@
 		return nil, 0, trace.Wrap(err)
 	}
 	defer func() { _ = res.Body.Close() }()
-	body, err = io.ReadAll(io.LimitReader(res.Body, mostListed))
+	body, err = io.ReadAll(io.LimitReader(res.Body, maxListBytes))
 	return body, res.StatusCode, trace.Wrap(err)
 }
--- a/ctl/quarantine_test.go
+++ b/ctl/quarantine_test.go
@@ -13,8 +13,8 @@
 	"github.com/micarudder/micarudder/quarantine"
 )
 
-// TestQuarantine: the first gateway that answers is asked, and each ending has its exit
-// code.
+// TestQuarantine checks that the first gateway that answers is used, and the exit code of
+// each outcome.
 func TestQuarantine(t *testing.T) {
 	known := quarantine.Fingerprint{Head: 1, Body: 2}.String()
 	unknown := quarantine.Fingerprint{Head: 3}.String()
@@ -44,8 +44,8 @@
 	}{
 		{"list", []string{"--relay", down, "--relay", address}, ExitOK, known + "  crashed before answering 3, while answering 1  not sent for 1m30s\n"},
 		{"clear", []string{"--relay", address, "--clear", known}, ExitOK, ""},
-		{"clear an unknown one", []string{"--relay", address, "--clear", unknown}, ExitNotFound, ""},
-		{"clear something else", []string{"--relay", address, "--clear", "x"}, ExitUsage, ""},
+		{"clear an unknown fingerprint", []string{"--relay", address, "--clear", unknown}, ExitNotFound, ""},
+		{"clear an invalid fingerprint", []string{"--relay", address, "--clear", "x"}, ExitUsage, ""},
 		{"no gateway named", nil, ExitUsage, ""},
 		{"no gateway answers", []string{"--relay", down}, ExitAway, ""},
 	}
--- a/ctl/registry.go
+++ b/ctl/registry.go
@@ -2,13 +2,13 @@
 
 import "github.com/jessevdk/go-flags"
 
-// command is one sub-command; its body is a struct of options.
+// command is one sub-command; body is the struct with its options.
 type command struct {
 	name, short, long string
 	body              flags.Commander
 }
 
-// commands lists the sub-commands in the order of the help.
+// commands returns the sub-commands in the order of the help text.
 func commands(a *app) []command {
 	return []command{
 		{"check", "Check declarations", "Reads declaration files and reports every mistake.", &checkCommand{app: a}},
--- a/ctl/restore.go
+++ b/ctl/restore.go
@@ -17,7 +17,7 @@
 
 // Execute implements flags.Commander.
 func (c *restoreCommand) Execute([]string) error {
-	doc, err := c.highest()
+	doc, err := c.latestDocument()
 	if err != nil {
 		return err
 	}
@@ -36,17 +36,17 @@
 	return nil
 }
 
-// highest fetches the gateways' documents. All gateways must answer, since a
-// missing one may hold a later document.
-func (c *restoreCommand) highest() (*rudderv1.Document, error) {
+// latestDocument fetches the gateways' documents and returns the one with the highest
+// generation. All gateways must answer, since one that does not may have a later document.
+func (c *restoreCommand) latestDocument() (*rudderv1.Document, error) {
 	if len(c.app.Gateways) == 0 {
-		return nil, usage("--gateway or RUDDER_GATEWAYS is needed")
+		return nil, usageError("--gateway or RUDDER_GATEWAYS is needed")
 	}
-	clients, err := c.app.gateways()
+	clients, err := c.app.gatewayClients()
 	if err != nil {
 		return nil, err
 	}
-	best := new(rudderv1.Document)
+	latest := new(rudderv1.Document)
 	for i, client := range clients {
 		r, err := client.Fetch(c.app.ctx, connect.NewRequest(&rudderv1.FetchRequest{}))
 		if err != nil {
@@ -54,14 +54,14 @@
 		}
 		d := r.Msg.GetDocument()
 		switch {
-		case d.GetGeneration() > best.Generation:
-			best = d
-		case d.GetGeneration() == best.Generation && d.GetPlanId() != best.PlanId:
-			return nil, result.New(result.GenerationBack, fmt.Sprintf("the gateways hold two documents of generation %d", best.Generation))
+		case d.GetGeneration() > latest.Generation:
+			latest = d
+		case d.GetGeneration() == latest.Generation && d.GetPlanId() != latest.PlanId:
+			return nil, result.New(result.GenerationBack, fmt.Sprintf("the gateways hold two documents of generation %d", latest.Generation))
 		}
 	}
-	if best.Generation == 0 {
+	if latest.Generation == 0 {
 		return nil, result.New(result.PlanStale, "no gateway holds a document")
 	}
-	return best, nil
+	return latest, nil
 }
--- a/ctl/status.go
+++ b/ctl/status.go
@@ -15,9 +15,9 @@
 	app *app
 }
 
-// fleet is the JSON form of the status.
-type fleet struct {
-	Generation uint64           `json:"generation"` // highest that any process reports
+// fleetStatus is the JSON output of the command.
+type fleetStatus struct {
+	Generation uint64           `json:"generation"` // highest generation that any process reports
 	Gateways   []gatewayStatus  `json:"gateways"`
 	Endpoints  []endpointStatus `json:"endpoints"`
 }
@@ -27,10 +27,10 @@
 	Name       string `json:"name,omitempty"`
 	DataCentre string `json:"data_centre,omitempty"`
 	Generation uint64 `json:"generation"`
-	Behind     uint64 `json:"behind"` // generations behind the highest
+	Behind     uint64 `json:"behind"` // number of generations behind the highest
 	Platform   string `json:"platform,omitempty"`
 	Draining   bool   `json:"draining"`
-	Placing    bool   `json:"placing"` // permits the orders of its data centre
+	Placing    bool   `json:"placing"` // whether it issues the permits for orders in its data centre
 	Error      string `json:"error,omitempty"`
 }
 
@@ -48,24 +48,24 @@
 	Running    uint32       `json:"running"`
 	Breaker    string       `json:"breaker,omitempty"`
 	SilentMS   int64        `json:"silent_ms"`
-	Unloading  []string     `json:"unloading,omitempty"` // no new runs reach these
+	Unloading  []string     `json:"unloading,omitempty"` // models that receive no new runs
 	Order      *orderStatus `json:"order,omitempty"`
 }
 
 // Execute implements flags.Commander.
 func (c *statusCommand) Execute([]string) error {
 	if len(c.app.Gateways) == 0 {
-		return usage("--gateway or RUDDER_GATEWAYS is needed")
+		return usageError("--gateway or RUDDER_GATEWAYS is needed")
 	}
-	views, err := c.app.askStatus()
+	views, err := c.app.fetchStatuses()
 	if err != nil {
 		return err
 	}
-	f, missing := summarise(views)
-	if missing == len(views) {
+	f, unanswered := summarize(views)
+	if unanswered == len(views) {
 		return result.New(result.PlatformAway, "no gateway answers: "+views[0].Err.Error())
 	}
-	if missing > 0 {
+	if unanswered > 0 {
 		c.app.exit = ExitPartial
 	}
 	if c.app.JSON {
@@ -75,11 +75,11 @@
 	return nil
 }
 
-// summarise builds the fleet's status and counts the gateways without an answer.
-func summarise(views []gatewayView) (fleet, int) {
-	var f fleet
-	missing := 0
-	reports := freshest(views)
+// summarize returns the status of the fleet and the number of gateways that did not answer.
+func summarize(views []gatewayView) (fleetStatus, int) {
+	var f fleetStatus
+	unanswered := 0
+	reports := latestReports(views)
 	for _, v := range views {
 		f.Generation = max(f.Generation, v.Status.GetGeneration())
 	}
@@ -88,19 +88,19 @@
 	}
 	for _, v := range views {
 		if v.Status == nil {
-			missing++
+			unanswered++
 			f.Gateways = append(f.Gateways, gatewayStatus{Address: v.Address, Error: v.Err.Error()})
 			continue
 		}
-		f.Gateways = append(f.Gateways, f.gateway(v))
+		f.Gateways = append(f.Gateways, f.gatewayStatus(v))
 	}
 	for _, name := range slices.Sorted(maps.Keys(reports)) {
-		f.Endpoints = append(f.Endpoints, f.endpoint(reports[name]))
+		f.Endpoints = append(f.Endpoints, f.endpointStatus(reports[name]))
 	}
-	return f, missing
+	return f, unanswered
 }
 
-func (f *fleet) gateway(v gatewayView) gatewayStatus {
+func (f *fleetStatus) gatewayStatus(v gatewayView) gatewayStatus {
 	s := v.Status
 	g := gatewayStatus{
 		Address: v.Address, Name: s.Gateway, DataCentre: s.DataCentre, Generation: s.Generation,
@@ -116,12 +116,12 @@
 	return g
 }
 
-func (f *fleet) endpoint(e *rudderv1.EndpointStatus) endpointStatus {
+func (f *fleetStatus) endpointStatus(e *rudderv1.EndpointStatus) endpointStatus {
 	r := e.GetReport()
 	s := endpointStatus{
 		Name: r.Endpoint, DataCentre: r.DataCentre, Generation: r.Generation, Behind: f.Generation - r.Generation,
 		State: stateText(e), Role: r.Role, Service: r.Service,
-		Queued: r.GetLoad().GetQueued(), Running: r.GetLoad().GetRunning(), Breaker: e.Breaker, SilentMS: e.SilentMs, Order: orderOf(r.Order),
+		Queued: r.GetLoad().GetQueued(), Running: r.GetLoad().GetRunning(), Breaker: e.Breaker, SilentMS: e.SilentMs, Order: newOrderStatus(r.Order),
 	}
 	for _, m := range r.Models {
 		name := m.Model + "@" + m.Version
@@ -137,6 +137,8 @@
 	return s
 }
 
+// stateText returns the endpoint's state for display; its membership state, if
+// there is one, comes first.
 func stateText(e *rudderv1.EndpointStatus) string {
 	if e.Membership != "" {
 		return e.Membership
@@ -148,7 +150,7 @@
 	return strings.ToLower(strings.ReplaceAll(text, "_", "-"))
 }
 
-func (c *statusCommand) writeText(f fleet) {
+func (c *statusCommand) writeText(f fleetStatus) {
 	c.app.printf("generation %d\n\n", f.Generation)
 	t := tabwriter.NewWriter(c.app.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "gateway\tdata centre\tgeneration\tbehind\tplatform\tnote")
@@ -160,18 +162,19 @@
 		case g.Placing:
 			note = "places models"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\n", orDash(g.Name, g.Address), orDash(g.DataCentre), g.Generation, g.Behind, orDash(g.Platform), note)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\n", firstOrDash(g.Name, g.Address), firstOrDash(g.DataCentre), g.Generation, g.Behind, firstOrDash(g.Platform), note)
 	}
 	fmt.Fprintln(t, "\nendpoint\tdata centre\tgeneration\tbehind\tstate\tholds\tloading\tqueued\trunning\torder")
 	for _, e := range f.Endpoints {
 		holds := strings.Join(e.Models, " ")
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\t%s\t%d\t%d\t%s\n", e.Name, e.DataCentre, e.Generation, e.Behind,
-			e.State, orDash(e.Service, holds), orDash(strings.Join(e.Loading, " ")), e.Queued, e.Running, e.Order.text())
+			e.State, firstOrDash(e.Service, holds), firstOrDash(strings.Join(e.Loading, " ")), e.Queued, e.Running, e.Order.text())
 	}
 	_ = t.Flush()
 }
 
-func orDash(texts ...string) string {
+// firstOrDash returns the first text that is not empty, or "-".
+func firstOrDash(texts ...string) string {
 	for _, s := range texts {
 		if s != "" {
 			return s
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -1,5 +1,5 @@
-// Package deploy holds the files by which the users' platform runs the system;
-// its test checks that the settings which they make are accepted.
+// Package deploy holds the files with which the users' platform runs the system.
+// Its test checks that the settings rendered from the template are valid.
 package deploy
 
 import (
@@ -16,8 +16,8 @@
 	"github.com/micarudder/micarudder/settings"
 )
 
-// fields are the platform's settings of a gateway's host.
-var fields = map[string]string{
+// templateFields are the values that the platform sets on a gateway's host.
+var templateFields = map[string]string{
 	"node": "front-a-1", "zone": "a", "ip": "10.1.0.40", "seeds": "10.1.0.40:8229,10.2.0.29:8229",
 	"listen.front": "10.1.0.40:8227", "listen.ready": "10.1.0.40:8220", "listen.control": "10.1.0.40:8229",
 	"internalPorts.0": "7340", "provider.address": "10.200.1.7:8223",
@@ -26,37 +26,39 @@
 }
 
 var (
-	section  = regexp.MustCompile(`\{\{([#^])([^}]+)\}\}(.*?)\{\{/[^}]+\}\}`)
-	variable = regexp.MustCompile(`\{\{([^}]+)\}\}`)
+	sectionPattern  = regexp.MustCompile(`\{\{([#^])([^}]+)\}\}(.*?)\{\{/[^}]+\}\}`)
+	variablePattern = regexp.MustCompile(`\{\{([^}]+)\}\}`)
 )
 
-// render fills the template as the platform does, as far as it is used here.
+// render renders the template as the platform does. It supports the syntax that
+// the template uses: variables, sections and inverted sections.
 func render(text string, fields map[string]string) string {
-	text = section.ReplaceAllStringFunc(text, func(s string) string {
-		m := section.FindStringSubmatch(s)
+	text = sectionPattern.ReplaceAllStringFunc(text, func(s string) string {
+		m := sectionPattern.FindStringSubmatch(s)
 		set := fields[m[2]] != "" && fields[m[2]] != "false"
 		if set == (m[1] == "#") {
 			return m[3]
 		}
 		return ""
 	})
-	return variable.ReplaceAllStringFunc(text, func(s string) string { return fields[strings.Trim(s, "{}")] })
+	return variablePattern.ReplaceAllStringFunc(text, func(s string) string { return fields[strings.Trim(s, "{}")] })
 }
 
-func load(t *testing.T, changes map[string]string) (*relay.Settings, error) {
+// loadRendered renders relay.ini.tmpl with templateFields and changes, and loads the settings.
+func loadRendered(t *testing.T, changes map[string]string) (*relay.Settings, error) {
 	t.Helper()
 	p, err := os.ReadFile("relay.ini.tmpl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := make(map[string]string)
-	for _, m := range []map[string]string{fields, changes} {
+	merged := make(map[string]string)
+	for _, m := range []map[string]string{templateFields, changes} {
 		for k, v := range m {
-			all[k] = v
+			merged[k] = v
 		}
 	}
 	file := filepath.Join(t.TempDir(), "relay.ini")
-	if err := os.WriteFile(file, []byte(render(string(p), all)), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(render(string(p), merged)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s := new(relay.Settings)
@@ -65,7 +67,7 @@
 
 func TestTemplate(t *testing.T) {
 	is := is.New(t)
-	s, err := load(t, nil)
+	s, err := loadRendered(t, nil)
 	is.NoErr(err)
 	is.Equal(fmt.Sprint(s.Relay.Seeds), "[10.1.0.40:8229 10.2.0.29:8229]")
 	is.Equal(s.Bounds.RevokeAfter.String(), "5s")
@@ -73,23 +75,23 @@
 	is.Equal(s.Bounds.UnusedMemory.String(), "7s")
 }
 
-func TestTemplateWithoutABoundOfUnusedMemory(t *testing.T) {
+func TestTemplateWithoutUnusedMemoryBound(t *testing.T) {
 	is := is.New(t)
-	s, err := load(t, map[string]string{"bounds.idleMaxMs": ""})
+	s, err := loadRendered(t, map[string]string{"bounds.idleMaxMs": ""})
 	is.NoErr(err)
 	is.Equal(s.Bounds.UnusedMemory.String(), "9s")
 }
 
-func TestTemplateWithoutProofs(t *testing.T) {
+func TestTemplateWithoutStrictRevoke(t *testing.T) {
 	is := is.New(t)
-	s, err := load(t, map[string]string{"bounds.strictRevoke": "false", "seeds": ""})
+	s, err := loadRendered(t, map[string]string{"bounds.strictRevoke": "false", "seeds": ""})
 	is.NoErr(err)
 	is.Equal(s.Bounds.RevokeAfter.String(), "0s")
 }
 
-func TestTemplateNamesTheMistake(t *testing.T) {
+func TestTemplateErrorNamesTheSetting(t *testing.T) {
 	is := is.New(t)
-	_, err := load(t, map[string]string{"listen.front": "nowhere"})
+	_, err := loadRendered(t, map[string]string{"listen.front": "nowhere"})
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "[relay] listen"))
 }
