--- a/ctl/status.go
+++ b/ctl/status.go
@@ -92,15 +92,15 @@
 			f.Gateways = append(f.Gateways, gatewayStatus{Address: v.Address, Error: v.Err.Error()})
 			continue
 		}
-		f.Gateways = append(f.Gateways, f.gatewayStatus(v))
+		f.Gateways = append(f.Gateways, f.newGatewayStatus(v))
 	}
 	for _, name := range slices.Sorted(maps.Keys(reports)) {
-		f.Endpoints = append(f.Endpoints, f.endpointStatus(reports[name]))
+		f.Endpoints = append(f.Endpoints, f.newEndpointStatus(reports[name]))
 	}
 	return f, unanswered
 }
 
-func (f *fleetStatus) gatewayStatus(v gatewayView) gatewayStatus {
+func (f *fleetStatus) newGatewayStatus(v gatewayView) gatewayStatus {
 	s := v.Status
 	g := gatewayStatus{
 		Address: v.Address, Name: s.Gateway, DataCentre: s.DataCentre, Generation: s.Generation,
@@ -116,7 +116,7 @@
 	return g
 }
 
-func (f *fleetStatus) endpointStatus(e *rudderv1.EndpointStatus) endpointStatus {
+func (f *fleetStatus) newEndpointStatus(e *rudderv1.EndpointStatus) endpointStatus {
 	r := e.GetReport()
 	s := endpointStatus{
 		Name: r.Endpoint, DataCentre: r.DataCentre, Generation: r.Generation, Behind: f.Generation - r.Generation,
