--- a/availability/leaves_test.go
+++ b/availability/leaves_test.go
@@ -12,9 +12,9 @@
 
 var now = time.Unix(1000, 0)
 
-// TestLeaveIsTakenBackByALaterLifeOnly checks that an endpoint counts as draining until it has restarted,
+// TestDrainEndsOnlyWithRestart checks that an endpoint counts as draining until it has restarted,
 // and that a repeated statement from another source changes nothing.
-func TestLeaveIsTakenBackByALaterLifeOnly(t *testing.T) {
+func TestDrainEndsOnlyWithRestart(t *testing.T) {
 	cases := []struct {
 		name              string
 		reported, queried int64 // incarnations
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestLeavesAreTold checks that a new entry is in every message for shareFor, and that one which the
+// TestDrainUpdates checks that a new entry is in every message for shareFor, and that one which the
 // store's list lacks is repeated at intervals for as long as it exists.
-func TestLeavesAreTold(t *testing.T) {
+func TestDrainUpdates(t *testing.T) {
 	is := is.New(t)
 	l := NewDrainTable()
 	l.Add(catalog.Endpoint{ID: "a", Born: 3}, FromResponse, now)
@@ -58,9 +58,9 @@
 	is.Equal(len(l.Updates(true, now.Add(2*time.Hour))), 0)
 }
 
-// TestLeavesAreBounded checks that entries of unknown endpoints expire and are limited in number, and that
+// TestDrainTableIsBounded checks that entries of unknown endpoints expire and are limited in number, and that
 // those of known endpoints stay.
-func TestLeavesAreBounded(t *testing.T) {
+func TestDrainTableIsBounded(t *testing.T) {
 	is := is.New(t)
 	l := NewDrainTable()
 	for n := range 2 * maxUnknown {
@@ -74,9 +74,9 @@
 	is.Equal(len(l.entries), 1)
 }
 
-// TestLeaveOfAnotherLifeIsNotTold checks that an entry is not sent while an outdated copy of the store's
+// TestDrainOfOtherIncarnationIsNotSent checks that an entry is not sent while an outdated copy of the store's
 // list names another incarnation, and that it applies again once the list names its own.
-func TestLeaveOfAnotherLifeIsNotTold(t *testing.T) {
+func TestDrainOfOtherIncarnationIsNotSent(t *testing.T) {
 	is := is.New(t)
 	l := NewDrainTable()
 	e := catalog.Endpoint{ID: "e", Born: 2}
--- a/availability/rests.go
+++ b/availability/rests.go
@@ -11,10 +11,10 @@
 // show the restart.
 const restartListingLag = 1500 * time.Millisecond
 
-// BackoffTable tracks the backoffs that endpoints have requested from this gateway. After a backoff an endpoint
-// goes through slow start: it gets one request, and more as these are answered, so that the requests
-// queued meanwhile do not reach it all at once. A backoff does not apply to other gateways and says
-// nothing about the endpoint's health. Rests is not safe for concurrent use.
+// BackoffTable tracks the backoffs that endpoints have requested from this gateway. After a backoff an
+// endpoint goes through slow start: it gets one request, and more as these are answered, so that the
+// requests queued meanwhile do not reach it all at once. A backoff does not apply to other gateways and
+// says nothing about the endpoint's health. BackoffTable is not safe for concurrent use.
 type BackoffTable struct {
 	entries map[string]*backoff
 }
@@ -40,13 +40,13 @@
 func NewBackoffTable() *BackoffTable { return &BackoffTable{entries: make(map[string]*backoff)} }
 
 // Request records that an endpoint requested a backoff of d from now on. Of overlapping backoffs the one that
-// ends last applies, because responses can overtake each other. Ask reports whether the end of the
+// ends last applies, because responses can overtake each other. Request reports whether the end of the
 // backoff has changed.
-func (r *BackoffTable) Request(endpoint string, d time.Duration, now time.Time) bool {
-	e := r.entries[endpoint]
+func (t *BackoffTable) Request(endpoint string, d time.Duration, now time.Time) bool {
+	e := t.entries[endpoint]
 	if e == nil {
 		e = &backoff{}
-		r.entries[endpoint] = e
+		t.entries[endpoint] = e
 	}
 	e.requestedAt = now
 	until := now.Add(d)
@@ -60,36 +60,36 @@
 }
 
 // Active reports whether any endpoint is in a backoff or in slow start.
-func (r *BackoffTable) Active() bool { return len(r.entries) > 0 }
+func (t *BackoffTable) Active() bool { return len(t.entries) > 0 }
 
 // InBackoff reports whether an endpoint is in a backoff.
-func (r *BackoffTable) InBackoff(endpoint string, now time.Time) bool {
-	e := r.entries[endpoint]
+func (t *BackoffTable) InBackoff(endpoint string, now time.Time) bool {
+	e := t.entries[endpoint]
 	return e != nil && now.Before(e.until)
 }
 
 // MaySend reports whether one more request may be sent to an endpoint now.
-func (r *BackoffTable) MaySend(endpoint string, now time.Time) bool {
-	e := r.entries[endpoint]
+func (t *BackoffTable) MaySend(endpoint string, now time.Time) bool {
+	e := t.entries[endpoint]
 	return e == nil || !now.Before(e.until) && e.inFlight < e.window
 }
 
 // NextSend returns when one more request may be sent to an endpoint. It returns now if the endpoint is not
 // in a backoff, also where slow start has to wait for responses.
-func (r *BackoffTable) NextSend(endpoint string, now time.Time) time.Time {
-	if e := r.entries[endpoint]; e != nil && now.Before(e.until) {
+func (t *BackoffTable) NextSend(endpoint string, now time.Time) time.Time {
+	if e := t.entries[endpoint]; e != nil && now.Before(e.until) {
 		return e.until
 	}
 	return now
 }
 
 // Begin registers a request that is about to be sent to an endpoint; ok is false if it must not be sent.
-func (r *BackoffTable) Begin(endpoint string, now time.Time) (s SentRequest, ok bool) {
-	if !r.MaySend(endpoint, now) {
+func (t *BackoffTable) Begin(endpoint string, now time.Time) (s SentRequest, ok bool) {
+	if !t.MaySend(endpoint, now) {
 		return s, false
 	}
 	s.endpoint = endpoint
-	if e := r.entries[endpoint]; e != nil {
+	if e := t.entries[endpoint]; e != nil {
 		e.inFlight++
 		s.epoch = e.epoch
 	}
@@ -98,8 +98,8 @@
 
 // End records that a request was answered, or will not be. It reports whether this ended the endpoint's slow
 // start.
-func (r *BackoffTable) End(s SentRequest, answered bool) bool {
-	e := r.entries[s.endpoint]
+func (t *BackoffTable) End(s SentRequest, answered bool) bool {
+	e := t.entries[s.endpoint]
 	if e == nil || s.epoch != e.epoch {
 		return false
 	}
@@ -110,26 +110,26 @@
 	if e.window <= slowStartLimit {
 		return false
 	}
-	delete(r.entries, s.endpoint)
+	delete(t.entries, s.endpoint)
 	return true
 }
 
 // Restarted records that an endpoint was seen to have restarted, which ends a backoff that its previous
 // incarnation requested. listed is when that incarnation was listed last. A backoff requested later than
 // restartListingLag before that time stays, as it may have been requested by the new incarnation.
-func (r *BackoffTable) Restarted(endpoint string, listed time.Time) {
-	if e := r.entries[endpoint]; e != nil && e.requestedAt.Before(listed.Add(-restartListingLag)) {
-		delete(r.entries, endpoint)
+func (t *BackoffTable) Restarted(endpoint string, listed time.Time) {
+	if e := t.entries[endpoint]; e != nil && e.requestedAt.Before(listed.Add(-restartListingLag)) {
+		delete(t.entries, endpoint)
 	}
 }
 
 // Forget drops the state of an endpoint that is gone.
-func (r *BackoffTable) Forget(endpoint string) { delete(r.entries, endpoint) }
+func (t *BackoffTable) Forget(endpoint string) { delete(t.entries, endpoint) }
 
 // Suspended shortens all backoffs by the time for which the host was suspended, which its clock
 // does not count.
-func (r *BackoffTable) Suspended(d time.Duration) {
-	for _, e := range r.entries {
+func (t *BackoffTable) Suspended(d time.Duration) {
+	for _, e := range t.entries {
 		e.until = e.until.Add(-d)
 	}
 }
--- a/availability/rests_test.go
+++ b/availability/rests_test.go
@@ -9,8 +9,8 @@
 
 func after(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 
-// TestWhichRestHolds checks that of several requested backoffs the one that ends last applies.
-func TestWhichRestHolds(t *testing.T) {
+// TestLongestBackoffApplies checks that of several requested backoffs the one that ends last applies.
+func TestLongestBackoffApplies(t *testing.T) {
 	type request struct {
 		atMs, restMs int
 		changes      bool
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestRestedEndpointGetsOneAndThenMore checks that slow start lets one request through after a backoff and
+// TestSlowStartAfterBackoff checks that slow start lets one request through after a backoff and
 // widens the window with each one that is answered, so that queued requests do not arrive all at once.
-func TestRestedEndpointGetsOneAndThenMore(t *testing.T) {
+func TestSlowStartAfterBackoff(t *testing.T) {
 	is := is.New(t)
 	r := NewBackoffTable()
 	r.Request("e", time.Second, now)
@@ -81,9 +81,9 @@
 	is.True(!r.Active())
 }
 
-// TestAnswersOfBeforeARest checks that responses to requests sent before an endpoint asked for a backoff do
+// TestResponsesFromBeforeBackoff checks that responses to requests sent before an endpoint asked for a backoff do
 // not widen the window after it.
-func TestAnswersOfBeforeARest(t *testing.T) {
+func TestResponsesFromBeforeBackoff(t *testing.T) {
 	is := is.New(t)
 	r := NewBackoffTable()
 	early, ok := r.Begin("e", now)
@@ -100,8 +100,8 @@
 	is.True(!ok)
 }
 
-// TestRestWhileTheHostIsSuspended checks that time for which the host was suspended counts towards a backoff.
-func TestRestWhileTheHostIsSuspended(t *testing.T) {
+// TestBackoffDuringSuspension checks that time for which the host was suspended counts towards a backoff.
+func TestBackoffDuringSuspension(t *testing.T) {
 	is := is.New(t)
 	r := NewBackoffTable()
 	r.Request("e", 3*time.Second, now)
@@ -112,8 +112,8 @@
 	is.True(!r.Active())
 }
 
-// TestLine checks that the queue is ordered by urgency and then by arrival.
-func TestLine(t *testing.T) {
+// TestWaitQueue checks that the queue is ordered by urgency and then by arrival.
+func TestWaitQueue(t *testing.T) {
 	is := is.New(t)
 	var l WaitQueue
 	is.True(l.IsFirst(nil))
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -9,7 +9,7 @@
 
 var start = time.Unix(1000, 0)
 
-func TestBookSumsGateways(t *testing.T) {
+func TestLoadTrackerSumsGateways(t *testing.T) {
 	is := is.New(t)
 	b := NewLoadTracker()
 	b.Add("e", Load{PrefillMs: 100, Short: 1, MemoryTokens: 10})
@@ -18,7 +18,7 @@
 	is.Equal(b.LivePeers(start), 1)
 }
 
-func TestBookDropsSilentPeers(t *testing.T) {
+func TestLoadTrackerDropsSilentPeers(t *testing.T) {
 	is := is.New(t)
 	b := NewLoadTracker()
 	b.SetPeerLoad("p", "", map[string]Load{"e": {Short: 3}}, start)
@@ -27,7 +27,7 @@
 	is.Equal(b.LivePeers(later), 0)
 }
 
-func TestBookPrefill(t *testing.T) {
+func TestLoadTrackerPrefill(t *testing.T) {
 	is := is.New(t)
 	b := NewLoadTracker()
 	one, two := Load{PrefillMs: 0.1, Long: 1, Parts: 1, MemoryTokens: 7}, Load{PrefillMs: 0.2, Short: 1}
@@ -43,9 +43,9 @@
 	is.Equal(len(b.Local()), 0)
 }
 
-// TestBookTellsChanges: a peer that has a gateway's earlier full load and applies its
+// TestLoadTrackerLocalChanges: a peer that has a gateway's earlier full load and applies its
 // changes obtains its current load.
-func TestBookTellsChanges(t *testing.T) {
+func TestLoadTrackerLocalChanges(t *testing.T) {
 	is := is.New(t)
 	a, b := NewLoadTracker(), NewLoadTracker()
 	kept, ended := Load{Short: 1, PrefillMs: 20, MemoryTokens: 5, AwaitingFirstEvent: 1}, Load{Long: 1, Parts: 1, MemoryTokens: 9}
@@ -68,9 +68,9 @@
 	is.Equal(len(a.LocalChanges()), 0)
 }
 
-// TestBookDropsStaleLoadOfReturningPeer: changes of a peer that was silent for longer
+// TestLoadTrackerDropsStaleLoadOfReturningPeer: changes of a peer that was silent for longer
 // than peerTTL do not restore its earlier load.
-func TestBookDropsStaleLoadOfReturningPeer(t *testing.T) {
+func TestLoadTrackerDropsStaleLoadOfReturningPeer(t *testing.T) {
 	is := is.New(t)
 	b := NewLoadTracker()
 	b.SetPeerLoad("a", "", map[string]Load{"e": {Short: 3}}, start)
--- a/balance/book.go
+++ b/balance/book.go
@@ -70,127 +70,127 @@
 // Digest is the load of the endpoints that another cell offers to other cells.
 type Digest struct {
 	CreatedAt time.Time
-	Loads     map[string]Load // without the load of this gateway's own cell
+	Loads     map[string]Load // without the load of this gateway's cell
 }
 
-// LoadTracker tracks load by endpoint. The prefill time of a prompt counts in full until Read
-// is called: reducing it at the estimated rate would admit more prompts than busy
-// engines can prefill. Book is not safe for concurrent use.
+// LoadTracker tracks load by endpoint. The prefill time of a prompt counts in full
+// until PrefillDone is called: reducing it at the estimated rate would admit more
+// prompts than busy engines can prefill. LoadTracker is not safe for concurrent use.
 type LoadTracker struct {
 	local   map[string]*localLoad
 	peers   map[string]peerLoad
 	digests map[string]Digest // by cell
 	// changed holds the endpoints whose local load has changed since the last call of
-	// Own.
+	// Local.
 	changed map[string]struct{}
 }
 
-// NewLoadTracker returns an empty book.
+// NewLoadTracker returns an empty tracker.
 func NewLoadTracker() *LoadTracker {
 	return &LoadTracker{local: make(map[string]*localLoad), peers: make(map[string]peerLoad), digests: make(map[string]Digest), changed: make(map[string]struct{})}
 }
 
 // Add adds the load of one request to an endpoint.
-func (b *LoadTracker) Add(endpoint string, l Load) {
-	a := b.local[endpoint]
-	if a == nil {
-		a = new(localLoad)
-		b.local[endpoint] = a
+func (t *LoadTracker) Add(endpoint string, l Load) {
+	local := t.local[endpoint]
+	if local == nil {
+		local = new(localLoad)
+		t.local[endpoint] = local
 	}
-	b.changed[endpoint] = struct{}{}
-	a.load = a.load.plus(l)
-	a.requests++
-	a.awaitingFirst++
+	t.changed[endpoint] = struct{}{}
+	local.load = local.load.plus(l)
+	local.requests++
+	local.awaitingFirst++
 }
 
 // PrefillDone removes the prefill part of a load that was added, once the prompt has been
 // prefilled.
-func (b *LoadTracker) PrefillDone(endpoint string, l Load) {
-	a := b.local[endpoint]
-	if a == nil {
+func (t *LoadTracker) PrefillDone(endpoint string, l Load) {
+	local := t.local[endpoint]
+	if local == nil {
 		return
 	}
-	b.changed[endpoint] = struct{}{}
-	a.load = a.load.minus(l.prefillOnly())
-	a.awaitingFirst--
-	if a.awaitingFirst == 0 {
-		a.load.PrefillMs = 0 // clear the rounding error
+	t.changed[endpoint] = struct{}{}
+	local.load = local.load.minus(l.prefillOnly())
+	local.awaitingFirst--
+	if local.awaitingFirst == 0 {
+		local.load.PrefillMs = 0 // clear the rounding error
 	}
 }
 
-// Remove removes the rest of a load that was added and for which Read was called.
-func (b *LoadTracker) Remove(endpoint string, l Load) {
-	a := b.local[endpoint]
-	if a == nil {
+// Remove removes the rest of a load that was added and for which PrefillDone was called.
+func (t *LoadTracker) Remove(endpoint string, l Load) {
+	local := t.local[endpoint]
+	if local == nil {
 		return
 	}
-	b.changed[endpoint] = struct{}{}
-	a.load = a.load.minus(l).plus(l.prefillOnly())
-	a.requests--
-	if a.requests == 0 {
-		delete(b.local, endpoint)
+	t.changed[endpoint] = struct{}{}
+	local.load = local.load.minus(l).plus(l.prefillOnly())
+	local.requests--
+	if local.requests == 0 {
+		delete(t.local, endpoint)
 	}
 }
 
 // Local returns this gateway's full load by endpoint, for reporting to peers.
-func (b *LoadTracker) Local() map[string]Load {
-	clear(b.changed)
-	out := make(map[string]Load, len(b.local))
-	for id, a := range b.local {
-		out[id] = a.load
+func (t *LoadTracker) Local() map[string]Load {
+	clear(t.changed)
+	out := make(map[string]Load, len(t.local))
+	for id, local := range t.local {
+		out[id] = local.load
 	}
 	return out
 }
 
-// LocalChanges returns this gateway's load at the endpoints where it has changed since the
-// last call of Own. It is zero at endpoints without remaining load.
-func (b *LoadTracker) LocalChanges() map[string]Load {
-	out := make(map[string]Load, len(b.changed))
-	for id := range b.changed {
-		out[id] = b.localLoadAt(id)
+// LocalChanges returns this gateway's load at the endpoints where it has changed since
+// the last call of Local. It is zero at endpoints without remaining load.
+func (t *LoadTracker) LocalChanges() map[string]Load {
+	out := make(map[string]Load, len(t.changed))
+	for id := range t.changed {
+		out[id] = t.localLoadAt(id)
 	}
 	return out
 }
 
-func (b *LoadTracker) localLoadAt(endpoint string) Load {
-	if a := b.local[endpoint]; a != nil {
-		return a.load
+func (t *LoadTracker) localLoadAt(endpoint string) Load {
+	if local := t.local[endpoint]; local != nil {
+		return local.load
 	}
 	return Load{}
 }
 
 // SetPeerLoad records the full load of a peer in the given data centre.
-func (b *LoadTracker) SetPeerLoad(name, dataCentre string, loads map[string]Load, now time.Time) {
-	b.peers[name] = peerLoad{receivedAt: now, dataCentre: dataCentre, loads: loads}
+func (t *LoadTracker) SetPeerLoad(name, dataCentre string, loads map[string]Load, now time.Time) {
+	t.peers[name] = peerLoad{receivedAt: now, dataCentre: dataCentre, loads: loads}
 }
 
 // UpdatePeerLoad records a peer's load at the endpoints where it has changed. A lost
 // update is corrected by the peer's next full report.
-func (b *LoadTracker) UpdatePeerLoad(name, dataCentre string, loads map[string]Load, now time.Time) {
-	p := b.peers[name]
+func (t *LoadTracker) UpdatePeerLoad(name, dataCentre string, loads map[string]Load, now time.Time) {
+	p := t.peers[name]
 	if p.loads == nil || now.Sub(p.receivedAt) > peerTTL {
 		p.loads = make(map[string]Load, len(loads))
 	}
 	p.receivedAt, p.dataCentre = now, dataCentre
 	maps.Copy(p.loads, loads)
-	b.peers[name] = p
+	t.peers[name] = p
 }
 
 // LivePeers returns the number of peers that have reported within peerTTL.
-func (b *LoadTracker) LivePeers(now time.Time) int {
-	for name, p := range b.peers {
+func (t *LoadTracker) LivePeers(now time.Time) int {
+	for name, p := range t.peers {
 		if now.Sub(p.receivedAt) > peerTTL {
-			delete(b.peers, name)
+			delete(t.peers, name)
 		}
 	}
-	return len(b.peers)
+	return len(t.peers)
 }
 
 // Load returns the load of an endpoint: that of this gateway, of peers with a valid
 // report, and of other cells according to their valid digests.
-func (b *LoadTracker) Load(endpoint string, now time.Time) Load {
-	sum := b.LoadExcluding(endpoint, nil, now)
-	for _, d := range b.digests {
+func (t *LoadTracker) Load(endpoint string, now time.Time) Load {
+	sum := t.LoadExcluding(endpoint, nil, now)
+	for _, d := range t.digests {
 		if now.Sub(d.CreatedAt) <= digestTTL {
 			sum = sum.plus(d.Loads[endpoint])
 		}
@@ -201,9 +201,9 @@
 // LoadExcluding returns the load that this gateway and its peers have at an endpoint,
 // without peers in data centres for which excluded returns true. A nil excluded
 // excludes none.
-func (b *LoadTracker) LoadExcluding(endpoint string, excluded func(dataCentre string) bool, now time.Time) Load {
-	sum := b.localLoadAt(endpoint)
-	for _, p := range b.peers {
+func (t *LoadTracker) LoadExcluding(endpoint string, excluded func(dataCentre string) bool, now time.Time) Load {
+	sum := t.localLoadAt(endpoint)
+	for _, p := range t.peers {
 		if now.Sub(p.receivedAt) <= peerTTL && (excluded == nil || !excluded(p.dataCentre)) {
 			sum = sum.plus(p.loads[endpoint])
 		}
@@ -212,18 +212,18 @@
 }
 
 // StoreDigest stores the digest of another cell unless a newer one is stored.
-func (b *LoadTracker) StoreDigest(cell string, d Digest) {
-	if d.CreatedAt.After(b.digests[cell].CreatedAt) {
-		b.digests[cell] = d
+func (t *LoadTracker) StoreDigest(cell string, d Digest) {
+	if d.CreatedAt.After(t.digests[cell].CreatedAt) {
+		t.digests[cell] = d
 	}
 }
 
 // Digests returns the valid digests by cell.
-func (b *LoadTracker) Digests(now time.Time) map[string]Digest {
-	for cell, d := range b.digests {
+func (t *LoadTracker) Digests(now time.Time) map[string]Digest {
+	for cell, d := range t.digests {
 		if now.Sub(d.CreatedAt) > digestTTL {
-			delete(b.digests, cell)
+			delete(t.digests, cell)
 		}
 	}
-	return b.digests
+	return t.digests
 }
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -17,14 +17,16 @@
 	// WaitedShare is the share of the time to wait that has passed, from 0 to 1.
 	WaitedShare float64
 	// Gaps holds the gaps between two events that the routes to the service allow,
-	// and Pause the one that the request's own route allows.
+	// and MaxGap the one that the request's own route allows.
 	Gaps   catalog.Gaps
 	MaxGap time.Duration
-	// ObjectiveLeftMs is the time left until the objective, DeadlineMs until the deadline.
+	// ObjectiveLeftMs is the time left until the objective, DeadlineLeftMs until the
+	// deadline.
 	ObjectiveLeftMs float64
 	DeadlineLeftMs  float64
-	// Late is set for a prompt that is treated as late regardless of LeftMs: it has used
-	// up much of the time that its caller will wait, or its process is shutting down.
+	// Late is set for a prompt that is treated as late regardless of ObjectiveLeftMs:
+	// it has used up much of the time that its caller will wait, or its process is
+	// shutting down.
 	Late bool
 	// NoRefusal is set for a request that must not be refused, because its caller should
 	// not retry later.
@@ -41,7 +43,7 @@
 	ID   string
 	Load Load
 	// Rank orders the candidates identically on all gateways: short requests take the
-	// first ones, long prompts the last ones. OwnRank is an order specific to this
+	// first ones, long prompts the last ones. LocalRank is an order specific to this
 	// gateway.
 	Rank      uint64
 	LocalRank uint64
@@ -50,8 +52,8 @@
 	// Remote is set for an endpoint of another cell, whose load is less well known. A
 	// part of a prompt is placed there only if it causes no interference.
 	Remote bool
-	// Shared is set for an endpoint that another cell may use too. Its own cell prefers
-	// other endpoints.
+	// Shared is set for an endpoint that another cell may use too. The cell that it
+	// belongs to prefers other endpoints.
 	Shared bool
 	// Suspect is set for an endpoint that failed recently. It is selected only if there
 	// is no other.
@@ -69,7 +71,7 @@
 	Endpoint int   // index of the candidate; -1: none
 	Helpers  []int // candidates that prefill parts of the prompt
 	// Reservations is the memory to reserve on helpers before the request is sent, if the
-	// endpoint lacks memory for the whole prompt.
+	// endpoint lacks memory for the complete prompt.
 	Reservations []Reservation
 	// Refuse is set if all slots are in use and the request would be late. Its caller
 	// should retry when others have finished.
@@ -81,7 +83,7 @@
 	Suboptimal bool
 	// Loads is the load that the request adds, by candidate.
 	Loads []LoadShare
-	// Estimate is the estimate that the choice is based on. It is also set with Wait
+	// Expected is the estimate that the choice is based on. It is also set with Wait
 	// and Refuse.
 	Expected Estimate
 }
@@ -126,27 +128,28 @@
 }
 
 // Choose selects endpoints of a service for a request from the candidates.
-func (p Policy) Choose(s *catalog.Service, w Request, all []Candidate) Choice {
-	usable := usable(w, all)
+func (p Policy) Choose(s *catalog.Service, req Request, all []Candidate) Choice {
+	usable := usable(req, all)
 	if len(usable) == 0 {
 		return Choice{Endpoint: -1}
 	}
 	if s.Engine == nil {
 		return p.leastRequests(all, usable)
 	}
-	prefill := prefillMs(s.Engine, w.InputTokens)
+	prefill := prefillMs(s.Engine, req.InputTokens)
 	if prefill <= p.ShortPrefillMs {
-		return p.placeShort(s.Engine, w, prefill, all, usable)
+		return p.placeShort(s.Engine, req, prefill, all, usable)
 	}
-	return p.placeLong(s.Engine, w, prefill, all, usable)
+	return p.placeLong(s.Engine, req, prefill, all, usable)
 }
 
-// TryOtherCells reports whether another cell may offer a better placement than the choice,
-// which was made in the request's own cell.
+// TryOtherCells reports whether another cell may offer a better placement than the
+// choice, which was made in the request's cell.
 func (c Choice) TryOtherCells() bool { return c.Wait || c.Refuse || c.Suboptimal || c.Endpoint < 0 }
 
-// HasSpareCapacity reports whether an endpoint with the given load can be offered to other cells:
-// it has no prefill work that a part of a prompt would delay, and has free slots.
+// HasSpareCapacity reports whether an endpoint with the given load can be offered to
+// other cells: it has no prefill work that a part of a prompt would delay, and has free
+// slots.
 func (p Policy) HasSpareCapacity(e *catalog.Engine, slots int, l Load) bool {
 	if e != nil {
 		slots = e.Slots
@@ -156,26 +159,26 @@
 
 // MustQueue reports whether a request has to wait for its turn to select endpoints, as
 // long prompts do.
-func (p Policy) MustQueue(s *catalog.Service, w Request) bool {
-	return s.Engine != nil && prefillMs(s.Engine, w.InputTokens) > p.ShortPrefillMs
+func (p Policy) MustQueue(s *catalog.Service, req Request) bool {
+	return s.Engine != nil && prefillMs(s.Engine, req.InputTokens) > p.ShortPrefillMs
 }
 
 // ExceedsMemory reports whether a prompt exceeds the memory of one endpoint.
-func (p Policy) ExceedsMemory(s *catalog.Service, w Request) bool {
-	return s.Engine != nil && p.exceedsMemory(s.Engine, w)
+func (p Policy) ExceedsMemory(s *catalog.Service, req Request) bool {
+	return s.Engine != nil && p.exceedsMemory(s.Engine, req)
 }
 
-func (p Policy) exceedsMemory(e *catalog.Engine, w Request) bool {
-	return w.InputTokens+w.OutputTokens > int(longMemoryShare*float64(e.MemoryTokens))
+func (p Policy) exceedsMemory(e *catalog.Engine, req Request) bool {
+	return req.InputTokens+req.OutputTokens > int(longMemoryShare*float64(e.MemoryTokens))
 }
 
-// usable returns the indexes of the candidates to select from: those not in w.Avoid,
-// and suspect ones only if there are no others.
-func usable(w Request, all []Candidate) []int {
+// usable returns the indexes of the candidates to select from: those not in
+// req.Excluded, and suspect ones only if there are no others.
+func usable(req Request, all []Candidate) []int {
 	var healthy, suspect []int
 	for i := range all {
 		switch {
-		case slices.Contains(w.Excluded, all[i].ID):
+		case slices.Contains(req.Excluded, all[i].ID):
 		case all[i].Suspect:
 			suspect = append(suspect, i)
 		default:
--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -30,8 +30,8 @@
 	return out
 }
 
-func choose(s *catalog.Service, w Request, all []Candidate) Choice {
-	return Default().Choose(s, w, all)
+func choose(s *catalog.Service, req Request, all []Candidate) Choice {
+	return Default().Choose(s, req, all)
 }
 
 var (
@@ -71,10 +71,10 @@
 	is.Equal(choose(plain, Request{Excluded: []string{"1"}}, all).Endpoint, 0)
 }
 
-// TestShortsStayTogether: the short requests of all gateways use the first endpoints of
+// TestShortRequestsArePacked: the short requests of all gateways use the first endpoints of
 // the shared order, which leaves the last ones free for long prompts, and spread to the
 // next one before an endpoint is full.
-func TestShortsStayTogether(t *testing.T) {
+func TestShortRequestsArePacked(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(4)
 	for range 24 {
@@ -104,9 +104,9 @@
 	is.Equal(choose(model, short, all).Endpoint, 1)
 }
 
-// TestShortIsRefusedWhenAllSlotsAreTaken: a request is refused only while the requests
+// TestShortIsRefusedWhenAllSlotsAreInUse: a request is refused only while the requests
 // in flight use all slots, and only if it would be late and may be retried.
-func TestShortIsRefusedWhenAllSlotsAreTaken(t *testing.T) {
+func TestShortIsRefusedWhenAllSlotsAreInUse(t *testing.T) {
 	is := is.New(t)
 	busyCandidates := func(short int) []Candidate {
 		all := idleCandidates(3)
@@ -139,11 +139,11 @@
 	is.Equal(choose(model, short, all).Endpoint, 2)
 }
 
-// TestMiddleGeneratesBesideShorts: a prompt whose route does not allow the longest gaps
+// TestMediumPromptDecodesWithShortRequests: a prompt whose route does not allow the longest gaps
 // decodes on the first endpoint of the shared order where it causes no interference, so
 // that parts of longer prompts cause it no gaps. A gap-tolerant one avoids the
 // endpoints of short requests.
-func TestMiddleGeneratesBesideShorts(t *testing.T) {
+func TestMediumPromptDecodesWithShortRequests(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(6)
 	for i := range 2 {
@@ -199,10 +199,10 @@
 	is.Equal(len(c.Helpers), 0)
 }
 
-// TestLongAcceptsHarmByItsValue: a prompt that can be in time shares endpoints with a
+// TestLongMayInterfereUpToItsValue: a prompt that can be in time shares endpoints with a
 // few short requests at once, and with more of them after waiting, limited by its own
 // value. A late prompt shares with none.
-func TestLongAcceptsHarmByItsValue(t *testing.T) {
+func TestLongMayInterfereUpToItsValue(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(4)
 	long := long
@@ -253,9 +253,9 @@
 	}
 }
 
-// TestPatientOnesBearLongerParts: a part that is too long for the gap objective of one
+// TestLongPartsJoinGapTolerantRequests: a part that is too long for the gap objective of one
 // long request is placed with another one whose route allows longer gaps.
-func TestPatientOnesBearLongerParts(t *testing.T) {
+func TestLongPartsJoinGapTolerantRequests(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(2)
 	all[0].Load = Load{Long: 1, GapTolerant: 1, MemoryTokens: 50000}
@@ -297,10 +297,10 @@
 	is.Equal(choose(model, w, all).Endpoint, 1)
 }
 
-// TestHugeWeighsLikeOthers: a prompt that exceeds an endpoint's memory is placed on
+// TestOversizePromptMayInterfereUpToItsValue: a prompt that exceeds an endpoint's memory is placed on
 // endpoints without prefill work. It shares them with short requests up to its own
 // value, and with none when it is late.
-func TestHugeWeighsLikeOthers(t *testing.T) {
+func TestOversizePromptMayInterfereUpToItsValue(t *testing.T) {
 	is := is.New(t)
 	few, many, prefilling := idleCandidates(18), idleCandidates(18), idleCandidates(18)
 	for i := range few {
@@ -320,9 +320,9 @@
 	is.True(choose(model, w, few).Wait)
 }
 
-// TestNothingForACallerThatWouldBeGone: a prompt is not prefilled if its first event
+// TestNoPlacementAfterCallerGivesUp: a prompt is not prefilled if its first event
 // would come after its caller has given up.
-func TestNothingForACallerThatWouldBeGone(t *testing.T) {
+func TestNoPlacementAfterCallerGivesUp(t *testing.T) {
 	is := is.New(t)
 	w := oversize
 	w.DeadlineLeftMs = 3000
@@ -330,9 +330,9 @@
 	is.True(!choose(model, w, idleCandidates(18)).Wait)
 }
 
-// TestHugeLeavesRoom: a prompt that exceeds an endpoint's memory leaves some idle
+// TestOversizePromptLeavesIdleEndpoints: a prompt that exceeds an endpoint's memory leaves some idle
 // endpoints to other requests, but uses all of them if there are only a few.
-func TestHugeLeavesRoom(t *testing.T) {
+func TestOversizePromptLeavesIdleEndpoints(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(10)
 	c := choose(model, oversize, all)
@@ -371,7 +371,7 @@
 	}
 }
 
-func TestTakesTurns(t *testing.T) {
+func TestMustQueue(t *testing.T) {
 	is := is.New(t)
 	p := Default()
 	is.True(!p.MustQueue(plain, long))
@@ -382,9 +382,9 @@
 	is.True(!p.ExceedsMemory(plain, oversize))
 }
 
-// TestHugeFitsTogether: the memory of the decoding endpoint and the reservations on
+// TestOversizePromptMemory: the memory of the decoding endpoint and the reservations on
 // helpers hold the prompt, and no endpoint is given more than it has.
-func TestHugeFitsTogether(t *testing.T) {
+func TestOversizePromptMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := idleCandidates(18)
 		for i := range all {
--- a/balance/long.go
+++ b/balance/long.go
@@ -12,14 +12,14 @@
 // placeLong splits the prefill of a prompt over endpoints without prefill work. It
 // weighs the interference of a split against the delay of the prompt, and waits while
 // the best split causes more interference than the prompt may.
-func (p Policy) placeLong(e *catalog.Engine, w Request, prefill float64, all []Candidate, usable []int) Choice {
+func (p Policy) placeLong(e *catalog.Engine, req Request, prefill float64, all []Candidate, usable []int) Choice {
 	var best split
 	maxParts := min(1+p.MaxHelpers, len(usable))
-	if p.exceedsMemory(e, w) {
+	if p.exceedsMemory(e, req) {
 		maxParts = min(maxParts, p.maxOversizeParts(all, usable))
 	}
 	for parts := 1; parts <= maxParts; parts++ {
-		s, ok := p.bestSplit(e, w, prefill, parts, all, usable)
+		s, ok := p.bestSplit(e, req, prefill, parts, all, usable)
 		if s.queuedMs > p.MaxQueuedMs {
 			break // newer parts would delay the older ones
 		}
@@ -28,11 +28,11 @@
 		}
 	}
 	expected := Estimate{FirstMs: best.firstMs, Interference: best.interference, Parts: len(best.candidates), IdleEndpoints: p.countIdle(all, usable)}
-	if best.candidates == nil || p.shouldWait(w, best, p.minFirstMs(e, w, prefill, len(usable))) {
+	if best.candidates == nil || p.shouldWait(req, best, p.minFirstMs(e, req, prefill, len(usable))) {
 		return Choice{Endpoint: -1, Wait: true, Expected: expected}
 	}
-	c := p.assignParts(e, w, prefill, all, best.candidates)
-	c.Expected, c.Suboptimal = expected, best.firstMs > budgetShare*w.ObjectiveLeftMs || best.interference > p.BaseInterference
+	c := p.assignParts(e, req, prefill, all, best.candidates)
+	c.Expected, c.Suboptimal = expected, best.firstMs > budgetShare*req.ObjectiveLeftMs || best.interference > p.BaseInterference
 	return c
 }
 
@@ -41,23 +41,23 @@
 // waits and is small once it is late. minFirst is the time to its first event if all
 // endpoints were idle: a prompt that cannot be in time even then does not wait for idle
 // endpoints.
-func (p Policy) shouldWait(w Request, best split, minFirst float64) bool {
+func (p Policy) shouldWait(req Request, best split, minFirst float64) bool {
 	switch {
-	case best.firstMs > w.DeadlineLeftMs:
+	case best.firstMs > req.DeadlineLeftMs:
 		return true // the caller would have given up
-	case best.firstMs <= w.ObjectiveLeftMs && !w.Late:
-		return best.interference > p.BaseInterference+w.value()*(p.ArrivalInterference+p.WaitedInterference*w.WaitedShare)
-	case w.Slack > 0 && !w.Late && minFirst <= w.ObjectiveLeftMs:
+	case best.firstMs <= req.ObjectiveLeftMs && !req.Late:
+		return best.interference > p.BaseInterference+req.value()*(p.ArrivalInterference+p.WaitedInterference*req.WaitedShare)
+	case req.Slack > 0 && !req.Late && minFirst <= req.ObjectiveLeftMs:
 		return true
 	default:
-		return best.interference > w.value()*p.LateInterference
+		return best.interference > req.value()*p.LateInterference
 	}
 }
 
 // minFirstMs returns the time to the first event of a prompt on the given number of
 // idle endpoints, in milliseconds.
-func (p Policy) minFirstMs(e *catalog.Engine, w Request, prefill float64, endpoints int) float64 {
-	return prefill/float64(min(1+p.MaxHelpers, endpoints)) + iterationsToFirst*iterationMs(e, 1, w.InputTokens)
+func (p Policy) minFirstMs(e *catalog.Engine, req Request, prefill float64, endpoints int) float64 {
+	return prefill/float64(min(1+p.MaxHelpers, endpoints)) + iterationsToFirst*iterationMs(e, 1, req.InputTokens)
 }
 
 // maxOversizeParts returns how many endpoints an oversize prompt may use, which occupies
@@ -109,11 +109,11 @@
 
 // bestSplit returns the split into the given number of parts that causes the least
 // interference. ok is false if the candidates lack memory for the prompt.
-func (p Policy) bestSplit(e *catalog.Engine, w Request, prefill float64, parts int, all []Candidate, usable []int) (s split, ok bool) {
+func (p Policy) bestSplit(e *catalog.Engine, req Request, prefill float64, parts int, all []Candidate, usable []int) (s split, ok bool) {
 	part := prefill / float64(parts)
 	estimates := make([]partEstimate, 0, len(usable))
 	for _, i := range usable {
-		estimate := p.estimatePart(e, w, i, all[i], part)
+		estimate := p.estimatePart(e, req, i, all[i], part)
 		if all[i].Remote && (estimate.interference > 0 || p.busy(all[i].Load) > 0) {
 			continue
 		}
@@ -127,28 +127,28 @@
 		return cmp.Or(cmp.Compare(p.busy(ca.Load), p.busy(cb.Load)), cmp.Compare(a.interference, b.interference), cmp.Compare(isRemote(ca), isRemote(cb)), cmp.Compare(isShared(ca), isShared(cb)),
 			cmp.Compare(int(a.finishMs/tieMs), int(b.finishMs/tieMs)), cmp.Compare(cb.Rank, ca.Rank))
 	})
-	if w.gapTolerant() == 0 {
-		p.decodeWithShort(e, w, all, estimates)
+	if req.gapTolerant() == 0 {
+		p.decodeWithShort(e, req, all, estimates)
 	}
 	free := 0
-	for _, o := range estimates[:parts] {
-		s.candidates = append(s.candidates, o.index)
-		s.interference += o.interference
-		s.firstMs = max(s.firstMs, o.finishMs)
-		s.queuedMs = max(s.queuedMs, all[o.index].Load.PrefillMs)
-		free += freeTokens(e, all[o.index].Load)
+	for _, estimate := range estimates[:parts] {
+		s.candidates = append(s.candidates, estimate.index)
+		s.interference += estimate.interference
+		s.firstMs = max(s.firstMs, estimate.finishMs)
+		s.queuedMs = max(s.queuedMs, all[estimate.index].Load.PrefillMs)
+		free += freeTokens(e, all[estimate.index].Load)
 	}
-	s.firstMs += iterationsToFirst * iterationMs(e, 1, w.InputTokens)
+	s.firstMs += iterationsToFirst * iterationMs(e, 1, req.InputTokens)
 	s.cost = s.interference + p.partCost(part)*float64(parts)
-	if s.firstMs <= w.ObjectiveLeftMs {
-		s.cost += max(0, s.firstMs-budgetShare*w.ObjectiveLeftMs) / delayUnitMs
+	if s.firstMs <= req.ObjectiveLeftMs {
+		s.cost += max(0, s.firstMs-budgetShare*req.ObjectiveLeftMs) / delayUnitMs
 	} else {
-		s.cost += p.LateValueLoss*w.value() + s.firstMs/lateDelayUnitMs + max(0, s.firstMs-budgetShare*w.DeadlineLeftMs)/delayUnitMs
+		s.cost += p.LateValueLoss*req.value() + s.firstMs/lateDelayUnitMs + max(0, s.firstMs-budgetShare*req.DeadlineLeftMs)/delayUnitMs
 	}
-	if w.gapTolerant() == 1 || s.interference > 0 {
-		p.moveDecoderFirst(e, w, all, s.candidates)
+	if req.gapTolerant() == 1 || s.interference > 0 {
+		p.moveDecoderFirst(e, req, all, s.candidates)
 	}
-	return s, free >= w.InputTokens+w.OutputTokens
+	return s, free >= req.InputTokens+req.OutputTokens
 }
 
 // isRemote returns 1 for an endpoint of another cell, else 0.
@@ -184,7 +184,7 @@
 
 // estimatePart estimates how long a part takes on an endpoint, and the interference
 // that it causes there.
-func (p Policy) estimatePart(e *catalog.Engine, w Request, index int, c Candidate, part float64) partEstimate {
+func (p Policy) estimatePart(e *catalog.Engine, req Request, index int, c Candidate, part float64) partEstimate {
 	l := c.Load
 	decoding := l.Short + l.Long
 	prefill := (l.PrefillMs + part) * c.slowdown()
@@ -195,13 +195,13 @@
 	iteration := iterationMs(e, decoding, l.MemoryTokens) * c.slowdown()
 	s.finishMs += iteration * iterationsToFirst
 	longestIteration := prefill + iteration
-	if longestIteration > p.maxIterationMs(w.Gaps.Shortest) {
+	if longestIteration > p.maxIterationMs(req.Gaps.Shortest) {
 		s.interference += float64(l.Short)
 	}
-	if longestIteration > p.maxIterationMs(w.Gaps.Next) {
+	if longestIteration > p.maxIterationMs(req.Gaps.Next) {
 		s.interference += float64(l.Long-l.GapTolerant) * p.LongGapCost
 	}
-	if longestIteration > p.maxIterationMs(w.Gaps.Longest) {
+	if longestIteration > p.maxIterationMs(req.Gaps.Longest) {
 		s.interference += float64(l.GapTolerant) * p.TolerantGapCost
 	}
 	if l.Parts > 0 {
@@ -240,24 +240,24 @@
 
 // exceedsGap returns 1 for an endpoint so slow that every gap between the prompt's
 // events would be too long, else 0.
-func (p Policy) exceedsGap(e *catalog.Engine, w Request, c Candidate) int {
-	if iterationMs(e, 1+c.Load.Short+c.Load.Long, c.Load.MemoryTokens)*c.slowdown() > p.maxIterationMs(w.MaxGap) {
+func (p Policy) exceedsGap(e *catalog.Engine, req Request, c Candidate) int {
+	if iterationMs(e, 1+c.Load.Short+c.Load.Long, c.Load.MemoryTokens)*c.slowdown() > p.maxIterationMs(req.MaxGap) {
 		return 1
 	}
 	return 0
 }
 
 // moveDecoderFirst moves the endpoint that decodes to the front of chosen. Among
-// endpoints that are fast enough, not crowded and in the own cell, it prefers one with
-// memory for the whole prompt, or else the one with the most memory; of equal ones, the
-// one with the fewest requests.
-func (p Policy) moveDecoderFirst(e *catalog.Engine, w Request, all []Candidate, chosen []int) {
-	need := w.InputTokens + w.OutputTokens
+// endpoints that are fast enough, not crowded and in the local cell, it prefers one
+// with memory for the complete prompt, or else the one with the most memory; of equal
+// ones, the one with the fewest requests.
+func (p Policy) moveDecoderFirst(e *catalog.Engine, req Request, all []Candidate, chosen []int) {
+	need := req.InputTokens + req.OutputTokens
 	best := 0
 	for n := range chosen {
 		a, b := all[chosen[n]].Load, all[chosen[best]].Load
 		fa, fb := min(need, freeTokens(e, a)), min(need, freeTokens(e, b))
-		if cmp.Or(cmp.Compare(p.exceedsGap(e, w, all[chosen[n]]), p.exceedsGap(e, w, all[chosen[best]])), cmp.Compare(p.crowded(e, a), p.crowded(e, b)), cmp.Compare(isRemote(all[chosen[n]]), isRemote(all[chosen[best]])), cmp.Compare(fb, fa), cmp.Compare(a.Short+a.Long, b.Short+b.Long)) < 0 {
+		if cmp.Or(cmp.Compare(p.exceedsGap(e, req, all[chosen[n]]), p.exceedsGap(e, req, all[chosen[best]])), cmp.Compare(p.crowded(e, a), p.crowded(e, b)), cmp.Compare(isRemote(all[chosen[n]]), isRemote(all[chosen[best]])), cmp.Compare(fb, fa), cmp.Compare(a.Short+a.Long, b.Short+b.Long)) < 0 {
 			best = n
 		}
 	}
@@ -275,8 +275,8 @@
 
 // assignParts distributes the prefill of a prompt over the chosen candidates, the first
 // of which decodes, and fills their memory in order.
-func (p Policy) assignParts(e *catalog.Engine, w Request, prefill float64, all []Candidate, chosen []int) Choice {
-	need := w.InputTokens + w.OutputTokens
+func (p Policy) assignParts(e *catalog.Engine, req Request, prefill float64, all []Candidate, chosen []int) Choice {
+	need := req.InputTokens + req.OutputTokens
 	c := Choice{Endpoint: chosen[0], Helpers: chosen[1:]}
 	for n, i := range chosen {
 		tokens := min(need, freeTokens(e, all[i].Load))
@@ -284,11 +284,11 @@
 		l := Load{PrefillMs: prefill / float64(len(chosen)), MemoryTokens: tokens, Parts: 1}
 		if n == 0 {
 			l.Long = 1
-			l.GapTolerant = w.gapTolerant()
+			l.GapTolerant = req.gapTolerant()
 		} else if tokens > 0 {
 			c.Reservations = append(c.Reservations, Reservation{i, tokens})
 		}
-		c.Loads = append(c.Loads, LoadShare{Candidate: i, Load: l, PrefillFor: p.prefillFor(p.estimatePart(e, w, i, all[i], l.PrefillMs))})
+		c.Loads = append(c.Loads, LoadShare{Candidate: i, Load: l, PrefillFor: p.prefillFor(p.estimatePart(e, req, i, all[i], l.PrefillMs))})
 	}
 	return c
 }
@@ -297,14 +297,14 @@
 // suitable ones on which the prompt causes no interference, the first in the order of
 // short requests. This keeps requests with short gap objectives off the endpoints that
 // prefill longer prompts.
-func (p Policy) decodeWithShort(e *catalog.Engine, w Request, all []Candidate, estimates []partEstimate) {
+func (p Policy) decodeWithShort(e *catalog.Engine, req Request, all []Candidate, estimates []partEstimate) {
 	best := -1
-	for n, o := range estimates {
-		l := all[o.index].Load
-		if p.busy(l) > 0 || o.interference > 0 || p.crowded(e, l) > 0 || p.exceedsGap(e, w, all[o.index]) > 0 || all[o.index].Remote {
+	for n, estimate := range estimates {
+		l := all[estimate.index].Load
+		if p.busy(l) > 0 || estimate.interference > 0 || p.crowded(e, l) > 0 || p.exceedsGap(e, req, all[estimate.index]) > 0 || all[estimate.index].Remote {
 			continue
 		}
-		if best < 0 || all[o.index].Rank < all[estimates[best].index].Rank {
+		if best < 0 || all[estimate.index].Rank < all[estimates[best].index].Rank {
 			best = n
 		}
 	}
--- a/balance/model.go
+++ b/balance/model.go
@@ -1,6 +1,6 @@
 // Package balance selects the endpoint that serves a request and the helper endpoints
 // that prefill parts of its prompt. The selection is a pure function of endpoint load
-// and time. Book tracks the load that it is based on: this gateway's requests in
+// and time. LoadTracker tracks the load that it is based on: this gateway's requests in
 // flight, and the load that its peers last reported.
 package balance
 
--- a/balance/policy.go
+++ b/balance/policy.go
@@ -2,7 +2,7 @@
 
 // Policy holds the parameters of endpoint selection. Times are in milliseconds.
 // Interference is the cost that a placement causes other requests, in late short
-// requests; a prompt's value has the same unit, see Work.value.
+// requests; a prompt's value has the same unit, see Request.value.
 type Policy struct {
 	ShortPrefillMs float64 // a prompt that takes no longer to prefill is short
 	MaxHelpers     int     // maximum number of helpers of one request
--- a/balance/short.go
+++ b/balance/short.go
@@ -17,9 +17,9 @@
 // The order does not depend on where long requests are decoding, because that changes
 // constantly: with such an order 30 short requests were spread over 8 to 11 of 17
 // endpoints, and each part of a long prompt caused a gap for some of them.
-func (p Policy) placeShort(e *catalog.Engine, w Request, prefill float64, all []Candidate, usable []int) Choice {
+func (p Policy) placeShort(e *catalog.Engine, req Request, prefill float64, all []Candidate, usable []int) Choice {
 	slices.SortFunc(usable, func(a, b int) int { return cmp.Compare(all[a].Rank, all[b].Rank) })
-	tokens := w.InputTokens + w.OutputTokens
+	tokens := req.InputTokens + req.OutputTokens
 	packed := p.packedEndpoints(e, all, usable)
 	best, earliest := -1, -1
 	late := false
@@ -28,11 +28,11 @@
 		if n >= packed && best >= 0 {
 			break
 		}
-		first := p.firstEventMs(e, w, all[i], tokens) + prefill*all[i].slowdown()
+		first := p.firstEventMs(e, req, all[i], tokens) + prefill*all[i].slowdown()
 		if earliest < 0 || first < earliestFirst {
 			earliest, earliestFirst = i, first
 		}
-		if first > p.FirstEventShare*w.ObjectiveLeftMs {
+		if first > p.FirstEventShare*req.ObjectiveLeftMs {
 			continue
 		}
 		if best < 0 || earlier(first, all[i], bestFirst, all[best]) {
@@ -40,10 +40,10 @@
 		}
 	}
 	if best < 0 {
-		if !w.NoRefusal && earliestFirst > w.ObjectiveLeftMs && p.saturated(e, all, usable) {
+		if !req.NoRefusal && earliestFirst > req.ObjectiveLeftMs && p.saturated(e, all, usable) {
 			return Choice{Endpoint: -1, Refuse: true, Expected: Estimate{FirstMs: earliestFirst}}
 		}
-		if w.Remote {
+		if req.Remote {
 			return Choice{Endpoint: -1, Wait: true, Expected: Estimate{FirstMs: earliestFirst}}
 		}
 		best, bestFirst, late = earliest, earliestFirst, true
@@ -85,12 +85,12 @@
 // firstEventMs estimates how long a short request waits for its first event: the
 // pending prefill plus the iterations of the decoding requests. Penalties keep requests
 // away from endpoints that are crowded, out of memory or too slow.
-func (p Policy) firstEventMs(e *catalog.Engine, w Request, c Candidate, tokens int) float64 {
+func (p Policy) firstEventMs(e *catalog.Engine, req Request, c Candidate, tokens int) float64 {
 	l := c.Load
 	decoding := l.Short + l.Long
 	iteration := iterationMs(e, decoding, l.MemoryTokens) * c.slowdown()
 	ms := l.PrefillMs*c.slowdown() + iteration*iterationsToFirst
-	if iteration > p.maxIterationMs(w.MaxGap) {
+	if iteration > p.maxIterationMs(req.MaxGap) {
 		ms += gapPenaltyMs
 	}
 	crowdedFrom := float64(e.Slots) * crowdedShare
--- a/balance/turns.go
+++ b/balance/turns.go
@@ -10,85 +10,86 @@
 	// a gateway that placed another prompt at the same moment is sent after up to ten
 	// milliseconds and takes a few more to arrive.
 	settleDelay = 25 * time.Millisecond
-	// claimTTL is how long a peer's last report of its waiting prompts remains valid.
+	// headTTL is how long a peer's last report of its waiting prompts remains valid.
 	// It is a little longer than the interval between two messages of an inactive peer,
 	// so that a silent peer does not block others for long.
-	claimTTL = 300 * time.Millisecond
+	headTTL = 300 * time.Millisecond
 )
 
-// Urgency is the primary order of long prompts, ahead of their due times: lower ranks go
-// first.
+// Urgency is the primary order of long prompts, ahead of their due times: lower values
+// go first.
 type Urgency uint8
 
-// The ranks.
+// The degrees of urgency.
 const (
 	InTime   Urgency = iota // can still be in time
 	Oversize                // can be in time, but occupies many endpoints
 	Late                    // can no longer be in time
 )
 
-// QueueEntry is the position of a long prompt in the queue for the endpoints of a service.
+// QueueEntry is the position of a long prompt in the queue for the endpoints of a
+// service.
 type QueueEntry struct {
 	service string
 	joined  time.Time
-	rank    Urgency
+	urgency Urgency
 	due     time.Time
 }
 
 // QueueHead reports a gateway's first waiting prompt of a service to its peers.
 type QueueHead struct {
-	Rank    Urgency
+	Urgency Urgency
 	DueInMs int64 // time until the prompt is due; negative if it is late
 }
 
 // PromptQueue orders endpoint selection for the long prompts of all gateways. Prompts are
 // placed one at a time, each after the message about the preceding placement has
 // arrived. Otherwise several gateways would place their prompts on the same idle
-// endpoints, where the newer parts delay the older ones. Turns is not safe for
+// endpoints, where the newer parts delay the older ones. PromptQueue is not safe for
 // concurrent use.
 type PromptQueue struct {
 	local map[*QueueEntry]struct{}
-	peers map[string]peerClaims
+	peers map[string]peerHeads
 }
 
-// peerClaims is a peer's last report of its waiting prompts.
-type peerClaims struct {
+// peerHeads is a peer's last report of its waiting prompts.
+type peerHeads struct {
 	receivedAt time.Time
 	heads      map[string]QueueEntry // by service
 }
 
 // NewPromptQueue returns an empty queue.
 func NewPromptQueue() *PromptQueue {
-	return &PromptQueue{local: make(map[*QueueEntry]struct{}), peers: make(map[string]peerClaims)}
+	return &PromptQueue{local: make(map[*QueueEntry]struct{}), peers: make(map[string]peerHeads)}
 }
 
 // Join adds a prompt of this gateway, due at the given time, to the queue.
-func (t *PromptQueue) Join(service string, rank Urgency, due, now time.Time) *QueueEntry {
-	turn := &QueueEntry{service: service, joined: now, rank: rank, due: due}
-	t.local[turn] = struct{}{}
-	return turn
+func (q *PromptQueue) Join(service string, urgency Urgency, due, now time.Time) *QueueEntry {
+	entry := &QueueEntry{service: service, joined: now, urgency: urgency, due: due}
+	q.local[entry] = struct{}{}
+	return entry
 }
 
 // Leave removes a prompt from the queue.
-func (t *PromptQueue) Leave(turn *QueueEntry) { delete(t.local, turn) }
+func (q *PromptQueue) Leave(entry *QueueEntry) { delete(q.local, entry) }
 
 // Waiting returns the number of this gateway's prompts in the queue.
-func (t *PromptQueue) Waiting() int { return len(t.local) }
+func (q *PromptQueue) Waiting() int { return len(q.local) }
 
-// First sets a prompt's current rank and reports whether it is the prompt's turn.
-func (t *PromptQueue) First(turn *QueueEntry, rank Urgency, now time.Time) bool {
-	turn.rank = rank
-	if len(t.peers) > 0 && now.Sub(turn.joined) < settleDelay {
+// First sets a prompt's current urgency and reports whether it is the prompt's turn.
+func (q *PromptQueue) First(entry *QueueEntry, urgency Urgency, now time.Time) bool {
+	entry.urgency = urgency
+	if len(q.peers) > 0 && now.Sub(entry.joined) < settleDelay {
 		return false
 	}
-	for other := range t.local {
-		if other.before(turn) {
+	for other := range q.local {
+		if other.before(entry) {
 			return false
 		}
 	}
-	for _, c := range t.peers {
-		head, ok := c.heads[turn.service]
-		if ok && now.Sub(c.receivedAt) <= claimTTL && head.before(turn) {
+	for _, p := range q.peers {
+		head, ok := p.heads[entry.service]
+		if ok && now.Sub(p.receivedAt) <= headTTL && head.before(entry) {
 			return false
 		}
 	}
@@ -96,41 +97,41 @@
 }
 
 // before reports whether t goes before o in the queue for the same service.
-func (t *QueueEntry) before(o *QueueEntry) bool {
-	return t.service == o.service && cmp.Or(cmp.Compare(t.rank, o.rank), t.due.Compare(o.due)) < 0
+func (e *QueueEntry) before(o *QueueEntry) bool {
+	return e.service == o.service && cmp.Or(cmp.Compare(e.urgency, o.urgency), e.due.Compare(o.due)) < 0
 }
 
 // LocalHeads returns this gateway's first waiting prompt of each service.
-func (t *PromptQueue) LocalHeads(now time.Time) map[string]QueueHead {
+func (q *PromptQueue) LocalHeads(now time.Time) map[string]QueueHead {
 	heads := make(map[string]*QueueEntry)
-	for turn := range t.local {
-		if head := heads[turn.service]; head == nil || turn.before(head) {
-			heads[turn.service] = turn
+	for entry := range q.local {
+		if head := heads[entry.service]; head == nil || entry.before(head) {
+			heads[entry.service] = entry
 		}
 	}
 	out := make(map[string]QueueHead, len(heads))
-	for service, turn := range heads {
-		out[service] = QueueHead{Rank: turn.rank, DueInMs: turn.due.Sub(now).Milliseconds()}
+	for service, entry := range heads {
+		out[service] = QueueHead{Urgency: entry.urgency, DueInMs: entry.due.Sub(now).Milliseconds()}
 	}
 	return out
 }
 
-// SetPeerHeads records a peer's waiting prompts, as returned by Own. Transmission delay makes
-// them seem due later than they are, so two gateways may both consider themselves
-// first, but never each other.
-func (t *PromptQueue) SetPeerHeads(name string, waiting map[string]QueueHead, now time.Time) {
-	c := peerClaims{receivedAt: now, heads: make(map[string]QueueEntry, len(waiting))}
-	for service, w := range waiting {
-		c.heads[service] = QueueEntry{service: service, rank: w.Rank, due: now.Add(time.Duration(w.DueInMs) * time.Millisecond)}
+// SetPeerHeads records a peer's waiting prompts, as returned by LocalHeads.
+// Transmission delay makes them seem due later than they are, so two gateways may both
+// consider themselves first, but never each other.
+func (q *PromptQueue) SetPeerHeads(name string, heads map[string]QueueHead, now time.Time) {
+	p := peerHeads{receivedAt: now, heads: make(map[string]QueueEntry, len(heads))}
+	for service, head := range heads {
+		p.heads[service] = QueueEntry{service: service, urgency: head.Urgency, due: now.Add(time.Duration(head.DueInMs) * time.Millisecond)}
 	}
-	t.peers[name] = c
+	q.peers[name] = p
 }
 
 // ExpirePeers removes peers that have been silent for longer than peerTTL.
-func (t *PromptQueue) ExpirePeers(now time.Time) {
-	for name, c := range t.peers {
-		if now.Sub(c.receivedAt) > peerTTL {
-			delete(t.peers, name)
+func (q *PromptQueue) ExpirePeers(now time.Time) {
+	for name, p := range q.peers {
+		if now.Sub(p.receivedAt) > peerTTL {
+			delete(q.peers, name)
 		}
 	}
 }
--- a/balance/turns_test.go
+++ b/balance/turns_test.go
@@ -11,7 +11,7 @@
 // turn.
 var settled = start.Add(settleDelay)
 
-func TestTurnsByDueTime(t *testing.T) {
+func TestPromptQueueByDueTime(t *testing.T) {
 	is := is.New(t)
 	turns := NewPromptQueue()
 	later := turns.Join("s", InTime, start.Add(3*time.Second), start)
@@ -25,9 +25,9 @@
 	is.Equal(turns.Waiting(), 2)
 }
 
-// TestTurnsByRank: a prompt that can be in time goes before an oversize one, and that
+// TestPromptQueueByUrgency: a prompt that can be in time goes before an oversize one, and that
 // before a late one, regardless of their due times.
-func TestTurnsByRank(t *testing.T) {
+func TestPromptQueueByUrgency(t *testing.T) {
 	is := is.New(t)
 	turns := NewPromptQueue()
 	late := turns.Join("s", Late, start.Add(-time.Second), start)
@@ -43,9 +43,9 @@
 	is.True(turns.First(late, Late, settled))
 }
 
-// TestTurnsOfPeers: two gateways with one prompt each never place them at the same
+// TestPromptQueueWithPeers: two gateways with one prompt each never place them at the same
 // time, as long as each receives the other's messages in time.
-func TestTurnsOfPeers(t *testing.T) {
+func TestPromptQueueWithPeers(t *testing.T) {
 	is := is.New(t)
 	a, b := NewPromptQueue(), NewPromptQueue()
 	first := a.Join("s", InTime, start.Add(time.Second), start)
@@ -59,9 +59,9 @@
 	is.True(b.First(second, InTime, settled.Add(time.Millisecond)))
 }
 
-// TestTurnsWaitForWords: a new prompt waits until a message about a placement that a
+// TestPromptQueueWaitsForMessages: a new prompt waits until a message about a placement that a
 // peer makes at the same time would have arrived.
-func TestTurnsWaitForWords(t *testing.T) {
+func TestPromptQueueWaitsForMessages(t *testing.T) {
 	is := is.New(t)
 	turns := NewPromptQueue()
 	turn := turns.Join("s", InTime, start, start)
@@ -71,23 +71,23 @@
 	is.True(turns.First(turn, InTime, settled))
 }
 
-// TestTurnsOfSilentPeers: a peer that has fallen silent blocks no prompts.
-func TestTurnsOfSilentPeers(t *testing.T) {
+// TestPromptQueueIgnoresSilentPeers: a peer that has fallen silent blocks no prompts.
+func TestPromptQueueIgnoresSilentPeers(t *testing.T) {
 	is := is.New(t)
 	turns := NewPromptQueue()
 	turn := turns.Join("s", InTime, start.Add(time.Second), start)
-	turns.SetPeerHeads("p", map[string]QueueHead{"s": {Rank: InTime, DueInMs: 10}}, start)
-	is.True(!turns.First(turn, InTime, start.Add(claimTTL)))
-	is.True(turns.First(turn, InTime, start.Add(claimTTL+time.Millisecond)))
+	turns.SetPeerHeads("p", map[string]QueueHead{"s": {Urgency: InTime, DueInMs: 10}}, start)
+	is.True(!turns.First(turn, InTime, start.Add(headTTL)))
+	is.True(turns.First(turn, InTime, start.Add(headTTL+time.Millisecond)))
 	turns.ExpirePeers(start.Add(peerTTL + time.Millisecond))
 	is.Equal(len(turns.peers), 0)
 }
 
-func TestOwnClaims(t *testing.T) {
+func TestLocalHeads(t *testing.T) {
 	is := is.New(t)
 	turns := NewPromptQueue()
 	turns.Join("s", Late, start, start)
 	turns.Join("s", InTime, start.Add(2*time.Second), start)
 	turns.Join("s", InTime, start.Add(time.Second), start)
-	is.Equal(turns.LocalHeads(start), map[string]QueueHead{"s": {Rank: InTime, DueInMs: 1000}})
+	is.Equal(turns.LocalHeads(start), map[string]QueueHead{"s": {Urgency: InTime, DueInMs: 1000}})
 }
--- a/balance/value.go
+++ b/balance/value.go
@@ -20,12 +20,12 @@
 // Length alone, at one short request per defaultTokensPerUnit, overrates prompts of
 // medium length two and a half times and lowers the served value by 0.017 (standard
 // error 0.003, 60 engines).
-func (w Request) value() float64 {
-	tokens := float64(w.InputTokens)
+func (req Request) value() float64 {
+	tokens := float64(req.InputTokens)
 	switch {
-	case w.gapTolerant() == 1:
+	case req.gapTolerant() == 1:
 		return tolerantBaseValue + tokens/tolerantTokensPerUnit
-	case w.Gaps.Longest > w.Gaps.Next:
+	case req.Gaps.Longest > req.Gaps.Next:
 		return mediumBaseValue + tokens/mediumTokensPerUnit
 	default:
 		return tokens / defaultTokensPerUnit
@@ -34,8 +34,8 @@
 
 // gapTolerant returns 1 for a request whose route allows longer gaps than the
 // second-shortest that routes to the service allow, else 0.
-func (w Request) gapTolerant() int {
-	if w.MaxGap > w.Gaps.Next {
+func (req Request) gapTolerant() int {
+	if req.MaxGap > req.Gaps.Next {
 		return 1
 	}
 	return 0
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -1,8 +1,8 @@
-// Package cell groups data centres into cells. The gateways of a cell send each other
-// every choice of an endpoint at once and take turns with long prompts (see
-// balance.Turns); from other cells they receive digests. Grouping depends on nothing but
-// the list of endpoints, so gateways with the same list form the same cells without
-// exchanging messages about it.
+// Package cell groups data centres into cells. The gateways of a cell send each other every
+// choice of an endpoint at once and take turns with long prompts (see balance.PromptQueue);
+// from other cells they receive digests. Grouping depends on nothing but the list of
+// endpoints, so gateways with the same list form the same cells without exchanging messages
+// about it.
 package cell
 
 import (
@@ -13,7 +13,7 @@
 )
 
 // minEndpoints is the minimum number of endpoints in a cell, if the fleet has as many:
-// the longest prompts are read on 16 endpoints at once, which leaves half as many for
+// the longest prompts are prefilled on 16 endpoints at once, which leaves half as many for
 // other requests.
 const minEndpoints = 24
 
@@ -73,17 +73,17 @@
 	return len(m.firstDataCentres) > 1 && xxhash.Sum64String(endpoint)%sharedDivisor == 0
 }
 
-// SharedWith returns the other cell that may use an endpoint of cell home. An endpoint is
+// SharedWith returns the other cell that may use an endpoint of localCell. An endpoint is
 // shared with at most one cell, because cells that exchange only digests would otherwise
 // choose the same endpoint at the same time. Cells in noSpare, which have no endpoints to
 // spare, take precedence over the others. ok is false if the endpoint is not shared.
-func (m Map) SharedWith(endpoint, home string, noSpare map[string]bool) (other string, ok bool) {
+func (m Map) SharedWith(endpoint, localCell string, noSpare map[string]bool) (other string, ok bool) {
 	if !m.Shared(endpoint) {
 		return "", false
 	}
 	var others, preferred []string
 	for _, c := range m.firstDataCentres {
-		if c == home {
+		if c == localCell {
 			continue
 		}
 		others = append(others, c)
--- a/health/health.go
+++ b/health/health.go
@@ -37,9 +37,9 @@
 	backoff    time.Duration
 	avoidUntil time.Time
 
-	lastSuccess        time.Time // time of the newest Good outcome
+	lastSuccess        time.Time // time of the newest Success
 	lastReached        time.Time // when it last answered a status query
-	lastFailure        time.Time // time of the newest outcome other than Good
+	lastFailure        time.Time // time of the newest outcome other than Success
 	lastFailureOutcome Outcome
 	lastLate           time.Time // when a stream last started, or paused, much later than expected
 	slowdown           float64   // factor that the endpoint reported; 0 if none
@@ -52,13 +52,13 @@
 	// shareCandidates are the endpoints about which this gateway may have an observation to
 	// share.
 	shareCandidates  map[string]struct{}
-	peerObservations map[string]gatewayObservations // by endpoint
-	peers            map[string]peerState           // by gateway
+	peerObservations map[string]peerObservations // by endpoint
+	peers            map[string]peerState        // by gateway
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{local: make(map[string]*record), shareCandidates: make(map[string]struct{}), peerObservations: make(map[string]gatewayObservations), peers: make(map[string]peerState)}
+	return &Table{local: make(map[string]*record), shareCandidates: make(map[string]struct{}), peerObservations: make(map[string]peerObservations), peers: make(map[string]peerState)}
 }
 
 func (t *Table) record(endpoint string) *record {
@@ -109,8 +109,8 @@
 	return t.avoidedByPeers(endpoint, now)
 }
 
-// RecordReachable records that an endpoint answered a status query. That ends a backoff
-// unless the newest failure was Bad: such a response shows that the endpoint is reachable, not
+// RecordReachable records that an endpoint answered a status query. That ends a backoff unless
+// the newest failure was a BadResponse: such a response shows that the endpoint is reachable, not
 // that it serves requests correctly.
 func (t *Table) RecordReachable(endpoint string, now time.Time) {
 	r := t.record(endpoint)
@@ -121,7 +121,7 @@
 }
 
 // lastKnownGood returns the newest time at which the endpoint is known not to have failed
-// with outcome o. A response to a status query counts for reachability only, not for Bad.
+// with outcome o. A response to a status query counts for reachability only, not for BadResponse.
 func (r *record) lastKnownGood(o Outcome) time.Time {
 	if o != BadResponse && r.lastReached.After(r.lastSuccess) {
 		return r.lastReached
--- a/health/shared.go
+++ b/health/shared.go
@@ -6,7 +6,7 @@
 // by position: new ones go last.
 type Observation struct {
 	// Failure is the outcome of the gateway's newest failed exchange with the endpoint,
-	// FailureAgeMs ago; Good if none failed recently. Bad is not shared, because every
+	// FailureAgeMs ago; Success if none failed recently. BadResponse is not shared, because every
 	// gateway would then avoid endpoints that lose one response in twenty. Sharing it changes
 	// worth by between -0.010 and +0.005 on three fleets of 18 engines, which is within the
 	// noise.
@@ -44,10 +44,10 @@
 	maxSlowdown = 50
 )
 
-// gatewayObservations holds what other gateways shared about one endpoint, by gateway. They are
+// peerObservations holds what other gateways shared about one endpoint, by gateway. They are
 // indexed by endpoint first, because each routing decision looks up every endpoint of a cell and
 // most have none.
-type gatewayObservations map[string]peerObservation
+type peerObservations map[string]peerObservation
 
 type peerObservation struct {
 	Observation
@@ -63,8 +63,8 @@
 	endpoints []string // endpoints of its observations
 }
 
-// UpdatePeer replaces all observations of another gateway. endpoints is the number of endpoints that
-// there are.
+// UpdatePeer replaces all observations of another gateway. endpoints is the number of endpoints
+// that there are.
 func (t *Table) UpdatePeer(gateway string, observations map[string]Observation, endpoints int, now time.Time) {
 	t.dropPeer(gateway)
 	if len(observations) == 0 {
@@ -72,11 +72,11 @@
 	}
 	isolated := likelyIsolated(observations, endpoints)
 	peer := peerState{updatedAt: now, endpoints: make([]string, 0, len(observations))}
-	for id, s := range observations {
+	for id, o := range observations {
 		if t.peerObservations[id] == nil {
-			t.peerObservations[id] = make(gatewayObservations)
+			t.peerObservations[id] = make(peerObservations)
 		}
-		t.peerObservations[id][gateway] = peerObservation{s, now, isolated}
+		t.peerObservations[id][gateway] = peerObservation{o, now, isolated}
 		peer.endpoints = append(peer.endpoints, id)
 	}
 	t.peers[gateway] = peer
@@ -86,8 +86,8 @@
 // share of the endpoints.
 func likelyIsolated(observations map[string]Observation, endpoints int) bool {
 	failed := 0
-	for _, s := range observations {
-		if s.Failure != Success {
+	for _, o := range observations {
+		if o.Failure != Success {
 			failed++
 		}
 	}
@@ -105,8 +105,8 @@
 	delete(t.peers, gateway)
 }
 
-// LocalObservations returns the observations that this gateway shares with the others. It also drops those
-// of gateways that have not been heard from for observationTTL.
+// LocalObservations returns the observations that this gateway shares with the others. It also
+// drops those of gateways that have not been heard from for observationTTL.
 func (t *Table) LocalObservations(now time.Time) map[string]Observation {
 	for name, p := range t.peers {
 		if now.Sub(p.updatedAt) > observationTTL {
@@ -117,19 +117,19 @@
 	late := 0
 	for id := range t.shareCandidates {
 		r := t.local[id]
-		var s Observation
+		var o Observation
 		if r.recentlyFailed(now) && r.lastFailureOutcome != BadResponse {
-			s.Failure, s.FailureAgeMs = r.lastFailureOutcome, now.Sub(r.lastFailure).Milliseconds()
+			o.Failure, o.FailureAgeMs = r.lastFailureOutcome, now.Sub(r.lastFailure).Milliseconds()
 		}
 		if r.reportedSlow(now) {
-			s.Slowdown, s.SlowdownAgeMs = r.slowdown, now.Sub(r.slowdownAt).Milliseconds()
+			o.Slowdown, o.SlowdownAgeMs = r.slowdown, now.Sub(r.slowdownAt).Milliseconds()
 		}
 		if r.recentlyLate(now) && late < maxSharedLate {
-			s.Late = true
+			o.Late = true
 			late++
 		}
-		if s != (Observation{}) {
-			out[id] = s
+		if o != (Observation{}) {
+			out[id] = o
 		} else if !r.recentlyLate(now) {
 			delete(t.shareCandidates, id)
 		}
@@ -151,26 +151,26 @@
 
 // failingGateways returns how many gateways, this one included, recently failed to use an
 // endpoint. Failures of other gateways count only if they are newer than the last time this
-// gateway knows the endpoint to be healthy. A single Replaced counts as a quorum: it rests on
+// gateway knows the endpoint to be healthy. A single Replaced counts as a quorum: it is based on
 // the response of the endpoint that now has the address.
 func (t *Table) failingGateways(endpoint string, now time.Time) int {
-	own := t.local[endpoint]
-	if own == nil {
-		own = &record{}
+	local := t.local[endpoint]
+	if local == nil {
+		local = &record{}
 	}
 	count := 0
-	if own.recentlyFailed(now) {
+	if local.recentlyFailed(now) {
 		count++
 	}
 	if len(t.peerObservations) == 0 {
 		return count
 	}
-	for _, s := range t.peerObservations[endpoint] {
-		at := s.receivedAt.Add(-time.Duration(s.FailureAgeMs) * time.Millisecond)
-		if s.Failure == Success || now.Sub(at) > observationTTL || !at.After(own.lastKnownGood(s.Failure)) || s.discounted {
+	for _, o := range t.peerObservations[endpoint] {
+		at := o.receivedAt.Add(-time.Duration(o.FailureAgeMs) * time.Millisecond)
+		if o.Failure == Success || now.Sub(at) > observationTTL || !at.After(local.lastKnownGood(o.Failure)) || o.discounted {
 			continue
 		}
-		if s.Failure == Replaced {
+		if o.Failure == Replaced {
 			return max(count, failureQuorum)
 		}
 		count++
@@ -178,8 +178,8 @@
 	return count
 }
 
-// FailingGateways returns how many gateways recently failed to use an endpoint if they are a quorum,
-// so that it is avoided for that reason; otherwise 0.
+// FailingGateways returns how many gateways recently failed to use an endpoint if they are a
+// quorum, so that it is avoided for that reason; otherwise 0.
 func (t *Table) FailingGateways(endpoint string, now time.Time) int {
 	if n := t.failingGateways(endpoint, now); n >= failureQuorum {
 		return n
@@ -199,28 +199,28 @@
 
 // QueryReason returns the reason why a gateway that watches the endpoint should query it now.
 func (t *Table) QueryReason(endpoint string, now time.Time) QueryReason {
-	doubt := NoQuery
+	reason := NoQuery
 	if t.anySlow(now) {
-		doubt = OtherEndpointSlow
+		reason = OtherEndpointSlow
 	}
 	if r := t.local[endpoint]; r != nil {
 		if r.recentlyFailed(now) {
 			return RecentFailure
 		}
 		if r.recentlyLate(now) || r.reportedSlow(now) {
-			doubt = PossiblySlow
+			reason = PossiblySlow
 		}
 	}
-	for _, s := range t.peerObservations[endpoint] {
+	for _, o := range t.peerObservations[endpoint] {
 		switch {
-		case now.Sub(s.receivedAt) > observationTTL:
-		case s.Failure != Success:
+		case now.Sub(o.receivedAt) > observationTTL:
+		case o.Failure != Success:
 			return RecentFailure
-		case s.Late || s.Slowdown > slowThreshold:
-			doubt = PossiblySlow
+		case o.Late || o.Slowdown > slowThreshold:
+			reason = PossiblySlow
 		}
 	}
-	return doubt
+	return reason
 }
 
 // reportedSlow reports whether the endpoint told this gateway within observationTTL that it is
@@ -237,8 +237,8 @@
 		}
 	}
 	for _, all := range t.peerObservations {
-		for _, s := range all {
-			if s.Slowdown > slowThreshold && now.Sub(s.receivedAt) <= observationTTL {
+		for _, o := range all {
+			if o.Slowdown > slowThreshold && now.Sub(o.receivedAt) <= observationTTL {
 				return true
 			}
 		}
@@ -246,7 +246,8 @@
 	return false
 }
 
-// RecordLateStream records that a stream from the endpoint started, or paused, much later than expected.
+// RecordLateStream records that a stream from the endpoint started, or paused, much later than
+// expected.
 func (t *Table) RecordLateStream(endpoint string, now time.Time) {
 	t.record(endpoint).lastLate = now
 	t.shareCandidates[endpoint] = struct{}{}
@@ -274,10 +275,10 @@
 	if r := t.local[endpoint]; r != nil && now.Sub(r.slowdownAt) <= observationTTL {
 		slowdown, newest = r.slowdown, r.slowdownAt
 	}
-	for _, s := range t.peerObservations[endpoint] {
-		at := s.receivedAt.Add(-time.Duration(s.SlowdownAgeMs) * time.Millisecond)
-		if s.Slowdown > 0 && now.Sub(at) <= observationTTL && at.After(newest) {
-			slowdown, newest = s.Slowdown, at
+	for _, o := range t.peerObservations[endpoint] {
+		at := o.receivedAt.Add(-time.Duration(o.SlowdownAgeMs) * time.Millisecond)
+		if o.Slowdown > 0 && now.Sub(at) <= observationTTL && at.After(newest) {
+			slowdown, newest = o.Slowdown, at
 		}
 	}
 	return min(maxSlowdown, max(1, slowdown))
--- a/health/shared_test.go
+++ b/health/shared_test.go
@@ -12,9 +12,9 @@
 	return map[string]Observation{"e": {Failure: o, FailureAgeMs: ms}}
 }
 
-// TestWitnesses checks that an endpoint is avoided once two gateways have failed to use it
+// TestFailingGateways checks that an endpoint is avoided once two gateways have failed to use it
 // since it last served this one, and that the report of a single gateway is not enough.
-func TestWitnesses(t *testing.T) {
+func TestFailingGateways(t *testing.T) {
 	const endpoints = 60
 	now := start
 	cases := []struct {
@@ -78,10 +78,10 @@
 	}
 }
 
-// TestCutOffGatewaysAreNoWitnesses checks that two gateways that report failures at most of the
+// TestIsolatedGatewaysAreDiscounted checks that two gateways that report failures at most of the
 // endpoints make no other gateway avoid any of them, and that they are believed when they fail
 // at a third or less.
-func TestCutOffGatewaysAreNoWitnesses(t *testing.T) {
+func TestIsolatedGatewaysAreDiscounted(t *testing.T) {
 	is := is.New(t)
 	const endpoints = 60
 	observations := func(n int) map[string]Observation {
@@ -103,9 +103,9 @@
 	is.True(!h.Suspect("e20", start))
 }
 
-// TestPace checks that the newest report of an endpoint's slowdown applies, whichever gateway
+// TestSlowdown checks that the newest report of an endpoint's slowdown applies, whichever gateway
 // received it, until it expires.
-func TestPace(t *testing.T) {
+func TestSlowdown(t *testing.T) {
 	is := is.New(t)
 	h := NewTable()
 	is.Equal(h.Slowdown("e", start), 1.0)
@@ -123,9 +123,9 @@
 	is.Equal(h.Slowdown("e", start), 1.0)
 }
 
-// TestOwnObservations checks which observations a gateway shares, that their number is bounded
+// TestLocalObservations checks which observations a gateway shares, that their number is bounded
 // and that they expire.
-func TestOwnObservations(t *testing.T) {
+func TestLocalObservations(t *testing.T) {
 	is := is.New(t)
 	h := NewTable()
 	h.RecordOutcome("good", Success, start)
@@ -149,8 +149,8 @@
 	is.Equal(len(h.shareCandidates), 0)
 }
 
-// TestDoubt checks the reason to query an endpoint, given the observations of other gateways.
-func TestDoubt(t *testing.T) {
+// TestQueryReason checks the reason to query an endpoint, given the observations of other gateways.
+func TestQueryReason(t *testing.T) {
 	is := is.New(t)
 	h := NewTable()
 	is.Equal(h.QueryReason("e", start), NoQuery)
--- a/health/watch.go
+++ b/health/watch.go
@@ -8,9 +8,9 @@
 )
 
 // Watchers assigns endpoints to the gateways that watch them, by consistent hashing. Each
-// endpoint has a first gateway, which queries its status for any Doubt, and a second, which does
-// so only if a gateway failed to use the endpoint. Gateways that know the same members compute the
-// same assignment, and adding or removing a member reassigns few endpoints.
+// endpoint has a first gateway, which queries its status for any QueryReason, and a second, which
+// does so only if a gateway failed to use the endpoint. Gateways that know the same members
+// compute the same assignment, and adding or removing a member reassigns few endpoints.
 type Watchers struct{ ring []watcher }
 
 type watcher struct {
--- a/peers/codec.go
+++ b/peers/codec.go
@@ -8,17 +8,18 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// A Word is encoded as an array of its fields, which halves its size, so the number and order
-// of the fields are the format. The msgpack library decodes only arrays with exactly the number
-// of fields of the struct; with it, processes of two releases that ran side by side could not
-// read each other's datagrams. Therefore decode leaves the last fields unset if the array is
-// shorter and ignores the rest of a longer one, and encode omits empty fields at the end, so
-// that the previous release can read the datagram.
+// A Message is encoded as an array of its fields, which halves its size, so the number
+// and order of the fields are the format. The msgpack library decodes only arrays with
+// exactly the number of fields of the struct; with it, processes of two releases that
+// ran side by side could not read each other's datagrams. Therefore decode leaves the
+// last fields unset if the array is shorter and ignores the rest of a longer one, and
+// encode omits empty fields at the end, so that the previous release can read the
+// datagram.
 
 // minFields is the number of fields that every release sends.
 const minFields = 17
 
-// sentFieldIndexes are the indexes of the fields of Word that are sent.
+// sentFieldIndexes are the indexes of the fields of Message that are sent.
 var sentFieldIndexes = fieldsToSend()
 
 func fieldsToSend() []int {
@@ -32,9 +33,9 @@
 	return out
 }
 
-// encode returns the datagram for w.
-func encode(w *Message) ([]byte, error) {
-	v := reflect.ValueOf(w).Elem()
+// encode returns the datagram for msg.
+func encode(msg *Message) ([]byte, error) {
+	v := reflect.ValueOf(msg).Elem()
 	n := len(sentFieldIndexes)
 	for n > minFields && v.Field(sentFieldIndexes[n-1]).IsZero() {
 		n--
@@ -55,17 +56,17 @@
 
 // decode parses a datagram.
 func decode(p []byte) (Message, error) {
-	var w Message
-	v := reflect.ValueOf(&w).Elem()
+	var msg Message
+	v := reflect.ValueOf(&msg).Elem()
 	d := msgpack.NewDecoder(bytes.NewReader(p))
 	n, err := d.DecodeArrayLen()
 	if err != nil {
-		return w, trace.Wrap(err)
+		return msg, trace.Wrap(err)
 	}
 	for _, i := range sentFieldIndexes[:max(0, min(n, len(sentFieldIndexes)))] {
 		if err := d.DecodeValue(v.Field(i)); err != nil {
-			return w, trace.Wrap(err)
+			return msg, trace.Wrap(err)
 		}
 	}
-	return w, nil
+	return msg, nil
 }
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -1,4 +1,4 @@
-// Package peers implements the UDP protocol between gateways. Each datagram (a Word)
+// Package peers implements the UDP protocol between gateways. Each datagram (a Message)
 // carries the load that its sender has in flight at endpoints: only what changed, or,
 // several times a second, all of it, so that lost or duplicated datagrams do no harm.
 // The caller chooses what to send to which gateway.
@@ -23,31 +23,31 @@
 const (
 	// maxDatagram is the size of the largest datagram that is read, in bytes.
 	maxDatagram = 60 << 10
-	// memberTTL is how long a gateway that is missing from the list of SetMembers remains a
-	// member after its last datagram.
+	// memberTTL is how long a gateway that is missing from the list of SetMembers
+	// remains a member after its last datagram.
 	memberTTL = 10 * time.Second
 )
 
 // Message is the content of one datagram. Its fields are sent in this order, so new ones
 // must be added at the end.
 type Message struct {
-	From        string // name of the sender
-	Incarnation uint64 // random number that identifies the sender's process
-	Sequence    uint64 // increases with each datagram of the process
-	Version     uint64 // version of the configuration in force at the sender
-	Leaving     bool
+	From         string // name of the sender
+	Incarnation  uint64 // random number that identifies the sender's process
+	Sequence     uint64 // increases with each datagram of the process
+	Version      uint64 // version of the configuration in force at the sender
+	ShuttingDown bool
 	// Loads is the sender's load by endpoint id, at all endpoints that concern the
 	// receiver. If Partial is set, it holds only what changed since the last
 	// complete one.
 	Loads map[string]balance.Load
 
 	// Clock is the sender's monotonic clock when it sent the datagram, in nanoseconds
-	// since an epoch of its own. Heard echoes, for each peer, the newest Clock that the
-	// sender has received from it. The peer can so bound the send time of the datagram by
-	// its own clock, whatever the network delay; see SaidAfter.
+	// since an epoch of its own. ClockEchoes holds, for each peer, the newest Clock
+	// that the sender has received from it. The peer can thus bound the send time of
+	// the datagram by its own clock, whatever the network delay; see SentAfter.
 	Clock       int64
 	ClockEchoes map[string]int64
-	// EchoClocks tells Send to fill in Heard; it is not sent.
+	// EchoClocks tells Send to fill in ClockEchoes; it is not sent.
 	EchoClocks bool `msgpack:"-"`
 	// ProofAgeMs is the time since the sending of the store read that proved Version
 	// to be the newest; negative if there is no proof.
@@ -59,28 +59,30 @@
 	// StoreUnreachable is set if the sender cannot reach the store.
 	StoreUnreachable bool
 	// Waiting describes the first long prompt that waits for endpoints, by
-	// service; see balance.Turns.
+	// service; see balance.PromptQueue.
 	Waiting map[string]balance.QueueHead
 	Partial bool // see Loads
 	// DataCentre is the sender's data centre.
 	DataCentre string
 	// Digests hold the load in cells other than the receiver's.
 	Digests []Digest
-	// Observations holds everything that the sender has to report about the health of endpoints;
-	// it is set in every datagram to the sender's own cell.
+	// Observations holds everything that the sender has to report about the health of
+	// endpoints; it is set in every datagram to the sender's cell.
 	Observations map[string]health.Observation
 	// CrashReports reports requests that were on endpoints when these crashed.
 	CrashReports []quarantine.Report
-	// StoreEra is the newest era of the store that the sender knows, or 0. An era higher than
-	// the one known before means that the store was restored from an older copy.
+	// StoreEra is the newest era of the store that the sender knows, or 0. An era
+	// higher than the one known before means that the store was restored from an older
+	// copy.
 	StoreEra uint64
 	// Limits holds the request rates that endpoints of the sender's cell accept.
 	Limits map[string]ratelimit.LimitUpdate
-	// Coordinator identifies the gateway that grants sends to the endpoints in Limits; see
-	// ratelimit.Votes. It is 0 if the sender knows of no limit or cannot coordinate itself.
+	// Coordinator identifies the gateway that grants sends to the endpoints in Limits;
+	// see ratelimit.Election. It is 0 if the sender knows of no limit or cannot
+	// coordinate itself.
 	Coordinator uint64
-	// Drains holds, by id, endpoints of any cell that are leaving, with the start of the process
-	// that is leaving; see availability.Leaves.
+	// Drains holds, by id, the draining endpoints of any cell, each with the
+	// incarnation that is draining; see availability.DrainTable.
 	Drains map[string]int64
 }
 
@@ -90,7 +92,7 @@
 	AgeMs      int64  // time since the digest was made
 	Gateways   int    // number of gateways in the cell
 	// Loads holds the load at the endpoints that the cell offers to others, without
-	// the load of the receiver's own cell there.
+	// the load of the receiver's cell there.
 	Loads map[string]balance.Load
 	// NoSpareEndpoints is set if the cell has no endpoints to spare.
 	NoSpareEndpoints bool
@@ -158,7 +160,7 @@
 }
 
 // SetMembers replaces the list of members. Gateways that sent a datagram within
-// memberTTL and are not leaving are members in any case.
+// memberTTL and are not shutting down are members in any case.
 func (m *Mesh) SetMembers(members []Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -166,7 +168,8 @@
 }
 
 // Members returns the other gateways that are listed, or that sent a datagram within
-// memberTTL and are not leaving. What a gateway says about itself replaces its list entry.
+// memberTTL and are not shutting down. What a gateway says about itself replaces its
+// list entry.
 func (m *Mesh) Members(now time.Time) []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -187,17 +190,17 @@
 	return out
 }
 
-// Send fills in the sender's fields of w and sends it to each of the addresses.
-func (m *Mesh) Send(w Message, to []netip.AddrPort, now time.Time) error {
+// Send fills in the sender's fields of msg and sends it to each of the addresses.
+func (m *Mesh) Send(msg Message, to []netip.AddrPort, now time.Time) error {
 	m.mu.Lock()
 	m.sequence++
-	w.From, w.Incarnation, w.Sequence = m.name, m.incarnation, m.sequence
-	w.Clock = int64(now.Sub(m.epoch))
-	if w.EchoClocks {
-		w.ClockEchoes = m.clockEchoes(to, now)
+	msg.From, msg.Incarnation, msg.Sequence = m.name, m.incarnation, m.sequence
+	msg.Clock = int64(now.Sub(m.epoch))
+	if msg.EchoClocks {
+		msg.ClockEchoes = m.clockEchoes(to, now)
 	}
 	m.mu.Unlock()
-	p, err := encode(&w)
+	p, err := encode(&msg)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -225,10 +228,10 @@
 	return out
 }
 
-// SentAfter returns a time, by this process's clock, before which w cannot have been
-// sent. ok is false if w echoes no valid clock of this process.
-func (m *Mesh) SentAfter(w Message) (at time.Time, ok bool) {
-	clock, ok := w.ClockEchoes[m.name]
+// SentAfter returns a time, by this process's clock, before which msg cannot have been
+// sent. ok is false if msg echoes no valid clock of this process.
+func (m *Mesh) SentAfter(msg Message) (at time.Time, ok bool) {
+	clock, ok := msg.ClockEchoes[m.name]
 	if !ok || clock < 0 {
 		return time.Time{}, false
 	}
@@ -240,38 +243,38 @@
 // The datagrams of one sender are handled in the order of sending; one that arrives
 // after a later one is dropped. Receive returns the number of datagrams that could
 // not be decoded.
-func (m *Mesh) Receive(handle func(w Message, from netip.AddrPort)) (malformed int) {
+func (m *Mesh) Receive(handle func(msg Message, from netip.AddrPort)) (malformed int) {
 	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := m.socket.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return malformed
 		}
-		w, err := decode(buf[:n])
+		msg, err := decode(buf[:n])
 		if err != nil {
 			malformed++
 			continue
 		}
-		if w.From != m.name && m.accept(w, from) {
-			handle(w, from)
+		if msg.From != m.name && m.accept(msg, from) {
+			handle(msg, from)
 		}
 	}
 }
 
 // accept records the receipt of a datagram. It returns false if the same or a later
 // one of the same process was received before.
-func (m *Mesh) accept(w Message, from netip.AddrPort) bool {
+func (m *Mesh) accept(msg Message, from netip.AddrPort) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if last, ok := m.lastReceived[w.From]; ok && last.incarnation == w.Incarnation && last.sequence >= w.Sequence {
+	if last, ok := m.lastReceived[msg.From]; ok && last.incarnation == msg.Incarnation && last.sequence >= msg.Sequence {
 		return false
 	}
 	now := time.Now()
-	m.lastReceived[w.From] = receipt{w.Incarnation, w.Sequence, w.Clock, now, from}
-	if w.Leaving {
+	m.lastReceived[msg.From] = receipt{msg.Incarnation, msg.Sequence, msg.Clock, now, from}
+	if msg.ShuttingDown {
 		delete(m.recent, from)
 	} else {
-		m.recent[from] = recentMember{Member{from, w.From, w.DataCentre}, now}
+		m.recent[from] = recentMember{Member{from, msg.From, msg.DataCentre}, now}
 	}
 	return true
 }
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -30,14 +30,14 @@
 	a, _ := listen(t, "a")
 	b, at := listen(t, "b")
 	received := make(chan Message, 1)
-	go b.Receive(func(w Message, _ netip.AddrPort) { received <- w })
+	go b.Receive(func(msg Message, _ netip.AddrPort) { received <- msg })
 	is.NoErr(a.Send(Message{Version: 7, Loads: map[string]balance.Load{"e": {PrefillMs: 1.5, Short: 2}},
-		Waiting: map[string]balance.QueueHead{"s": {Rank: balance.Oversize, DueInMs: -5}}, DataCentre: "dc"}, []netip.AddrPort{at}, time.Now()))
+		Waiting: map[string]balance.QueueHead{"s": {Urgency: balance.Oversize, DueInMs: -5}}, DataCentre: "dc"}, []netip.AddrPort{at}, time.Now()))
 	w := <-received
 	is.Equal(w.From, "a")
 	is.Equal(w.Version, uint64(7))
 	is.Equal(w.Loads["e"], balance.Load{PrefillMs: 1.5, Short: 2})
-	is.Equal(w.Waiting, map[string]balance.QueueHead{"s": {Rank: balance.Oversize, DueInMs: -5}})
+	is.Equal(w.Waiting, map[string]balance.QueueHead{"s": {Urgency: balance.Oversize, DueInMs: -5}})
 	// The sender is a member although it is not in the list.
 	members := b.Members(time.Now())
 	is.Equal(len(members), 1)
@@ -102,7 +102,8 @@
 		is.Equal(w.Coordinator, uint64(6))
 		is.Equal(len(w.Drains) > 0, len(list) >= len(fields))
 	}
-	// A datagram without crash reports, era and limits is encoded as in the previous release.
+	// A datagram without crash reports, era and limits is encoded as in the previous
+	// release.
 	p, err = encode(&Message{From: "a"})
 	is.NoErr(err)
 	is.NoErr(msgpack.Unmarshal(p, &fields))
@@ -125,8 +126,8 @@
 // coordinator, and that the vote adds to every other one.
 func TestSizeOfLimits(t *testing.T) {
 	is := is.New(t)
-	size := func(w Message) int {
-		p, err := encode(&w)
+	size := func(msg Message) int {
+		p, err := encode(&msg)
 		is.NoErr(err)
 		return len(p)
 	}
@@ -142,8 +143,8 @@
 	is.True(limitBytes <= 18*48)
 }
 
-// TestSizeOfLeaves limits the bytes that 18 leaving endpoints add to a datagram.
-func TestSizeOfLeaves(t *testing.T) {
+// TestSizeOfDrains limits the bytes that 18 draining endpoints add to a datagram.
+func TestSizeOfDrains(t *testing.T) {
 	is := is.New(t)
 	leaves := make(map[string]int64)
 	for n := range 18 {
@@ -153,6 +154,6 @@
 	is.NoErr(err)
 	withLeaves, err := encode(&Message{From: "a", Drains: leaves})
 	is.NoErr(err)
-	t.Logf("%d leaving endpoints take %d bytes", len(leaves), len(withLeaves)-len(empty))
+	t.Logf("%d draining endpoints take %d bytes", len(leaves), len(withLeaves)-len(empty))
 	is.True(len(withLeaves)-len(empty) <= 18*24)
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -14,7 +14,7 @@
 	// had begun to be answered there, for it to be quarantined. A crash is counted against each of
 	// the up to sixteen requests that shared the endpoint. One crash therefore says little, and
 	// requests that are retried together share two. After the third crash the requirement allows
-	// three more sends, for copies that are already on their way.
+	// three more attempts, for copies that are already on their way.
 	minCrashesBefore = 3
 	// minCrashesTotal is how many crashes quarantine a request if they include those after the
 	// beginning of the response. It is higher because most requests that crash an endpoint do so at
@@ -72,8 +72,8 @@
 
 // Verdict is the assessment of a request.
 type Verdict struct {
-	// CrashesBefore and Within count the crashes before and after the endpoint had begun to answer the
-	// request.
+	// CrashesBefore and CrashesWithin count the crashes before and after the endpoint had begun to answer
+	// the request.
 	CrashesBefore, CrashesWithin int
 	// Successes is how many endpoints completed the request, within successWindow before its newest
 	// crash or later. The request is not quarantined if they are at least as many as the crashes:
@@ -93,7 +93,7 @@
 
 const (
 	local     origin = iota // observed by this gateway
-	sameCell                // reported by a gateway of the same cell
+	localCell               // reported by a gateway of the same cell
 	otherCell               // reported by a gateway of another cell, or read from the store
 )
 
@@ -120,7 +120,7 @@
 	// updated are the requests whose records have updates.
 	updated   map[Fingerprint]struct{}
 	lastSweep time.Time // when expired records were last removed
-	// repeatCursor is the position of Repeat in the sorted list of quarantined requests.
+	// repeatCursor is the position of RepeatReports in the sorted list of quarantined requests.
 	repeatCursor int
 }
 
@@ -170,26 +170,26 @@
 }
 
 // queueUpdate queues an update for other gateways.
-func (t *Table) queueUpdate(r *record, n update) {
-	r.updates = append(r.updates, n)
-	t.updated[n.Fingerprint] = struct{}{}
+func (t *Table) queueUpdate(r *record, u update) {
+	r.updates = append(r.updates, u)
+	t.updated[u.Fingerprint] = struct{}{}
 }
 
 // addSuccess records that an endpoint completed a request and reports whether that is new. A further
 // success of the same endpoint is new if it is at least half of successWindow later, as the earlier
 // one will soon expire.
-func (t *Table) addSuccess(f Fingerprint, g success, from origin, now time.Time) bool {
+func (t *Table) addSuccess(f Fingerprint, s success, from origin, now time.Time) bool {
 	r := t.records[f]
 	if r == nil {
 		r = t.newRecord(f, now) // reports of its crashes may arrive later
 	}
-	i := slices.IndexFunc(r.successes, func(known success) bool { return known.endpoint == g.endpoint })
+	i := slices.IndexFunc(r.successes, func(known success) bool { return known.endpoint == s.endpoint })
 	if i < 0 {
-		r.successes = append(r.successes, g)
+		r.successes = append(r.successes, s)
 	} else {
 		before := r.successes[i].at
-		r.successes[i].at = maxTime(before, g.at)
-		if g.at.Sub(before) < successWindow/2 {
+		r.successes[i].at = maxTime(before, s.at)
+		if s.at.Sub(before) < successWindow/2 {
 			return false
 		}
 	}
@@ -197,7 +197,7 @@
 	if len(r.successes) > maxCrashes {
 		r.successes = slices.Delete(r.successes, 0, 1)
 	}
-	t.queueUpdate(r, update{Report: Report{Kind: Succeeded, Fingerprint: f, Endpoint: g.endpoint}, occurredAt: g.at, learnedAt: now, from: from})
+	t.queueUpdate(r, update{Report: Report{Kind: Succeeded, Fingerprint: f, Endpoint: s.endpoint}, occurredAt: s.at, learnedAt: now, from: from})
 	return true
 }
 
@@ -341,8 +341,8 @@
 // newest crash or later.
 func (r *record) successCount() int {
 	n := 0
-	for _, g := range r.successes {
-		if g.at.After(r.lastCrash().Add(-successWindow)) {
+	for _, s := range r.successes {
+		if s.at.After(r.lastCrash().Add(-successWindow)) {
 			n++
 		}
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -64,9 +64,9 @@
 	is.True(table.Verdict(fingerprint, start.Add(3*time.Second)).Quarantined())
 }
 
-// TestSameMoment checks that endpoints that end together, as when an operator stops them all, count as one
-// crash.
-func TestSameMoment(t *testing.T) {
+// TestSimultaneousCrashesCountOnce checks that endpoints that end together, as when an operator stops
+// them all, count as one crash.
+func TestSimultaneousCrashesCountOnce(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	for n := range 10 {
@@ -102,9 +102,9 @@
 	is.Equal(table.Verdict(fingerprint, again).Until, again.Add(maxQuarantine))
 }
 
-// TestServed checks that a request is not quarantined if as many endpoints completed it as crashed, and
-// that repeated successes of a single endpoint do not prevent a quarantine.
-func TestServed(t *testing.T) {
+// TestSuccessesPreventQuarantine checks that a request is not quarantined if as many endpoints completed
+// it as crashed, and that repeated successes of a single endpoint do not prevent a quarantine.
+func TestSuccessesPreventQuarantine(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	now := start.Add(5 * time.Second)
@@ -172,9 +172,9 @@
 	is.Equal(table.Verdict(fingerprint, now).CrashesBefore, 1)
 }
 
-// TestHearJudgesWholeMessage checks that Hear determines which requests became quarantined only after all
-// reports of a message, so that a Cleared counts against crashes in the same message.
-func TestHearJudgesWholeMessage(t *testing.T) {
+// TestApplyEvaluatesCompleteMessage checks that Apply determines which requests became quarantined only
+// after all reports of a message, so that a Cleared counts against crashes in the same message.
+func TestApplyEvaluatesCompleteMessage(t *testing.T) {
 	is := is.New(t)
 	var reports []Report
 	for n := range 3 {
@@ -225,9 +225,9 @@
 	})
 }
 
-// TestBounded checks that the number of records is bounded, and that new records do not evict a
+// TestTableIsBounded checks that the number of records is bounded, and that new records do not evict a
 // quarantined request.
-func TestBounded(t *testing.T) {
+func TestTableIsBounded(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	for n := range 3 {
@@ -243,46 +243,46 @@
 	is.True(table.MayContain(fingerprint.Head))
 	// Expired records are removed when a new one is added.
 	late := start.Add(maxQuarantine)
-	table.Updates(OwnCell, true, false, late) // all updates have expired
+	table.Updates(LocalCell, true, false, late) // all updates have expired
 	table.RecordCrash(Fingerprint{1, 9}, Crash{Endpoint: 1, At: late}, late)
 	is.Equal(table.Len(), 1)
 	is.True(table.MayContain(1))
 	is.True(!table.MayContain(2))
 }
 
-// TestTell checks which updates go to which audience, how often and for how long.
-func TestTell(t *testing.T) {
+// TestUpdates checks which updates go to which audience, how often and for how long.
+func TestUpdates(t *testing.T) {
 	is := is.New(t)
 	count := func(table *Table, a Audience, rep bool) int { return len(table.Updates(a, rep, false, start)) }
 	observer, peer, remotePeer := NewTable(), NewTable(), NewTable()
 	observer.RecordCrash(fingerprint, crash(1, false, 0), start)
-	reports := observer.Updates(OwnCell, false, false, start)
+	reports := observer.Updates(LocalCell, false, false, start)
 	_, added := peer.Apply(reports, false, start)
 	is.Equal(added, 1)
 	_, added = peer.Apply(reports, false, start)
 	is.Equal(added, 0)
 	remotePeer.Apply(reports, true, start)
 
-	is.Equal(count(observer, OwnCell, false), 1)
+	is.Equal(count(observer, LocalCell, false), 1)
 	is.Equal(count(observer, OtherCells, false), 0) // only representatives send to other cells
 	is.Equal(count(observer, OtherCells, true), 1)
-	is.Equal(count(peer, OwnCell, true), 0) // all of the cell have received it from the observer
+	is.Equal(count(peer, LocalCell, true), 0) // all of the cell have received it from the observer
 	is.Equal(count(peer, OtherCells, true), 1)
-	is.Equal(count(remotePeer, OwnCell, false), 0)
-	is.Equal(count(remotePeer, OwnCell, true), 1)
+	is.Equal(count(remotePeer, LocalCell, false), 0)
+	is.Equal(count(remotePeer, LocalCell, true), 1)
 	is.Equal(count(remotePeer, OtherCells, true), 0) // it does not circulate
 
 	for range maxUrgentSends {
-		is.Equal(len(observer.Updates(OwnCell, false, true, start)), 1)
+		is.Equal(len(observer.Updates(LocalCell, false, true, start)), 1)
 	}
-	is.Equal(len(observer.Updates(OwnCell, false, true, start)), 0)
-	is.Equal(len(observer.Updates(OwnCell, false, false, start.Add(updateTTL))), 1)
-	is.Equal(len(observer.Updates(OwnCell, false, false, start.Add(updateTTL+time.Millisecond))), 0)
+	is.Equal(len(observer.Updates(LocalCell, false, true, start)), 0)
+	is.Equal(len(observer.Updates(LocalCell, false, false, start.Add(updateTTL))), 1)
+	is.Equal(len(observer.Updates(LocalCell, false, false, start.Add(updateTTL+time.Millisecond))), 0)
 }
 
-// TestRepeat checks that a gateway without records reaches the same verdicts from repeated reports, and
-// that many quarantined requests are repeated in turn without leaving any out.
-func TestRepeat(t *testing.T) {
+// TestRepeatReports checks that a gateway without records reaches the same verdicts from repeated
+// reports, and that many quarantined requests are repeated in turn without leaving any out.
+func TestRepeatReports(t *testing.T) {
 	is := is.New(t)
 	table, other := NewTable(), NewTable()
 	is.Equal(len(table.RepeatReports(start)), 0)
@@ -306,8 +306,8 @@
 	is.True(len(quarantined) > 0)
 }
 
-// TestRecall checks that a restored entry gives the same verdict and queues no updates.
-func TestRecall(t *testing.T) {
+// TestRestore checks that a restored entry gives the same verdict and queues no updates.
+func TestRestore(t *testing.T) {
 	is := is.New(t)
 	before, after := NewTable(), NewTable()
 	for n := range 3 {
@@ -316,6 +316,6 @@
 	now := start.Add(time.Minute)
 	after.Restore(before.Entry(fingerprint), now)
 	is.Equal(after.Verdict(fingerprint, now), before.Verdict(fingerprint, now))
-	is.Equal(len(after.Updates(OwnCell, true, false, now)), 0)
+	is.Equal(len(after.Updates(LocalCell, true, false, now)), 0)
 	is.Equal(len(before.Entry(Fingerprint{5, 5}).Crashes), 0)
 }
--- a/quarantine/tell.go
+++ b/quarantine/tell.go
@@ -50,19 +50,19 @@
 type Audience uint8
 
 const (
-	OwnCell Audience = iota
+	LocalCell Audience = iota
 	OtherCells
 )
 
 // isFor reports whether this gateway sends the update to an audience; representative is set if the
-// gateway represents its cell towards the others. Every gateway sends its own cell what it observed
-// itself. Representatives send other cells what was observed in their own, and their own cell what
+// gateway represents its cell towards the others. Every gateway sends the local cell what it observed
+// itself. Representatives send other cells what was observed in the local cell, and the local cell what
 // comes from others. So every update reaches all cells and none circulates.
-func (n *update) isFor(a Audience, representative bool) bool {
-	if a == OwnCell {
-		return n.from == local || representative && n.from == otherCell
+func (u *update) isFor(a Audience, representative bool) bool {
+	if a == LocalCell {
+		return u.from == local || representative && u.from == otherCell
 	}
-	return representative && n.from != otherCell
+	return representative && u.from != otherCell
 }
 
 // Updates returns the updates for an audience. representative is set if this gateway represents its cell
@@ -71,27 +71,27 @@
 	var out []Report
 	for f := range t.updated {
 		r := t.records[f]
-		r.updates = slices.DeleteFunc(r.updates, func(n update) bool { return now.Sub(n.learnedAt) > updateTTL })
+		r.updates = slices.DeleteFunc(r.updates, func(u update) bool { return now.Sub(u.learnedAt) > updateTTL })
 		if len(r.updates) == 0 {
 			delete(t.updated, f)
 		}
 		for i := range r.updates {
-			n := &r.updates[i]
-			if len(out) >= MaxReports || !n.isFor(a, representative) || urgent && n.urgentSends >= maxUrgentSends {
+			u := &r.updates[i]
+			if len(out) >= MaxReports || !u.isFor(a, representative) || urgent && u.urgentSends >= maxUrgentSends {
 				continue
 			}
 			if urgent {
-				n.urgentSends++
+				u.urgentSends++
 			}
-			out = append(out, n.report(now))
+			out = append(out, u.report(now))
 		}
 	}
 	return out
 }
 
-func (n *update) report(now time.Time) Report {
-	r := n.Report
-	r.AgeMs = now.Sub(n.occurredAt).Milliseconds()
+func (u *update) report(now time.Time) Report {
+	r := u.Report
+	r.AgeMs = now.Sub(u.occurredAt).Milliseconds()
 	return r
 }
 
@@ -127,8 +127,8 @@
 	for _, c := range r.crashes {
 		out = append(out, Report{Kind: Crashed, Fingerprint: f, Endpoint: c.Endpoint, Begun: c.Begun, AgeMs: now.Sub(c.At).Milliseconds()})
 	}
-	for _, g := range r.successes {
-		out = append(out, Report{Kind: Succeeded, Fingerprint: f, Endpoint: g.endpoint, AgeMs: now.Sub(g.at).Milliseconds()})
+	for _, s := range r.successes {
+		out = append(out, Report{Kind: Succeeded, Fingerprint: f, Endpoint: s.endpoint, AgeMs: now.Sub(s.at).Milliseconds()})
 	}
 	return out
 }
@@ -136,11 +136,11 @@
 // Apply records the reports of a gateway of this cell or of another one. It returns the requests that
 // became quarantined by them, and the number of reports that were new.
 func (t *Table) Apply(reports []Report, fromOtherCell bool, now time.Time) (quarantined []Fingerprint, added int) {
-	from := sameCell
+	from := localCell
 	if fromOtherCell {
 		from = otherCell
 	}
-	reports = reports[:min(len(reports), 2*MaxReports)] // the results of Tell and of Repeat
+	reports = reports[:min(len(reports), 2*MaxReports)] // the results of Updates and of RepeatReports
 	before := make(map[Fingerprint]bool)
 	for _, r := range reports {
 		if _, seen := before[r.Fingerprint]; !seen {
--- a/ratelimit/coordinator.go
+++ b/ratelimit/coordinator.go
@@ -35,7 +35,7 @@
 	endpoint   string
 }
 
-// Decision is the coordinator's decision about an Ask.
+// Decision is the coordinator's decision about a GrantRequest.
 type Decision struct {
 	// Endpoint is where the request may be sent now; empty if it is not granted yet.
 	Endpoint string
@@ -83,45 +83,45 @@
 func (c *Coordinator) Forget(endpoint string) { delete(c.pacers, endpoint) }
 
 // Remove removes a waiting request.
-func (c *Coordinator) Remove(a *GrantRequest) {
-	c.waiting = slices.DeleteFunc(c.waiting, func(w *GrantRequest) bool { return w == a })
+func (c *Coordinator) Remove(r *GrantRequest) {
+	c.waiting = slices.DeleteFunc(c.waiting, func(w *GrantRequest) bool { return w == r })
 }
 
 // Try decides about a request that is waiting or has just arrived. The request keeps waiting unless it is
 // granted, refused or not limited.
-func (c *Coordinator) Try(a *GrantRequest, rates Rates, now time.Time) Decision {
-	if a.Probe {
-		return c.tryProbe(a, rates, now)
+func (c *Coordinator) Try(r *GrantRequest, rates Rates, now time.Time) Decision {
+	if r.Probe {
+		return c.tryProbe(r, rates, now)
 	}
-	if !slices.Contains(c.waiting, a) {
-		at, _ := slices.BinarySearchFunc(c.waiting, a, compareAsks)
-		c.waiting = slices.Insert(c.waiting, at, a)
+	if !slices.Contains(c.waiting, r) {
+		at, _ := slices.BinarySearchFunc(c.waiting, r, compareRequests)
+		c.waiting = slices.Insert(c.waiting, at, r)
 	}
 	c.plan(rates, now)
 	switch {
-	case a.endpoint == "":
-		c.Remove(a)
+	case r.endpoint == "":
+		c.Remove(r)
 		return Decision{Unlimited: true}
-	case a.expectedAt.After(a.Until):
-		c.Remove(a)
-		return Decision{Refused: true, RetryAfter: c.retryAfter(a, rates, now)}
-	case a.expectedAt.After(now):
-		return Decision{Expected: a.expectedAt}
+	case r.expectedAt.After(r.Until):
+		c.Remove(r)
+		return Decision{Refused: true, RetryAfter: c.retryAfter(r, rates, now)}
+	case r.expectedAt.After(now):
+		return Decision{Expected: r.expectedAt}
 	default:
-		c.Remove(a)
-		c.recordGrant(a.endpoint, rates, now)
-		return Decision{Endpoint: a.endpoint}
+		c.Remove(r)
+		c.recordGrant(r.endpoint, rates, now)
+		return Decision{Endpoint: r.endpoint}
 	}
 }
 
-// compareAsks orders waiting requests by urgency and arrival. A new request a comes after equal ones.
-func compareAsks(w, a *GrantRequest) int {
-	return cmp.Or(cmp.Compare(w.Urgency, a.Urgency), w.Since.Compare(a.Since), -1)
+// compareRequests orders waiting requests by urgency and arrival. A new request r comes after equal ones.
+func compareRequests(w, r *GrantRequest) int {
+	return cmp.Or(cmp.Compare(w.Urgency, r.Urgency), w.Since.Compare(r.Since), -1)
 }
 
-// tryProbe grants a probe to an endpoint that has had no grant for ProbeEvery, if no request is waiting.
-func (c *Coordinator) tryProbe(a *GrantRequest, rates Rates, now time.Time) Decision {
-	for _, id := range a.Endpoints {
+// tryProbe grants a probe to an endpoint that has had no grant for ProbeInterval, if no request is waiting.
+func (c *Coordinator) tryProbe(r *GrantRequest, rates Rates, now time.Time) Decision {
+	for _, id := range r.Endpoints {
 		perSecond, ok := rates(id)
 		if !ok {
 			continue
@@ -145,10 +145,10 @@
 // plan computes when and for which endpoint each waiting request would be granted.
 func (c *Coordinator) plan(rates Rates, now time.Time) {
 	endpoints := make(map[string]*endpointPlan)
-	for _, a := range c.waiting {
-		a.endpoint = ""
+	for _, r := range c.waiting {
+		r.endpoint = ""
 		var best *endpointPlan
-		for _, id := range a.Endpoints {
+		for _, id := range r.Endpoints {
 			e := endpoints[id]
 			if e == nil {
 				e = c.planEndpoint(id, rates, now)
@@ -157,12 +157,12 @@
 			if e.interval == 0 {
 				continue
 			}
-			if at := maxTime(e.next.Add(-burstWindow), now); best == nil || at.Before(a.expectedAt) {
-				best, a.endpoint, a.expectedAt = e, id, at
+			if at := maxTime(e.next.Add(-burstWindow), now); best == nil || at.Before(r.expectedAt) {
+				best, r.endpoint, r.expectedAt = e, id, at
 			}
 		}
-		if best != nil && !a.expectedAt.After(a.Until) { // a request that will be refused uses no capacity
-			best.next = maxTime(best.next, a.expectedAt).Add(best.interval)
+		if best != nil && !r.expectedAt.After(r.Until) { // a request that will be refused uses no capacity
+			best.next = maxTime(best.next, r.expectedAt).Add(best.interval)
 		}
 	}
 }
@@ -211,18 +211,18 @@
 
 // retryAfter returns the time after which the caller of a refused request should retry. Successive callers
 // of a service get times spaced at the rate at which the acceptable endpoints accept requests.
-func (c *Coordinator) retryAfter(a *GrantRequest, rates Rates, now time.Time) time.Duration {
+func (c *Coordinator) retryAfter(r *GrantRequest, rates Rates, now time.Time) time.Duration {
 	totalRate := 0.0
-	for _, id := range a.Endpoints {
+	for _, id := range r.Endpoints {
 		if perSecond, ok := rates(id); ok {
 			totalRate += max(perSecond, minRate)
 		}
 	}
-	at := maxTime(maxTime(c.nextRetry[a.Service], now), a.expectedAt).Add(interval(totalRate))
+	at := maxTime(maxTime(c.nextRetry[r.Service], now), r.expectedAt).Add(interval(totalRate))
 	if at.Sub(now) > maxRetryAfter {
 		return maxRetryAfter
 	}
-	c.nextRetry[a.Service] = at
+	c.nextRetry[r.Service] = at
 	return at.Sub(now)
 }
 
--- a/ratelimit/coordinator_test.go
+++ b/ratelimit/coordinator_test.go
@@ -183,7 +183,7 @@
 	now = now.Add(300 * time.Millisecond)
 	is.True(probe("a"))
 	now = now.Add(ProbeInterval / 2)
-	is.True(!probe("a")) // less than ProbeEvery since the previous one
+	is.True(!probe("a")) // less than ProbeInterval since the previous one
 	now = now.Add(ProbeInterval / 2)
 	is.True(probe("a"))
 	is.True(!probe("none"))
--- a/ratelimit/known.go
+++ b/ratelimit/known.go
@@ -1,7 +1,7 @@
 // Package ratelimit enforces rate limits that endpoints set for all gateways together. The gateways
 // send requests independently, and no fixed share of such a limit for each gateway is both safe and
 // useful: an endpoint may accept two requests a second and have a hundred gateways. The gateways of a
-// cell therefore share the limits they know (Known) and elect one of themselves as coordinator (Votes),
+// cell therefore share the limits they know (LimitTable) and elect one of themselves as coordinator (Election),
 // which grants requests one by one (Coordinator). The package does no I/O and reads no clock: callers
 // pass in events and times.
 package ratelimit
@@ -12,16 +12,16 @@
 )
 
 const (
-	// shareFor is how long a change is included in every message to the other gateways. Messages are
-	// sent several times a second, so a few of them may be lost, and all gateways read of a restarted
-	// endpoint in less time than that.
+	// shareFor is how long a change is included in every message to the other gateways. Messages are sent
+	// several times a second, so a few of them may be lost, and all gateways learn of a restarted endpoint in
+	// less time than that.
 	shareFor = 2 * time.Second
 	// endedTTL is how long the end of a limit is repeated. A gateway that was disconnected sends
 	// outdated limits for no longer than that, as it receives the newer state in reply.
 	endedTTL = time.Minute
 	// foreignTTL is how long the limit of an endpoint of another cell applies without being confirmed.
 	// No gateway of this cell sends requests to such an endpoint and could learn that the limit has
-	// ended; once it has, the endpoint's own cell offers the endpoint again.
+	// ended; once it has, the cell of the endpoint offers the endpoint again.
 	foreignTTL = 10 * time.Second
 )
 
@@ -54,7 +54,7 @@
 // LimitTable holds the limits of endpoints. Responses arrive late and out of order, and at different gateways,
 // so clocks do not show which is the newest. A response is known to be newer than the current limit only if
 // its request was sent when that limit was already known, and only such a response raises or ends a limit.
-// Among responses in unknown order the lowest limit applies. Known is not safe for concurrent use.
+// Among responses in unknown order the lowest limit applies. LimitTable is not safe for concurrent use.
 type LimitTable struct {
 	entries map[string]*entry
 }
@@ -63,17 +63,17 @@
 func NewLimitTable() *LimitTable { return &LimitTable{entries: make(map[string]*entry)} }
 
 // Version returns the version of an endpoint's limit. The caller reads it when it sends a request and
-// passes it to Answered with the response.
-func (k *LimitTable) Version(endpoint string) uint64 {
-	if e := k.entries[endpoint]; e != nil {
+// passes it to ApplyResponse with the response.
+func (t *LimitTable) Version(endpoint string) uint64 {
+	if e := t.entries[endpoint]; e != nil {
 		return e.Version
 	}
 	return 0
 }
 
 // Limit returns the limit of an endpoint; ok is false if it has none.
-func (k *LimitTable) Limit(endpoint string) (perSecond float64, ok bool) {
-	e := k.entries[endpoint]
+func (t *LimitTable) Limit(endpoint string) (perSecond float64, ok bool) {
+	e := t.entries[endpoint]
 	if e == nil || !e.Limit.Set {
 		return 0, false
 	}
@@ -81,9 +81,9 @@
 }
 
 // Limits returns all limits in force, in requests a second by endpoint.
-func (k *LimitTable) Limits() map[string]float64 {
+func (t *LimitTable) Limits() map[string]float64 {
 	out := make(map[string]float64)
-	for id, e := range k.entries {
+	for id, e := range t.entries {
 		if e.Limit.Set {
 			out[id] = e.Limit.PerSecond
 		}
@@ -93,25 +93,25 @@
 
 // ApplyResponse records what a response says about the limit of an endpoint, for the incarnation born. sent is
 // the Version at the time when the request was sent. It reports whether the known limit has changed.
-func (k *LimitTable) ApplyResponse(endpoint string, born int64, sent uint64, n AdvertisedLimit, now time.Time) bool {
-	e := k.entries[endpoint]
+func (t *LimitTable) ApplyResponse(endpoint string, born int64, sent uint64, limit AdvertisedLimit, now time.Time) bool {
+	e := t.entries[endpoint]
 	if e == nil || e.Born != born {
-		if !n.Set {
+		if !limit.Set {
 			return false
 		}
-		k.entries[endpoint] = &entry{LimitUpdate{1, n, born}, now, now.Add(shareFor)}
+		t.entries[endpoint] = &entry{LimitUpdate{1, limit, born}, now, now.Add(shareFor)}
 		return true
 	}
 	newer := sent >= e.Version
-	if n == e.Limit {
+	if limit == e.Limit {
 		e.confirmedAt = now
 		return false
 	}
-	if !newer && !lower(n, e.Limit) {
+	if !newer && !lower(limit, e.Limit) {
 		return false
 	}
 	e.Version++
-	e.Limit, e.confirmedAt, e.shareUntil = n, now, now.Add(shareFor)
+	e.Limit, e.confirmedAt, e.shareUntil = limit, now, now.Add(shareFor)
 	return true
 }
 
@@ -121,31 +121,31 @@
 }
 
 // ApplyUpdate records what another gateway sent about an endpoint, which must be about the incarnation that the
-// caller knows. It reports whether the known limit has changed. If the notice is outdated, the newer state
+// caller knows. It reports whether the known limit has changed. If the update is outdated, the newer state
 // is included in messages again.
-func (k *LimitTable) ApplyUpdate(endpoint string, n LimitUpdate, now time.Time) bool {
-	e := k.entries[endpoint]
+func (t *LimitTable) ApplyUpdate(endpoint string, u LimitUpdate, now time.Time) bool {
+	e := t.entries[endpoint]
 	switch {
-	case e == nil || n.Born != e.Born:
-	case n.Version < e.Version:
+	case e == nil || u.Born != e.Born:
+	case u.Version < e.Version:
 		e.shareUntil = now.Add(shareFor)
 		return false
-	case n.Version == e.Version && !lower(n.Limit, e.Limit):
-		if n.Limit == e.Limit {
+	case u.Version == e.Version && !lower(u.Limit, e.Limit):
+		if u.Limit == e.Limit {
 			e.confirmedAt = now
 		}
 		return false
 	}
-	changed := e == nil && n.Limit.Set || e != nil && e.Limit != n.Limit
-	k.entries[endpoint] = &entry{n, now, now.Add(shareFor)}
+	changed := e == nil && u.Limit.Set || e != nil && e.Limit != u.Limit
+	t.entries[endpoint] = &entry{u, now, now.Add(shareFor)}
 	return changed
 }
 
-// Updates returns the notices to send to the other gateways: those changed within shareFor and, if full is
+// Updates returns the updates to send to the other gateways: those changed within shareFor and, if full is
 // set, all others that a gateway may have missed.
-func (k *LimitTable) Updates(full bool, now time.Time) map[string]LimitUpdate {
+func (t *LimitTable) Updates(full bool, now time.Time) map[string]LimitUpdate {
 	var out map[string]LimitUpdate
-	for id, e := range k.entries {
+	for id, e := range t.entries {
 		if now.After(e.shareUntil) && !(full && (e.Limit.Set || now.Sub(e.confirmedAt) <= endedTTL)) {
 			continue
 		}
@@ -158,14 +158,14 @@
 }
 
 // Expire drops the limits of endpoints of other cells that were not confirmed within foreignTTL. It reports
-// whether there were any. own reports whether an endpoint belongs to this cell.
-func (k *LimitTable) Expire(own func(endpoint string) bool, now time.Time) bool {
-	before := len(k.entries)
-	maps.DeleteFunc(k.entries, func(id string, e *entry) bool {
-		return now.Sub(e.confirmedAt) > foreignTTL && !own(id)
+// whether there were any. local reports whether an endpoint belongs to this cell.
+func (t *LimitTable) Expire(local func(endpoint string) bool, now time.Time) bool {
+	before := len(t.entries)
+	maps.DeleteFunc(t.entries, func(id string, e *entry) bool {
+		return now.Sub(e.confirmedAt) > foreignTTL && !local(id)
 	})
-	return len(k.entries) < before
+	return len(t.entries) < before
 }
 
 // Forget drops the limit of an endpoint that is gone or has restarted.
-func (k *LimitTable) Forget(endpoint string) { delete(k.entries, endpoint) }
+func (t *LimitTable) Forget(endpoint string) { delete(t.entries, endpoint) }
--- a/ratelimit/votes.go
+++ b/ratelimit/votes.go
@@ -29,7 +29,7 @@
 // limit send their votes in their messages, and the one with most votes is the coordinator. If gateways do not
 // receive each other's messages there may be several coordinators, so each grants a share in proportion to its
 // votes: whichever gateway follows which, the shares add up to no more than maxTotalShare. This needs no
-// consensus, and a gateway that receives no messages grants little. Votes is not safe for concurrent use.
+// consensus, and a gateway that receives no messages grants little. Election is not safe for concurrent use.
 type Election struct {
 	self        string
 	coordinator string
@@ -51,46 +51,46 @@
 }
 
 // RecordVote records the vote of another gateway of the cell. A vote of 0 means that this gateway cannot be the
-// coordinator: it knows of no limit, is draining, or runs a release without limits.
-func (v *Election) RecordVote(from string, vote uint64, now time.Time) {
+// coordinator: it knows of no limit, is shutting down, or runs a release without limits.
+func (e *Election) RecordVote(from string, vote uint64, now time.Time) {
 	if vote == 0 {
-		delete(v.ballots, from)
+		delete(e.ballots, from)
 		return
 	}
-	v.ballots[from] = ballot{vote, now}
+	e.ballots[from] = ballot{vote, now}
 }
 
 // Reset returns to the initial state, when no endpoint has a limit any more.
-func (v *Election) Reset() {
-	v.coordinator, v.since = "", time.Time{}
-	clear(v.ballots)
+func (e *Election) Reset() {
+	e.coordinator, e.since = "", time.Time{}
+	clear(e.ballots)
 }
 
 // DropVotes drops all votes received. It is called after the host was suspended, when their age is unknown.
-func (v *Election) DropVotes() { clear(v.ballots) }
+func (e *Election) DropVotes() { clear(e.ballots) }
 
-// Choose returns the coordinator from this gateway's point of view. A gateway that is draining chooses
+// Choose returns the coordinator from this gateway's point of view. A gateway that is shutting down chooses
 // itself only if it knows of no other candidate.
-func (v *Election) Choose(leaving bool, now time.Time) string {
-	counts := map[uint64]int{gatewayKey(v.coordinator): 1}
-	for name, b := range v.ballots {
+func (e *Election) Choose(shuttingDown bool, now time.Time) string {
+	counts := map[uint64]int{gatewayKey(e.coordinator): 1}
+	for name, b := range e.ballots {
 		if now.Sub(b.receivedAt) > voteTTL {
-			delete(v.ballots, name)
+			delete(e.ballots, name)
 			continue
 		}
 		counts[b.vote]++
 	}
 	best := ""
-	if !leaving || len(v.ballots) == 0 {
-		best = v.self
+	if !shuttingDown || len(e.ballots) == 0 {
+		best = e.self
 	}
-	for name := range v.ballots {
+	for name := range e.ballots {
 		if best == "" || preferred(name, best, counts) {
 			best = name
 		}
 	}
-	if best != v.coordinator {
-		v.coordinator, v.since = best, now
+	if best != e.coordinator {
+		e.coordinator, e.since = best, now
 	}
 	return best
 }
@@ -106,18 +106,18 @@
 // OwnVote returns the vote of this gateway. A gateway that has been its own coordinator for voteTTL without a
 // follower may be one whose messages arrive while it receives none. It votes 0, so that the others do not
 // choose it.
-func (v *Election) OwnVote(now time.Time) uint64 {
-	if v.coordinator == v.self && now.Sub(v.since) > voteTTL && v.followers(now) == 0 {
+func (e *Election) OwnVote(now time.Time) uint64 {
+	if e.coordinator == e.self && now.Sub(e.since) > voteTTL && e.followers(now) == 0 {
 		return 0
 	}
-	return gatewayKey(v.coordinator)
+	return gatewayKey(e.coordinator)
 }
 
 // followers returns how many other gateways vote for this one.
-func (v *Election) followers(now time.Time) int {
+func (e *Election) followers(now time.Time) int {
 	n := 0
-	for _, b := range v.ballots {
-		if b.vote == gatewayKey(v.self) && now.Sub(b.receivedAt) <= voteTTL {
+	for _, b := range e.ballots {
+		if b.vote == gatewayKey(e.self) && now.Sub(b.receivedAt) <= voteTTL {
 			n++
 		}
 	}
@@ -126,10 +126,10 @@
 
 // Share returns the share of each limit that this gateway may grant if the cell has the given number of
 // gateways. It is 0 if the gateway is not the coordinator, or has been for less than settlingTime.
-func (v *Election) Share(gateways int, now time.Time) float64 {
-	if v.coordinator != v.self || now.Sub(v.since) < settlingTime {
+func (e *Election) Share(gateways int, now time.Time) float64 {
+	if e.coordinator != e.self || now.Sub(e.since) < settlingTime {
 		return 0
 	}
-	votes := 1 + v.followers(now)
+	votes := 1 + e.followers(now)
 	return min(1, maxTotalShare*float64(votes)/float64(max(gateways, votes)))
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -14,57 +14,57 @@
 
 // attempt sends the request to one endpoint and relays the answer. again is set if there was no
 // answer that could be passed on.
-func (x *exchange) attempt(ctx context.Context, at *placement) (o outcome, again bool) {
-	defer at.release()
-	if !x.allAccept(at, time.Now()) {
+func (x *exchange) attempt(ctx context.Context, pl *placement) (o outcome, again bool) {
+	defer pl.release()
+	if !x.allAccept(pl, time.Now()) {
 		return x.abandonAttempt()
 	}
 	var memory *reservations
-	if len(at.memoryDemands) > 0 {
+	if len(pl.memoryDemands) > 0 {
 		var err error
-		if memory, err = x.g.reserve(ctx, x.call.ID, at); err != nil {
+		if memory, err = x.g.reserve(ctx, x.call.ID, pl); err != nil {
 			x.handleReserveFailure(err)
 			return "", true
 		}
 		defer memory.end()
-		at.reservations, ctx = memory, memory.sendCtx
+		pl.reservations, ctx = memory, memory.sendCtx
 	}
 	if o, ok := x.mayProceed(); !ok {
 		return o, false
 	}
 	now := time.Now()
-	if !x.allAccept(at, now) || !x.withinLimits(at, now) {
+	if !x.allAccept(pl, now) || !x.withinLimits(pl, now) {
 		return x.abandonAttempt()
 	}
-	req := x.upstreamRequest(at, memory, now)
+	req := x.upstreamRequest(pl, memory, now)
 	x.answerBegun = false
-	res, err := x.g.do(ctx, at.endpoint, req, callerRequest, x.call.ID)
-	if at.endSend(err == nil) {
-		x.g.deps.Log.Logger().Info("Endpoint has rested.", "endpoint", at.endpoint.ID)
+	res, err := x.g.do(ctx, pl.endpoint, req, callerRequest, x.call.ID)
+	if pl.endSend(err == nil) {
+		x.g.deps.Log.Logger().Info("Endpoint has rested.", "endpoint", pl.endpoint.ID)
 	}
 	if err != nil {
-		x.handleSendFailure(ctx, at, err)
+		x.handleSendFailure(ctx, pl, err)
 		return "", true
 	}
 	defer res.Body.Close()
-	x.countAttempt(at)
+	x.countAttempt(pl)
 	verdict := x.g.deps.Protocol.Verdict(res)
 	x.status = res.StatusCode
 	if verdict == NotRun || verdict == WrongEndpoint {
-		x.handleRejection(at, res, verdict)
+		x.handleRejection(pl, res, verdict)
 		return "", true
 	}
-	x.tried = append(x.tried, at.endpoint.ID)
+	x.tried = append(x.tried, pl.endpoint.ID)
 	x.mayRun = true
 	if verdict == Failed && x.route.Kind == catalog.Streaming {
-		x.recordOutcome(at, health.BadResponse) // requests to plain services may also fail through their own fault
+		x.recordOutcome(pl, health.BadResponse) // requests to plain services may also fail through their own fault
 	}
 	if verdict == Failed && x.mayRepeat() {
 		x.lastError = errors.New("endpoint failed with status " + res.Status)
 		x.retryGranted = true
 		return "", true
 	}
-	return x.relay(ctx, at, res)
+	return x.relay(ctx, pl, res)
 }
 
 // abandonAttempt ends an attempt before anything was sent, because an endpoint does not accept the
@@ -76,23 +76,23 @@
 }
 
 // allAccept reports whether the chosen endpoint and all of its helpers still accept requests.
-func (x *exchange) allAccept(at *placement, now time.Time) bool {
-	for _, e := range at.helpers {
+func (x *exchange) allAccept(pl *placement, now time.Time) bool {
+	for _, e := range pl.helpers {
 		if !x.g.state.AcceptsRequests(e.ID, now) {
 			return false
 		}
 	}
-	return x.g.state.AcceptsRequests(at.endpoint.ID, now)
+	return x.g.state.AcceptsRequests(pl.endpoint.ID, now)
 }
 
 // handleRejection handles an answer that says that the request did not run. If the answer names
 // another endpoint, a helper, that helper is avoided from now on and the endpoint that answered may
 // be chosen again. Otherwise the next attempt would use the same helper: long prompts with a dead
 // engine among their helpers were given up after two attempts.
-func (x *exchange) handleRejection(at *placement, res *http.Response, verdict Verdict) {
+func (x *exchange) handleRejection(pl *placement, res *http.Response, verdict Verdict) {
 	x.lastError = errors.New("endpoint rejected the request with status " + res.Status)
 	address := x.g.deps.Protocol.FaultyEndpoint(res)
-	if address != "" && address != at.endpoint.Address {
+	if address != "" && address != pl.endpoint.Address {
 		if id, ok := x.g.state.EndpointAt(address); ok {
 			x.recordOutcomeAt(id, health.Unreachable)
 			x.excluded = append(x.excluded, id)
@@ -100,35 +100,35 @@
 			return
 		}
 	}
-	x.tried = append(x.tried, at.endpoint.ID)
+	x.tried = append(x.tried, pl.endpoint.ID)
 	switch {
 	case verdict == WrongEndpoint:
-		x.recordOutcome(at, health.Replaced)
-	case x.g.state.InBackoff(at.endpoint.ID, time.Now()):
+		x.recordOutcome(pl, health.Replaced)
+	case x.g.state.InBackoff(pl.endpoint.ID, time.Now()):
 		// The endpoint asked this gateway to back off, which is not a failure.
-	case hasCapacity(at, x.service, x.call.PromptTokens):
-		x.recordOutcome(at, health.BadResponse)
+	case hasCapacity(pl, x.service, x.call.PromptTokens):
+		x.recordOutcome(pl, health.BadResponse)
 	}
 }
 
 // countAttempt counts an attempt that may have reached an endpoint.
-func (x *exchange) countAttempt(at *placement) {
+func (x *exchange) countAttempt(pl *placement) {
 	x.attempts++
-	if !slices.Contains(x.sentEndpoints, at.endpoint.ID) {
-		x.sentEndpoints = append(x.sentEndpoints, at.endpoint.ID)
+	if !slices.Contains(x.sentEndpoints, pl.endpoint.ID) {
+		x.sentEndpoints = append(x.sentEndpoints, pl.endpoint.ID)
 	}
 }
 
 // hasCapacity reports whether, as far as the gateways know, an endpoint should have accepted a
 // request: less than half of its slots and less than half of its memory were in use.
-func hasCapacity(at *placement, s *catalog.Service, tokens int) bool {
-	if len(at.helpers) > 0 {
+func hasCapacity(pl *placement, s *catalog.Service, tokens int) bool {
+	if len(pl.helpers) > 0 {
 		return false // a helper may have failed
 	}
-	if s.Engine != nil && 2*(at.loadBefore.MemoryTokens+tokens) > s.Engine.MemoryTokens {
+	if s.Engine != nil && 2*(pl.loadBefore.MemoryTokens+tokens) > s.Engine.MemoryTokens {
 		return false
 	}
-	return 2*(at.loadBefore.Short+at.loadBefore.Long) < at.endpoint.Slots
+	return 2*(pl.loadBefore.Short+pl.loadBefore.Long) < pl.endpoint.Slots
 }
 
 // handleReserveFailure handles a failed memory reservation: the endpoints that refused it have less
@@ -143,8 +143,8 @@
 }
 
 // handleSendFailure handles an attempt that got no answer.
-func (x *exchange) handleSendFailure(ctx context.Context, at *placement, err error) {
-	x.recordFailure(at, err)
+func (x *exchange) handleSendFailure(ctx context.Context, pl *placement, err error) {
+	x.recordFailure(pl, err)
 	var failure *upstream.Error
 	if errors.Is(err, upstream.ErrWithdrawn) {
 		x.abandonAttempt()
@@ -153,31 +153,31 @@
 	if errors.As(err, &failure) && failure.Stage == upstream.NotSent {
 		x.unsentAttempts++
 		if ctx.Err() == nil {
-			x.recordOutcome(at, health.Unreachable)
-			x.tried = append(x.tried, at.endpoint.ID)
+			x.recordOutcome(pl, health.Unreachable)
+			x.tried = append(x.tried, pl.endpoint.ID)
 		}
 		return
 	}
-	x.countAttempt(at)
-	x.tried = append(x.tried, at.endpoint.ID)
+	x.countAttempt(pl)
+	x.tried = append(x.tried, pl.endpoint.ID)
 	x.mayRun = true
 	if ctx.Err() == nil {
-		x.recordOutcome(at, health.BadResponse)
-		x.handleBrokenExchange(at)
+		x.recordOutcome(pl, health.BadResponse)
+		x.handleBrokenExchange(pl)
 	}
 }
 
 // recordFailure records why an exchange ended without a complete answer.
-func (x *exchange) recordFailure(at *placement, err error) {
+func (x *exchange) recordFailure(pl *placement, err error) {
 	x.lastError = err
-	if at.reservations.endedUnused() {
+	if pl.reservations.endedUnused() {
 		x.lastError = errMemoryUnused
 	}
 }
 
 // recordOutcome records what an attempt showed about the health of its endpoint.
-func (x *exchange) recordOutcome(at *placement, o health.Outcome) {
-	x.recordOutcomeAt(at.endpoint.ID, o)
+func (x *exchange) recordOutcome(pl *placement, o health.Outcome) {
+	x.recordOutcomeAt(pl.endpoint.ID, o)
 }
 
 func (x *exchange) recordOutcomeAt(endpoint string, o health.Outcome) {
@@ -187,9 +187,9 @@
 }
 
 // upstreamRequest builds the request that is sent to the endpoint.
-func (x *exchange) upstreamRequest(at *placement, memory *reservations, now time.Time) *upstream.Request {
+func (x *exchange) upstreamRequest(pl *placement, memory *reservations, now time.Time) *upstream.Request {
 	s := AttemptFields{
-		EndpointID:  at.endpoint.ID,
+		EndpointID:  pl.endpoint.ID,
 		Remaining:   x.deadline.Sub(now),
 		LastEventID: x.call.LastEventID,
 		Priority:    DefaultPriority,
@@ -200,7 +200,7 @@
 	if x.workspace != nil {
 		s.Workspace = x.workspace.Name
 	}
-	s.Helpers = memory.helpers(at)
+	s.Helpers = memory.helpers(pl)
 	req := &upstream.Request{
 		Method:  x.r.Method,
 		Target:  x.r.RequestURI,
@@ -214,7 +214,7 @@
 		KeepIdle: maxIdlePerGateway(x.service.MaxConnections, x.g.endpointLimits.gatewayCount()),
 		Check: func() bool {
 			now := time.Now()
-			if !x.allAccept(at, now) || !x.withinLimits(at, now) {
+			if !x.allAccept(pl, now) || !x.withinLimits(pl, now) {
 				return false
 			}
 			x.g.meter.sends.Inc()
--- a/relay/audience.go
+++ b/relay/audience.go
@@ -9,12 +9,12 @@
 	"github.com/micarudder/micarudder/peers"
 )
 
-// minCrossCellReceivers is how many gateways of another cell receive cross-cell messages besides those
-// from which such messages were received: the ones that should represent that cell, and one more in
-// case one of them is gone.
+// minCrossCellReceivers is how many gateways of another cell receive cross-cell messages besides
+// those from which such messages were received: the ones that should represent that cell, and one
+// more in case one of them is gone.
 const minCrossCellReceivers = 3
 
-// recipients are the gateways that this gateway sends messages to. The gateways of its own cell are
+// recipients are the gateways that this gateway sends messages to. The gateways of the local cell are
 // notified of each choice. Between cells, only the representatives of each cell exchange regular
 // messages, so that the traffic of a gateway does not grow with the fleet. A gateway that has load
 // at the endpoints of another cell reports it to all gateways of that cell.
@@ -34,14 +34,14 @@
 
 // recentPeers holds the peers from which messages were received recently.
 type recentPeers struct {
-	recent    map[string]bool // by name: heard recently
+	all       map[string]bool // by name
 	withStore map[string]bool // those that can reach the store
 	crossCell map[string]bool // those of other cells that sent digests
 }
 
-// newRecipients returns the recipients for a gateway in a data centre. The representatives of a cell
-// are its first two gateways, in an order of all gateways that is independent of their names, and
-// the first two that can reach the store, so that one of them may fail unnoticed.
+// newRecipients returns the recipients for a gateway in a data centre. The representatives of a
+// cell are its first two gateways, in an order of all gateways that is independent of their names,
+// and the first two that can reach the store, so that one of them may fail unnoticed.
 func newRecipients(self, dataCentre string, cells cell.Map, members []peers.Member, recent recentPeers) recipients {
 	r := recipients{localCell: cells.Of(dataCentre), remote: make(map[string][]netip.AddrPort), remoteRecipients: make(map[string][]netip.AddrPort), gateways: 1}
 	preceding, precedingWithStore := 0, 0
@@ -54,7 +54,7 @@
 			continue
 		}
 		r.local = append(r.local, m.Address)
-		if !recent.recent[m.Name] {
+		if !recent.all[m.Name] {
 			continue
 		}
 		r.gateways++
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -104,13 +104,13 @@
 }
 
 // handleBrokenExchange handles an exchange that its endpoint broke before the answer was complete.
-func (x *exchange) handleBrokenExchange(at *placement) {
-	crashed := mayHaveCrashed(x.lastError) && x.g.hasCrashed(at.endpoint)
+func (x *exchange) handleBrokenExchange(pl *placement) {
+	crashed := mayHaveCrashed(x.lastError) && x.g.hasCrashed(pl.endpoint)
 	x.g.meter.brokenExchanges.Inc()
-	x.g.deps.Log.Request("Exchange broke.", "request", x.call.ID, "fingerprint", x.requestFingerprint(), "endpoint", at.endpoint.ID,
-		"begun", x.answerBegun, "crashed", crashed, "in_flight_ms", time.Since(at.chosenAt).Milliseconds(), "err", x.lastError)
+	x.g.deps.Log.Request("Exchange broke.", "request", x.call.ID, "fingerprint", x.requestFingerprint(), "endpoint", pl.endpoint.ID,
+		"begun", x.answerBegun, "crashed", crashed, "in_flight_ms", time.Since(pl.chosenAt).Milliseconds(), "err", x.lastError)
 	// An endpoint that was draining ended as announced, whatever requests it still had.
-	if _, inUse := x.g.state.Endpoint(at.endpoint.ID); crashed && inUse {
-		x.recordCrash(at)
+	if _, inUse := x.g.state.Endpoint(pl.endpoint.ID); crashed && inUse {
+		x.recordCrash(pl)
 	}
 }
--- a/relay/digest.go
+++ b/relay/digest.go
@@ -26,7 +26,7 @@
 		d.NoSpareEndpoints = d.NoSpareEndpoints || s.Engine != nil && len(spare) == 0
 		for _, e := range spare {
 			if other, ok := cells.SharedWith(e.ID, localCell, withoutSpare); ok && other == to {
-				d.Loads[e.ID] = p.book.LoadExcluding(e.ID, theirs, now)
+				d.Loads[e.ID] = p.loads.LoadExcluding(e.ID, theirs, now)
 			}
 		}
 	}
@@ -37,7 +37,7 @@
 // spare. The caller holds the lock.
 func (p *picker) cellsWithoutSpare(now time.Time) map[string]bool {
 	out := make(map[string]bool)
-	for c := range p.book.Digests(now) {
+	for c := range p.loads.Digests(now) {
 		out[c] = p.remoteCells[c].noSpare
 	}
 	return out
@@ -54,7 +54,7 @@
 		if p.state.InBackoff(e.ID, now) {
 			continue
 		}
-		if p.policy.HasSpareCapacity(s.Engine, e.Slots, p.book.Load(e.ID, now)) && !p.health.Suspect(e.ID, now) {
+		if p.policy.HasSpareCapacity(s.Engine, e.Slots, p.loads.Load(e.ID, now)) && !p.health.Suspect(e.ID, now) {
 			out = append(out, e)
 		}
 	}
@@ -65,18 +65,18 @@
 }
 
 // recordDigests records the digests in a message that was sent after that time.
-func (p *picker) recordDigests(w peers.Message, sentAfter time.Time) {
+func (p *picker) recordDigests(msg peers.Message, sentAfter time.Time) {
 	cells := p.state.Cells()
 	localCell := cells.Of(p.dataCentre)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, d := range w.Digests {
+	for _, d := range msg.Digests {
 		c := cells.Of(d.DataCentre)
 		if c == localCell {
 			continue
 		}
 		p.remoteCells[c] = remoteCell{d.DataCentre, d.Gateways, d.NoSpareEndpoints}
-		p.book.StoreDigest(c, balance.Digest{CreatedAt: sentAfter.Add(-time.Duration(d.AgeMs) * time.Millisecond), Loads: d.Loads})
+		p.loads.StoreDigest(c, balance.Digest{CreatedAt: sentAfter.Add(-time.Duration(d.AgeMs) * time.Millisecond), Loads: d.Loads})
 	}
 }
 
@@ -85,7 +85,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []peers.Digest
-	for c, d := range p.book.Digests(now) {
+	for c, d := range p.loads.Digests(now) {
 		other := p.remoteCells[c]
 		out = append(out, peers.Digest{
 			DataCentre: other.dataCentre, Gateways: other.gateways, NoSpareEndpoints: other.noSpare,
--- a/relay/endpointlimits.go
+++ b/relay/endpointlimits.go
@@ -75,10 +75,10 @@
 	return l.known.Version(endpoint)
 }
 
-func (l *endpointLimits) recordAnswer(e catalog.Endpoint, sent uint64, n ratelimit.AdvertisedLimit, now time.Time) bool {
+func (l *endpointLimits) recordAnswer(e catalog.Endpoint, sent uint64, limit ratelimit.AdvertisedLimit, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	changed := l.known.ApplyResponse(e.ID, e.Born, sent, n, now)
+	changed := l.known.ApplyResponse(e.ID, e.Born, sent, limit, now)
 	if changed {
 		l.publish()
 	}
@@ -102,11 +102,11 @@
 
 // chooseCoordinator returns the coordinator, and whether it has changed since the last evaluation;
 // empty if none is needed.
-func (l *endpointLimits) chooseCoordinator(leaving bool, now time.Time) (coordinator string, changed bool) {
+func (l *endpointLimits) chooseCoordinator(shuttingDown bool, now time.Time) (coordinator string, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.any() {
-		coordinator = l.votes.Choose(leaving, now)
+		coordinator = l.votes.Choose(shuttingDown, now)
 	} else if l.chosenName != "" {
 		l.votes.Reset()
 	}
@@ -141,12 +141,12 @@
 
 // fillMessage adds the limits known to this gateway and its vote to a message for the local cell;
 // regular is set for a message that is sent in any case.
-func (l *endpointLimits) fillMessage(w *peers.Message, regular bool, now time.Time) {
+func (l *endpointLimits) fillMessage(msg *peers.Message, regular bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w.Limits = l.known.Updates(regular && l.fullSendDue(now), now)
-	if l.chosenName != "" && !w.Leaving {
-		w.Coordinator = l.votes.OwnVote(now)
+	msg.Limits = l.known.Updates(regular && l.fullSendDue(now), now)
+	if l.chosenName != "" && !msg.ShuttingDown {
+		msg.Coordinator = l.votes.OwnVote(now)
 	}
 }
 
@@ -166,16 +166,16 @@
 
 // recordPeer records the vote and the limits that a gateway of the local cell sent; it returns the
 // limits that changed.
-func (l *endpointLimits) recordPeer(w peers.Message, now time.Time) (changes map[string]ratelimit.AdvertisedLimit) {
+func (l *endpointLimits) recordPeer(msg peers.Message, now time.Time) (changes map[string]ratelimit.AdvertisedLimit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	vote := w.Coordinator
-	if w.Leaving {
+	vote := msg.Coordinator
+	if msg.ShuttingDown {
 		vote = 0
 	}
-	l.votes.RecordVote(w.From, vote, now)
-	l.newcomer = l.newcomer || vote == 0 && !w.Leaving
-	for id, n := range w.Limits {
+	l.votes.RecordVote(msg.From, vote, now)
+	l.newcomer = l.newcomer || vote == 0 && !msg.ShuttingDown
+	for id, n := range msg.Limits {
 		if !l.known.ApplyUpdate(id, n, now) {
 			continue
 		}
@@ -192,34 +192,34 @@
 
 // expire drops limits of other cells' endpoints that were not announced recently, and records the
 // number of gateways in the local cell.
-func (l *endpointLimits) expire(gateways int, own func(endpoint string) bool, now time.Time) {
+func (l *endpointLimits) expire(gateways int, local func(endpoint string) bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gateways = gateways
-	if l.known.Expire(own, now) {
+	if l.known.Expire(local, now) {
 		l.publish()
 	}
 }
 
 // tryGrant decides about a request that waits at this gateway; ok is false if this gateway is not
 // the coordinator.
-func (l *endpointLimits) tryGrant(ask *ratelimit.GrantRequest, now time.Time) (answer ratelimit.Decision, ok bool) {
+func (l *endpointLimits) tryGrant(req *ratelimit.GrantRequest, now time.Time) (decision ratelimit.Decision, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	share := l.votes.Share(l.gateways, now)
 	if share == 0 {
-		return answer, false
+		return decision, false
 	}
-	return l.coordinator.Try(ask, func(id string) (float64, bool) {
+	return l.coordinator.Try(req, func(id string) (float64, bool) {
 		perSecond, limited := l.limit(id)
 		return share * perSecond, limited
 	}, now), true
 }
 
-func (l *endpointLimits) removeAsk(ask *ratelimit.GrantRequest) {
+func (l *endpointLimits) removeRequest(req *ratelimit.GrantRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.coordinator.Remove(ask)
+	l.coordinator.Remove(req)
 }
 
 // mayProbe reports whether a request may be offered to a service's endpoints with rate limits
@@ -256,28 +256,28 @@
 
 // handlePeerLimits records the limits that a peer of the local cell sent. Endpoints of other cells
 // report their limits to the gateways that send there.
-func (g *Gateway) handlePeerLimits(w peers.Message) {
-	nothing := len(w.Limits) == 0 && w.Coordinator == 0 && !g.endpointLimits.any()
-	if nothing || g.fromOtherCell(w) { // true of most messages: hundreds of gateways receive thousands of them per second
+func (g *Gateway) handlePeerLimits(msg peers.Message) {
+	nothing := len(msg.Limits) == 0 && msg.Coordinator == 0 && !g.endpointLimits.any()
+	if nothing || g.fromOtherCell(msg) { // true of most messages: hundreds of gateways receive thousands of them per second
 		return
 	}
 	now := time.Now()
-	w.Limits = g.currentIncarnations(w.Limits)
-	changes := g.endpointLimits.recordPeer(w, now)
+	msg.Limits = g.currentIncarnations(msg.Limits)
+	changes := g.endpointLimits.recordPeer(msg, now)
 	for id, named := range changes {
-		g.logLimit(id, named, w.From, "")
+		g.logLimit(id, named, msg.From, "")
 	}
 	if changed := g.updateCoordinator(now); changed || len(changes) > 0 {
 		g.picker.notifyPeers()
 	}
 }
 
-// currentIncarnations returns the notices for the endpoint incarnations that this gateway knows.
-// Other gateways may not have seen yet that an endpoint was restarted, or this one may not; notices
+// currentIncarnations returns the updates for the endpoint incarnations that this gateway knows.
+// Other gateways may not have seen yet that an endpoint was restarted, or this one may not; updates
 // for the new incarnation are sent for longer than that takes.
-func (g *Gateway) currentIncarnations(notices map[string]ratelimit.LimitUpdate) map[string]ratelimit.LimitUpdate {
+func (g *Gateway) currentIncarnations(updates map[string]ratelimit.LimitUpdate) map[string]ratelimit.LimitUpdate {
 	var out map[string]ratelimit.LimitUpdate
-	for id, n := range notices {
+	for id, n := range updates {
 		if e, ok := g.state.Endpoint(id); !ok || e.Born != n.Born {
 			continue
 		}
@@ -292,7 +292,7 @@
 // updateCoordinator re-evaluates which gateway grants sends to endpoints with rate limits; it
 // reports whether that has changed.
 func (g *Gateway) updateCoordinator(now time.Time) bool {
-	name, changed := g.endpointLimits.chooseCoordinator(g.leaving.Load(), now)
+	name, changed := g.endpointLimits.chooseCoordinator(g.shuttingDown.Load(), now)
 	if changed {
 		g.deps.Log.Logger().Info("Coordinator of endpoints' limits changed.", "coordinator", name)
 	}
@@ -312,12 +312,12 @@
 
 // logLimit logs a change of the known limit of an endpoint. source is "answer" or the name of a
 // gateway.
-func (g *Gateway) logLimit(endpoint string, n ratelimit.AdvertisedLimit, source, request string) {
-	if !n.Set {
+func (g *Gateway) logLimit(endpoint string, limit ratelimit.AdvertisedLimit, source, request string) {
+	if !limit.Set {
 		g.meter.limitsEnded.Inc()
 		g.deps.Log.Logger().Info("Endpoint limits requests no longer.", "endpoint", endpoint, "from", source, "request", request)
 		return
 	}
 	g.meter.limitsNamed.Inc()
-	g.deps.Log.Logger().Info("Endpoint limits requests.", "endpoint", endpoint, "per_second", n.PerSecond, "from", source, "request", request)
+	g.deps.Log.Logger().Info("Endpoint limits requests.", "endpoint", endpoint, "per_second", limit.PerSecond, "from", source, "request", request)
 }
--- a/relay/engines_test.go
+++ b/relay/engines_test.go
@@ -18,9 +18,9 @@
 		f := newFleet(t, 1, 20, 60)
 		time.Sleep(time.Second)
 		f.mu.Lock()
-		f.paces = make(map[string]float64)
+		f.slowdowns = make(map[string]float64)
 		for i := range 10 {
-			f.paces[addressOf(6*i)] = 5
+			f.slowdowns[addressOf(6*i)] = 5
 		}
 		f.mu.Unlock()
 		turn := func(n int) int { return n % 20 }
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -21,19 +21,19 @@
 	// refusedLimit: not run, because endpoints limit their request rate and none can accept the
 	// request within its deadline.
 	refusedLimit outcome = "refused-limit"
-	// refusedRest: not run, because endpoints asked this gateway to back off and none can accept
+	// refusedBackoff: not run, because endpoints asked this gateway to back off and none can accept
 	// the request within its deadline.
-	refusedRest outcome = "refused-rest"
-	refusedKey  outcome = "refused-key"  // not run: no proof that the key is still valid
-	noRoute     outcome = "no-route"     // 404
-	unknownKey  outcome = "unknown-key"  // 401
-	badRequest  outcome = "bad-request"  // 4xx
-	mayHaveRun  outcome = "may-have-run" // 502: sent without an answer and must not be sent again
-	outOfTime   outcome = "out-of-time"  // deadline exceeded
-	callerGone  outcome = "caller-gone"  // the caller closed its connection
-	notStarted  outcome = "not-started"  // 503: no configuration is known yet
-	stopping    outcome = "stopping"     // 503: the process is about to exit
-	tooLarge    outcome = "body-too-large"
+	refusedBackoff outcome = "refused-rest"
+	refusedKey     outcome = "refused-key"  // not run: no proof that the key is still valid
+	noRoute        outcome = "no-route"     // 404
+	unknownKey     outcome = "unknown-key"  // 401
+	badRequest     outcome = "bad-request"  // 4xx
+	mayHaveRun     outcome = "may-have-run" // 502: sent without an answer and must not be sent again
+	outOfTime      outcome = "out-of-time"  // deadline exceeded
+	callerGone     outcome = "caller-gone"  // the caller closed its connection
+	notStarted     outcome = "not-started"  // 503: no configuration is known yet
+	stopping       outcome = "stopping"     // 503: the process is about to exit
+	tooLarge       outcome = "body-too-large"
 	// quarantinedOutcome is a 503: endpoints crash when they run the request. One that was sent
 	// before gets a 502 and the outcome mayHaveRun.
 	quarantinedOutcome outcome = "quarantined"
@@ -59,8 +59,8 @@
 	// maxDenialProofAge is the age of the proof above which a request with an unknown route or key
 	// is not denied, because a newer configuration may contain the route or key.
 	maxDenialProofAge = 2 * time.Second
-	// maxUnsafeIdle is how long a pooled connection may have been idle to carry a request that may run
-	// only once: endpoints drop idle connections.
+	// maxUnsafeIdle is how long a pooled connection may have been idle to carry a request that may
+	// run only once: endpoints drop idle connections.
 	maxUnsafeIdle = 1500 * time.Millisecond
 )
 
@@ -139,8 +139,8 @@
 	if x.service == nil {
 		return retryAfterFull
 	}
-	if rests := x.g.state.ServiceBackoff(x.service.Name, now); rests.open == 0 && rests.closed > 0 && rests.opensAt.After(now) {
-		return x.g.state.BackoffRetryAfter(x.service.Name, rests.opensAt, now)
+	if backoff := x.g.state.ServiceBackoff(x.service.Name, now); backoff.open == 0 && backoff.closed > 0 && backoff.opensAt.After(now) {
+		return x.g.state.BackoffRetryAfter(x.service.Name, backoff.opensAt, now)
 	}
 	return retryAfterFull
 }
@@ -151,15 +151,15 @@
 	defer cancel()
 	x.g.picker.countRequest(x.service.Name, x.started)
 	for {
-		at, o := x.findPlacement(ctx)
-		if at == nil {
+		pl, o := x.findPlacement(ctx)
+		if pl == nil {
 			return o
 		}
-		if !x.maySendTo(at.endpoint.ID) {
-			at.release()
+		if !x.maySendTo(pl.endpoint.ID) {
+			pl.release()
 			return x.giveUp(refusedFull)
 		}
-		o, again := x.attempt(ctx, at)
+		o, again := x.attempt(ctx, pl)
 		if !again {
 			return o
 		}
@@ -202,7 +202,7 @@
 		x.retryGranted = false
 		return true
 	}
-	switch x.waitPolicy().afterSend(x.route, x.mayRun) {
+	switch x.waitPolicy().afterAttempt(x.route, x.mayRun) {
 	case noRetry:
 		return false
 	case freeRetry:
--- a/relay/faces.go
+++ b/relay/faces.go
@@ -59,24 +59,24 @@
 // acceptRetryDelay is the pause after a failed accept, for example for lack of file descriptors.
 const acceptRetryDelay = 10 * time.Millisecond
 
-func (f *callerServers) assign(c net.Conn) {
+func (cs *callerServers) assign(c net.Conn) {
 	var limits catalog.Limits
-	if t := f.g.state.Table(); t != nil {
+	if t := cs.g.state.Table(); t != nil {
 		limits = t.Limits
 	}
-	f.mu.Lock()
-	if f.current == nil || f.limits != limits {
-		f.limits = limits
-		f.current = f.startServer(limits)
-		f.all = append(f.all, f.current)
+	cs.mu.Lock()
+	if cs.current == nil || cs.limits != limits {
+		cs.limits = limits
+		cs.current = cs.startServer(limits)
+		cs.all = append(cs.all, cs.current)
 	}
-	current := f.current
-	f.mu.Unlock()
+	current := cs.current
+	cs.mu.Unlock()
 	current.listener.push(c)
 }
 
 // startServer starts a server with the limits.
-func (f *callerServers) startServer(limits catalog.Limits) *callerServer {
+func (cs *callerServers) startServer(limits catalog.Limits) *callerServer {
 	if limits.HeaderBytes <= 0 {
 		limits.HeaderBytes = defaultHeaderBytes
 	}
@@ -88,22 +88,22 @@
 	}
 	s := &callerServer{listener: newConnListener()}
 	s.server = &http.Server{
-		Handler:           f.g,
+		Handler:           cs.g,
 		MaxHeaderBytes:    limits.HeaderBytes,
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		IdleTimeout:       limits.IdleTimeout,
-		ErrorLog:          stdlog.New(errorLogWriter{f.g}, "", 0),
+		ErrorLog:          stdlog.New(errorLogWriter{cs.g}, "", 0),
 	}
-	s.server.SetKeepAlivesEnabled(!f.g.leaving.Load())
+	s.server.SetKeepAlivesEnabled(!cs.g.shuttingDown.Load())
 	go func() { _ = s.server.Serve(s.listener) }()
 	return s
 }
 
 // disableKeepAlives closes idle connections at once and the others after their next answer.
-func (f *callerServers) disableKeepAlives() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, s := range f.all {
+func (cs *callerServers) disableKeepAlives() {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	for _, s := range cs.all {
 		s.server.SetKeepAlivesEnabled(false)
 	}
 }
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -48,7 +48,7 @@
 	crashReports []int                // crash reports that reached a gateway
 	busyUntil    map[string]time.Time // until when an engine prefills the prompts that it was given, by endpoint
 	overlaps     int                  // parts of prompts that were placed on an engine that was still prefilling another one
-	paces        map[string]float64   // of slow engines, by address
+	slowdowns    map[string]float64   // of slow engines, by address
 	down         map[string]bool      // engines that refuse connections, by address
 	// cutOff gateways cannot reach any engine.
 	cutOff map[int]bool
@@ -57,7 +57,7 @@
 	dialOverride func(gateway int, address string) (net.Conn, error)
 }
 
-// dial connects a gateway to an engine that reports its pace and nothing else.
+// dial connects a gateway to an engine that reports its slowdown and nothing else.
 func (f *testFleet) dial(gateway int, address string) (net.Conn, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,9 +74,9 @@
 				return
 			}
 			f.mu.Lock()
-			pace := max(1, f.paces[address])
+			slowdown := max(1, f.slowdowns[address])
 			f.mu.Unlock()
-			if _, err := fmt.Fprintf(server, "HTTP/1.1 200 OK\r\nPace: %g\r\nContent-Length: 0\r\n\r\n", pace); err != nil {
+			if _, err := fmt.Fprintf(server, "HTTP/1.1 200 OK\r\nPace: %g\r\nContent-Length: 0\r\n\r\n", slowdown); err != nil {
 				return
 			}
 		}
@@ -163,55 +163,55 @@
 		}
 		now := time.Now()
 		others := slices.Delete(slices.Clone(f.members), i, i+1)
-		a := newRecipients(g.config.Name, g.config.DataCentre, g.state.Cells(), others, g.storeReads.recentPeers(now))
-		for _, l := range g.outgoing(a, reason, now) {
-			f.deliver(i, l, now)
+		r := newRecipients(g.config.Name, g.config.DataCentre, g.state.Cells(), others, g.storeReads.recentPeers(now))
+		for _, out := range g.outgoing(r, reason, now) {
+			f.deliver(i, out, now)
 		}
 		time.Sleep(minBroadcastGap)
 	}
 }
 
-func (f *testFleet) deliver(from int, l outgoingMessage, said time.Time) {
-	w := l.message
-	w.From = f.gateways[from].config.Name
+func (f *testFleet) deliver(from int, out outgoingMessage, sentAt time.Time) {
+	msg := out.message
+	msg.From = f.gateways[from].config.Name
 	f.mu.Lock()
-	f.messagesSent[from] += len(l.to)
-	f.loadsSent[from] += len(l.to) * len(w.Loads)
+	f.messagesSent[from] += len(out.to)
+	f.loadsSent[from] += len(out.to) * len(msg.Loads)
 	f.mu.Unlock()
-	for _, to := range l.to {
+	for _, to := range out.to {
 		n := int(to.Port()) - 1
 		if f.isDropped(from, n) {
 			continue
 		}
 		f.mu.Lock()
-		f.crashReports[n] += len(w.CrashReports)
+		f.crashReports[n] += len(msg.CrashReports)
 		f.mu.Unlock()
 		delay := localDelay
 		if f.members[n].DataCentre != f.members[from].DataCentre {
 			delay = remoteDelay
 		}
-		w := w
-		w.Loads = maps.Clone(w.Loads) // receivers modify the map that they keep
+		msg := msg
+		msg.Loads = maps.Clone(msg.Loads) // receivers modify the map that they keep
 		time.AfterFunc(delay, func() {
 			now := time.Now()
 			g := f.gateways[n]
-			g.picker.recordPeer(w, now)
-			g.handleCrashReports(w)
-			g.handlePeerLimits(w)
-			g.handlePeerDrains(w)
+			g.picker.recordPeer(msg, now)
+			g.handleCrashReports(msg)
+			g.handlePeerLimits(msg)
+			g.handlePeerDrains(msg)
 			g.storeReads.mu.Lock()
-			g.storeReads.recordPeerStore(w, now)
+			g.storeReads.recordPeerStore(msg, now)
 			g.storeReads.mu.Unlock()
-			g.picker.recordDigests(w, said)
+			g.picker.recordDigests(msg, sentAt)
 		})
 	}
 }
 
 // setDrops sets which messages are lost from now on.
-func (f *testFleet) setDrops(lose func(from, to int) bool) {
+func (f *testFleet) setDrops(drops func(from, to int) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.drops = lose
+	f.drops = drops
 }
 
 // isDropped reports whether a message is lost.
@@ -230,17 +230,17 @@
 		g: f.gateways[gateway], w: httptest.NewRecorder(), r: httptest.NewRequestWithContext(ctx, "POST", "/", nil), call: Call{ID: "r", PromptTokens: tokens, MaxTokens: 300},
 		table: f.table, route: &f.table.Configuration.Routes[0], service: &f.table.Configuration.Services[0], started: start, deadline: start.Add(15 * time.Second),
 	}
-	at, _ := x.findPlacement(ctx)
+	pl, _ := x.findPlacement(ctx)
 	waited = time.Since(start)
-	if at == nil {
+	if pl == nil {
 		return waited, false, false
 	}
-	first := f.simulateRead(at)
+	first := f.simulatePrefill(pl)
 	time.Sleep(first)
-	x.recordPart(at)
+	x.recordPart(pl)
 	time.Sleep(time.Second)
-	at.release()
-	return waited, true, at.remoteEndpoints > 0
+	pl.release()
+	return waited, true, pl.remoteEndpoints > 0
 }
 
 // address returns an engine's address.
@@ -249,21 +249,21 @@
 	return e.Address
 }
 
-// simulateRead records the prefill of a prompt at its engines and returns how long the slowest part
-// takes.
-func (f *testFleet) simulateRead(at *placement) time.Duration {
+// simulatePrefill records the prefill of a prompt at its engines and returns how long the slowest
+// part takes.
+func (f *testFleet) simulatePrefill(pl *placement) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	var last time.Duration
-	for _, l := range at.loads {
+	for _, l := range pl.loads {
 		if f.busyUntil[l.endpoint].After(now) {
 			f.overlaps++
 		} else {
 			f.busyUntil[l.endpoint] = now
 		}
-		reading := l.load.PrefillMs * max(1, f.paces[f.address(l.endpoint)])
-		f.busyUntil[l.endpoint] = f.busyUntil[l.endpoint].Add(time.Duration(reading * float64(time.Millisecond)))
+		prefillMs := l.load.PrefillMs * max(1, f.slowdowns[f.address(l.endpoint)])
+		f.busyUntil[l.endpoint] = f.busyUntil[l.endpoint].Add(time.Duration(prefillMs * float64(time.Millisecond)))
 		last = max(last, f.busyUntil[l.endpoint].Sub(now))
 	}
 	return last + 100*time.Millisecond
@@ -323,7 +323,7 @@
 	})
 }
 
-// TestFullCellUsesOtherCells: the callers of one data centre ask for more than its engines can
+// TestFullCellUsesOtherCells: the callers of one data centre send more prompts than its engines can
 // prefill. Engines of the other data centres help, without two cells choosing the same ones.
 func TestFullCellUsesOtherCells(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -339,7 +339,7 @@
 }
 
 // TestMessageRateIndependentOfFleetSize: in a second without requests, a gateway sends as many
-// messages with five cells as with one if it does not speak to other cells. One that does sends a
+// messages with five cells as with one if it does not represent its cell. A representative sends a
 // few more for each cell.
 func TestMessageRateIndependentOfFleetSize(t *testing.T) {
 	quiet := func(dataCentres int) (messages []int) {
@@ -366,17 +366,17 @@
 	is.True(five[len(five)-1] <= one[len(one)-1]+2*4*(minCrossCellReceivers+storeReaders))
 }
 
-// TestCellSpeakerFailover: when the two speakers of a cell fall silent, other gateways speak for it
-// within two seconds. If a third of all messages is lost, prompts overlap on endpoints and wait,
-// but three quarters are placed (41 to 48 of 48 in 25 runs, which differ in the order of map
-// iteration).
-func TestCellSpeakerFailover(t *testing.T) {
+// TestCellRepresentativeFailover: when the two representatives of a cell fall silent, other
+// gateways represent it within two seconds. If a third of all messages is lost, prompts overlap on
+// endpoints and wait, but three quarters are placed (41 to 48 of 48 in 25 runs, which differ in the
+// order of map iteration).
+func TestCellRepresentativeFailover(t *testing.T) {
 	for name, c := range map[string]struct {
 		drops     func(f *testFleet) func(from, to int) bool
 		minPlaced int // percentage of prompts that must be placed
 	}{
-		"speakers silent": {func(f *testFleet) func(from, to int) bool {
-			silent := f.speakers()
+		"representatives silent": {func(f *testFleet) func(from, to int) bool {
+			silent := f.representatives()
 			return func(from, to int) bool { return silent[from] || silent[to] }
 		}, 90},
 		"messages lost": {func(*testFleet) func(from, to int) bool {
@@ -389,9 +389,9 @@
 				is := is.New(t)
 				f := newFleet(t, 5, 20, 150)
 				time.Sleep(3 * time.Second)
-				lose := c.drops(f)
-				asking := f.firstCellMembers() // before others speak
-				f.setDrops(lose)
+				drops := c.drops(f)
+				asking := f.nonRepresentatives() // before others represent the cell
+				f.setDrops(drops)
 				time.Sleep(2 * time.Second)
 				r := f.burst(t, 24, 190_000, func(n int) int { return asking[n%len(asking)] })
 				t.Logf("%+v, %d overlapping parts", r, f.overlaps)
@@ -402,8 +402,8 @@
 	}
 }
 
-// speakers returns the gateways that speak to other cells.
-func (f *testFleet) speakers() map[int]bool {
+// representatives returns the gateways that represent their cell.
+func (f *testFleet) representatives() map[int]bool {
 	out := make(map[int]bool)
 	now := time.Now()
 	for i, g := range f.gateways {
@@ -415,12 +415,12 @@
 	return out
 }
 
-// firstCellMembers returns the gateways of the first data centre that do not speak to other cells.
-func (f *testFleet) firstCellMembers() []int {
-	speakers := f.speakers()
+// nonRepresentatives returns the gateways of the first data centre that do not represent their cell.
+func (f *testFleet) nonRepresentatives() []int {
+	representatives := f.representatives()
 	var out []int
 	for i, m := range f.members {
-		if m.DataCentre == f.members[0].DataCentre && !speakers[i] {
+		if m.DataCentre == f.members[0].DataCentre && !representatives[i] {
 			out = append(out, i)
 		}
 	}
--- a/relay/follow.go
+++ b/relay/follow.go
@@ -24,8 +24,8 @@
 	silentAfter = 600 * time.Millisecond
 	// readTimeout bounds one read; a slow store answers within a quarter of it.
 	readTimeout = 1500 * time.Millisecond
-	// listTimeout bounds the read of a whole list, which is paged: 3,000 endpoints are 61 pages,
-	// too many for readTime on a host with 0.144 of a core.
+	// listTimeout bounds the read of a complete list, which is paged: 3,000 endpoints are 61 pages,
+	// too many for readTimeout on a host with 0.144 of a core.
 	listTimeout = 8 * time.Second
 	// peerQueryAge is the age of this gateway's proof at which it asks peers for theirs.
 	peerQueryAge = 1600 * time.Millisecond
@@ -162,8 +162,8 @@
 func (g *Gateway) handleEndpointChange(c EndpointChange) {
 	e := c.Endpoint
 	g.deps.Log.Logger().Info("Endpoint changed.", "endpoint", e.ID, "change", string(c.Kind), "from", c.Source, "born", e.Born, "service", e.Service, "address", e.Address)
-	if c.Kind == changeRestarted && g.state.DrainDoubted(e) {
-		g.background.Go(func() { g.settleDoubtedDrain(e) })
+	if c.Kind == changeRestarted && g.state.DrainUncertain(e) {
+		g.background.Go(func() { g.resolveUncertainDrain(e) })
 	}
 	if c.Kind == changeDraining {
 		g.deps.Endpoints.Forget(e.ID) // close idle connections
--- a/relay/gateway.go
+++ b/relay/gateway.go
@@ -68,7 +68,7 @@
 	background     sync.WaitGroup
 	inFlight       atomic.Int64
 	bodyBytes      atomic.Int64 // total size of the request bodies in memory
-	leaving        atomic.Bool
+	shuttingDown   atomic.Bool
 	stoppedAt      atomic.Pointer[time.Time] // when the stop signal arrived
 	peerClient     *peerClient
 	storeReads     *storeReads
@@ -153,7 +153,7 @@
 }
 
 // Ready reports whether the load balancer may send new connections to this gateway.
-func (g *Gateway) Ready() bool { return !g.leaving.Load() && g.state.Table() != nil }
+func (g *Gateway) Ready() bool { return !g.shuttingDown.Load() && g.state.Table() != nil }
 
 // ReadyHandler answers the load balancer's readiness checks.
 func (g *Gateway) ReadyHandler() http.Handler {
--- a/relay/grant.go
+++ b/relay/grant.go
@@ -80,8 +80,8 @@
 // requestGrant asks the coordinator, which may be this gateway, for a grant. A nil grant without an
 // error means that the request was refused or has to ask again.
 func (g *Gateway) requestGrant(ctx context.Context, q grantQuestion) (*grant, grantAnswer, error) {
-	asked, suspended := time.Now(), g.checkSuspension()
-	if g.updateCoordinator(asked) {
+	askedAt, suspended := time.Now(), g.checkSuspension()
+	if g.updateCoordinator(askedAt) {
 		g.picker.notifyPeers()
 	}
 	name := g.endpointLimits.coordinatorName()
@@ -97,7 +97,7 @@
 	if err != nil || a.Endpoint == "" {
 		return nil, a, err
 	}
-	expires := asked.Add(time.Duration(a.KeptMs)*time.Millisecond + grantRoundTrip)
+	expires := askedAt.Add(time.Duration(a.KeptMs)*time.Millisecond + grantRoundTrip)
 	return &grant{a.Endpoint, expires, suspended}, a, nil
 }
 
@@ -105,29 +105,29 @@
 // after grantHoldTime.
 func (g *Gateway) decideGrant(ctx context.Context, q grantQuestion) (grantAnswer, error) {
 	received := time.Now()
-	ask := &ratelimit.GrantRequest{
+	req := &ratelimit.GrantRequest{
 		Service: q.Service, Endpoints: q.Endpoints, Urgency: q.Urgency, Probe: q.Probe,
 		Since: received.Add(-time.Duration(q.SinceMs) * time.Millisecond), Until: received.Add(time.Duration(q.WaitMs) * time.Millisecond),
 	}
-	defer g.endpointLimits.removeAsk(ask)
+	defer g.endpointLimits.removeRequest(req)
 	for {
 		now := time.Now()
 		g.checkSuspension() // votes from before a suspension do not count
-		answer, ok := g.endpointLimits.tryGrant(ask, now)
+		decision, ok := g.endpointLimits.tryGrant(req, now)
 		switch {
 		case !ok:
 			return grantAnswer{}, errNotCoordinator
-		case answer.Unlimited:
+		case decision.Unlimited:
 			return grantAnswer{Unlimited: true}, nil
-		case answer.Refused:
-			return grantAnswer{Refused: true, RetryAfterMs: answer.RetryAfter.Milliseconds()}, nil
-		case answer.Endpoint != "":
+		case decision.Refused:
+			return grantAnswer{Refused: true, RetryAfterMs: decision.RetryAfter.Milliseconds()}, nil
+		case decision.Endpoint != "":
 			g.meter.grants.Inc()
-			return grantAnswer{Endpoint: answer.Endpoint, KeptMs: now.Sub(received).Milliseconds()}, nil
+			return grantAnswer{Endpoint: decision.Endpoint, KeptMs: now.Sub(received).Milliseconds()}, nil
 		case now.Sub(received) >= grantHoldTime:
 			return grantAnswer{}, nil
 		}
-		timer := time.NewTimer(min(grantPollInterval, max(time.Millisecond, answer.Expected.Sub(now))))
+		timer := time.NewTimer(min(grantPollInterval, max(time.Millisecond, decision.Expected.Sub(now))))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
--- a/relay/handler.go
+++ b/relay/handler.go
@@ -64,7 +64,7 @@
 
 // serve validates a request and runs it.
 func (x *exchange) serve() outcome {
-	if x.g.leaving.Load() {
+	if x.g.shuttingDown.Load() {
 		x.w.Header().Set("Connection", "close")
 		if x.g.shutdownNoticed() {
 			return x.refuse(http.StatusServiceUnavailable, retryAfterStop, stopping)
@@ -195,7 +195,7 @@
 // defaultDeadline applies if neither the caller nor the route sets a deadline.
 const defaultDeadline = 30 * time.Second
 
-// readBody reads the whole body, so that the request can be sent again and is known to be complete
+// readBody reads the complete body, so that the request can be sent again and is known to be complete
 // before anything is sent.
 func (x *exchange) readBody() (outcome, bool) {
 	limit := x.table.Limits.BodyBytes
--- a/relay/learn.go
+++ b/relay/learn.go
@@ -84,7 +84,7 @@
 	return netip.AddrPort{}, answered
 }
 
-// fresh reports whether a gateway that takes over this proof need not read the store at once.
+// isFresh reports whether a gateway that takes over this proof need not read the store at once.
 func (p proofAnswer) isFresh() bool {
 	limit := takeoverAge.Milliseconds()
 	return p.Version > 0 && p.AgeMs < limit && p.EndpointsAgeMs >= 0 && p.EndpointsAgeMs < limit
--- a/relay/leaves_test.go
+++ b/relay/leaves_test.go
@@ -180,7 +180,7 @@
 				time.Sleep(100 * time.Millisecond)
 				is.Equal(f.requestsSince(0, began)+f.requestsSince(1, began) > 0, tc.wantQueried)
 				is.Equal(!g.state.AcceptsRequests(list[0].ID, time.Now()), tc.wantDraining)
-				is.Equal(len(g.state.DrainNotices(true, time.Now())) > 0, tc.wantDraining)
+				is.Equal(len(g.state.DrainUpdates(true, time.Now())) > 0, tc.wantDraining)
 			})
 		})
 	}
--- a/relay/limitcost_test.go
+++ b/relay/limitcost_test.go
@@ -17,7 +17,7 @@
 	"github.com/micarudder/micarudder/upstream"
 )
 
-// BenchmarkLimitedChoice measures what 290 rate limits or back-offs among 2,900 endpoints of 16
+// BenchmarkLimitedChoice measures what 290 rate limits or backoffs among 2,900 endpoints of 16
 // cells add to a choice. docs/CAPACITY.md has the figures.
 func BenchmarkLimitedChoice(b *testing.B) {
 	for name, interval := range map[string]struct{ limited, resting int }{"none": {}, "a tenth": {limited: 10}, "none, a tenth rest": {resting: 10}} {
@@ -43,7 +43,7 @@
 			w := balance.Request{InputTokens: 500, OutputTokens: 10, ObjectiveLeftMs: 300, DeadlineLeftMs: 2000}
 			b.ResetTimer()
 			for range b.N {
-				if pl, _, _ := p.pick(s, w, noWarmConns, time.Now()); pl != nil {
+				if pl, _, _ := p.pick(s, w, noIdleConns, time.Now()); pl != nil {
 					pl.release()
 				}
 			}
--- a/relay/limited.go
+++ b/relay/limited.go
@@ -24,8 +24,8 @@
 }
 
 // limitedSearch returns a search among the local cell's endpoints with rate limits.
-func (p *picker) limitedSearch(service *catalog.Service, w balance.Request, isWarm warmConnFunc, now time.Time) (s endpointSearch, endpoints []catalog.Endpoint) {
-	s = endpointSearch{picker: p, service: service, work: w, isWarm: isWarm, localCell: p.state.Cells().Of(p.dataCentre), now: now}
+func (p *picker) limitedSearch(service *catalog.Service, req balance.Request, hasIdleConn idleConnFunc, now time.Time) (s endpointSearch, endpoints []catalog.Endpoint) {
+	s = endpointSearch{picker: p, service: service, request: req, hasIdleConn: hasIdleConn, localCell: p.state.Cells().Of(p.dataCentre), now: now}
 	if !p.limits.any() {
 		return s, nil
 	}
@@ -45,8 +45,8 @@
 
 // limitedCandidates returns the endpoints with rate limits that could serve the request without
 // helpers, the least loaded first.
-func (p *picker) limitedCandidates(service *catalog.Service, w balance.Request, isWarm warmConnFunc, now time.Time) (candidates []string) {
-	s, endpoints := p.limitedSearch(service, w, isWarm, now)
+func (p *picker) limitedCandidates(service *catalog.Service, req balance.Request, hasIdleConn idleConnFunc, now time.Time) (candidates []string) {
+	s, endpoints := p.limitedSearch(service, req, hasIdleConn, now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	load := make(map[string]int)
@@ -64,8 +64,8 @@
 
 // pickGranted counts the load of a request at the endpoint that was granted to it. It returns nil
 // if the endpoint no longer takes the request.
-func (p *picker) pickGranted(service *catalog.Service, w balance.Request, isWarm warmConnFunc, g *grant, now time.Time) *placement {
-	s, endpoints := p.limitedSearch(service, w, isWarm, now)
+func (p *picker) pickGranted(service *catalog.Service, req balance.Request, hasIdleConn idleConnFunc, g *grant, now time.Time) *placement {
+	s, endpoints := p.limitedSearch(service, req, hasIdleConn, now)
 	i := slices.IndexFunc(endpoints, func(e catalog.Endpoint) bool { return e.ID == g.endpoint })
 	if i < 0 {
 		return nil
@@ -76,11 +76,11 @@
 	if res.choice.Endpoint < 0 {
 		return nil
 	}
-	chosen := p.assign(res, now)
-	if chosen != nil {
-		chosen.grant = g
+	pl := p.assign(res, now)
+	if pl != nil {
+		pl.grant = g
 	}
-	return chosen
+	return pl
 }
 
 // grantResult is the result of a grant request.
@@ -107,9 +107,9 @@
 )
 
 // placeWithGrant asks for a grant to send to one of the endpoints with rate limits.
-func (x *exchange) placeWithGrant(ctx context.Context, work balance.Request, mode grantMode) (pl *placement, result grantResult, retryAfter time.Duration) {
+func (x *exchange) placeWithGrant(ctx context.Context, req balance.Request, mode grantMode) (pl *placement, result grantResult, retryAfter time.Duration) {
 	now := time.Now()
-	candidates := x.g.picker.limitedCandidates(x.service, work, x.hasWarmConn, now)
+	candidates := x.g.picker.limitedCandidates(x.service, req, x.hasIdleConn, now)
 	if len(candidates) == 0 {
 		return nil, grantNoCandidate, 0
 	}
@@ -124,7 +124,7 @@
 	case err != nil || a.Unlimited:
 		result = grantUnavailable
 	case granted != nil:
-		pl, result = x.g.picker.pickGranted(x.service, work, x.hasWarmConn, granted, time.Now()), grantPlaced
+		pl, result = x.g.picker.pickGranted(x.service, req, x.hasIdleConn, granted, time.Now()), grantPlaced
 		if pl == nil {
 			result = grantAgain
 		}
@@ -145,7 +145,7 @@
 	placement *placement // where it goes; nil if not placed yet
 	refusal   outcome    // outcome of a refused request; empty if it was not refused
 	again     bool       // try again at once
-	// retryAfter is the Retry-After time in case the request may not wait; zero if there are no
+	// retryAfter is the Retry-After in case the request may not wait; zero if there are no
 	// endpoints with rate limits.
 	retryAfter time.Duration
 }
@@ -161,15 +161,15 @@
 
 // placeAmongLimited looks for an endpoint with a rate limit after the choice among the others
 // resulted in o.
-func (x *exchange) placeAmongLimited(ctx context.Context, work *balance.Request, o pickOutcome, now time.Time) limitedResult {
+func (x *exchange) placeAmongLimited(ctx context.Context, req *balance.Request, found pickOutcome, now time.Time) limitedResult {
 	mode := grantModeNow
 	switch {
-	case o == pickNone:
+	case found == pickNone:
 		mode = grantModeWait
-	case o == pickWait && x.waitPolicy().mayWait(true, now):
+	case found == pickWait && x.waitPolicy().mayWait(true, now):
 		return limitedResult{}
 	}
-	pl, result, retryAfter := x.placeWithGrant(ctx, *work, mode)
+	pl, result, retryAfter := x.placeWithGrant(ctx, *req, mode)
 	switch {
 	case result == grantPlaced:
 		return limitedResult{placement: pl}
@@ -181,12 +181,12 @@
 		return limitedResult{again: true}
 	case result == grantRefused:
 		return limitedResult{refusal: x.refuseLimited(retryAfter)}
-	case result == grantNoCandidate && len(work.Excluded) > 0:
-		work.Excluded = nil // better the same endpoint again than none
+	case result == grantNoCandidate && len(req.Excluded) > 0:
+		req.Excluded = nil // better the same endpoint again than none
 		return limitedResult{again: true}
 	case !x.g.picker.hasLimited(x.service, now):
 		return limitedResult{}
-	case result == grantNoCandidate && x.g.config.Policy.ExceedsMemory(x.service, *work):
+	case result == grantNoCandidate && x.g.config.Policy.ExceedsMemory(x.service, *req):
 		// The request needs several endpoints at once, and endpoints with rate limits take only
 		// requests that need one.
 		return limitedResult{refusal: x.refuseLimited(x.waitPolicy().queueRetryAfter(now))}
@@ -197,18 +197,18 @@
 	}
 }
 
-// retryAfterCoordinator is the Retry-After time while no gateway grants: another gateway takes over
+// retryAfterCoordinator is the Retry-After while no gateway grants: another gateway takes over
 // soon after the coordinator has fallen silent.
 const retryAfterCoordinator = 1500 * time.Millisecond
 
 // probeLimited sends the request to an endpoint with a rate limit that has not been heard from for
 // a while. Otherwise no gateway would find out that the limit has ended.
-func (x *exchange) probeLimited(ctx context.Context, work balance.Request) *placement {
+func (x *exchange) probeLimited(ctx context.Context, req balance.Request) *placement {
 	now := time.Now()
-	if x.mayRun || x.g.config.Policy.MustQueue(x.service, work) || !x.g.picker.hasLimited(x.service, now) || !x.g.endpointLimits.mayProbe(x.service.Name, now) {
+	if x.mayRun || x.g.config.Policy.MustQueue(x.service, req) || !x.g.picker.hasLimited(x.service, now) || !x.g.endpointLimits.mayProbe(x.service.Name, now) {
 		return nil
 	}
-	pl, result, _ := x.placeWithGrant(ctx, work, grantModeProbe)
+	pl, result, _ := x.placeWithGrant(ctx, req, grantModeProbe)
 	if result == grantPlaced {
 		x.g.endpointLimits.resetProbe(x.service.Name)
 	}
@@ -217,7 +217,7 @@
 
 // mayQuery reports whether an endpoint may be queried about itself now. Such queries count
 // against its rate limit too: while it has one, each query needs a grant, which is given when no
-// request needs it. An endpoint in back-off is not queried.
+// request needs it. An endpoint in backoff is not queried.
 func (g *Gateway) mayQuery(e catalog.Endpoint) bool {
 	if !g.state.AcceptsRequests(e.ID, time.Now()) {
 		return false
--- a/relay/limitfleet_test.go
+++ b/relay/limitfleet_test.go
@@ -116,7 +116,7 @@
 		f.setLimit("2", engineIndexes(4)...)
 		roundRobin := func(n int) int { return n % 6 }
 		f.sendLoad(t, 40, 2*time.Second, roundRobin)
-		time.Sleep(2 * time.Second) // each has saved up two sends, and will take another one in half a second
+		time.Sleep(2 * time.Second) // each endpoint has accumulated two sends and accepts another one in half a second
 		f.mu.Lock()
 		f.refusalTimes, f.answered = nil, 0
 		f.mu.Unlock()
@@ -195,7 +195,7 @@
 }
 
 // TestNoRefusalsWhileOtherEndpointsHaveRoom: while one of several engines has a limit, no caller is
-// refused, no second send is spent on it, and prompts that are read in parts avoid it.
+// refused, no retry is spent on it, and prompts that are prefilled in parts avoid it.
 func TestNoRefusalsWhileOtherEndpointsHaveRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -373,7 +373,7 @@
 		}
 	}
 	if maxIdlePerGateway(most, 400) != 1 || maxIdlePerGateway(0, 400) != 0 {
-		t.Error("idleShare must be at least 1, and 0 (no bound) if the endpoint sets no maximum")
+		t.Error("maxIdlePerGateway must be at least 1, and 0 (no bound) if the endpoint sets no maximum")
 	}
 }
 
--- a/relay/limitharness_test.go
+++ b/relay/limitharness_test.go
@@ -27,7 +27,7 @@
 	silent       map[string]bool // gateways that do not answer grant requests
 	answered     int
 	refusalTimes []time.Duration // time that each refusal took
-	retryAfters  []string        // Retry-After times of the refusals
+	retryAfters  []string        // Retry-After of the refusals
 }
 
 func newLimitFleet(t *testing.T, gateways, engines int) *limitFleet {
--- a/relay/members.go
+++ b/relay/members.go
@@ -49,14 +49,14 @@
 // The kinds of changes.
 const (
 	changeNew       ChangeKind = "new"
-	changeDraining  ChangeKind = "draining"  // it takes no new requests
+	changeDraining  ChangeKind = "draining"  // it accepts no new requests
 	changeMissing   ChangeKind = "missing"   // its entry lapsed, perhaps because of the store
 	changeGone      ChangeKind = "gone"      // it gets no more requests
 	changeRestarted ChangeKind = "restarted" // under the same ID; state from before the restart is lost
 )
 
 // endpointSet decides, from the store's list and from the statements of endpoints, which endpoints
-// take new requests. It is pure: times are arguments.
+// accept new requests. It is pure: times are arguments.
 type endpointSet struct {
 	known        map[string]catalog.Endpoint // Draining is set whatever the source
 	drains       *availability.DrainTable
@@ -156,8 +156,8 @@
 	return !m.restoredAt.IsZero() && now.Sub(m.restoredAt) <= staleEntryWindow
 }
 
-// previousIncarnationListedAt returns when the previous incarnation was certainly the running one; zero
-// if that is not known, since a list from an older copy may contain it again.
+// previousIncarnationListedAt returns when the previous incarnation was certainly the running one;
+// zero if that is not known, since a list from an older copy may contain it again.
 func (m *endpointSet) previousIncarnationListedAt(now time.Time) time.Time {
 	if m.mayReadOldCopy(now) {
 		return time.Time{}
@@ -165,9 +165,9 @@
 	return m.listSentAt
 }
 
-// clearDoubtedDrain records an answer without a drain statement of an endpoint whose drain is in
-// doubt. It reports whether the endpoint takes requests again.
-func (m *endpointSet) clearDoubtedDrain(e catalog.Endpoint) bool {
+// revokeUncertainDrain records an answer without a drain statement of an endpoint whose drain is
+// uncertain. It reports whether the endpoint accepts requests again.
+func (m *endpointSet) revokeUncertainDrain(e catalog.Endpoint) bool {
 	m.drains.RevokeUncertain(e)
 	known, ok := m.known[e.ID]
 	if _, draining := m.drains.Lookup(known); !ok || draining || !known.Draining {
@@ -196,7 +196,7 @@
 }
 
 // lastResort returns the endpoints of a service, by cell, that announced their drain recently. They
-// still take requests while no other endpoint does.
+// still accept requests while no other endpoint does.
 func (m *endpointSet) lastResort(service string, now time.Time) map[string][]catalog.Endpoint {
 	var out map[string][]catalog.Endpoint
 	for _, e := range m.known {
--- a/relay/patience_test.go
+++ b/relay/patience_test.go
@@ -20,11 +20,11 @@
 
 func msAfterHead(ms int) time.Time { return headReadAt.Add(time.Duration(ms) * time.Millisecond) }
 
-// TestHowLongARequestWaits: a request that was not sent stops waiting while it could still be in
+// TestMayWait: a request that was not sent stops waiting while it could still be in
 // time, one that was sent goes on, and none waits for long if no endpoint is known.
-func TestHowLongARequestWaits(t *testing.T) {
+func TestMayWait(t *testing.T) {
 	sent := testWaitPolicy()
-	sent.sends = 1
+	sent.attempts = 1
 	for name, c := range map[string]struct {
 		p    waitPolicy
 		busy bool
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestMayRefuseBusy: only a request that was not sent or held is refused because all slots are
-// taken, and only if its caller has more than three times the Retry-After time left.
+// TestMayRefuseBusy: only a request that was not sent or held is refused because all slots are in
+// use, and only if its caller has more than three times the Retry-After left.
 func TestMayRefuseBusy(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*waitPolicy)
@@ -55,8 +55,8 @@
 	}{
 		"at once":     {func(*waitPolicy) {}, 0, true},
 		"held":        {func(*waitPolicy) {}, 375, false},
-		"sent":        {func(p *waitPolicy) { p.sends = 1 }, 0, false},
-		"not reached": {func(p *waitPolicy) { p.unsent = 1 }, 0, false},
+		"sent":        {func(p *waitPolicy) { p.attempts = 1 }, 0, false},
+		"not reached": {func(p *waitPolicy) { p.unsentAttempts = 1 }, 0, false},
 		"resumed":     {func(p *waitPolicy) { p.resumed = true }, 0, false},
 		"little time": {func(p *waitPolicy) { p.deadline = msAfterHead(9000) }, 0, false},
 		"enough time": {func(p *waitPolicy) { p.deadline = msAfterHead(9001) }, 0, true},
@@ -66,58 +66,58 @@
 			p := testWaitPolicy()
 			c.change(&p)
 			is.Equal(p.mayRefuseBusy(msAfterHead(c.ms)), c.want)
-			var w balance.Request
-			p.fillWork(&w, false, msAfterHead(c.ms))
-			is.Equal(w.NoRefusal, !c.want)
+			var req balance.Request
+			p.fillTimes(&req, false, msAfterHead(c.ms))
+			is.Equal(req.NoRefusal, !c.want)
 		})
 	}
 }
 
-// TestQueueRetryAfter: a caller is given a Retry-After time that it will honour.
+// TestQueueRetryAfter: a caller is given a Retry-After that it will honour.
 func TestQueueRetryAfter(t *testing.T) {
 	is := is.New(t)
 	is.Equal(testWaitPolicy().queueRetryAfter(headReadAt), retryAfterQueue)
 	is.Equal(testWaitPolicy().queueRetryAfter(msAfterHead(9000)), 2*time.Second)
 }
 
-// TestWorkTimes: the remaining times decrease with the wait, up to the first part of the answer if
+// TestFillTimes: the remaining times decrease with the wait, up to the first part of the answer if
 // the caller limits the wait for that.
-func TestWorkTimes(t *testing.T) {
+func TestFillTimes(t *testing.T) {
 	is := is.New(t)
-	var w balance.Request
-	testWaitPolicy().fillWork(&w, false, msAfterHead(525))
-	is.Equal(w.Slack, 525*time.Millisecond)
-	is.Equal(w.WaitedShare, 0.5)
-	is.Equal(w.ObjectiveLeftMs, 2475.0)
-	is.Equal(w.DeadlineLeftMs, 11475.0)
-	is.True(!w.Late)
-	testWaitPolicy().fillWork(&w, false, msAfterHead(5000))
-	is.True(w.Late)
-	is.Equal(w.WaitedShare, 1.0)
-	testWaitPolicy().fillWork(&w, true, msAfterHead(0))
-	is.True(w.Late)
-	is.Equal(testWaitPolicy().rank(false, msAfterHead(3000)), balance.InTime)
-	is.Equal(testWaitPolicy().rank(true, msAfterHead(3000)), balance.Oversize)
-	is.Equal(testWaitPolicy().rank(true, msAfterHead(3001)), balance.Late)
+	var req balance.Request
+	testWaitPolicy().fillTimes(&req, false, msAfterHead(525))
+	is.Equal(req.Slack, 525*time.Millisecond)
+	is.Equal(req.WaitedShare, 0.5)
+	is.Equal(req.ObjectiveLeftMs, 2475.0)
+	is.Equal(req.DeadlineLeftMs, 11475.0)
+	is.True(!req.Late)
+	testWaitPolicy().fillTimes(&req, false, msAfterHead(5000))
+	is.True(req.Late)
+	is.Equal(req.WaitedShare, 1.0)
+	testWaitPolicy().fillTimes(&req, true, msAfterHead(0))
+	is.True(req.Late)
+	is.Equal(testWaitPolicy().promptUrgency(false, msAfterHead(3000)), balance.InTime)
+	is.Equal(testWaitPolicy().promptUrgency(true, msAfterHead(3000)), balance.Oversize)
+	is.Equal(testWaitPolicy().promptUrgency(true, msAfterHead(3001)), balance.Late)
 }
 
-// TestAfterASend: a request that may have run is repeated only if it may run twice, and within the
+// TestAfterAttempt: a request that may have run is repeated only if it may run twice, and within the
 // attempts of the route.
-func TestAfterASend(t *testing.T) {
+func TestAfterAttempt(t *testing.T) {
 	is := is.New(t)
 	once := &catalog.Route{Kind: catalog.Unsafe, MaxAttempts: 2}
 	safe := &catalog.Route{Kind: catalog.Safe, MaxAttempts: 2}
-	is.Equal(waitPolicy{}.afterSend(once, false), freeRetry)
-	is.Equal(waitPolicy{unsent: maxUnsent + 1}.afterSend(safe, false), noRetry)
-	is.Equal(waitPolicy{sends: 1}.afterSend(once, true), noRetry)
-	is.Equal(waitPolicy{sends: 1}.afterSend(once, false), budgetedRetry)
-	is.Equal(waitPolicy{sends: 1}.afterSend(safe, true), budgetedRetry)
-	is.Equal(waitPolicy{sends: 2}.afterSend(safe, false), noRetry)
-	// A send that did not run because of a helper used no run of an endpoint, but the number of
-	// such sends is limited.
-	is.Equal(waitPolicy{sends: 2, helperFailures: 2}.afterSend(once, false), budgetedRetry)
-	is.Equal(waitPolicy{sends: 2, helperFailures: 1}.afterSend(once, false), budgetedRetry)
-	is.Equal(waitPolicy{sends: 3, helperFailures: 1}.afterSend(once, false), noRetry)
-	is.Equal(waitPolicy{sends: 2, helperFailures: 1}.afterSend(once, true), noRetry)
-	is.Equal(waitPolicy{sends: maxHelperFailures + 1, helperFailures: maxHelperFailures + 1}.afterSend(safe, false), noRetry)
+	is.Equal(waitPolicy{}.afterAttempt(once, false), freeRetry)
+	is.Equal(waitPolicy{unsentAttempts: maxUnsentAttempts + 1}.afterAttempt(safe, false), noRetry)
+	is.Equal(waitPolicy{attempts: 1}.afterAttempt(once, true), noRetry)
+	is.Equal(waitPolicy{attempts: 1}.afterAttempt(once, false), budgetedRetry)
+	is.Equal(waitPolicy{attempts: 1}.afterAttempt(safe, true), budgetedRetry)
+	is.Equal(waitPolicy{attempts: 2}.afterAttempt(safe, false), noRetry)
+	// An attempt that did not run because of a helper used no run of an endpoint, but the number of
+	// such attempts is limited.
+	is.Equal(waitPolicy{attempts: 2, helperFailures: 2}.afterAttempt(once, false), budgetedRetry)
+	is.Equal(waitPolicy{attempts: 2, helperFailures: 1}.afterAttempt(once, false), budgetedRetry)
+	is.Equal(waitPolicy{attempts: 3, helperFailures: 1}.afterAttempt(once, false), noRetry)
+	is.Equal(waitPolicy{attempts: 2, helperFailures: 1}.afterAttempt(once, true), noRetry)
+	is.Equal(waitPolicy{attempts: maxHelperFailures + 1, helperFailures: maxHelperFailures + 1}.afterAttempt(safe, false), noRetry)
 }
--- a/relay/peerclient.go
+++ b/relay/peerclient.go
@@ -72,7 +72,7 @@
 
 // compressedDocument is the compressed form of a document that many peers request. After an update
 // of a large configuration, 103 gateways made 200 calls to the store within 8 s: twenty answers,
-// uncompressed, do not fit through a link of 20 Mbit/s within peerTime.
+// uncompressed, do not fit through a link of 20 Mbit/s within peerQueryTimeout.
 type compressedDocument struct {
 	mu   sync.Mutex
 	key  uint64 // identifies the content of body; 0: none
@@ -192,7 +192,7 @@
 	return proof, nil
 }
 
-// queryPeerLogged calls askPeer and logs the error, for callers that continue without an answer.
+// queryPeerLogged calls queryPeer and logs the error, for callers that continue without an answer.
 func (g *Gateway) queryPeerLogged(m netip.AddrPort) {
 	if _, err := g.queryPeer(m); err != nil {
 		g.deps.Log.Logger().Warn("Reading a peer's configuration failed.", "peer", m, "err", err)
