--- a/relay/picker.go
+++ b/relay/picker.go
@@ -25,8 +25,8 @@
 	sendSoon   chan struct{} // requests an early message to the peers
 
 	mu           sync.Mutex
-	book         *balance.LoadTracker
-	turns        *balance.PromptQueue
+	loads        *balance.LoadTracker
+	queue        *balance.PromptQueue
 	health       *health.Table
 	retryBudgets map[string]*limits.RetryWindow // by service
 	loadChanged  chan struct{}                  // closed to wake the requests that wait for endpoints
@@ -48,7 +48,7 @@
 func newPicker(self, dataCentre string, state *State, policy balance.Policy, window limits.RetryWindowConfig) *picker {
 	return &picker{
 		self: self, dataCentre: dataCentre, state: state, policy: policy, window: window, sendSoon: make(chan struct{}, 1),
-		book: balance.NewLoadTracker(), turns: balance.NewPromptQueue(), health: health.NewTable(),
+		loads: balance.NewLoadTracker(), queue: balance.NewPromptQueue(), health: health.NewTable(),
 		retryBudgets: make(map[string]*limits.RetryWindow), loadChanged: make(chan struct{}),
 		remoteCells: make(map[string]remoteCell), limits: newEndpointLimits(self),
 	}
@@ -60,12 +60,12 @@
 	endpoint      catalog.Endpoint
 	helpers       []catalog.Endpoint
 	memoryDemands []memoryDemand
-	reservations  *reservations // reserved for the send; nil if none
-	grant         *grant        // permits a send to an endpoint with a limit; nil if none
+	reservations  *reservations // reserved for the attempt; nil if none
+	grant         *grant        // permits an attempt at an endpoint with a rate limit; nil if none
 	send          availability.SentRequest
 	loadBefore    balance.Load // load of the endpoint before this request
 	chosenAt      time.Time
-	pace          float64 // of the slowest of the endpoints, as known when the choice was made
+	slowdown      float64 // of the slowest of the endpoints, as known when the choice was made
 	// candidates is the number of endpoints that were considered.
 	candidates      int
 	remoteEndpoints int // number of endpoints of other cells that work on the request
@@ -73,7 +73,7 @@
 	loads           []*placedLoad
 }
 
-// memoryDemand is memory that has to be reserved before a send.
+// memoryDemand is memory that has to be reserved before an attempt.
 type memoryDemand struct {
 	endpoint catalog.Endpoint
 	tokens   int
@@ -96,7 +96,7 @@
 	pickFull             // the caller should retry later
 )
 
-// assign counts the load of a choice. It returns nil if the endpoint takes no more requests at the
+// assign counts the load of a choice. It returns nil if the endpoint accepts no more requests at the
 // moment. The caller holds the lock.
 func (p *picker) assign(res searchResult, now time.Time) *placement {
 	c := res.choice
@@ -104,27 +104,27 @@
 	if !ok {
 		return nil
 	}
-	chosen := &placement{
+	pl := &placement{
 		picker: p, endpoint: res.endpoints[c.Endpoint], loadBefore: res.candidates[c.Endpoint].Load, send: send,
 		candidates: len(res.candidates), expected: c.Expected, chosenAt: time.Now(),
 	}
 	for _, i := range c.Helpers {
-		chosen.helpers = append(chosen.helpers, res.endpoints[i])
+		pl.helpers = append(pl.helpers, res.endpoints[i])
 	}
 	for _, r := range c.Reservations {
-		chosen.memoryDemands = append(chosen.memoryDemands, memoryDemand{res.endpoints[r.Candidate], r.Tokens})
+		pl.memoryDemands = append(pl.memoryDemands, memoryDemand{res.endpoints[r.Candidate], r.Tokens})
 	}
 	for _, l := range c.Loads {
 		if res.candidates[l.Candidate].Remote {
-			chosen.remoteEndpoints++
+			pl.remoteEndpoints++
 		}
-		chosen.pace = max(chosen.pace, res.candidates[l.Candidate].Slowdown)
+		pl.slowdown = max(pl.slowdown, res.candidates[l.Candidate].Slowdown)
 		id := res.endpoints[l.Candidate].ID
-		p.book.Add(id, l.Load)
-		chosen.addLoad(id, l)
+		p.loads.Add(id, l.Load)
+		pl.addLoad(id, l)
 	}
 	p.notifyPeers()
-	return chosen
+	return pl
 }
 
 // notifyPeers causes the next message to the peers to be sent soon.
@@ -136,27 +136,27 @@
 }
 
 // joinQueue adds a prompt to those that wait for their turn to choose; leaveQueue removes it.
-func (p *picker) joinQueue(service string, rank balance.Urgency, due, now time.Time) *balance.QueueEntry {
+func (p *picker) joinQueue(service string, urgency balance.Urgency, due, now time.Time) *balance.QueueEntry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.turns.ExpirePeers(now)
+	p.queue.ExpirePeers(now)
 	p.notifyPeers()
-	return p.turns.Join(service, rank, due, now)
+	return p.queue.Join(service, urgency, due, now)
 }
 
-func (p *picker) leaveQueue(t *balance.QueueEntry) {
+func (p *picker) leaveQueue(entry *balance.QueueEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.turns.Leave(t)
+	p.queue.Leave(entry)
 	p.notifyPeers()
 	p.notifyWaitersLocked()
 }
 
 // isNext reports whether it is a prompt's turn to choose.
-func (p *picker) isNext(t *balance.QueueEntry, rank balance.Urgency, now time.Time) bool {
+func (p *picker) isNext(entry *balance.QueueEntry, urgency balance.Urgency, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.turns.First(t, rank, now)
+	return p.queue.First(entry, urgency, now)
 }
 
 // waitForLoadChange waits until the waiting requests are woken, since load was released or a peer
@@ -174,7 +174,8 @@
 	}
 }
 
-// endPrefill removes the prefill load of the prompt, which has ended once the first event has arrived.
+// endPrefill removes the prefill load of the prompt, which has ended once the first event has
+// arrived.
 func (pl *placement) endPrefill() {
 	p := pl.picker
 	p.mu.Lock()
@@ -198,14 +199,14 @@
 	p := pl.picker
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if part.endPrefill(p.book) {
+	if part.endPrefill(p.loads) {
 		p.notifyWaitersLocked()
 		p.notifyPeers()
 	}
 }
 
 // endPrefill removes the prefill load; it reports whether it was still counted.
-func (l *placedLoad) endPrefill(book *balance.LoadTracker) bool {
+func (l *placedLoad) endPrefill(tracker *balance.LoadTracker) bool {
 	if l.timer != nil {
 		l.timer.Stop()
 	}
@@ -213,7 +214,7 @@
 		return false
 	}
 	l.prefillDone = true
-	book.PrefillDone(l.endpoint, l.load)
+	tracker.PrefillDone(l.endpoint, l.load)
 	return true
 }
 
@@ -221,7 +222,7 @@
 func (pl *placement) removePrefill() bool {
 	removed := false
 	for _, l := range pl.loads {
-		removed = l.endPrefill(pl.picker.book) || removed
+		removed = l.endPrefill(pl.picker.loads) || removed
 	}
 	return removed
 }
@@ -234,14 +235,14 @@
 	defer p.mu.Unlock()
 	pl.removePrefill()
 	for _, l := range pl.loads {
-		p.book.Remove(l.endpoint, l.load)
+		p.loads.Remove(l.endpoint, l.load)
 	}
 	pl.loads = nil
 	p.notifyWaitersLocked()
 }
 
 // endSend records that the request was answered, or will not be; only the first call counts. It
-// reports whether this ends the gradual ramp-up of an endpoint after its back-off.
+// reports whether this ends the slow start of an endpoint after its backoff.
 func (pl *placement) endSend(answered bool) bool {
 	send := pl.send
 	pl.send = availability.SentRequest{}
@@ -261,7 +262,8 @@
 	p.loadChanged = make(chan struct{})
 }
 
-// recordOutcome records how an exchange ended; it reports whether the endpoint has just become suspect.
+// recordOutcome records how an exchange ended; it reports whether the endpoint has just become
+// suspect.
 func (p *picker) recordOutcome(endpoint string, o health.Outcome, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -272,25 +274,25 @@
 	return suspect
 }
 
-// recordReport records an endpoint's report on itself; it reports whether its pace has changed
+// recordReport records an endpoint's report on itself; it reports whether its slowdown has changed
 // significantly.
 func (p *picker) recordReport(endpoint string, r EndpointReport, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	before := p.health.Slowdown(endpoint, now)
 	p.health.RecordReachable(endpoint, now)
-	p.health.SetSlowdown(endpoint, r.Pace, now)
+	p.health.SetSlowdown(endpoint, r.Slowdown, now)
 	after := p.health.Slowdown(endpoint, now)
-	changed := after > significantPaceRatio*before || before > significantPaceRatio*after
+	changed := after > significantSlowdownRatio*before || before > significantSlowdownRatio*after
 	if changed {
 		p.notifyPeers()
 	}
 	return changed
 }
 
-// significantPaceRatio is the ratio of an endpoint's new pace to its old one, or of the old one to
-// the new one, above which the peers are notified at once.
-const significantPaceRatio = 1.2
+// significantSlowdownRatio is the ratio of an endpoint's new slowdown to its old one, or of the old
+// one to the new one, above which the peers are notified at once.
+const significantSlowdownRatio = 1.2
 
 // recordLate records that a stream began or paused much later than expected. The next regular message
 // tells the gateway that watches the endpoint: a message sent at once would add traffic when there
@@ -301,8 +303,8 @@
 	p.health.RecordLateStream(endpoint, now)
 }
 
-// avoidedEndpoints returns the endpoints of the local cell that are avoided because several gateways failed
-// there, each with the number of those gateways.
+// avoidedEndpoints returns the endpoints of the local cell that are avoided because several
+// gateways failed there, each with the number of those gateways.
 func (p *picker) avoidedEndpoints(now time.Time) map[string]int {
 	localCell := p.state.Cells().Of(p.dataCentre)
 	out := make(map[string]int)
@@ -319,8 +321,8 @@
 	return out
 }
 
-// doubt returns why an endpoint should be queried.
-func (p *picker) doubt(endpoint string, now time.Time) health.QueryReason {
+// queryReason returns why an endpoint should be queried.
+func (p *picker) queryReason(endpoint string, now time.Time) health.QueryReason {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.health.QueryReason(endpoint, now)
@@ -332,7 +334,7 @@
 	p.health.Forget(endpoint)
 }
 
-// countRequest counts a first send to a service; retry takes a second send from the budget and reports
+// countRequest counts a request to a service; takeRetry takes a retry from the budget and reports
 // whether it was available.
 func (p *picker) countRequest(service string, now time.Time) {
 	p.mu.Lock()
@@ -353,7 +355,7 @@
 		// Many gateways may have started at this moment, and each would use the whole slack.
 		return limits.UnknownGateways
 	}
-	return max(p.fleetSize, p.book.LivePeers(now)+1)
+	return max(p.fleetSize, p.loads.LivePeers(now)+1)
 }
 
 // setListedGateways records how many gateways a list in the store names.
@@ -366,9 +368,9 @@
 	}
 }
 
-// fleetDiscoveryTime is how long a process may not know the number of gateways if it cannot read a list
-// written by earlier ones: until it has read the entries of those that started at the same time,
-// plus a margin.
+// fleetDiscoveryTime is how long a process may not know the number of gateways if it cannot read a
+// list written by earlier ones: until it has read the entries of those that started at the same
+// time, plus a margin.
 const fleetDiscoveryTime = gatewaysFirstDelay + time.Second
 
 func (p *picker) retryBudget(service string) *limits.RetryWindow {
@@ -380,63 +382,63 @@
 	return b
 }
 
-// recordPeer records the load, waiting prompts and health signs that a peer sent.
-func (p *picker) recordPeer(w peers.Message, now time.Time) {
+// recordPeer records the load, waiting prompts and health observations that a peer sent.
+func (p *picker) recordPeer(msg peers.Message, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if w.Partial {
-		p.book.UpdatePeerLoad(w.From, w.DataCentre, w.Loads, now)
+	if msg.Partial {
+		p.loads.UpdatePeerLoad(msg.From, msg.DataCentre, msg.Loads, now)
 	} else {
-		p.book.SetPeerLoad(w.From, w.DataCentre, w.Loads, now)
+		p.loads.SetPeerLoad(msg.From, msg.DataCentre, msg.Loads, now)
 	}
-	p.turns.SetPeerHeads(w.From, w.Waiting, now)
-	p.health.UpdatePeer(w.From, w.Observations, p.state.EndpointCount(), now)
-	if p.turns.Waiting() > 0 {
+	p.queue.SetPeerHeads(msg.From, msg.Waiting, now)
+	p.health.UpdatePeer(msg.From, msg.Observations, p.state.EndpointCount(), now)
+	if p.queue.Waiting() > 0 {
 		p.notifyWaitersLocked()
 	}
 }
 
-// ownLoad is the load, the waiting prompts and the health signs of this gateway that are sent to
-// the peers.
-type ownLoad struct {
-	all     map[string]balance.Load
-	byCell  map[string]map[string]balance.Load // the entries of all at the endpoints of each cell
-	waiting map[string]balance.QueueHead
-	signs   map[string]health.Observation // of endpoints' health
+// localLoad is the load, the waiting prompts and the health observations of this gateway that are
+// sent to the peers.
+type localLoad struct {
+	all          map[string]balance.Load
+	byCell       map[string]map[string]balance.Load // the entries of all at the endpoints of each cell
+	waiting      map[string]balance.QueueHead
+	observations map[string]health.Observation // of endpoints' health
 }
 
-// ownLoad returns the whole load, or what has changed since the whole load was last sent.
-func (p *picker) ownLoad(whole bool, now time.Time) ownLoad {
+// localLoad returns the complete load, or what has changed since the complete load was last sent.
+func (p *picker) localLoad(complete bool, now time.Time) localLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t := ownLoad{waiting: p.turns.LocalHeads(now), signs: p.health.LocalObservations(now), byCell: make(map[string]map[string]balance.Load)}
-	if whole {
-		t.all = p.book.Local()
+	load := localLoad{waiting: p.queue.LocalHeads(now), observations: p.health.LocalObservations(now), byCell: make(map[string]map[string]balance.Load)}
+	if complete {
+		load.all = p.loads.Local()
 	} else {
-		t.all = p.book.LocalChanges()
+		load.all = p.loads.LocalChanges()
 	}
-	for id, l := range t.all {
+	for id, l := range load.all {
 		c, ok := p.state.CellOf(id)
 		if !ok {
 			continue // the endpoint is gone: only the local cell counts the load that is left there
 		}
-		if t.byCell[c] == nil {
-			t.byCell[c] = make(map[string]balance.Load)
+		if load.byCell[c] == nil {
+			load.byCell[c] = make(map[string]balance.Load)
 		}
-		t.byCell[c][id] = l
+		load.byCell[c][id] = l
 	}
-	return t
+	return load
 }
 
 // setFleetSize records how many gateways the local cell has, and how many the store's list names.
-func (p *picker) setFleetSize(own, listed int) {
+func (p *picker) setFleetSize(local, listed int) {
 	cells := p.state.Cells().Cells()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range cells {
-		own += p.remoteCells[c].gateways
+		local += p.remoteCells[c].gateways
 	}
-	p.fleetSize = max(own, listed)
+	p.fleetSize = max(local, listed)
 }
 
 // pickService picks one of the route's services by weight.
--- a/relay/picker_test.go
+++ b/relay/picker_test.go
@@ -37,11 +37,11 @@
 func loadAt(p *picker, endpoint string) balance.Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.book.Load(endpoint, time.Now())
+	return p.loads.Load(endpoint, time.Now())
 }
 
-// noWarmConns is the warmConnFunc of a gateway without open connections.
-func noWarmConns(string) bool { return false }
+// noIdleConns is the idleConnFunc of a gateway without open connections.
+func noIdleConns(string) bool { return false }
 
 // TestPartPrefillEndsBeforeTheFirstEvent: the prefill load of the parts of a long prompt ends after
 // their estimated time, so that other requests may use the endpoints. Removing it again at the
@@ -51,7 +51,7 @@
 		is := is.New(t)
 		p, s := enginePicker(4)
 		work := balance.Request{InputTokens: 100000, OutputTokens: 500, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second}
-		pl, _, o := p.pick(s, work, noWarmConns, time.Now())
+		pl, _, o := p.pick(s, work, noIdleConns, time.Now())
 		is.Equal(o, picked)
 		is.True(len(pl.loads) > 1)
 		is.True(loadAt(p, pl.endpoint.ID).PrefillMs > 0)
@@ -65,7 +65,7 @@
 		is.Equal(loadAt(p, pl.endpoint.ID).Long, 1)
 		pl.endPrefill()
 		pl.release()
-		is.Equal(len(p.book.Local()), 0)
+		is.Equal(len(p.loads.Local()), 0)
 	})
 }
 
@@ -76,16 +76,16 @@
 		is := is.New(t)
 		p, s := enginePicker(4)
 		work := balance.Request{InputTokens: 100000, OutputTokens: 500, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second}
-		first, _, _ := p.pick(s, work, noWarmConns, time.Now())
+		first, _, _ := p.pick(s, work, noIdleConns, time.Now())
 		first.release()
-		is.Equal(len(p.book.Local()), 0)
-		second, _, _ := p.pick(s, work, noWarmConns, time.Now())
-		before := p.book.Local()
+		is.Equal(len(p.loads.Local()), 0)
+		second, _, _ := p.pick(s, work, noIdleConns, time.Now())
+		before := p.loads.Local()
 		is.Equal(len(before), len(second.loads))
 		second.release()
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
-		is.Equal(len(p.book.Local()), 0)
+		is.Equal(len(p.loads.Local()), 0)
 	})
 }
 
@@ -94,9 +94,9 @@
 	longObjective  = 10 * time.Second
 )
 
-// engineBench returns a bench whose service is an engine with one slot per endpoint, all of which
-// are taken. Its routes have the given objective.
-func engineBench(t *testing.T, objective time.Duration) *testGateway {
+// newEngineTestGateway returns a gateway whose service is an engine with one slot per endpoint, all
+// of which are in use. Its routes have the given objective.
+func newEngineTestGateway(t *testing.T, objective time.Duration) *testGateway {
 	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeAnswer(w, "200 OK", "", "x") })
 	c := testConfig(2)
 	c.Services[0].Engine = &catalog.Engine{Slots: 1, MemoryTokens: 232000, StepMs: 1, ReadPerMs: 206, PairsPerM: 0.138, ChunkTokens: 2048, Stride: 43}
@@ -105,16 +105,16 @@
 	}
 	b.source.setConfiguration(c, nil)
 	b.readSource()
-	b.gateway.picker.book.Add("a", balance.Load{Short: 5, AwaitingFirstEvent: 4})
-	b.gateway.picker.book.Add("b", balance.Load{Short: 5, AwaitingFirstEvent: 4})
+	b.gateway.picker.loads.Add("a", balance.Load{Short: 5, AwaitingFirstEvent: 4})
+	b.gateway.picker.loads.Add("b", balance.Load{Short: 5, AwaitingFirstEvent: 4})
 	return b
 }
 
-// TestBusyIsRefusedAtOnce: while all slots are taken, a short request that would be late is refused
-// with a Retry-After time and reaches no endpoint.
+// TestBusyIsRefusedAtOnce: while all slots are in use, a short request that would be late is refused
+// with a Retry-After and reaches no endpoint.
 func TestBusyIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	b := engineBench(t, shortObjective)
+	b := newEngineTestGateway(t, shortObjective)
 	got := b.send(t.Context(), "POST", "/stream/x", "", http.Header{"Tokens": {"1000"}, "Wait-Ms": {"10000"}})
 	is.NoErr(got.err)
 	is.Equal(got.status, http.StatusServiceUnavailable)
@@ -131,7 +131,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := engineBench(t, shortObjective)
+			b := newEngineTestGateway(t, shortObjective)
 			got := b.send(t.Context(), "POST", "/safe/x", "", header)
 			is.NoErr(got.err)
 			is.Equal(got.status, http.StatusOK)
@@ -144,9 +144,9 @@
 // due earlier waits, and does so once that one is placed.
 func TestLongPromptsWaitForTheirTurn(t *testing.T) {
 	is := is.New(t)
-	b := engineBench(t, longObjective)
+	b := newEngineTestGateway(t, longObjective)
 	p := b.gateway.picker
-	p.book = balance.NewLoadTracker()
+	p.loads = balance.NewLoadTracker()
 	sendClaims := func(waiting map[string]balance.QueueHead) {
 		p.recordPeer(peers.Message{From: "p", Waiting: waiting}, time.Now())
 	}
@@ -155,7 +155,7 @@
 	go func() { // the peer keeps reporting that its prompt waits
 		defer close(stopped)
 		for {
-			sendClaims(map[string]balance.QueueHead{"s": {Rank: balance.InTime, DueInMs: -60000}})
+			sendClaims(map[string]balance.QueueHead{"s": {Urgency: balance.InTime, DueInMs: -60000}})
 			select {
 			case <-stop:
 				return
@@ -182,7 +182,7 @@
 func hasWaitedLong(p *picker) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	claim, ok := p.turns.LocalHeads(time.Now())["s"]
+	claim, ok := p.queue.LocalHeads(time.Now())["s"]
 	return ok && claim.DueInMs < (longObjective-100*time.Millisecond).Milliseconds()
 }
 
@@ -190,11 +190,11 @@
 // for endpoints, rather than closing its connection without an answer.
 func TestStopRefusesWaitingPrompts(t *testing.T) {
 	is := is.New(t)
-	b := engineBench(t, longObjective)
+	b := newEngineTestGateway(t, longObjective)
 	p := b.gateway.picker
 	reading := balance.Load{PrefillMs: 900, Parts: 1}
-	p.book.Add("a", reading)
-	p.book.Add("b", reading)
+	p.loads.Add("a", reading)
+	p.loads.Add("b", reading)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	done := make(chan response)
@@ -213,19 +213,19 @@
 	is.Equal(b.requestCount(), 0)
 }
 
-// TestLongIsRefusedWhenItsTimeToWaitIsOver: a long prompt that no endpoint takes is refused before
-// it is late and reaches no endpoint. Its Retry-After time is within the caller's remaining time.
-func TestLongIsRefusedWhenItsTimeToWaitIsOver(t *testing.T) {
+// TestLongPromptIsRefusedAfterItsWaitTime: a long prompt that no endpoint takes is refused before
+// it is late and reaches no endpoint. Its Retry-After is within the caller's remaining time.
+func TestLongPromptIsRefusedAfterItsWaitTime(t *testing.T) {
 	for name, c := range map[string]struct{ waitMs, retryAfter string }{
 		"much time":   {"60000", "4"},
 		"little time": {"6000", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := engineBench(t, time.Second)
+			b := newEngineTestGateway(t, time.Second)
 			reading := balance.Load{PrefillMs: 5000, Parts: 1}
-			b.gateway.picker.book.Add("a", reading)
-			b.gateway.picker.book.Add("b", reading)
+			b.gateway.picker.loads.Add("a", reading)
+			b.gateway.picker.loads.Add("b", reading)
 			began := time.Now()
 			got := b.send(t.Context(), "POST", "/stream/x", "", http.Header{"Tokens": {"50000"}, "Wait-Ms": {c.waitMs}})
 			is.NoErr(got.err)
@@ -243,7 +243,7 @@
 	}
 }
 
-// TestRetriesBeforeTheFleetIsKnown: a gateway that has just started takes second sends only from
+// TestRetriesBeforeTheFleetIsKnown: a gateway that has just started takes retries only from
 // the budget of its own requests.
 func TestRetriesBeforeTheFleetIsKnown(t *testing.T) {
 	is := is.New(t)
--- a/relay/place.go
+++ b/relay/place.go
@@ -16,12 +16,12 @@
 func (x *exchange) waitPolicy() waitPolicy {
 	return waitPolicy{
 		started: x.started, deadline: x.deadline, objective: x.route.Objective, firstPartTimeout: x.route.Patience,
-		sends: x.attempts, unsent: x.unsentAttempts, helperFailures: x.helperFailures, resumed: x.stream != nil || x.call.LastEventID != "",
+		attempts: x.attempts, unsentAttempts: x.unsentAttempts, helperFailures: x.helperFailures, resumed: x.stream != nil || x.call.LastEventID != "",
 	}
 }
 
-// hasWarmConn reports whether an idle connection to an endpoint may carry the request.
-func (x *exchange) hasWarmConn(endpoint string) bool {
+// hasIdleConn reports whether an idle connection to an endpoint may carry the request.
+func (x *exchange) hasIdleConn(endpoint string) bool {
 	return x.g.deps.Endpoints.Kept(endpoint, x.maxIdle())
 }
 
@@ -34,8 +34,8 @@
 	return maxUnsafeIdle
 }
 
-// balanceWork returns the request as input of an endpoint choice, without its time limits.
-func (x *exchange) balanceWork() balance.Request {
+// balanceRequest returns the request as input of an endpoint choice, without its time limits.
+func (x *exchange) balanceRequest() balance.Request {
 	return balance.Request{
 		InputTokens: x.call.PromptTokens, OutputTokens: x.call.MaxTokens, Excluded: slices.Concat(x.tried, x.excluded),
 		Gaps: x.table.Gaps(x.service.Name), MaxGap: x.route.GapObjective,
@@ -47,7 +47,7 @@
 	x.g.deps.Log.Request("Endpoint chosen.", "request", x.call.ID, "endpoint", pl.endpoint.ID, "helpers", endpointIDs(pl.helpers), "reserved", len(pl.memoryDemands),
 		"tokens", x.call.PromptTokens, "waited_ms", waited.Milliseconds(),
 		"expected_ms", int(pl.expected.FirstMs), "harm", int(pl.expected.Interference), "idle", pl.expected.IdleEndpoints,
-		"read_ms", int(pl.loadBefore.PrefillMs), "short", pl.loadBefore.Short, "long", pl.loadBefore.Long, "memory", pl.loadBefore.MemoryTokens, "pace", pl.pace, "candidates", pl.candidates, "remote", pl.remoteEndpoints, "limit", x.g.endpointLimits.logValue(pl.endpoint.ID))
+		"read_ms", int(pl.loadBefore.PrefillMs), "short", pl.loadBefore.Short, "long", pl.loadBefore.Long, "memory", pl.loadBefore.MemoryTokens, "pace", pl.slowdown, "candidates", pl.candidates, "remote", pl.remoteEndpoints, "limit", x.g.endpointLimits.logValue(pl.endpoint.ID))
 }
 
 // refusalReason returns the reason for the log when a choice with this outcome leads to a refusal.
--- a/relay/placing.go
+++ b/relay/placing.go
@@ -12,8 +12,8 @@
 func (x *exchange) findPlacement(ctx context.Context) (*placement, outcome) {
 	p := x.startPlacement()
 	defer p.end()
-	now := p.updateWork()
-	if pl := x.probeLimited(ctx, p.work); pl != nil {
+	now := p.updateRequest()
+	if pl := x.probeLimited(ctx, p.request); pl != nil {
 		pl, _, _ = p.succeed(pl, now)
 		return pl, ""
 	}
@@ -40,43 +40,43 @@
 	tryLater                // try again soon
 )
 
-// placementSearch is the search for an endpoint for one send of a request.
+// placementSearch is the search for an endpoint for one attempt of a request.
 type placementSearch struct {
 	x            *exchange
 	began        time.Time
-	work         balance.Request
+	request      balance.Request
 	oversize     bool
 	minEndpoints int                 // number of endpoints that the request needs at once
-	turn         *balance.QueueEntry // position among long prompts; nil if it needs none
+	queueEntry   *balance.QueueEntry // position among long prompts; nil if it needs none
 	backoff      backoffWait
 	expected     balance.Estimate // from the latest evaluation of the load
 }
 
 func (x *exchange) startPlacement() *placementSearch {
-	p := &placementSearch{x: x, began: time.Now(), work: x.balanceWork(), backoff: backoffWait{x: x}}
-	p.oversize = x.g.config.Policy.ExceedsMemory(x.service, p.work)
-	p.minEndpoints = x.minEndpoints(p.work)
-	if x.g.config.Policy.MustQueue(x.service, p.work) {
-		p.turn = x.g.picker.joinQueue(x.service.Name, x.waitPolicy().rank(p.oversize, p.began), x.started.Add(x.route.Objective), p.began)
+	p := &placementSearch{x: x, began: time.Now(), request: x.balanceRequest(), backoff: backoffWait{x: x}}
+	p.oversize = x.g.config.Policy.ExceedsMemory(x.service, p.request)
+	p.minEndpoints = x.minEndpoints(p.request)
+	if x.g.config.Policy.MustQueue(x.service, p.request) {
+		p.queueEntry = x.g.picker.joinQueue(x.service.Name, x.waitPolicy().promptUrgency(p.oversize, p.began), x.started.Add(x.route.Objective), p.began)
 	}
 	return p
 }
 
 func (p *placementSearch) end() {
 	p.backoff.leave()
-	if p.turn != nil {
-		p.x.g.picker.leaveQueue(p.turn)
+	if p.queueEntry != nil {
+		p.x.g.picker.leaveQueue(p.queueEntry)
 	}
 	p.x.g.meter.waitTime.UpdateDuration(p.began)
 }
 
-// updateWork recomputes how much time the request has left.
-func (p *placementSearch) updateWork() (now time.Time) {
+// updateRequest recomputes how much time the request has left.
+func (p *placementSearch) updateRequest() (now time.Time) {
 	p.x.deductSuspension()
 	now = time.Now()
-	p.x.waitPolicy().fillWork(&p.work, p.x.g.shutdownNoticed(), now)
+	p.x.waitPolicy().fillTimes(&p.request, p.x.g.shutdownNoticed(), now)
 	if p.oversize {
-		p.work.Late = false // it takes much of many endpoints, so it keeps its turn
+		p.request.Late = false // it takes much of many endpoints, so it keeps its turn
 	}
 	return now
 }
@@ -84,14 +84,14 @@
 // tryPlace looks for an endpoint once.
 func (p *placementSearch) tryPlace(ctx context.Context) (pl *placement, o outcome, next nextTry) {
 	x := p.x
-	now := p.updateWork()
-	pl, found, turn := p.choose(now)
+	now := p.updateRequest()
+	pl, found, state := p.choose(now)
 	if found == picked {
 		return p.succeed(pl, now)
 	}
 	var limited limitedResult
 	if x.g.endpointLimits.any() {
-		limited = x.placeAmongLimited(ctx, &p.work, found, now)
+		limited = x.placeAmongLimited(ctx, &p.request, found, now)
 		now = time.Now() // the call to the coordinator took time
 		switch {
 		case limited.placement != nil:
@@ -108,11 +108,11 @@
 	case x.attempts == 0 && x.g.shutdownNoticed():
 		// The process may end before an endpoint is free.
 		return nil, x.refuse(http.StatusServiceUnavailable, retryAfterStop, stopping), tryEnded
-	case found == pickNone && len(p.work.Excluded) > 0:
-		p.work.Excluded = nil // better the same endpoint again than none
+	case found == pickNone && len(p.request.Excluded) > 0:
+		p.request.Excluded = nil // better the same endpoint again than none
 		return nil, "", tryAgain
 	}
-	switch step, retryAfter := p.backoff.next(p.minEndpoints, turn, now); step {
+	switch step, retryAfter := p.backoff.next(p.minEndpoints, state, now); step {
 	case backoffWaits:
 		return nil, "", tryLater
 	case backoffRefuse:
@@ -120,28 +120,28 @@
 	}
 	if found == pickNone && x.attempts == 0 && x.g.state.AllDraining(x.service.Name) {
 		return p.refuse("all endpoints leave", now, func() outcome {
-			return x.refuse(http.StatusServiceUnavailable, x.waitPolicy().capRetryAfter(retryAfterLeaving, now), refusedFull)
+			return x.refuse(http.StatusServiceUnavailable, x.waitPolicy().capRetryAfter(retryAfterDraining, now), refusedFull)
 		})
 	}
 	return p.waitOrRefuse(found, limited.retryAfter, now)
 }
 
 // choose chooses an endpoint if it is the request's turn.
-func (p *placementSearch) choose(now time.Time) (pl *placement, o pickOutcome, turn choiceState) {
+func (p *placementSearch) choose(now time.Time) (pl *placement, found pickOutcome, state choiceState) {
 	picker := p.x.g.picker
-	if p.turn != nil && !p.work.Late && !picker.isNext(p.turn, p.x.waitPolicy().rank(p.oversize, now), now) {
+	if p.queueEntry != nil && !p.request.Late && !picker.isNext(p.queueEntry, p.x.waitPolicy().promptUrgency(p.oversize, now), now) {
 		p.backoff.leave() // others need not wait while it is not its turn
 		return nil, pickWait, choiceNotItsTurn
 	}
 	if !p.backoff.mayChoose() {
 		return nil, pickWait, choiceNotFirstInQueue
 	}
-	pl, p.expected, o = picker.pick(p.x.service, p.work, p.x.hasWarmConn, now)
-	return pl, o, choiceMade
+	pl, p.expected, found = picker.pick(p.x.service, p.request, p.x.hasIdleConn, now)
+	return pl, found, choiceMade
 }
 
 // waitOrRefuse decides about a request for which no endpoint was found. retryAfter is the
-// Retry-After time if the request waits for endpoints with limits, otherwise zero.
+// Retry-After if the request waits for endpoints with limits, otherwise zero.
 func (p *placementSearch) waitOrRefuse(found pickOutcome, retryAfter time.Duration, now time.Time) (pl *placement, o outcome, next nextTry) {
 	busy := found == pickWait || retryAfter > 0
 	switch {
--- a/relay/process.go
+++ b/relay/process.go
@@ -120,7 +120,7 @@
 		}
 		p.listeners = append(p.listeners, l)
 		go func() {
-			if err := run(l); err != nil && !p.leaving.Load() {
+			if err := run(l); err != nil && !p.shuttingDown.Load() {
 				env.Fail(err)
 			}
 		}()
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -21,7 +21,7 @@
 	ID           string        // identifies this attempt of the caller
 	Deadline     time.Duration // how long the caller waits; 0: not given
 	Key          string        // empty: not given
-	PromptTokens int           // prompt tokens
+	PromptTokens int           // length of the prompt
 	MaxTokens    int           // maximum number of generated tokens
 	LastEventID  string        // the stream resumes after this event; empty: from the start
 }
@@ -60,8 +60,8 @@
 
 // EndpointReport is the status that an endpoint with an engine reports.
 type EndpointReport struct {
-	// Pace is by which factor the endpoint is slower than usual.
-	Pace float64
+	// Slowdown is the factor by which the endpoint is slower than usual.
+	Slowdown float64
 	// Waiting and Running are the numbers of its requests in these states.
 	Waiting, Running int
 	// MemoryUsed is how many of the MemoryTotal tokens cannot be evicted.
@@ -99,8 +99,8 @@
 	Header(caller http.Header, c Call, s AttemptFields) http.Header
 	// Verdict classifies an endpoint's answer.
 	Verdict(res *http.Response) Verdict
-	// FaultyEndpoint returns the address of the endpoint because of which, according to an answer, the
-	// request was not run; empty: the answer names none.
+	// FaultyEndpoint returns the address of the endpoint because of which, according to an answer,
+	// the request was not run; empty: the answer names none.
 	FaultyEndpoint(res *http.Response) string
 	// Statement parses what an answer says about the availability of the endpoint that gave it. The
 	// error reports a value that cannot be read or applies only in part; the other values are
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -39,10 +39,10 @@
 	// count is the number of requests in the table; while it is zero, the check of a request costs
 	// nothing.
 	count atomic.Int64
-	// representative is set while this gateway forwards the reports of its own cell to other cells.
+	// representative is set while this gateway forwards the reports of the local cell to other cells.
 	representative atomic.Bool
-	// nextCell selects the other cell that is told next about quarantined requests; only the goroutine
-	// that sends peer messages uses it.
+	// nextCell selects the other cell to which the reports on quarantined requests are repeated
+	// next; only the goroutine that sends peer messages uses it.
 	nextCell int
 	// pendingEntries holds requests whose stored entry is out of date.
 	pendingEntries chan quarantine.Fingerprint
@@ -63,8 +63,8 @@
 	q.count.Store(int64(q.table.Len()))
 }
 
-// mayKnow reports whether the table may hold an entry for a request.
-func (q *quarantineTable) mayKnow(r *quarantine.Request) bool {
+// mayContain reports whether the table may hold an entry for a request.
+func (q *quarantineTable) mayContain(r *quarantine.Request) bool {
 	if q.count.Load() == 0 {
 		return false
 	}
@@ -125,12 +125,12 @@
 }
 
 // recordCrash records that the endpoint crashed while it had the request.
-func (x *exchange) recordCrash(at *placement) {
+func (x *exchange) recordCrash(pl *placement) {
 	g, f, now := x.g, x.requestFingerprint(), time.Now()
 	var before, after quarantine.Verdict
 	g.quarantine.change(func(t *quarantine.Table) {
 		before = t.Verdict(f, now)
-		t.RecordCrash(f, quarantine.Crash{Endpoint: quarantine.IncarnationOf(at.endpoint.ID, at.endpoint.Born), Begun: x.answerBegun, At: now}, now)
+		t.RecordCrash(f, quarantine.Crash{Endpoint: quarantine.IncarnationOf(pl.endpoint.ID, pl.endpoint.Born), Begun: x.answerBegun, At: now}, now)
 		after = t.Verdict(f, now)
 	})
 	g.announceCrashes()
@@ -147,9 +147,9 @@
 
 // recordSuccess records that the endpoint completed the request. A failure that the endpoint
 // reports does not count, since the request may not have started there.
-func (x *exchange) recordSuccess(at *placement) {
+func (x *exchange) recordSuccess(pl *placement) {
 	g := x.g
-	if x.status/100 != 2 || !g.quarantine.mayKnow(x.fingerprintInput()) {
+	if x.status/100 != 2 || !g.quarantine.mayContain(x.fingerprintInput()) {
 		return
 	}
 	f, now := x.requestFingerprint(), time.Now()
@@ -157,7 +157,7 @@
 	fresh := false
 	g.quarantine.change(func(t *quarantine.Table) {
 		before = t.Verdict(f, now)
-		fresh = t.RecordSuccess(f, quarantine.IncarnationOf(at.endpoint.ID, at.endpoint.Born), now)
+		fresh = t.RecordSuccess(f, quarantine.IncarnationOf(pl.endpoint.ID, pl.endpoint.Born), now)
 		after = t.Verdict(f, now)
 	})
 	if !fresh {
@@ -181,7 +181,7 @@
 // run.
 func (x *exchange) checkQuarantine() (outcome, bool) {
 	q := x.g.quarantine
-	if !q.mayKnow(x.fingerprintInput()) {
+	if !q.mayContain(x.fingerprintInput()) {
 		return "", true
 	}
 	now := time.Now()
@@ -198,19 +198,19 @@
 }
 
 // handleCrashReports processes the crash reports in a peer's message.
-func (g *Gateway) handleCrashReports(w peers.Message) {
-	if len(w.CrashReports) == 0 {
+func (g *Gateway) handleCrashReports(msg peers.Message) {
+	if len(msg.CrashReports) == 0 {
 		return
 	}
 	now := time.Now()
-	var list []quarantine.Fingerprint
+	var quarantined []quarantine.Fingerprint
 	fresh := 0
 	g.quarantine.change(func(t *quarantine.Table) {
-		list, fresh = t.Apply(w.CrashReports, g.fromOtherCell(w), now)
+		quarantined, fresh = t.Apply(msg.CrashReports, g.fromOtherCell(msg), now)
 	})
-	for _, f := range list {
+	for _, f := range quarantined {
 		v := g.quarantine.verdict(f, now)
-		g.deps.Log.Logger().Warn("Request quarantined.", "fingerprint", f, "peer", w.From,
+		g.deps.Log.Logger().Warn("Request quarantined.", "fingerprint", f, "peer", msg.From,
 			"crashed_before", v.CrashesBefore, "crashed_within", v.CrashesWithin, "for", v.Until.Sub(now))
 	}
 	if fresh > 0 && g.quarantine.representative.Load() {
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -313,6 +313,6 @@
 	one, five, ten := quiet(1, 2), quiet(5, 2), quiet(10, 2)
 	t.Logf("most reports received by a gateway in a second: %d in one cell, %d in five, %d in ten", one, five, ten)
 	is.True(one > 0)
-	is.True(five <= 4*one) // speakers also receive the messages of other cells' speakers
+	is.True(five <= 4*one) // representatives also receive the messages of other cells' representatives
 	is.True(ten <= five+five/4)
 }
--- a/relay/reserve.go
+++ b/relay/reserve.go
@@ -65,21 +65,21 @@
 }
 
 // Error implements error.
-func (n *reserveError) Error() string { return n.err.Error() }
+func (e *reserveError) Error() string { return e.err.Error() }
 
 // Unwrap returns the cause.
-func (n *reserveError) Unwrap() error { return n.err }
+func (e *reserveError) Unwrap() error { return e.err }
 
 // reserve reserves memory for an attempt under ctx at every endpoint that the placement names. If
 // it fails, with a *reserveError, all of the memory is released again.
-func (g *Gateway) reserve(ctx context.Context, request string, at *placement) (*reservations, error) {
+func (g *Gateway) reserve(ctx context.Context, request string, pl *placement) (*reservations, error) {
 	type orderResult struct {
 		endpoint string
 		err      error
 	}
-	r := &reservations{g: g, request: request, generating: at.endpoint}
-	results := make(chan orderResult, len(at.memoryDemands))
-	for _, want := range at.memoryDemands {
+	r := &reservations{g: g, request: request, generating: pl.endpoint}
+	results := make(chan orderResult, len(pl.memoryDemands))
+	for _, want := range pl.memoryDemands {
 		rv := &reservation{endpoint: want.endpoint, id: uuid.NewString(), tokens: want.tokens}
 		r.list = append(r.list, rv)
 		go func() {
@@ -94,7 +94,7 @@
 			failed.err = res.err
 		}
 	}
-	g.deps.Log.Request("Memory set aside.", "request", request, "generating", at.endpoint.ID, "endpoints", r.endpointIDs(), "reservations", r.reservationIDs(),
+	g.deps.Log.Request("Memory set aside.", "request", request, "generating", pl.endpoint.ID, "endpoints", r.endpointIDs(), "reservations", r.reservationIDs(),
 		"failed", failed.endpoints, "err", failed.err)
 	if failed.err != nil {
 		g.meter.reserveFailures.Inc()
@@ -127,9 +127,9 @@
 }
 
 // helpers returns the helpers of an attempt with their reservations.
-func (r *reservations) helpers(at *placement) []Helper {
-	out := make([]Helper, 0, len(at.helpers))
-	for _, e := range at.helpers {
+func (r *reservations) helpers(pl *placement) []Helper {
+	out := make([]Helper, 0, len(pl.helpers))
+	for _, e := range pl.helpers {
 		h := Helper{Address: e.Address}
 		if r != nil {
 			for _, rv := range r.list {
@@ -222,11 +222,11 @@
 // handleUnused handles the answer that reserved memory is not in use: it asks the generating
 // endpoint whether requests are queued there.
 func (r *reservations) handleUnused(ctx context.Context, rv *reservation, state ReservationState, queriedAt time.Time) {
-	at, err := r.g.fetchReport(ctx, r.generating)
+	report, err := r.g.fetchReport(ctx, r.generating)
 	r.g.deps.Log.Request("Memory is not used.", "request", r.request, "endpoint", rv.endpoint.ID, "reservation", rv.id, "tokens", rv.tokens, "state", state.String(),
-		"unproved_ms", r.usage.sinceLastUse(queriedAt).Milliseconds(), "generating", r.generating.ID, "waiting", at.Waiting, "running", at.Running,
-		"memory_used", at.MemoryUsed, "memory_total", at.MemoryTotal, "reservations_there", len(at.Reservations), "err", err)
-	if ctx.Err() == nil && r.usage.recordUnused(queriedAt, err != nil || at.Waiting > 0) {
+		"unproved_ms", r.usage.sinceLastUse(queriedAt).Milliseconds(), "generating", r.generating.ID, "waiting", report.Waiting, "running", report.Running,
+		"memory_used", report.MemoryUsed, "memory_total", report.MemoryTotal, "reservations_there", len(report.Reservations), "err", err)
+	if ctx.Err() == nil && r.usage.recordUnused(queriedAt, err != nil || report.Waiting > 0) {
 		r.releaseUnused("not used", queriedAt)
 	}
 }
@@ -278,11 +278,11 @@
 }
 
 // sendOrder sends a reserve or release order to the endpoint of a reservation.
-func (g *Gateway) sendOrder(ctx context.Context, r *reservation, o *upstream.Request) error {
+func (g *Gateway) sendOrder(ctx context.Context, r *reservation, order *upstream.Request) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	g.meter.orders.Inc()
-	res, err := g.do(ctx, r.endpoint, o, gatewayQuery, "")
+	res, err := g.do(ctx, r.endpoint, order, gatewayQuery, "")
 	if err != nil {
 		return err
 	}
--- a/relay/rest.go
+++ b/relay/rest.go
@@ -14,26 +14,26 @@
 	waiter *availability.Waiter // position in the queue; nil if the request is not in it
 }
 
-// mayChoose reports whether the request is first among those that wait for the end of a back-off of
+// mayChoose reports whether the request is first among those that wait for the end of a backoff of
 // the service's endpoints.
-func (r *backoffWait) mayChoose() bool {
-	return r.x.g.state.FirstInBackoffQueue(r.x.service.Name, r.waiter)
+func (b *backoffWait) mayChoose() bool {
+	return b.x.g.state.FirstInBackoffQueue(b.x.service.Name, b.waiter)
 }
 
 // join adds the request to the queue.
-func (r *backoffWait) join() {
-	if r.waiter == nil {
-		r.waiter = &availability.Waiter{Urgency: r.x.urgency(), Since: r.x.started}
-		r.x.g.state.JoinBackoffQueue(r.x.service.Name, r.waiter)
+func (b *backoffWait) join() {
+	if b.waiter == nil {
+		b.waiter = &availability.Waiter{Urgency: b.x.urgency(), Since: b.x.started}
+		b.x.g.state.JoinBackoffQueue(b.x.service.Name, b.waiter)
 	}
 }
 
 // leave removes the request from the queue.
-func (r *backoffWait) leave() {
-	if r.waiter != nil {
-		r.x.g.state.LeaveBackoffQueue(r.x.service.Name, r.waiter)
-		r.waiter = nil
-		r.x.g.picker.notifyWaiters()
+func (b *backoffWait) leave() {
+	if b.waiter != nil {
+		b.x.g.state.LeaveBackoffQueue(b.x.service.Name, b.waiter)
+		b.waiter = nil
+		b.x.g.picker.notifyWaiters()
 	}
 }
 
@@ -43,61 +43,61 @@
 const (
 	choiceMade            choiceState = iota
 	choiceNotItsTurn                  // other long prompts choose first
-	choiceNotFirstInQueue             // others that wait for the end of a back-off choose first
+	choiceNotFirstInQueue             // others that wait for the end of a backoff choose first
 )
 
-// backoffStep is what a request does about endpoints in back-off.
+// backoffStep is what a request does about endpoints in backoff.
 type backoffStep uint8
 
 const (
-	backoffNone   backoffStep = iota // back-off is not the reason why it was not placed
+	backoffNone   backoffStep = iota // backoff is not the reason why it was not placed
 	backoffWaits                     // it waits for its turn
 	backoffRefuse                    // it cannot be served in its time
 )
 
 // next decides what to do after no endpoint was chosen. minEndpoints is how many endpoints the
 // request needs at once; turn says whether it was the request's turn to choose, among long prompts
-// and in the back-off queue.
-func (r *backoffWait) next(minEndpoints int, turn choiceState, now time.Time) (step backoffStep, retryAfter time.Duration) {
-	backoff := r.x.g.state.ServiceBackoff(r.x.service.Name, now)
-	opens := now
+// and in the backoff queue.
+func (b *backoffWait) next(minEndpoints int, state choiceState, now time.Time) (step backoffStep, retryAfter time.Duration) {
+	backoff := b.x.g.state.ServiceBackoff(b.x.service.Name, now)
+	opensAt := now
 	switch {
 	case backoff.closed == 0:
 		return backoffNone, 0
 	case backoff.open < minEndpoints:
-		opens = backoff.opensAt
-	case turn != choiceNotFirstInQueue:
-		r.leave() // the endpoints are busy with other requests, or it needs none of those in back-off
+		opensAt = backoff.opensAt
+	case state != choiceNotFirstInQueue:
+		b.leave() // the endpoints are busy with other requests, or it needs none of those in backoff
 		return backoffNone, 0
 	}
 	switch {
-	case r.x.waitPolicy().mayWaitForBackoff(opens, now):
-		if turn != choiceNotItsTurn {
-			r.join()
+	case b.x.waitPolicy().mayWaitForBackoff(opensAt, now):
+		if state != choiceNotItsTurn {
+			b.join()
 		}
 		return backoffWaits, 0
-	case opens.After(now):
-		return backoffRefuse, r.x.g.state.BackoffRetryAfter(r.x.service.Name, opens, now)
+	case opensAt.After(now):
+		return backoffRefuse, b.x.g.state.BackoffRetryAfter(b.x.service.Name, opensAt, now)
 	default:
 		return backoffRefuse, retryAfterFull
 	}
 }
 
-// refuse ends a request that cannot wait until the back-off ends.
-func (r *backoffWait) refuse(retryAfter time.Duration) outcome {
-	x := r.x
+// refuse ends a request that cannot wait until the backoff ends.
+func (b *backoffWait) refuse(retryAfter time.Duration) outcome {
+	x := b.x
 	x.g.meter.backoffRefusals.Inc()
 	if x.mayRun || x.r.Context().Err() != nil {
-		return x.giveUp(refusedRest)
+		return x.giveUp(refusedBackoff)
 	}
-	return x.refuse(http.StatusServiceUnavailable, retryAfter, refusedRest)
+	return x.refuse(http.StatusServiceUnavailable, retryAfter, refusedBackoff)
 }
 
 // minEndpoints returns how many endpoints of the service a request needs at once.
-func (x *exchange) minEndpoints(work balance.Request) int {
-	if !x.g.config.Policy.ExceedsMemory(x.service, work) {
+func (x *exchange) minEndpoints(req balance.Request) int {
+	if !x.g.config.Policy.ExceedsMemory(x.service, req) {
 		return 1
 	}
 	memory := x.service.Engine.MemoryTokens
-	return (work.InputTokens + work.OutputTokens + memory - 1) / max(1, memory)
+	return (req.InputTokens + req.OutputTokens + memory - 1) / max(1, memory)
 }
--- a/relay/rest_test.go
+++ b/relay/rest_test.go
@@ -18,27 +18,27 @@
 const status503 = "503 Service Unavailable"
 
 // backoffHeaders returns the header lines of an answer that refuses a request and asks for a
-// back-off.
+// backoff.
 func backoffHeaders(d time.Duration) string {
 	return "Not-Run: 1\r\nRest-Ms: " + strconv.FormatInt(d.Milliseconds(), 10) + "\r\n"
 }
 
 // TestBackoffAppliesToOneGateway: the gateway that was asked to back off sends nothing to the
-// endpoint until the back-off ends, and does not consider it unhealthy. Another gateway still sends
+// endpoint until the backoff ends, and does not consider it unhealthy. Another gateway still sends
 // there.
 func TestBackoffAppliesToOneGateway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLimitFleet(t, 2, 2)
 		f.send(t.Context(), 0, 500)
-		resting := 0
+		inBackoff := 0
 		if f.requestsSince(0, time.Time{}) == 0 {
-			resting = 1 // the endpoint that short requests go to
+			inBackoff = 1 // the endpoint that short requests go to
 		}
-		id := fmt.Sprint("e", resting)
-		f.setAnswer(status503, backoffHeaders(3*time.Second), resting)
+		id := fmt.Sprint("e", inBackoff)
+		f.setAnswer(status503, backoffHeaders(3*time.Second), inBackoff)
 		f.send(t.Context(), 0, 500)
-		f.setAnswer("", "", resting)
+		f.setAnswer("", "", inBackoff)
 		g := f.gateways[0]
 		is.True(g.state.InBackoff(id, time.Now()))
 		is.True(!f.gateways[1].state.InBackoff(id, time.Now()))
@@ -47,20 +47,20 @@
 		time.Sleep(time.Millisecond)
 		began := time.Now()
 		f.sendLoad(t, 50, 2*time.Second, func(int) int { return 0 })
-		is.Equal(f.requestsSince(resting, began), 0)
+		is.Equal(f.requestsSince(inBackoff, began), 0)
 		f.sendLoad(t, 50, 900*time.Millisecond, func(int) int { return 1 })
-		is.True(f.requestsSince(resting, began) > 0)
+		is.True(f.requestsSince(inBackoff, began) > 0)
 		time.Sleep(200 * time.Millisecond)
 		began = time.Now()
 		f.sendLoad(t, 50, 2*time.Second, func(int) int { return 0 })
-		is.True(f.requestsSince(resting, began) > 20) // as much as the other endpoint, except for the ramp-up
+		is.True(f.requestsSince(inBackoff, began) > 20) // as much as the other endpoint, except for the slow start
 		is.True(!g.state.backoffs.Active())
 		is.Equal(len(f.refusalTimes), 0)
 	})
 }
 
 // TestBackoffRequestedAfterChoice: a request is not sent if its endpoint or one of its helpers asks
-// for a back-off after it was chosen.
+// for a backoff after it was chosen.
 func TestBackoffRequestedAfterChoice(t *testing.T) {
 	requestBackoff := func(g *Gateway, id string) {
 		g.recordAnswer(catalog.Endpoint{ID: id}, 0, &http.Response{StatusCode: 503, Header: http.Header{"Rest-Ms": {"1000"}}}, callerRequest, "")
@@ -95,7 +95,7 @@
 }
 
 // TestAllEndpointsInBackoff: a request that cannot wait is refused at once. The callers are told to
-// return after the end of the back-off, one after the other.
+// return after the end of the backoff, one after the other.
 func TestAllEndpointsInBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -107,7 +107,7 @@
 		time.Sleep(time.Second)
 		began := time.Now()
 		for range 3 {
-			is.Equal(f.send(t.Context(), 0, 500), refusedRest)
+			is.Equal(f.send(t.Context(), 0, 500), refusedBackoff)
 		}
 		is.Equal(f.refusalTimes[1:], []time.Duration{0, 0, 0})
 		is.Equal(f.retryAfters[1:], []string{"2.02", "2.03", "2.04"}) // the first caller was told 3.010
@@ -118,7 +118,7 @@
 	})
 }
 
-// TestRequestsWaitForBackoffToEnd: requests that are still in time after the back-off wait, and are
+// TestRequestsWaitForBackoffToEnd: requests that are still in time after the backoff wait, and are
 // sent in the order of their arrival.
 func TestRequestsWaitForBackoffToEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -150,7 +150,7 @@
 }
 
 // TestPromptThatNeedsAHelperInBackoff: a prompt that exceeds the memory of the endpoints outside
-// back-off is refused at once.
+// backoff is refused at once.
 func TestPromptThatNeedsAHelperInBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -158,7 +158,7 @@
 		for _, id := range []string{"e0", "e1"} {
 			f.gateways[0].state.RecordBackoff(id, 4*time.Second, time.Now())
 		}
-		is.Equal(f.send(t.Context(), 0, 400_000), refusedRest)
+		is.Equal(f.send(t.Context(), 0, 400_000), refusedBackoff)
 		is.Equal(f.refusalTimes, []time.Duration{0})
 		is.Equal(f.retryAfters, []string{"4.01"})
 		f.send(t.Context(), 0, 500)
@@ -167,7 +167,7 @@
 }
 
 // TestNoQueriesDuringBackoff: an endpoint at which requests failed is queried, but not during its
-// back-off.
+// backoff.
 func TestNoQueriesDuringBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -185,7 +185,7 @@
 	})
 }
 
-// TestBackoffAcrossRestart: a back-off that the new incarnation may have asked for before a list
+// TestBackoffAcrossRestart: a backoff that the new incarnation may have asked for before a list
 // showed the restart holds; one of the previous incarnation does not.
 func TestBackoffAcrossRestart(t *testing.T) {
 	cases := []struct {
--- a/relay/search.go
+++ b/relay/search.go
@@ -16,19 +16,19 @@
 	maxRemoteCells = 2
 )
 
-// warmConnFunc reports whether an idle connection to an endpoint is open that a request may use.
-type warmConnFunc func(endpoint string) bool
+// idleConnFunc reports whether an idle connection to an endpoint is open that a request may use.
+type idleConnFunc func(endpoint string) bool
 
 // endpointSearch is one choice of endpoints, which considers the local cell first. Its methods need
 // the picker's lock.
 type endpointSearch struct {
 	*picker
-	service   *catalog.Service
-	work      balance.Request
-	isWarm    warmConnFunc
-	cells     map[string][]catalog.Endpoint // the service's endpoints by cell
-	localCell string                        // cell of this gateway
-	now       time.Time
+	service     *catalog.Service
+	request     balance.Request
+	hasIdleConn idleConnFunc
+	cells       map[string][]catalog.Endpoint // the service's endpoints by cell
+	localCell   string                        // cell of this gateway
+	now         time.Time
 }
 
 // searchResult is a choice and the candidates that it was made among.
@@ -40,9 +40,9 @@
 
 // pick chooses an endpoint of the service and counts the load: in the local cell if that suffices,
 // otherwise with the help of other cells.
-func (p *picker) pick(service *catalog.Service, w balance.Request, isWarm warmConnFunc, now time.Time) (chosen *placement, expected balance.Estimate, o pickOutcome) {
+func (p *picker) pick(service *catalog.Service, req balance.Request, hasIdleConn idleConnFunc, now time.Time) (pl *placement, expected balance.Estimate, found pickOutcome) {
 	s := endpointSearch{
-		picker: p, service: service, work: w, isWarm: isWarm, now: now,
+		picker: p, service: service, request: req, hasIdleConn: hasIdleConn, now: now,
 		cells: p.withoutLimited(p.state.AvailableEndpoints(service.Name, now)), localCell: p.state.Cells().Of(p.dataCentre),
 	}
 	if len(s.cells) == 0 {
@@ -63,10 +63,10 @@
 	case c.Endpoint < 0:
 		return nil, c.Expected, pickNone
 	}
-	if chosen = p.assign(res, now); chosen == nil {
+	if pl = p.assign(res, now); pl == nil {
 		return nil, c.Expected, pickNone
 	}
-	return chosen, c.Expected, picked
+	return pl, c.Expected, picked
 }
 
 // choose chooses among endpoints and remote, which are endpoints of other cells.
@@ -76,11 +76,11 @@
 	cells := s.state.Cells()
 	for i, e := range res.endpoints {
 		res.candidates[i] = balance.Candidate{
-			ID: e.ID, Load: s.book.Load(e.ID, s.now), Rank: rank(e.ID), LocalRank: rank(s.self + e.ID),
-			Suspect: s.health.Suspect(e.ID, s.now), Slowdown: s.health.Slowdown(e.ID, s.now), Remote: i >= len(endpoints), Shared: cells.Shared(e.ID), Connected: s.isWarm(e.ID),
+			ID: e.ID, Load: s.loads.Load(e.ID, s.now), Rank: rank(e.ID), LocalRank: rank(s.self + e.ID),
+			Suspect: s.health.Suspect(e.ID, s.now), Slowdown: s.health.Slowdown(e.ID, s.now), Remote: i >= len(endpoints), Shared: cells.Shared(e.ID), Connected: s.hasIdleConn(e.ID),
 		}
 	}
-	res.choice = s.policy.Choose(s.service, s.work, res.candidates)
+	res.choice = s.policy.Choose(s.service, s.request, res.candidates)
 	return res
 }
 
@@ -90,7 +90,7 @@
 	switch {
 	case len(s.cells[s.localCell]) == 0:
 		return s.chooseInAnyCell(local)
-	case s.policy.MustQueue(s.service, s.work):
+	case s.policy.MustQueue(s.service, s.request):
 		return s.chooseWithRemoteHelpers()
 	default:
 		return s.chooseInRemoteCell(local)
@@ -110,7 +110,7 @@
 // chooseWithRemoteHelpers chooses for a long prompt among the local cell's endpoints and some that
 // other cells offer.
 func (s *endpointSearch) chooseWithRemoteHelpers() searchResult {
-	digests := s.book.Digests(s.now)
+	digests := s.loads.Digests(s.now)
 	var remote []catalog.Endpoint
 	for c, endpoints := range s.cells { // random order
 		if c == s.localCell {
@@ -127,8 +127,8 @@
 // chooseInRemoteCell chooses for a short request in other cells, provided that an endpoint offered
 // there can serve it in time. Otherwise it returns local, the choice in the local cell.
 func (s *endpointSearch) chooseInRemoteCell(local searchResult) searchResult {
-	s.work.Remote = true
-	digests := s.book.Digests(s.now)
+	s.request.Remote = true
+	digests := s.loads.Digests(s.now)
 	tried := 0
 	for c, endpoints := range s.cells { // random order
 		offered := offeredEndpoints(endpoints, digests[c].Loads)
--- a/relay/share.go
+++ b/relay/share.go
@@ -24,8 +24,8 @@
 // additional calls.
 
 const (
-	// storeReaders is how many gateways ensure that the store is read: one reads, and one stands by in
-	// case the first one dies.
+	// storeReaders is how many gateways ensure that the store is read: one reads, and one stands by
+	// in case the first one dies.
 	storeReaders = 2
 	// standbyAge is the age of the first reader's data at which the standby reads: one read was
 	// missed, and the message about it.
@@ -58,7 +58,7 @@
 	listedAt     time.Time // when the read of list was sent, or list was last confirmed; zero means long ago
 	suspendedAt  time.Time // when the host's latest suspension was noticed
 	cancelReads  []func()  // cancel reads of the list that are in progress
-	failedAt     time.Time // when a read of the store last failed, see heardStore
+	failedAt     time.Time // when a read of the store last failed, see recordPeerStore
 	queriedAt    time.Time // when this gateway last queried the store
 	// peersLostSince is since when peers that precede this one have been unable to reach the store;
 	// zero if they can.
@@ -75,15 +75,15 @@
 func (s *storeReads) recentPeers(now time.Time) recentPeers {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	recent := recentPeers{recent: make(map[string]bool), withStore: make(map[string]bool), crossCell: make(map[string]bool)}
+	recent := recentPeers{all: make(map[string]bool), withStore: make(map[string]bool), crossCell: make(map[string]bool)}
 	for name, heardAt := range s.withStore {
 		if now.Sub(heardAt) <= peerTimeout {
-			recent.recent[name], recent.withStore[name] = true, true
+			recent.all[name], recent.withStore[name] = true, true
 		}
 	}
 	for name, heardAt := range s.withoutStore {
 		if now.Sub(heardAt) <= peerTimeout {
-			recent.recent[name] = true
+			recent.all[name] = true
 		}
 	}
 	for name, heardAt := range s.crossCell {
@@ -169,8 +169,8 @@
 	}
 }
 
-// recordList records a list that this gateway or a peer has read from the store, by a read sent at that
-// time.
+// recordList records a list that this gateway or a peer has read from the store, by a read sent at
+// that time.
 func (s *storeReads) recordList(list []catalog.Endpoint, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -206,39 +206,39 @@
 }
 
 // fillReads adds to a message what this gateway has read.
-func (g *Gateway) fillReads(w *peers.Message, now time.Time) {
+func (g *Gateway) fillReads(msg *peers.Message, now time.Time) {
 	age, _ := g.state.ProofAge(now)
-	w.Version, w.ProofAgeMs = g.state.Version(), age.Milliseconds()
+	msg.Version, msg.ProofAgeMs = g.state.Version(), age.Milliseconds()
 	if age < 0 || age > time.Hour {
-		w.ProofAgeMs = -1
+		msg.ProofAgeMs = -1
 	}
 	s := g.storeReads
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.hash != 0 && !s.listedAt.IsZero() {
-		w.Endpoints, w.EndpointsAgeMs = s.hash, now.Sub(s.listedAt).Milliseconds()
+		msg.Endpoints, msg.EndpointsAgeMs = s.hash, now.Sub(s.listedAt).Milliseconds()
 	}
 }
 
-// recordPeerStore records whether a peer can reach the store. A peer's failure counts like a failed read
-// of this gateway, which keeps endpoints whose entries lapsed meanwhile, unless other peers can
-// reach the store: a gateway that takes its lists from these may not have read for long. The caller
-// holds the lock.
-func (s *storeReads) recordPeerStore(w peers.Message, now time.Time) {
-	delete(s.withStore, w.From)
-	delete(s.withoutStore, w.From)
-	if len(w.Digests) > 0 {
-		s.crossCell[w.From] = now
+// recordPeerStore records whether a peer can reach the store. A peer's failure counts like a failed
+// read of this gateway, which keeps endpoints whose entries lapsed meanwhile, unless other peers
+// can reach the store: a gateway that takes its lists from these may not have read for long. The
+// caller holds the lock.
+func (s *storeReads) recordPeerStore(msg peers.Message, now time.Time) {
+	delete(s.withStore, msg.From)
+	delete(s.withoutStore, msg.From)
+	if len(msg.Digests) > 0 {
+		s.crossCell[msg.From] = now
 	}
 	switch {
-	case w.Leaving:
-	case w.StoreUnreachable:
-		s.withoutStore[w.From] = now
+	case msg.ShuttingDown:
+	case msg.StoreUnreachable:
+		s.withoutStore[msg.From] = now
 		if s.storeLost && !s.peerReachesStore(now) {
 			s.failedAt = now
 		}
 	default:
-		s.withStore[w.From] = now
+		s.withStore[msg.From] = now
 	}
 }
 
@@ -271,61 +271,61 @@
 }
 
 // handlePeerMessage processes what a peer reports about its reads.
-func (g *Gateway) handlePeerMessage(w peers.Message, from netip.AddrPort) {
+func (g *Gateway) handlePeerMessage(msg peers.Message, from netip.AddrPort) {
 	now := time.Now()
 	s := g.storeReads
 	s.mu.Lock()
-	s.recordPeerStore(w, now)
+	s.recordPeerStore(msg, now)
 	s.mu.Unlock()
-	sentAfter, ok := g.deps.Mesh.SentAfter(w)
+	sentAfter, ok := g.deps.Mesh.SentAfter(msg)
 	if !ok {
 		return
 	}
 	if !g.suspensions.notBeforeSuspension(sentAfter) {
 		return // it answers a message from before the host was suspended
 	}
-	g.recordStoreEra(w.StoreEra, w.From)
-	g.picker.recordDigests(w, sentAfter)
-	g.handlePeerProof(w, sentAfter, from)
-	g.handlePeerEndpoints(w, sentAfter, from)
+	g.recordStoreEra(msg.StoreEra, msg.From)
+	g.picker.recordDigests(msg, sentAfter)
+	g.handlePeerProof(msg, sentAfter, from)
+	g.handlePeerEndpoints(msg, sentAfter, from)
 }
 
 // handlePeerProof records the proof in a message that was sent after that time.
-func (g *Gateway) handlePeerProof(w peers.Message, sentAfter time.Time, from netip.AddrPort) {
-	if w.ProofAgeMs < 0 {
+func (g *Gateway) handlePeerProof(msg peers.Message, sentAfter time.Time, from netip.AddrPort) {
+	if msg.ProofAgeMs < 0 {
 		return
 	}
-	if w.Version > g.state.Version() {
+	if msg.Version > g.state.Version() {
 		g.fetch(func() { g.queryPeerLogged(from) })
 		return
 	}
-	sent := sentAfter.Add(-time.Duration(w.ProofAgeMs) * time.Millisecond)
-	if !g.state.RecordProof(w.Version, sent) {
+	sent := sentAfter.Add(-time.Duration(msg.ProofAgeMs) * time.Millisecond)
+	if !g.state.RecordProof(msg.Version, sent) {
 		return
 	}
 	g.storeReads.recordPeerProof(sent)
-	if g.fromOtherCell(w) {
+	if g.fromOtherCell(msg) {
 		g.broadcastSoon() // the local cell learns of it from this gateway
 	}
 }
 
 // fromOtherCell reports whether a message came from another cell.
-func (g *Gateway) fromOtherCell(w peers.Message) bool {
+func (g *Gateway) fromOtherCell(msg peers.Message) bool {
 	cells := g.state.Cells()
-	return w.DataCentre != "" && cells.Of(w.DataCentre) != cells.Of(g.config.DataCentre)
+	return msg.DataCentre != "" && cells.Of(msg.DataCentre) != cells.Of(g.config.DataCentre)
 }
 
-// handlePeerEndpoints compares the list of endpoints that the sender of a message has with the own
-// one.
-func (g *Gateway) handlePeerEndpoints(w peers.Message, sentAfter time.Time, from netip.AddrPort) {
-	if w.Endpoints == 0 {
+// handlePeerEndpoints compares the list of endpoints that the sender of a message has with this
+// gateway's list.
+func (g *Gateway) handlePeerEndpoints(msg peers.Message, sentAfter time.Time, from netip.AddrPort) {
+	if msg.Endpoints == 0 {
 		return
 	}
-	sent := sentAfter.Add(-time.Duration(w.EndpointsAgeMs) * time.Millisecond)
+	sent := sentAfter.Add(-time.Duration(msg.EndpointsAgeMs) * time.Millisecond)
 	s := g.storeReads
 	s.mu.Lock()
 	newer := sent.After(s.listedAt)
-	same := s.hash == w.Endpoints
+	same := s.hash == msg.Endpoints
 	if newer && same {
 		s.setListedAt(sent)
 	}
--- a/relay/share_test.go
+++ b/relay/share_test.go
@@ -113,7 +113,7 @@
 	s.recordPeerStore(peers.Message{From: "q"}, again)
 	s.recordPeerStore(peers.Message{From: "p", StoreUnreachable: true}, again)
 	is.Equal(s.failedAt, later)
-	s.recordPeerStore(peers.Message{From: "q", Leaving: true}, again)
+	s.recordPeerStore(peers.Message{From: "q", ShuttingDown: true}, again)
 	s.recordRead(nil, again)
 	s.recordPeerStore(peers.Message{From: "p", StoreUnreachable: true}, again)
 	is.Equal(s.failedAt, later)
--- a/relay/state.go
+++ b/relay/state.go
@@ -27,7 +27,7 @@
 	storeEra  uint64
 	endpoints *endpointSet
 	backoffs  *availability.BackoffTable
-	// backoffQueues hold the requests that wait until endpoints of a service end their back-off.
+	// backoffQueues hold the requests that wait until endpoints of a service end their backoff.
 	// refusedCallers counts those that were refused instead.
 	backoffQueues  map[string]*availability.WaitQueue
 	refusedCallers map[string]refusedCallers
@@ -63,9 +63,9 @@
 	return true
 }
 
-// RecordProof records that a read sent at that time found no configuration newer than version; it reports
-// whether that is more recent than the previous proof. A proof for a version other than the one in
-// force is ignored. So is a read soon after the store was restored from an older copy: the
+// RecordProof records that a read sent at that time found no configuration newer than version; it
+// reports whether that is more recent than the previous proof. A proof for a version other than the
+// one in force is ignored. So is a read soon after the store was restored from an older copy: the
 // operators' latest writes may be missing there, so that keys which they withdrew would be valid.
 func (s *State) RecordProof(version uint64, sent time.Time) bool {
 	s.mu.Lock()
@@ -128,9 +128,9 @@
 	return now.Sub(s.proof), s.proofChanged
 }
 
-// WaitFresh waits until there is a proof younger than limit; it reports false if patience or ctx ends
-// first.
-func (s *State) WaitFresh(ctx context.Context, limit, patience time.Duration) bool {
+// WaitFresh waits until there is a proof younger than limit; it reports false if timeout or ctx
+// ends first.
+func (s *State) WaitFresh(ctx context.Context, limit, timeout time.Duration) bool {
 	var timer *time.Timer
 	for {
 		age, changed := s.ProofAge(time.Now())
@@ -138,7 +138,7 @@
 			return true
 		}
 		if timer == nil {
-			timer = time.NewTimer(patience)
+			timer = time.NewTimer(timeout)
 			defer timer.Stop()
 		}
 		select {
@@ -151,7 +151,7 @@
 	}
 }
 
-// Endpoints returns the endpoints of a service that take new requests, in the same order at every
+// Endpoints returns the endpoints of a service that accept new requests, in the same order at every
 // gateway.
 func (s *State) Endpoints(service string) []catalog.Endpoint {
 	s.mu.Lock()
@@ -168,7 +168,7 @@
 	return t.Configuration.Services
 }
 
-// EndpointsByCell returns the endpoints of a service that take new requests, by cell. The caller
+// EndpointsByCell returns the endpoints of a service that accept new requests, by cell. The caller
 // must not change the result.
 func (s *State) EndpointsByCell(service string) map[string][]catalog.Endpoint {
 	s.mu.Lock()
@@ -206,7 +206,7 @@
 	return s.endpoints.cells.Of(e.DataCentre), ok
 }
 
-// Endpoint returns an endpoint and whether it takes new requests.
+// Endpoint returns an endpoint and whether it accepts new requests.
 func (s *State) Endpoint(id string) (catalog.Endpoint, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -248,7 +248,8 @@
 	return changes
 }
 
-// SameIncarnation reports whether e is still the running incarnation of the endpoint, as far as is known.
+// SameIncarnation reports whether e is still the running incarnation of the endpoint, as far as is
+// known.
 func (s *State) SameIncarnation(e catalog.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/relay/statements.go
+++ b/relay/statements.go
@@ -23,9 +23,9 @@
 )
 
 // do sends a request to an endpoint and records what the answer says of that endpoint.
-func (g *Gateway) do(ctx context.Context, e catalog.Endpoint, r *upstream.Request, kind requestKind, request string) (*http.Response, error) {
+func (g *Gateway) do(ctx context.Context, e catalog.Endpoint, req *upstream.Request, kind requestKind, request string) (*http.Response, error) {
 	sent := g.endpointLimits.version(e.ID)
-	res, err := g.deps.Endpoints.Do(ctx, e.ID, e.Address, r)
+	res, err := g.deps.Endpoints.Do(ctx, e.ID, e.Address, req)
 	if err != nil {
 		return nil, err
 	}
@@ -77,22 +77,22 @@
 }
 
 // handlePeerDrains records the endpoints that a peer reports as draining.
-func (g *Gateway) handlePeerDrains(w peers.Message) {
-	for id, born := range w.Drains {
-		g.markDraining(catalog.Endpoint{ID: id, Born: born}, w.From, "")
+func (g *Gateway) handlePeerDrains(msg peers.Message) {
+	for id, born := range msg.Drains {
+		g.markDraining(catalog.Endpoint{ID: id, Born: born}, msg.From, "")
 	}
 }
 
-// drainCheckInterval is the time between two queries to an endpoint whose drain is in doubt.
+// drainCheckInterval is the time between two queries to an endpoint whose drain is uncertain.
 const drainCheckInterval = time.Second
 
-// settleDoubtedDrain asks a restarted endpoint whether it is draining, since the statement may be
-// of its previous incarnation. An endpoint that cannot be asked counts as draining until it
-// answers.
-func (g *Gateway) settleDoubtedDrain(e catalog.Endpoint) {
+// resolveUncertainDrain queries a restarted endpoint whether it is draining, since the statement
+// may be of its previous incarnation. An endpoint that cannot be queried counts as draining until
+// it answers.
+func (g *Gateway) resolveUncertainDrain(e catalog.Endpoint) {
 	query := g.queryRequest(&watchedEndpoint{Endpoint: e, service: g.serviceOf(e)})
-	for query != nil && g.state.DrainDoubted(e) {
-		if !g.state.InBackoff(e.ID, time.Now()) && g.answersNotDraining(e, query) && g.state.ClearDoubtedDrain(e) {
+	for query != nil && g.state.DrainUncertain(e) {
+		if !g.state.InBackoff(e.ID, time.Now()) && g.answersNotDraining(e, query) && g.state.RevokeUncertainDrain(e) {
 			g.deps.Log.Logger().Info("Endpoint does not leave.", "endpoint", e.ID, "born", e.Born)
 		}
 		if !g.pause(drainCheckInterval) {
@@ -113,7 +113,7 @@
 		return false
 	}
 	defer res.Body.Close()
-	return g.deps.Protocol.Verdict(res) != WrongEndpoint && g.state.DrainDoubted(e)
+	return g.deps.Protocol.Verdict(res) != WrongEndpoint && g.state.DrainUncertain(e)
 }
 
 // serviceOf returns an endpoint's service as configured, or one without a name if it is not
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -22,7 +22,7 @@
 func (g *Gateway) Shutdown(ctx context.Context) error {
 	now := time.Now()
 	g.stoppedAt.Store(&now)
-	g.leaving.Store(true)
+	g.shuttingDown.Store(true)
 	g.deps.Log.Logger().Info("Stop begun.", "in_flight", g.inFlight.Load(), "drain_ms", g.config.DrainTime.Milliseconds())
 	g.servers.disableKeepAlives()
 	suspendedBefore := g.checkSuspension()
@@ -48,6 +48,6 @@
 
 // shutdownNoticed reports whether the load balancer must have noticed the shutdown by now.
 func (g *Gateway) shutdownNoticed() bool {
-	at := g.stoppedAt.Load()
-	return at != nil && time.Since(*at) > unreadyDetectionTime
+	stoppedAt := g.stoppedAt.Load()
+	return stoppedAt != nil && time.Since(*stoppedAt) > unreadyDetectionTime
 }
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -47,15 +47,15 @@
 
 // eventLength returns the length of the first complete event in buf, or 0 if there is none.
 func eventLength(buf []byte) int {
-	for at := 0; ; {
-		n := bytes.IndexByte(buf[at:], '\n')
+	for end := 0; ; {
+		n := bytes.IndexByte(buf[end:], '\n')
 		if n < 0 {
 			return 0
 		}
-		line := buf[at : at+n]
-		at += n + 1
+		line := buf[end : end+n]
+		end += n + 1
 		if len(line) == 0 || len(line) == 1 && line[0] == '\r' {
-			return at
+			return end
 		}
 	}
 }
@@ -73,42 +73,42 @@
 
 // relay passes an answer on to the caller. again is set if a stream broke that may resume at
 // another endpoint.
-func (x *exchange) relay(ctx context.Context, at *placement, res *http.Response) (o outcome, again bool) {
+func (x *exchange) relay(ctx context.Context, pl *placement, res *http.Response) (o outcome, again bool) {
 	if x.isResumable(res) {
-		return x.relayEvents(ctx, at, res)
+		return x.relayEvents(ctx, pl, res)
 	}
 	if x.stream != nil && x.stream.headSent {
 		return x.abort(), false
 	}
 	if x.route.Kind == catalog.Streaming {
 		x.writeHead(res)
-		return x.finishAnswer(at, x.copyBody(at, res.Body, true)), false
+		return x.finishAnswer(pl, x.copyBody(pl, res.Body, true)), false
 	}
-	return x.relayBuffered(ctx, at, res)
+	return x.relayBuffered(ctx, pl, res)
 }
 
 // relayBuffered buffers the beginning of an answer until the answer is complete or exceeds the
 // buffer. If it breaks before, the caller has seen nothing of it and the request may be sent again
 // where that is allowed.
-func (x *exchange) relayBuffered(ctx context.Context, at *placement, res *http.Response) (o outcome, again bool) {
+func (x *exchange) relayBuffered(ctx context.Context, pl *placement, res *http.Response) (o outcome, again bool) {
 	buffered, err := io.ReadAll(io.LimitReader(res.Body, maxBufferedBytes))
 	if err != nil {
-		x.recordFailure(at, err)
+		x.recordFailure(pl, err)
 		if ctx.Err() == nil {
-			x.recordOutcome(at, health.BadResponse)
-			x.handleBrokenExchange(at)
+			x.recordOutcome(pl, health.BadResponse)
+			x.handleBrokenExchange(pl)
 		}
 		return "", true
 	}
-	x.recordPart(at)
+	x.recordPart(pl)
 	x.writeHead(res)
-	if x.writeToCaller(at, buffered, false) != nil {
+	if x.writeToCaller(pl, buffered, false) != nil {
 		return callerGone, false
 	}
 	if len(buffered) < maxBufferedBytes {
-		return x.finishAnswer(at, nil), false
+		return x.finishAnswer(pl, nil), false
 	}
-	return x.finishAnswer(at, x.copyBody(at, res.Body, false)), false
+	return x.finishAnswer(pl, x.copyBody(pl, res.Body, false)), false
 }
 
 // isResumable reports whether the answer is a stream that can resume at another endpoint.
@@ -135,13 +135,13 @@
 }
 
 // copyBody passes on a body and, if flush is set, flushes after each part.
-func (x *exchange) copyBody(at *placement, body io.Reader, flush bool) error {
+func (x *exchange) copyBody(pl *placement, body io.Reader, flush bool) error {
 	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			x.recordPart(at)
-			if e := x.writeToCaller(at, buf[:n], flush); e != nil {
+			x.recordPart(pl)
+			if e := x.writeToCaller(pl, buf[:n], flush); e != nil {
 				return &callerWriteError{e}
 			}
 		}
@@ -156,7 +156,7 @@
 
 // relayEvents passes on complete events only, so that a stream that breaks inside an event can
 // resume at another endpoint.
-func (x *exchange) relayEvents(ctx context.Context, at *placement, res *http.Response) (o outcome, again bool) {
+func (x *exchange) relayEvents(ctx context.Context, pl *placement, res *http.Response) (o outcome, again bool) {
 	if x.stream == nil {
 		x.stream = &eventStream{}
 	}
@@ -167,9 +167,9 @@
 		n, err := res.Body.Read(buf)
 		if n > 0 {
 			s.partial = append(s.partial, buf[:n]...)
-			whole, rest := s.splitEvents(s.partial)
-			if len(whole) > 0 {
-				if e := x.writeEvents(at, res, whole); e != nil {
+			complete, rest := s.splitEvents(s.partial)
+			if len(complete) > 0 {
+				if e := x.writeEvents(pl, res, complete); e != nil {
 					return callerGone, false
 				}
 				s.partial = append(s.partial[:0], rest...)
@@ -182,28 +182,28 @@
 			if !s.headSent {
 				x.writeHead(res)
 			}
-			return x.finishAnswer(at, nil), false
+			return x.finishAnswer(pl, nil), false
 		}
-		return x.handleBrokenStream(ctx, at, err)
+		return x.handleBrokenStream(ctx, pl, err)
 	}
 }
 
 // writeEvents passes on complete events, preceded by the head of the first answer.
-func (x *exchange) writeEvents(at *placement, res *http.Response, events []byte) error {
-	x.recordPart(at)
+func (x *exchange) writeEvents(pl *placement, res *http.Response, events []byte) error {
+	x.recordPart(pl)
 	if !x.stream.headSent {
 		x.stream.headSent = true
 		x.writeHead(res)
 	}
-	return x.writeToCaller(at, events, true)
+	return x.writeToCaller(pl, events, true)
 }
 
 // writeToCaller writes a part of the answer to the caller and, if flush is set, flushes it. It
 // blocks while the caller does not read.
-func (x *exchange) writeToCaller(at *placement, part []byte, flush bool) error {
-	if at.reservations != nil {
-		at.reservations.writingToCaller.Store(true)
-		defer at.reservations.writingToCaller.Store(false)
+func (x *exchange) writeToCaller(pl *placement, part []byte, flush bool) error {
+	if pl.reservations != nil {
+		pl.reservations.writingToCaller.Store(true)
+		defer pl.reservations.writingToCaller.Store(false)
 	}
 	if _, err := x.w.Write(part); err != nil {
 		return err
@@ -215,40 +215,40 @@
 }
 
 // handleBrokenStream handles a stream that ended early.
-func (x *exchange) handleBrokenStream(ctx context.Context, at *placement, err error) (outcome, bool) {
+func (x *exchange) handleBrokenStream(ctx context.Context, pl *placement, err error) (outcome, bool) {
 	if x.r.Context().Err() != nil {
 		return callerGone, false
 	}
-	x.recordFailure(at, err)
+	x.recordFailure(pl, err)
 	if ctx.Err() == nil {
-		x.recordOutcome(at, health.BadResponse)
+		x.recordOutcome(pl, health.BadResponse)
 		x.g.meter.resumes.Inc()
-		x.handleBrokenExchange(at)
+		x.handleBrokenExchange(pl)
 	}
 	return "", true
 }
 
 // recordPart records that a part of the answer has arrived.
-func (x *exchange) recordPart(at *placement) {
+func (x *exchange) recordPart(pl *placement) {
 	now := time.Now()
 	x.answerBegun = true
 	if x.firstPartAt.IsZero() {
 		x.firstPartAt = now
 		x.g.meter.firstByte.UpdateDuration(x.started)
-		x.recordIfLate(at.endpoint.ID, now.Sub(at.chosenAt), at.expected.LateAfter())
-		for _, helper := range at.helpers { // the delay may be caused by a helper
-			x.recordIfLate(helper.ID, now.Sub(at.chosenAt), at.expected.LateAfter())
+		x.recordIfLate(pl.endpoint.ID, now.Sub(pl.chosenAt), pl.expected.LateAfter())
+		for _, helper := range pl.helpers { // the delay may be caused by a helper
+			x.recordIfLate(helper.ID, now.Sub(pl.chosenAt), pl.expected.LateAfter())
 		}
 	} else {
 		gap := now.Sub(x.lastPartAt)
 		x.maxGap = max(x.maxGap, gap)
-		x.recordIfLate(at.endpoint.ID, gap, x.route.GapObjective)
+		x.recordIfLate(pl.endpoint.ID, gap, x.route.GapObjective)
 	}
 	x.lastPartAt = now
-	if at.reservations != nil {
-		at.reservations.usage.recordUse(now)
+	if pl.reservations != nil {
+		pl.reservations.usage.recordUse(now)
 	}
-	at.endPrefill()
+	pl.endPrefill()
 }
 
 // recordIfLate records an endpoint as late if a part of a stream took longer than the limit.
@@ -259,19 +259,19 @@
 }
 
 // finishAnswer returns the outcome of an answer whose relaying ended with err.
-func (x *exchange) finishAnswer(at *placement, err error) outcome {
+func (x *exchange) finishAnswer(pl *placement, err error) outcome {
 	if err == nil {
-		x.recordOutcome(at, health.Success)
-		x.recordSuccess(at)
+		x.recordOutcome(pl, health.Success)
+		x.recordSuccess(pl)
 		return answered
 	}
-	x.recordFailure(at, err)
+	x.recordFailure(pl, err)
 	if _, ok := err.(*callerWriteError); ok || x.r.Context().Err() != nil {
 		return callerGone
 	}
-	if time.Until(x.deadline) > 0 && !at.reservations.endedUnused() {
-		x.recordOutcome(at, health.BadResponse)
-		x.handleBrokenExchange(at)
+	if time.Until(x.deadline) > 0 && !pl.reservations.endedUnused() {
+		x.recordOutcome(pl, health.BadResponse)
+		x.handleBrokenExchange(pl)
 	}
 	return x.abort()
 }
--- a/relay/suspend_test.go
+++ b/relay/suspend_test.go
@@ -143,7 +143,7 @@
 			is.True(g.proofAge() <= readInterval/2)
 			suspended.Add(int64(long))
 			time.Sleep(suspensionPollInterval + time.Millisecond)
-			// Without the poll, the newest read would be older than half of readEvery.
+			// Without the poll, the newest read would be older than half of readInterval.
 			is.True(g.proofAge() <= suspensionPollInterval+time.Millisecond)
 			is.True(g.storeReads.endpointsAge(time.Now()) <= suspensionPollInterval+time.Millisecond)
 			is.Equal(g.meter.suspensions.Get(), uint64(1))
--- a/relay/takers.go
+++ b/relay/takers.go
@@ -8,7 +8,7 @@
 	"github.com/micarudder/micarudder/catalog"
 )
 
-// AvailableEndpoints returns the endpoints of a service, by cell, that take requests of this
+// AvailableEndpoints returns the endpoints of a service, by cell, that accept requests of this
 // gateway now. The caller must not change the result.
 func (s *State) AvailableEndpoints(service string, now time.Time) map[string][]catalog.Endpoint {
 	s.mu.Lock()
@@ -62,7 +62,7 @@
 }
 
 // EndSend records that a request was answered, or will not be. It reports whether this ends the
-// gradual ramp-up of the endpoint after its back-off.
+// slow start of the endpoint after its backoff.
 func (s *State) EndSend(send availability.SentRequest, answered bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,25 +77,25 @@
 	return s.endpoints.markDraining(e, source, now)
 }
 
-// DrainDoubted reports whether an endpoint counts as draining because of a statement that its
+// DrainUncertain reports whether an endpoint counts as draining because of a statement that its
 // previous incarnation may have made.
-func (s *State) DrainDoubted(e catalog.Endpoint) bool {
+func (s *State) DrainUncertain(e catalog.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endpoints.drains.Uncertain(e)
 }
 
-// ClearDoubtedDrain records an answer of such an endpoint that does not say that it is draining. It
-// reports whether the endpoint takes requests again.
-func (s *State) ClearDoubtedDrain(e catalog.Endpoint) bool {
+// RevokeUncertainDrain records an answer of such an endpoint that does not say that it is draining.
+// It reports whether the endpoint accepts requests again.
+func (s *State) RevokeUncertainDrain(e catalog.Endpoint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.endpoints.clearDoubtedDrain(e)
+	return s.endpoints.revokeUncertainDrain(e)
 }
 
-// DrainNotices returns the incarnations of draining endpoints that are to be sent to other
+// DrainUpdates returns the incarnations of draining endpoints that are to be sent to other
 // gateways.
-func (s *State) DrainNotices(everything bool, now time.Time) map[string]int64 {
+func (s *State) DrainUpdates(everything bool, now time.Time) map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endpoints.drains.Updates(everything, now)
@@ -112,14 +112,14 @@
 	return s.backoffs.Request(id, d, now)
 }
 
-// InBackoff reports whether an endpoint is in back-off.
+// InBackoff reports whether an endpoint is in backoff.
 func (s *State) InBackoff(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.backoffs.InBackoff(id, now)
 }
 
-// clearBackoffs drops back-offs of endpoints that are gone or have restarted. listed is when the
+// clearBackoffs drops backoffs of endpoints that are gone or have restarted. listed is when the
 // previous incarnation was certainly still running. The caller holds the lock.
 func (s *State) clearBackoffs(changes []EndpointChange, listed time.Time) {
 	for _, c := range changes {
@@ -132,37 +132,37 @@
 	}
 }
 
-// serviceBackoff is the state of a service with respect to back-offs of its endpoints.
+// serviceBackoff is the state of a service with respect to backoffs of its endpoints.
 type serviceBackoff struct {
-	// opensAt is when one more endpoint takes requests: now if one already does, or if that depends
+	// opensAt is when one more endpoint accepts requests: now if one already does, or if that depends
 	// only on outstanding answers.
 	opensAt time.Time
-	// open counts the endpoints that take requests, closed those that will after their back-off.
+	// open counts the endpoints that accept requests, closed those that will after their backoff.
 	open, closed int
 }
 
-// ServiceBackoff returns the back-off state of a service.
-func (s *State) ServiceBackoff(service string, now time.Time) (r serviceBackoff) {
+// ServiceBackoff returns the backoff state of a service.
+func (s *State) ServiceBackoff(service string, now time.Time) (backoff serviceBackoff) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.backoffs.Active() {
-		return r
+		return backoff
 	}
 	for _, e := range s.endpoints.usableByService[service] {
 		if s.backoffs.MaySend(e.ID, now) {
-			r.open++
+			backoff.open++
 			continue
 		}
-		opens := s.backoffs.NextSend(e.ID, now)
-		if r.closed == 0 || opens.Before(r.opensAt) {
-			r.opensAt = opens
+		opensAt := s.backoffs.NextSend(e.ID, now)
+		if backoff.closed == 0 || opensAt.Before(backoff.opensAt) {
+			backoff.opensAt = opensAt
 		}
-		r.closed++
+		backoff.closed++
 	}
-	return r
+	return backoff
 }
 
-// JoinBackoffQueue adds a request to the queue for the endpoints of a service that are in back-off.
+// JoinBackoffQueue adds a request to the queue for the endpoints of a service that are in backoff.
 func (s *State) JoinBackoffQueue(service string, w *availability.Waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,21 +191,21 @@
 	return queue == nil || queue.IsFirst(w)
 }
 
-// refusedCallers counts the requests to a service that were refused until a back-off ends.
+// refusedCallers counts the requests to a service that were refused until a backoff ends.
 type refusedCallers struct {
 	ends  time.Time
 	count int
 }
 
 // retrySpacing is the time between the retries of two callers that were refused until the same
-// back-off ends. maxRetrySpread is the longest time that is added to the end of the back-off for
+// backoff ends. maxRetrySpread is the longest time that is added to the end of the backoff for
 // any of them.
 const (
 	retrySpacing   = 10 * time.Millisecond
 	maxRetrySpread = time.Second
 )
 
-// BackoffRetryAfter returns the Retry-After time for a caller that is refused until a back-off of the
+// BackoffRetryAfter returns the Retry-After for a caller that is refused until a backoff of the
 // service ends. Callers are told to return one after the other, in the order in which they were
 // refused.
 func (s *State) BackoffRetryAfter(service string, ends, now time.Time) time.Duration {
--- a/relay/tell.go
+++ b/relay/tell.go
@@ -15,7 +15,8 @@
 	// broadcastInterval is the time between two regular messages to the peers, which carry proofs and
 	// clocks besides the load.
 	broadcastInterval = 250 * time.Millisecond
-	// minBroadcastGap is the least time between two messages; choices made within it are sent together.
+	// minBroadcastGap is the least time between two messages; choices made within it are sent
+	// together.
 	minBroadcastGap = 10 * time.Millisecond
 	// broadcastsPerDigest is how many regular messages are sent for each one with digests.
 	broadcastsPerDigest = 2
@@ -37,15 +38,15 @@
 	to      []netip.AddrPort
 }
 
-// broadcastLoop sends this gateway's load to its peers: soon after it changed, and regularly while it does
-// not.
+// broadcastLoop sends this gateway's load to its peers: soon after it changed, and regularly while
+// it does not.
 func (g *Gateway) broadcastLoop() {
 	if g.deps.Mesh == nil {
 		return
 	}
 	heartbeat := time.NewTicker(broadcastInterval)
 	defer heartbeat.Stop()
-	beats := 0
+	heartbeats := 0
 	for {
 		cause := loadChanged
 		select {
@@ -53,7 +54,7 @@
 			return
 		case <-heartbeat.C:
 			cause = broadcastDue
-			if beats++; beats%broadcastsPerDigest == 0 {
+			if heartbeats++; heartbeats%broadcastsPerDigest == 0 {
 				cause = digestsDue
 			}
 		case <-g.fullMessageDue:
@@ -90,9 +91,9 @@
 	g.quarantine.representative.Store(r.representative)
 	g.picker.setFleetSize(r.gateways, int(g.listedGatewayCount.Load()))
 	g.refreshLimits(r, now)
-	load := g.picker.ownLoad(cause != loadChanged, now)
+	load := g.picker.localLoad(cause != loadChanged, now)
 	base := peers.Message{
-		Leaving: g.leaving.Load(), DataCentre: g.config.DataCentre, Partial: cause == loadChanged,
+		ShuttingDown: g.shuttingDown.Load(), DataCentre: g.config.DataCentre, Partial: cause == loadChanged,
 		ProofAgeMs: -1, Version: g.state.Version(), StoreUnreachable: g.storeReads.storeUnreachable(), StoreEra: g.state.StoreEra(),
 	}
 	if cause != loadChanged {
@@ -118,33 +119,33 @@
 }
 
 // localMessage returns the message for the local cell, with the load at all endpoints.
-func (g *Gateway) localMessage(w peers.Message, r recipients, cause trigger, load ownLoad, now time.Time) outgoingMessage {
-	w.Loads, w.Waiting, w.Observations = load.all, load.waiting, load.signs
-	g.endpointLimits.fillMessage(&w, cause != loadChanged, now)
-	w.Drains = g.state.DrainNotices(cause == digestsDue, now)
+func (g *Gateway) localMessage(msg peers.Message, r recipients, cause trigger, load localLoad, now time.Time) outgoingMessage {
+	msg.Loads, msg.Waiting, msg.Observations = load.all, load.waiting, load.observations
+	g.endpointLimits.fillMessage(&msg, cause != loadChanged, now)
+	msg.Drains = g.state.DrainUpdates(cause == digestsDue, now)
 	if r.representative && cause == digestsDue {
-		w.Digests = g.picker.remoteDigests(now)
+		msg.Digests = g.picker.remoteDigests(now)
 	}
-	w.CrashReports = g.crashReports(quarantine.OwnCell, r.representative, cause == loadChanged, r.representative && cause == digestsDue, now)
-	return outgoingMessage{w, r.local}
+	msg.CrashReports = g.crashReports(quarantine.LocalCell, r.representative, cause == loadChanged, r.representative && cause == digestsDue, now)
+	return outgoingMessage{msg, r.local}
 }
 
 // remoteMessage returns the message for another cell, if there is one to send: the load at that
-// cell's endpoints, and what representatives of cells tell each other.
-func (g *Gateway) remoteMessage(w peers.Message, r recipients, c string, cause trigger, loads map[string]balance.Load, repeat bool, now time.Time) (outgoingMessage, bool) {
-	w.Loads = loads
+// cell's endpoints, and what representatives of cells send each other.
+func (g *Gateway) remoteMessage(msg peers.Message, r recipients, c string, cause trigger, loads map[string]balance.Load, repeat bool, now time.Time) (outgoingMessage, bool) {
+	msg.Loads = loads
 	representative := r.representative && (cause == digestsDue || cause == proofRead)
 	if representative && cause == digestsDue {
-		w.Digests = []peers.Digest{g.picker.localDigest(c, g.config.DataCentre, r.gateways, now)}
+		msg.Digests = []peers.Digest{g.picker.localDigest(c, g.config.DataCentre, r.gateways, now)}
 	}
 	if representative {
-		w.CrashReports = g.crashReports(quarantine.OtherCells, true, false, repeat, now)
+		msg.CrashReports = g.crashReports(quarantine.OtherCells, true, false, repeat, now)
 	}
 	switch {
 	case len(loads) > 0:
-		return outgoingMessage{w, r.remote[c]}, true
+		return outgoingMessage{msg, r.remote[c]}, true
 	case representative:
-		return outgoingMessage{w, r.remoteRecipients[c]}, true
+		return outgoingMessage{msg, r.remoteRecipients[c]}, true
 	default:
 		return outgoingMessage{}, false
 	}
@@ -152,13 +153,13 @@
 
 // crashReports returns the reports on requests that were running on endpoints when these crashed;
 // repeat adds all reports on quarantined requests.
-func (g *Gateway) crashReports(to quarantine.Audience, speaks, urgent, repeat bool, now time.Time) []quarantine.Report {
+func (g *Gateway) crashReports(to quarantine.Audience, representative, urgent, repeat bool, now time.Time) []quarantine.Report {
 	if g.quarantine.count.Load() == 0 {
 		return nil
 	}
 	var out []quarantine.Report
 	g.quarantine.change(func(t *quarantine.Table) {
-		out = t.Updates(to, speaks, urgent, now)
+		out = t.Updates(to, representative, urgent, now)
 		if repeat {
 			out = append(out, t.RepeatReports(now)...)
 		}
@@ -171,11 +172,11 @@
 	if g.deps.Mesh == nil {
 		return
 	}
-	g.deps.Mesh.Receive(func(w peers.Message, from netip.AddrPort) {
-		g.picker.recordPeer(w, time.Now())
-		g.handleCrashReports(w)
-		g.handlePeerLimits(w)
-		g.handlePeerDrains(w)
-		g.handlePeerMessage(w, from)
+	g.deps.Mesh.Receive(func(msg peers.Message, from netip.AddrPort) {
+		g.picker.recordPeer(msg, time.Now())
+		g.handleCrashReports(msg)
+		g.handlePeerLimits(msg)
+		g.handlePeerDrains(msg)
+		g.handlePeerMessage(msg, from)
 	})
 }
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -39,7 +39,7 @@
 	lastQueried time.Time
 }
 
-// watchEndpoints queries those endpoints of the own cell that are assigned to this gateway and
+// watchEndpoints queries those endpoints of the local cell that are assigned to this gateway and
 // shares the results in its peer messages: a single gateway uses an endpoint too seldom to notice
 // that it is slow.
 func (g *Gateway) watchEndpoints() {
@@ -59,13 +59,13 @@
 	}
 }
 
-// logAvoided logs which endpoints of the own cell are avoided because several gateways failed
+// logAvoided logs which endpoints of the local cell are avoided because several gateways failed
 // there, and which are used again. before is its previous result.
 func (g *Gateway) logAvoided(before map[string]bool, now time.Time) map[string]bool {
 	avoided := g.picker.avoidedEndpoints(now)
-	for id, witnesses := range avoided {
+	for id, gateways := range avoided {
 		if !before[id] {
-			g.deps.Log.Logger().Warn("Endpoint left alone.", "endpoint", id, "gateways", witnesses)
+			g.deps.Log.Logger().Warn("Endpoint left alone.", "endpoint", id, "gateways", gateways)
 		}
 	}
 	after := make(map[string]bool, len(avoided))
@@ -91,30 +91,30 @@
 }
 
 // assignedEndpoints returns the endpoints that this gateway watches, given the members that it has
-// heard from lately. before is its previous result.
+// heard from recently. before is its previous result.
 func (g *Gateway) assignedEndpoints(before map[string]*watchedEndpoint, members []peers.Member, now time.Time) map[string]*watchedEndpoint {
 	cells := g.state.Cells()
-	home := cells.Of(g.config.DataCentre)
+	localCell := cells.Of(g.config.DataCentre)
 	names := []string{g.config.Name}
-	heardLately := g.storeReads.recentPeers(now).recent
+	recent := g.storeReads.recentPeers(now).all
 	for _, m := range members {
-		if heardLately[m.Name] && cells.Of(m.DataCentre) == home {
+		if recent[m.Name] && cells.Of(m.DataCentre) == localCell {
 			names = append(names, m.Name)
 		}
 	}
 	watchers := health.NewWatchers(names)
 	out := make(map[string]*watchedEndpoint)
 	for _, s := range g.state.Services() {
-		for _, e := range g.state.EndpointsByCell(s.Name)[home] {
+		for _, e := range g.state.EndpointsByCell(s.Name)[localCell] {
 			first, second := watchers.Lookup(e.ID)
 			if first != g.config.Name && second != g.config.Name {
 				continue
 			}
-			w := &watchedEndpoint{Endpoint: e, primary: first == g.config.Name, service: s}
+			watched := &watchedEndpoint{Endpoint: e, primary: first == g.config.Name, service: s}
 			if old := before[e.ID]; old != nil {
-				w.lastQueried = old.lastQueried
+				watched.lastQueried = old.lastQueried
 			}
-			out[e.ID] = w
+			out[e.ID] = watched
 		}
 	}
 	return out
@@ -127,7 +127,7 @@
 	if since < failingInterval {
 		return false
 	}
-	switch g.picker.doubt(e.ID, now) {
+	switch g.picker.queryReason(e.ID, now) {
 	case health.RecentFailure:
 		return true
 	case health.PossiblySlow:
@@ -143,14 +143,14 @@
 // its health. Any answer of its own shows that the endpoint is alive, since health checks may be
 // wrong in either direction.
 func (g *Gateway) queryEndpoint(e *watchedEndpoint) {
-	question := g.queryRequest(e)
-	if question == nil || !g.mayQuery(e.Endpoint) {
+	query := g.queryRequest(e)
+	if query == nil || !g.mayQuery(e.Endpoint) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(g.ctx, queryTimeout)
 	defer cancel()
 	g.meter.reports.Inc()
-	res, err := g.do(ctx, e.Endpoint, question, gatewayQuery, "")
+	res, err := g.do(ctx, e.Endpoint, query, gatewayQuery, "")
 	if err != nil {
 		g.recordQueryFailure(e.Endpoint, health.Unreachable, err)
 		return
@@ -160,7 +160,7 @@
 		g.recordQueryFailure(e.Endpoint, health.Replaced, nil)
 		return
 	}
-	report := EndpointReport{Pace: 1}
+	report := EndpointReport{Slowdown: 1}
 	if e.service.Engine != nil {
 		if parsed, ok, err := g.deps.Protocol.ReadReport(res); err != nil {
 			g.deps.Log.Logger().Warn("Reading an endpoint's report failed.", "endpoint", e.ID, "err", err)
@@ -169,7 +169,7 @@
 		}
 	}
 	if g.picker.recordReport(e.ID, report, time.Now()) {
-		g.deps.Log.Logger().Info("Endpoint's pace changed.", "endpoint", e.ID, "pace", report.Pace)
+		g.deps.Log.Logger().Info("Endpoint's pace changed.", "endpoint", e.ID, "pace", report.Slowdown)
 	}
 	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDiscardedBytes)); err != nil {
 		return // the error closes the connection; the rest was read only to keep it
