--- a/availability/leaves_test.go
+++ b/availability/leaves_test.go
@@ -18,7 +18,7 @@
 	cases := []struct {
 		name              string
 		reported, queried int64 // incarnations
-		leaves            bool
+		draining          bool
 	}{
 		{"same incarnation", 1, 1, true},
 		{"later incarnation", 1, 2, false},
@@ -29,14 +29,14 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			l := NewDrainTable()
-			is.True(l.Add(catalog.Endpoint{ID: "e", Born: tc.reported}, "g", now))
-			is.True(!l.Add(catalog.Endpoint{ID: "e", Born: tc.reported}, FromResponse, now.Add(time.Second)))
-			leave, ok := l.Lookup(catalog.Endpoint{ID: "e", Born: tc.queried})
-			is.Equal(ok, tc.leaves)
+			table := NewDrainTable()
+			is.True(table.Add(catalog.Endpoint{ID: "e", Born: tc.reported}, "g", now))
+			is.True(!table.Add(catalog.Endpoint{ID: "e", Born: tc.reported}, FromResponse, now.Add(time.Second)))
+			entry, ok := table.Lookup(catalog.Endpoint{ID: "e", Born: tc.queried})
+			is.Equal(ok, tc.draining)
 			if ok {
-				is.Equal(leave.Source, "g")
-				is.Equal(leave.Since, now)
+				is.Equal(entry.Source, "g")
+				is.Equal(entry.Since, now)
 			}
 		})
 	}
@@ -46,48 +46,48 @@
 // store's list lacks is repeated at intervals for as long as it exists.
 func TestDrainUpdates(t *testing.T) {
 	is := is.New(t)
-	l := NewDrainTable()
-	l.Add(catalog.Endpoint{ID: "a", Born: 3}, FromResponse, now)
-	l.Add(catalog.Endpoint{ID: "b"}, FromStore, now)
-	is.Equal(l.Updates(false, now), map[string]int64{"a": 3})
-	is.Equal(len(l.Updates(false, now.Add(shareFor+1))), 0)
-	is.Equal(l.Updates(true, now.Add(time.Hour)), map[string]int64{"a": 3})
-	is.Equal(len(l.Updates(true, now.Add(time.Hour+repeatInterval-1))), 0)
-	is.Equal(l.Updates(true, now.Add(time.Hour+repeatInterval)), map[string]int64{"a": 3})
-	l.Add(catalog.Endpoint{ID: "a", Born: 3}, FromStore, now)
-	is.Equal(len(l.Updates(true, now.Add(2*time.Hour))), 0)
+	table := NewDrainTable()
+	table.Add(catalog.Endpoint{ID: "a", Born: 3}, FromResponse, now)
+	table.Add(catalog.Endpoint{ID: "b"}, FromStore, now)
+	is.Equal(table.Updates(false, now), map[string]int64{"a": 3})
+	is.Equal(len(table.Updates(false, now.Add(shareFor+1))), 0)
+	is.Equal(table.Updates(true, now.Add(time.Hour)), map[string]int64{"a": 3})
+	is.Equal(len(table.Updates(true, now.Add(time.Hour+repeatInterval-1))), 0)
+	is.Equal(table.Updates(true, now.Add(time.Hour+repeatInterval)), map[string]int64{"a": 3})
+	table.Add(catalog.Endpoint{ID: "a", Born: 3}, FromStore, now)
+	is.Equal(len(table.Updates(true, now.Add(2*time.Hour))), 0)
 }
 
 // TestDrainTableIsBounded checks that entries of unknown endpoints expire and are limited in number, and that
 // those of known endpoints stay.
 func TestDrainTableIsBounded(t *testing.T) {
 	is := is.New(t)
-	l := NewDrainTable()
+	table := NewDrainTable()
 	for n := range 2 * maxUnknown {
-		l.Add(catalog.Endpoint{ID: fmt.Sprint(n)}, "g", now)
+		table.Add(catalog.Endpoint{ID: fmt.Sprint(n)}, "g", now)
 	}
 	known := func(id string) (catalog.Endpoint, bool) { return catalog.Endpoint{}, id == "7" }
-	is.Equal(len(l.Updates(true, now)), maxShared)
-	l.Expire(known, now)
-	is.Equal(len(l.entries), maxUnknown+1)
-	l.Expire(known, now.Add(unknownTTL+1))
-	is.Equal(len(l.entries), 1)
+	is.Equal(len(table.Updates(true, now)), maxShared)
+	table.Expire(known, now)
+	is.Equal(len(table.entries), maxUnknown+1)
+	table.Expire(known, now.Add(unknownTTL+1))
+	is.Equal(len(table.entries), 1)
 }
 
 // TestDrainOfOtherIncarnationIsNotSent checks that an entry is not sent while an outdated copy of the store's
 // list names another incarnation, and that it applies again once the list names its own.
 func TestDrainOfOtherIncarnationIsNotSent(t *testing.T) {
 	is := is.New(t)
-	l := NewDrainTable()
+	table := NewDrainTable()
 	e := catalog.Endpoint{ID: "e", Born: 2}
-	l.Add(e, FromResponse, now)
+	table.Add(e, FromResponse, now)
 	lists := func(born int64) {
-		l.Expire(func(string) (catalog.Endpoint, bool) { return catalog.Endpoint{ID: "e", Born: born}, true }, now.Add(time.Second))
+		table.Expire(func(string) (catalog.Endpoint, bool) { return catalog.Endpoint{ID: "e", Born: born}, true }, now.Add(time.Second))
 	}
 	lists(1)
-	is.Equal(len(l.Updates(true, now)), 0)
+	is.Equal(len(table.Updates(true, now)), 0)
 	lists(2)
-	is.Equal(l.Updates(true, now.Add(repeatInterval)), map[string]int64{"e": 2})
-	_, leaves := l.Lookup(e)
-	is.True(leaves)
+	is.Equal(table.Updates(true, now.Add(repeatInterval)), map[string]int64{"e": 2})
+	_, draining := table.Lookup(e)
+	is.True(draining)
 }
--- a/availability/rests_test.go
+++ b/availability/rests_test.go
@@ -12,8 +12,8 @@
 // TestLongestBackoffApplies checks that of several requested backoffs the one that ends last applies.
 func TestLongestBackoffApplies(t *testing.T) {
 	type request struct {
-		atMs, restMs int
-		changes      bool
+		atMs, backoffMs int
+		changes         bool
 	}
 	cases := []struct {
 		name     string
@@ -28,15 +28,15 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			r := NewBackoffTable()
-			for _, a := range tc.requests {
-				is.Equal(r.Request("e", time.Duration(a.restMs)*time.Millisecond, after(a.atMs)), a.changes)
+			table := NewBackoffTable()
+			for _, request := range tc.requests {
+				is.Equal(table.Request("e", time.Duration(request.backoffMs)*time.Millisecond, after(request.atMs)), request.changes)
 			}
-			is.True(r.InBackoff("e", after(tc.untilMs-1)))
-			is.True(!r.MaySend("e", after(tc.untilMs-1)))
-			is.Equal(r.NextSend("e", after(tc.untilMs-1)), after(tc.untilMs))
-			is.True(!r.InBackoff("e", after(tc.untilMs)))
-			is.True(r.MaySend("e", after(tc.untilMs)))
+			is.True(table.InBackoff("e", after(tc.untilMs-1)))
+			is.True(!table.MaySend("e", after(tc.untilMs-1)))
+			is.Equal(table.NextSend("e", after(tc.untilMs-1)), after(tc.untilMs))
+			is.True(!table.InBackoff("e", after(tc.untilMs)))
+			is.True(table.MaySend("e", after(tc.untilMs)))
 		})
 	}
 }
@@ -45,13 +45,13 @@
 // widens the window with each one that is answered, so that queued requests do not arrive all at once.
 func TestSlowStartAfterBackoff(t *testing.T) {
 	is := is.New(t)
-	r := NewBackoffTable()
-	r.Request("e", time.Second, now)
+	table := NewBackoffTable()
+	table.Request("e", time.Second, now)
 	var out []SentRequest
 	begin := func() int {
 		n := 0
 		for {
-			s, ok := r.Begin("e", after(1000))
+			s, ok := table.Begin("e", after(1000))
 			if !ok {
 				return n
 			}
@@ -60,71 +60,71 @@
 		}
 	}
 	is.Equal(begin(), 1)
-	is.True(!r.End(out[0], false)) // unanswered: the window stays at one request
+	is.True(!table.End(out[0], false)) // unanswered: the window stays at one request
 	out = nil
 	is.Equal(begin(), 1)
-	is.True(!r.End(out[0], true))
+	is.True(!table.End(out[0], true))
 	out = nil
 	is.Equal(begin(), 2)
-	is.True(!r.End(out[0], true))
+	is.True(!table.End(out[0], true))
 	is.Equal(begin(), 2) // one in place of the answered one, and one more
-	is.True(r.Active())
+	is.True(table.Active())
 	over := false
 	for _, s := range out[1:] {
-		over = r.End(s, true) || over
+		over = table.End(s, true) || over
 	}
 	for !over {
-		s, ok := r.Begin("e", after(1000))
+		s, ok := table.Begin("e", after(1000))
 		is.True(ok)
-		over = r.End(s, true)
+		over = table.End(s, true)
 	}
-	is.True(!r.Active())
+	is.True(!table.Active())
 }
 
 // TestResponsesFromBeforeBackoff checks that responses to requests sent before an endpoint asked for a backoff do
 // not widen the window after it.
 func TestResponsesFromBeforeBackoff(t *testing.T) {
 	is := is.New(t)
-	r := NewBackoffTable()
-	early, ok := r.Begin("e", now)
+	table := NewBackoffTable()
+	early, ok := table.Begin("e", now)
 	is.True(ok)
-	r.Request("e", time.Second, now)
-	is.True(!r.End(early, true))
-	first, ok := r.Begin("e", after(1000))
+	table.Request("e", time.Second, now)
+	is.True(!table.End(early, true))
+	first, ok := table.Begin("e", after(1000))
 	is.True(ok)
-	r.Request("e", time.Second, after(1000)) // the endpoint refuses it and asks for another backoff
-	is.True(!r.End(first, true))
-	_, ok = r.Begin("e", after(2000))
+	table.Request("e", time.Second, after(1000)) // the endpoint refuses it and asks for another backoff
+	is.True(!table.End(first, true))
+	_, ok = table.Begin("e", after(2000))
 	is.True(ok)
-	_, ok = r.Begin("e", after(2000))
+	_, ok = table.Begin("e", after(2000))
 	is.True(!ok)
 }
 
 // TestBackoffDuringSuspension checks that time for which the host was suspended counts towards a backoff.
 func TestBackoffDuringSuspension(t *testing.T) {
 	is := is.New(t)
-	r := NewBackoffTable()
-	r.Request("e", 3*time.Second, now)
-	r.Suspended(2 * time.Second)
-	is.True(r.InBackoff("e", after(999)))
-	is.True(!r.InBackoff("e", after(1000)))
-	r.Forget("e")
-	is.True(!r.Active())
+	table := NewBackoffTable()
+	table.Request("e", 3*time.Second, now)
+	table.Suspended(2 * time.Second)
+	is.True(table.InBackoff("e", after(999)))
+	is.True(!table.InBackoff("e", after(1000)))
+	table.Forget("e")
+	is.True(!table.Active())
 }
 
 // TestWaitQueue checks that the queue is ordered by urgency and then by arrival.
 func TestWaitQueue(t *testing.T) {
 	is := is.New(t)
-	var l WaitQueue
-	is.True(l.IsFirst(nil))
+	var q WaitQueue
+	is.True(q.IsFirst(nil))
 	late, early, urgent, same := &Waiter{1, after(20)}, &Waiter{1, after(10)}, &Waiter{0, after(30)}, &Waiter{1, after(10)}
 	for _, w := range []*Waiter{late, early, urgent, same} {
-		l.Push(w)
+		q.Push(w)
 	}
-	is.True(!l.IsFirst(nil))
+	is.True(!q.IsFirst(nil))
 	for _, w := range []*Waiter{urgent, early, same, late} {
-		is.True(l.IsFirst(w))
-		l.Remove(w)
+		is.True(q.IsFirst(w))
+		q.Remove(w)
 	}
-	is.Equal(l.Len(), 0)
+	is.Equal(q.Len(), 0)
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -11,36 +11,36 @@
 
 func TestLoadTrackerSumsGateways(t *testing.T) {
 	is := is.New(t)
-	b := NewLoadTracker()
-	b.Add("e", Load{PrefillMs: 100, Short: 1, MemoryTokens: 10})
-	b.SetPeerLoad("p", "", map[string]Load{"e": {PrefillMs: 50, Long: 2, MemoryTokens: 5, Parts: 1}}, start)
-	is.Equal(b.Load("e", start), Load{PrefillMs: 150, Short: 1, Long: 2, MemoryTokens: 15, Parts: 1})
-	is.Equal(b.LivePeers(start), 1)
+	tracker := NewLoadTracker()
+	tracker.Add("e", Load{PrefillMs: 100, Short: 1, MemoryTokens: 10})
+	tracker.SetPeerLoad("p", "", map[string]Load{"e": {PrefillMs: 50, Long: 2, MemoryTokens: 5, Parts: 1}}, start)
+	is.Equal(tracker.Load("e", start), Load{PrefillMs: 150, Short: 1, Long: 2, MemoryTokens: 15, Parts: 1})
+	is.Equal(tracker.LivePeers(start), 1)
 }
 
 func TestLoadTrackerDropsSilentPeers(t *testing.T) {
 	is := is.New(t)
-	b := NewLoadTracker()
-	b.SetPeerLoad("p", "", map[string]Load{"e": {Short: 3}}, start)
+	tracker := NewLoadTracker()
+	tracker.SetPeerLoad("p", "", map[string]Load{"e": {Short: 3}}, start)
 	later := start.Add(peerTTL + time.Millisecond)
-	is.Equal(b.Load("e", later), Load{})
-	is.Equal(b.LivePeers(later), 0)
+	is.Equal(tracker.Load("e", later), Load{})
+	is.Equal(tracker.LivePeers(later), 0)
 }
 
 func TestLoadTrackerPrefill(t *testing.T) {
 	is := is.New(t)
-	b := NewLoadTracker()
+	tracker := NewLoadTracker()
 	one, two := Load{PrefillMs: 0.1, Long: 1, Parts: 1, MemoryTokens: 7}, Load{PrefillMs: 0.2, Short: 1}
-	b.Add("e", one)
-	b.Add("e", two)
-	b.PrefillDone("e", two)
-	is.Equal(b.Load("e", start).Parts, 1)
-	b.PrefillDone("e", one)
-	is.Equal(b.Load("e", start), Load{Long: 1, Short: 1, MemoryTokens: 7})
-	b.Remove("e", one)
-	is.Equal(b.Load("e", start), Load{Short: 1})
-	b.Remove("e", two)
-	is.Equal(len(b.Local()), 0)
+	tracker.Add("e", one)
+	tracker.Add("e", two)
+	tracker.PrefillDone("e", two)
+	is.Equal(tracker.Load("e", start).Parts, 1)
+	tracker.PrefillDone("e", one)
+	is.Equal(tracker.Load("e", start), Load{Long: 1, Short: 1, MemoryTokens: 7})
+	tracker.Remove("e", one)
+	is.Equal(tracker.Load("e", start), Load{Short: 1})
+	tracker.Remove("e", two)
+	is.Equal(len(tracker.Local()), 0)
 }
 
 // TestLoadTrackerLocalChanges: a peer that has a gateway's earlier full load and applies its
@@ -72,10 +72,10 @@
 // than peerTTL do not restore its earlier load.
 func TestLoadTrackerDropsStaleLoadOfReturningPeer(t *testing.T) {
 	is := is.New(t)
-	b := NewLoadTracker()
-	b.SetPeerLoad("a", "", map[string]Load{"e": {Short: 3}}, start)
+	tracker := NewLoadTracker()
+	tracker.SetPeerLoad("a", "", map[string]Load{"e": {Short: 3}}, start)
 	later := start.Add(peerTTL + time.Millisecond)
-	b.UpdatePeerLoad("a", "", map[string]Load{"f": {Short: 1}}, later)
-	is.Equal(b.Load("e", later), Load{})
-	is.Equal(b.Load("f", later), Load{Short: 1})
+	tracker.UpdatePeerLoad("a", "", map[string]Load{"f": {Short: 1}}, later)
+	is.Equal(tracker.Load("e", later), Load{})
+	is.Equal(tracker.Load("f", later), Load{Short: 1})
 }
--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -35,11 +35,11 @@
 }
 
 var (
-	pauses = catalog.Gaps{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: time.Second}
+	gaps = catalog.Gaps{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: time.Second}
 
-	short    = Request{InputTokens: 5000, OutputTokens: 1400, ObjectiveLeftMs: 300, DeadlineLeftMs: 2000, Gaps: pauses}
-	long     = Request{InputTokens: 133000, OutputTokens: 700, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second, Gaps: pauses}
-	oversize = Request{InputTokens: 400000, OutputTokens: 700, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second, Gaps: pauses}
+	short    = Request{InputTokens: 5000, OutputTokens: 1400, ObjectiveLeftMs: 300, DeadlineLeftMs: 2000, Gaps: gaps}
+	long     = Request{InputTokens: 133000, OutputTokens: 700, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second, Gaps: gaps}
+	oversize = Request{InputTokens: 400000, OutputTokens: 700, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second, Gaps: gaps}
 )
 
 func TestModel(t *testing.T) {
@@ -206,7 +206,7 @@
 	is := is.New(t)
 	all := idleCandidates(4)
 	long := long
-	long.MaxGap = pauses.Longest // the class with the highest value
+	long.MaxGap = gaps.Longest // the class with the highest value
 	for i := range all {
 		all[i].Load.Short = 1
 	}
@@ -246,9 +246,9 @@
 	for i := range 3 {
 		all[i].Load = Load{Long: 1, MemoryTokens: 50000}
 	}
-	w := long
-	w.InputTokens = 200000
-	for _, p := range choose(model, w, all).Loads {
+	req := long
+	req.InputTokens = 200000
+	for _, p := range choose(model, req, all).Loads {
 		is.True(p.Candidate >= 3)
 	}
 }
@@ -260,15 +260,15 @@
 	all := idleCandidates(2)
 	all[0].Load = Load{Long: 1, GapTolerant: 1, MemoryTokens: 50000}
 	all[1].Load = Load{Long: 1, MemoryTokens: 50000}
-	w := long
-	w.InputTokens, w.MaxGap = 70000, time.Second // 680 ms of prefill
+	req := long
+	req.InputTokens, req.MaxGap = 70000, time.Second // 680 ms of prefill
 	noHelpers := Default()
 	noHelpers.MaxHelpers = 0
-	c := noHelpers.Choose(model, w, all)
+	c := noHelpers.Choose(model, req, all)
 	is.Equal(c.Endpoint, 0)
 	is.Equal(c.Loads[0].Load.GapTolerant, 1)
-	w.MaxGap = 600 * time.Millisecond
-	is.Equal(choose(model, w, idleCandidates(1)).Loads[0].Load.GapTolerant, 0)
+	req.MaxGap = 600 * time.Millisecond
+	is.Equal(choose(model, req, idleCandidates(1)).Loads[0].Load.GapTolerant, 0)
 }
 
 // TestPrefillEndsByEstimate: each part of a long prompt counts as prefilled after a
@@ -291,10 +291,10 @@
 	all := idleCandidates(2)
 	all[0].Load = Load{Short: 14, MemoryTokens: 20000}
 	all[1].Load = Load{Long: 1, MemoryTokens: 60000}
-	w := long
-	w.Slack, w.Late = 0, true
-	w.Gaps = catalog.Gaps{} // late events cause no interference
-	is.Equal(choose(model, w, all).Endpoint, 1)
+	req := long
+	req.Slack, req.Late = 0, true
+	req.Gaps = catalog.Gaps{} // late events cause no interference
+	is.Equal(choose(model, req, all).Endpoint, 1)
 }
 
 // TestOversizePromptMayInterfereUpToItsValue: a prompt that exceeds an endpoint's memory is placed on
@@ -307,27 +307,27 @@
 		few[i].Load.Short, many[i].Load.Short = 1, 8
 		prefilling[i].Load = Load{PrefillMs: 250, Parts: 1}
 	}
-	w := oversize
-	w.WaitedShare = 1
-	is.True(!choose(model, w, few).Wait)
-	is.True(choose(model, w, many).Wait)
+	req := oversize
+	req.WaitedShare = 1
+	is.True(!choose(model, req, few).Wait)
+	is.True(choose(model, req, many).Wait)
 	for _, late := range []bool{false, true} {
-		w.Late = late
-		is.True(choose(model, w, prefilling).Wait)
-		is.True(!choose(model, w, idleCandidates(18)).Wait)
+		req.Late = late
+		is.True(choose(model, req, prefilling).Wait)
+		is.True(!choose(model, req, idleCandidates(18)).Wait)
 	}
-	w.ObjectiveLeftMs, w.Slack = -100, -time.Second
-	is.True(choose(model, w, few).Wait)
+	req.ObjectiveLeftMs, req.Slack = -100, -time.Second
+	is.True(choose(model, req, few).Wait)
 }
 
 // TestNoPlacementAfterCallerGivesUp: a prompt is not prefilled if its first event
 // would come after its caller has given up.
 func TestNoPlacementAfterCallerGivesUp(t *testing.T) {
 	is := is.New(t)
-	w := oversize
-	w.DeadlineLeftMs = 3000
-	is.True(choose(model, w, idleCandidates(2)).Wait) // 6.5 s of prefill each
-	is.True(!choose(model, w, idleCandidates(18)).Wait)
+	req := oversize
+	req.DeadlineLeftMs = 3000
+	is.True(choose(model, req, idleCandidates(2)).Wait) // 6.5 s of prefill each
+	is.True(!choose(model, req, idleCandidates(18)).Wait)
 }
 
 // TestOversizePromptLeavesIdleEndpoints: a prompt that exceeds an endpoint's memory leaves some idle
@@ -338,9 +338,9 @@
 	c := choose(model, oversize, all)
 	is.True(!c.Wait)
 	is.True(len(c.Loads) <= 9)
-	w := oversize
-	w.InputTokens = 300000
-	is.True(!choose(model, w, idleCandidates(2)).Wait)
+	req := oversize
+	req.InputTokens = 300000
+	is.True(!choose(model, req, idleCandidates(2)).Wait)
 }
 
 // TestValue: typical prompts have their expected value, within a factor of 1.5, by class or, if
@@ -350,22 +350,22 @@
 	cases := []struct {
 		name   string
 		tokens int
-		pauses catalog.Gaps
-		pause  time.Duration
+		gaps   catalog.Gaps
+		maxGap time.Duration
 		want   float64
 	}{
-		{"medium", 45000, pauses, pauses.Next, 2.4},
-		{"medium class, long prompt", 110000, pauses, pauses.Next, 4.4},
-		{"gap-tolerant class, short prompt", 60000, pauses, pauses.Longest, 8},
-		{"gap-tolerant class, 133,000 tokens", 133000, pauses, pauses.Longest, 11.5},
-		{"gap-tolerant class, 190,000 tokens", 190000, pauses, pauses.Longest, 15.4},
-		{"gap-tolerant class, 300,000 tokens", 300000, pauses, pauses.Longest, 21.4},
-		{"gap-tolerant class, 1,000,000 tokens", 1000000, pauses, pauses.Longest, 56},
+		{"medium", 45000, gaps, gaps.Next, 2.4},
+		{"medium class, long prompt", 110000, gaps, gaps.Next, 4.4},
+		{"gap-tolerant class, short prompt", 60000, gaps, gaps.Longest, 8},
+		{"gap-tolerant class, 133,000 tokens", 133000, gaps, gaps.Longest, 11.5},
+		{"gap-tolerant class, 190,000 tokens", 190000, gaps, gaps.Longest, 15.4},
+		{"gap-tolerant class, 300,000 tokens", 300000, gaps, gaps.Longest, 21.4},
+		{"gap-tolerant class, 1,000,000 tokens", 1000000, gaps, gaps.Longest, 56},
 		{"no gap-tolerant class", 133000, two, two.Longest, 13.3},
 	}
 	for _, tc := range cases {
-		w := Request{InputTokens: tc.tokens, Gaps: tc.pauses, MaxGap: tc.pause}
-		if got := w.value(); got < 0.67*tc.want || got > 1.5*tc.want {
+		req := Request{InputTokens: tc.tokens, Gaps: tc.gaps, MaxGap: tc.maxGap}
+		if got := req.value(); got < 0.67*tc.want || got > 1.5*tc.want {
 			t.Errorf("%s: value %.1f, want %.1f within a factor of 1.5", tc.name, got, tc.want)
 		}
 	}
@@ -390,9 +390,9 @@
 		for i := range all {
 			all[i].Load.MemoryTokens = rapid.IntRange(0, 232000).Draw(t, "tokens")
 		}
-		w := oversize
-		w.InputTokens = rapid.IntRange(240000, 1000000).Draw(t, "prompt")
-		c := choose(model, w, all)
+		req := oversize
+		req.InputTokens = rapid.IntRange(240000, 1000000).Draw(t, "prompt")
+		c := choose(model, req, all)
 		if c.Wait {
 			return
 		}
@@ -403,8 +403,8 @@
 				t.Fatalf("candidate %d is assigned %d tokens, %d already in use", p.Candidate, p.Load.MemoryTokens, all[p.Candidate].Load.MemoryTokens)
 			}
 		}
-		if held != w.InputTokens+w.OutputTokens {
-			t.Fatalf("memory assigned for %d tokens, prompt needs %d", held, w.InputTokens+w.OutputTokens)
+		if held != req.InputTokens+req.OutputTokens {
+			t.Fatalf("memory assigned for %d tokens, prompt needs %d", held, req.InputTokens+req.OutputTokens)
 		}
 		for _, r := range c.Reservations {
 			if r.Candidate == c.Endpoint || r.Tokens <= 0 {
@@ -424,9 +424,9 @@
 				Long: rapid.IntRange(0, 3).Draw(t, "long"), MemoryTokens: rapid.IntRange(0, 300000).Draw(t, "tokens"), Parts: rapid.IntRange(0, 3).Draw(t, "parts")}
 			all[i].Suspect = rapid.Bool().Draw(t, "suspect")
 		}
-		w := Request{InputTokens: rapid.IntRange(0, 700000).Draw(t, "prompt"), OutputTokens: 700, ObjectiveLeftMs: 1500, DeadlineLeftMs: 10000, Gaps: pauses, Excluded: []string{"1"},
+		req := Request{InputTokens: rapid.IntRange(0, 700000).Draw(t, "prompt"), OutputTokens: 700, ObjectiveLeftMs: 1500, DeadlineLeftMs: 10000, Gaps: gaps, Excluded: []string{"1"},
 			Slack: time.Duration(rapid.IntRange(-1, 1).Draw(t, "slack")), Late: rapid.Bool().Draw(t, "late")}
-		c := choose(model, w, all)
+		c := choose(model, req, all)
 		if c.Wait || c.Endpoint < 0 {
 			return
 		}
--- a/balance/turns_test.go
+++ b/balance/turns_test.go
@@ -13,34 +13,34 @@
 
 func TestPromptQueueByDueTime(t *testing.T) {
 	is := is.New(t)
-	turns := NewPromptQueue()
-	later := turns.Join("s", InTime, start.Add(3*time.Second), start)
-	sooner := turns.Join("s", InTime, start.Add(time.Second), start)
-	other := turns.Join("t", InTime, start.Add(9*time.Second), start)
-	is.True(!turns.First(later, InTime, settled))
-	is.True(turns.First(sooner, InTime, settled))
-	is.True(turns.First(other, InTime, settled)) // another service
-	turns.Leave(sooner)
-	is.True(turns.First(later, InTime, settled))
-	is.Equal(turns.Waiting(), 2)
+	queue := NewPromptQueue()
+	later := queue.Join("s", InTime, start.Add(3*time.Second), start)
+	sooner := queue.Join("s", InTime, start.Add(time.Second), start)
+	other := queue.Join("t", InTime, start.Add(9*time.Second), start)
+	is.True(!queue.First(later, InTime, settled))
+	is.True(queue.First(sooner, InTime, settled))
+	is.True(queue.First(other, InTime, settled)) // another service
+	queue.Leave(sooner)
+	is.True(queue.First(later, InTime, settled))
+	is.Equal(queue.Waiting(), 2)
 }
 
 // TestPromptQueueByUrgency: a prompt that can be in time goes before an oversize one, and that
 // before a late one, regardless of their due times.
 func TestPromptQueueByUrgency(t *testing.T) {
 	is := is.New(t)
-	turns := NewPromptQueue()
-	late := turns.Join("s", Late, start.Add(-time.Second), start)
-	oversize := turns.Join("s", Oversize, start.Add(time.Second), start)
-	inTime := turns.Join("s", InTime, start.Add(2*time.Second), start)
-	is.True(turns.First(inTime, InTime, settled))
-	is.True(!turns.First(oversize, Oversize, settled))
-	turns.Leave(inTime)
-	is.True(turns.First(oversize, Oversize, settled))
-	is.True(!turns.First(late, Late, settled))
+	queue := NewPromptQueue()
+	late := queue.Join("s", Late, start.Add(-time.Second), start)
+	oversize := queue.Join("s", Oversize, start.Add(time.Second), start)
+	inTime := queue.Join("s", InTime, start.Add(2*time.Second), start)
+	is.True(queue.First(inTime, InTime, settled))
+	is.True(!queue.First(oversize, Oversize, settled))
+	queue.Leave(inTime)
+	is.True(queue.First(oversize, Oversize, settled))
+	is.True(!queue.First(late, Late, settled))
 	// The oversize prompt is late too now, and due later.
-	is.True(!turns.First(oversize, Late, settled))
-	is.True(turns.First(late, Late, settled))
+	is.True(!queue.First(oversize, Late, settled))
+	is.True(queue.First(late, Late, settled))
 }
 
 // TestPromptQueueWithPeers: two gateways with one prompt each never place them at the same
@@ -63,31 +63,31 @@
 // peer makes at the same time would have arrived.
 func TestPromptQueueWaitsForMessages(t *testing.T) {
 	is := is.New(t)
-	turns := NewPromptQueue()
-	turn := turns.Join("s", InTime, start, start)
-	is.True(turns.First(turn, InTime, start)) // no peers
-	turns.SetPeerHeads("p", nil, start)
-	is.True(!turns.First(turn, InTime, settled.Add(-time.Millisecond)))
-	is.True(turns.First(turn, InTime, settled))
+	queue := NewPromptQueue()
+	entry := queue.Join("s", InTime, start, start)
+	is.True(queue.First(entry, InTime, start)) // no peers
+	queue.SetPeerHeads("p", nil, start)
+	is.True(!queue.First(entry, InTime, settled.Add(-time.Millisecond)))
+	is.True(queue.First(entry, InTime, settled))
 }
 
 // TestPromptQueueIgnoresSilentPeers: a peer that has fallen silent blocks no prompts.
 func TestPromptQueueIgnoresSilentPeers(t *testing.T) {
 	is := is.New(t)
-	turns := NewPromptQueue()
-	turn := turns.Join("s", InTime, start.Add(time.Second), start)
-	turns.SetPeerHeads("p", map[string]QueueHead{"s": {Urgency: InTime, DueInMs: 10}}, start)
-	is.True(!turns.First(turn, InTime, start.Add(headTTL)))
-	is.True(turns.First(turn, InTime, start.Add(headTTL+time.Millisecond)))
-	turns.ExpirePeers(start.Add(peerTTL + time.Millisecond))
-	is.Equal(len(turns.peers), 0)
+	queue := NewPromptQueue()
+	entry := queue.Join("s", InTime, start.Add(time.Second), start)
+	queue.SetPeerHeads("p", map[string]QueueHead{"s": {Urgency: InTime, DueInMs: 10}}, start)
+	is.True(!queue.First(entry, InTime, start.Add(headTTL)))
+	is.True(queue.First(entry, InTime, start.Add(headTTL+time.Millisecond)))
+	queue.ExpirePeers(start.Add(peerTTL + time.Millisecond))
+	is.Equal(len(queue.peers), 0)
 }
 
 func TestLocalHeads(t *testing.T) {
 	is := is.New(t)
-	turns := NewPromptQueue()
-	turns.Join("s", Late, start, start)
-	turns.Join("s", InTime, start.Add(2*time.Second), start)
-	turns.Join("s", InTime, start.Add(time.Second), start)
-	is.Equal(turns.LocalHeads(start), map[string]QueueHead{"s": {Urgency: InTime, DueInMs: 1000}})
+	queue := NewPromptQueue()
+	queue.Join("s", Late, start, start)
+	queue.Join("s", InTime, start.Add(2*time.Second), start)
+	queue.Join("s", InTime, start.Add(time.Second), start)
+	is.Equal(queue.LocalHeads(start), map[string]QueueHead{"s": {Urgency: InTime, DueInMs: 1000}})
 }
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -33,11 +33,11 @@
 	go b.Receive(func(msg Message, _ netip.AddrPort) { received <- msg })
 	is.NoErr(a.Send(Message{Version: 7, Loads: map[string]balance.Load{"e": {PrefillMs: 1.5, Short: 2}},
 		Waiting: map[string]balance.QueueHead{"s": {Urgency: balance.Oversize, DueInMs: -5}}, DataCentre: "dc"}, []netip.AddrPort{at}, time.Now()))
-	w := <-received
-	is.Equal(w.From, "a")
-	is.Equal(w.Version, uint64(7))
-	is.Equal(w.Loads["e"], balance.Load{PrefillMs: 1.5, Short: 2})
-	is.Equal(w.Waiting, map[string]balance.QueueHead{"s": {Urgency: balance.Oversize, DueInMs: -5}})
+	msg := <-received
+	is.Equal(msg.From, "a")
+	is.Equal(msg.Version, uint64(7))
+	is.Equal(msg.Loads["e"], balance.Load{PrefillMs: 1.5, Short: 2})
+	is.Equal(msg.Waiting, map[string]balance.QueueHead{"s": {Urgency: balance.Oversize, DueInMs: -5}})
 	// The sender is a member although it is not in the list.
 	members := b.Members(time.Now())
 	is.Equal(len(members), 1)
@@ -77,13 +77,13 @@
 	limits := map[string]ratelimit.LimitUpdate{"e": {Version: 3, Limit: ratelimit.AdvertisedLimit{Set: true, PerSecond: 1.9}, Born: 4}}
 	p, err := encode(&Message{From: "a", DataCentre: "dc", CrashReports: reports, StoreEra: 5, Limits: limits, Coordinator: 6, Drains: map[string]int64{"e": 7}})
 	is.NoErr(err)
-	w, err := decode(p)
+	msg, err := decode(p)
 	is.NoErr(err)
-	is.Equal(w.CrashReports, reports)
-	is.Equal(w.StoreEra, uint64(5))
-	is.Equal(w.Limits, limits)
-	is.Equal(w.Coordinator, uint64(6))
-	is.Equal(w.Drains, map[string]int64{"e": 7})
+	is.Equal(msg.CrashReports, reports)
+	is.Equal(msg.StoreEra, uint64(5))
+	is.Equal(msg.Limits, limits)
+	is.Equal(msg.Coordinator, uint64(6))
+	is.Equal(msg.Drains, map[string]int64{"e": 7})
 	var fields []msgpack.RawMessage
 	is.NoErr(msgpack.Unmarshal(p, &fields))
 	extra, err := msgpack.Marshal([]int{1, 2})
@@ -92,15 +92,15 @@
 	for _, list := range [][]msgpack.RawMessage{fields[:previous], append(slices.Clone(fields), extra)} {
 		p, err := msgpack.Marshal(list)
 		is.NoErr(err)
-		w, err := decode(p)
+		msg, err := decode(p)
 		is.NoErr(err)
-		is.Equal(w.From, "a")
-		is.Equal(w.DataCentre, "dc")
-		is.Equal(w.CrashReports, reports)
-		is.Equal(w.StoreEra, uint64(5))
-		is.Equal(w.Limits, limits)
-		is.Equal(w.Coordinator, uint64(6))
-		is.Equal(len(w.Drains) > 0, len(list) >= len(fields))
+		is.Equal(msg.From, "a")
+		is.Equal(msg.DataCentre, "dc")
+		is.Equal(msg.CrashReports, reports)
+		is.Equal(msg.StoreEra, uint64(5))
+		is.Equal(msg.Limits, limits)
+		is.Equal(msg.Coordinator, uint64(6))
+		is.Equal(len(msg.Drains) > 0, len(list) >= len(fields))
 	}
 	// A datagram without crash reports, era and limits is encoded as in the previous
 	// release.
@@ -146,14 +146,14 @@
 // TestSizeOfDrains limits the bytes that 18 draining endpoints add to a datagram.
 func TestSizeOfDrains(t *testing.T) {
 	is := is.New(t)
-	leaves := make(map[string]int64)
+	drains := make(map[string]int64)
 	for n := range 18 {
-		leaves[fmt.Sprintf("i-%010d", n)] = 1764700000000
+		drains[fmt.Sprintf("i-%010d", n)] = 1764700000000
 	}
 	empty, err := encode(&Message{From: "a"})
 	is.NoErr(err)
-	withLeaves, err := encode(&Message{From: "a", Drains: leaves})
+	withDrains, err := encode(&Message{From: "a", Drains: drains})
 	is.NoErr(err)
-	t.Logf("%d draining endpoints take %d bytes", len(leaves), len(withLeaves)-len(empty))
-	is.True(len(withLeaves)-len(empty) <= 18*24)
+	t.Logf("%d draining endpoints take %d bytes", len(drains), len(withDrains)-len(empty))
+	is.True(len(withDrains)-len(empty) <= 18*24)
 }
--- a/ratelimit/coordinator_test.go
+++ b/ratelimit/coordinator_test.go
@@ -29,14 +29,14 @@
 			next = next.Add(interval)
 		}
 		var remaining []*GrantRequest
-		for _, a := range waiting {
-			switch decision := c.Try(a, rates, now); {
+		for _, r := range waiting {
+			switch decision := c.Try(r, rates, now); {
 			case decision.Endpoint != "":
 				granted[decision.Endpoint] = append(granted[decision.Endpoint], now)
 			case decision.Refused:
 				refused++
 			default:
-				remaining = append(remaining, a)
+				remaining = append(remaining, r)
 			}
 		}
 		waiting = remaining
@@ -72,25 +72,25 @@
 	}
 }
 
-// TestChangedLimitHoldsAtOnce guards against a raised limit taking effect late: an endpoint that accepted one
+// TestChangedLimitAppliesAtOnce guards against a raised limit taking effect late: an endpoint that accepted one
 // request in ten seconds and now accepts five a second got none for the rest of the ten seconds, and then all
 // waiting requests at once. The remaining wait must scale with the interval between grants.
-func TestChangedLimitHoldsAtOnce(t *testing.T) {
+func TestChangedLimitAppliesAtOnce(t *testing.T) {
 	is := is.New(t)
 	limits := map[string]float64{"a": 0}
 	rates := fixed(limits)
 	c, now := NewCoordinator(), time.Unix(0, 0)
-	ask := func() Decision {
+	try := func() Decision {
 		return c.Try(&GrantRequest{Endpoints: []string{"a"}, Since: now, Until: now}, rates, now)
 	}
-	ask() // creates the pacer
+	try() // creates the pacer
 	now = now.Add(10 * time.Second)
-	is.Equal(ask().Endpoint, "a")
-	is.True(ask().Refused)
+	is.Equal(try().Endpoint, "a")
+	is.True(try().Refused)
 	limits["a"] = 5
 	granted := 0
 	for end := now.Add(2 * time.Second); now.Before(end); now = now.Add(10 * time.Millisecond) {
-		if ask().Endpoint != "" {
+		if try().Endpoint != "" {
 			granted++
 		}
 	}
@@ -99,7 +99,7 @@
 	limits["a"] = 0.5
 	granted = 0
 	for end := now.Add(8 * time.Second); now.Before(end); now = now.Add(10 * time.Millisecond) {
-		if ask().Endpoint != "" {
+		if try().Endpoint != "" {
 			granted++
 		}
 	}
@@ -132,13 +132,13 @@
 	is := is.New(t)
 	c, now := NewCoordinator(), time.Unix(0, 0)
 	rates := fixed(map[string]float64{"a": 2})
-	ask := func(urgency int, since, maxWait time.Duration) *GrantRequest {
+	newRequest := func(urgency int, since, maxWait time.Duration) *GrantRequest {
 		return &GrantRequest{Endpoints: []string{"a"}, Urgency: urgency, Since: now.Add(since), Until: now.Add(maxWait)}
 	}
-	second := ask(1, 20*time.Millisecond, 10*time.Second)
-	first := ask(1, 10*time.Millisecond, 10*time.Second)
-	urgent := ask(0, 30*time.Millisecond, 10*time.Second)
-	shortWait := ask(1, 0, 600*time.Millisecond)
+	second := newRequest(1, 20*time.Millisecond, 10*time.Second)
+	first := newRequest(1, 10*time.Millisecond, 10*time.Second)
+	urgent := newRequest(0, 30*time.Millisecond, 10*time.Second)
+	shortWait := newRequest(1, 0, 600*time.Millisecond)
 	is.Equal(c.Try(second, rates, now).Expected, now.Add(500*time.Millisecond))
 	is.Equal(c.Try(first, rates, now).Expected, now.Add(500*time.Millisecond))
 	is.Equal(c.Try(second, rates, now).Expected, now.Add(time.Second))
@@ -152,17 +152,17 @@
 	is.Equal(c.Try(second, rates, now).Expected, now.Add(500*time.Millisecond))
 }
 
-// TestRefusedCallersComeBackOneByOne checks that refused callers are told to retry one after the other, at the
+// TestRefusedCallersRetryOneByOne checks that refused callers are told to retry one after the other, at the
 // rate at which the endpoints accept requests.
-func TestRefusedCallersComeBackOneByOne(t *testing.T) {
+func TestRefusedCallersRetryOneByOne(t *testing.T) {
 	is := is.New(t)
 	c, now := NewCoordinator(), time.Unix(0, 0)
 	rates := fixed(map[string]float64{"a": 2, "b": 2})
 	var delays []time.Duration
 	for range 60 {
-		a := c.Try(&GrantRequest{Service: "s", Endpoints: []string{"a", "b"}, Since: now, Until: now}, rates, now)
-		is.True(a.Refused)
-		delays = append(delays, a.RetryAfter)
+		decision := c.Try(&GrantRequest{Service: "s", Endpoints: []string{"a", "b"}, Since: now, Until: now}, rates, now)
+		is.True(decision.Refused)
+		delays = append(delays, decision.RetryAfter)
 	}
 	is.Equal(delays[0], 750*time.Millisecond)
 	is.Equal(delays[1]-delays[0], 250*time.Millisecond)
@@ -207,14 +207,14 @@
 	}
 	rates := fixed(limits)
 	c := NewCoordinator()
-	var asks []*GrantRequest
+	var requests []*GrantRequest
 	for n := range 36 {
-		a := &GrantRequest{Service: "s", Endpoints: ids, Since: now.Add(time.Duration(n) * time.Millisecond), Until: now.Add(time.Hour)}
-		c.Try(a, rates, now)
-		asks = append(asks, a)
+		r := &GrantRequest{Service: "s", Endpoints: ids, Since: now.Add(time.Duration(n) * time.Millisecond), Until: now.Add(time.Hour)}
+		c.Try(r, rates, now)
+		requests = append(requests, r)
 	}
 	b.ResetTimer()
 	for n := range b.N {
-		c.Try(asks[n%len(asks)], rates, now)
+		c.Try(requests[n%len(requests)], rates, now)
 	}
 }
--- a/ratelimit/known.go
+++ b/ratelimit/known.go
@@ -19,10 +19,10 @@
 	// endedTTL is how long the end of a limit is repeated. A gateway that was disconnected sends
 	// outdated limits for no longer than that, as it receives the newer state in reply.
 	endedTTL = time.Minute
-	// foreignTTL is how long the limit of an endpoint of another cell applies without being confirmed.
+	// otherCellTTL is how long the limit of an endpoint of another cell applies without being confirmed.
 	// No gateway of this cell sends requests to such an endpoint and could learn that the limit has
 	// ended; once it has, the cell of the endpoint offers the endpoint again.
-	foreignTTL = 10 * time.Second
+	otherCellTTL = 10 * time.Second
 )
 
 // AdvertisedLimit is what a response of an endpoint says about the endpoint's limit.
@@ -157,12 +157,12 @@
 	return out
 }
 
-// Expire drops the limits of endpoints of other cells that were not confirmed within foreignTTL. It reports
+// Expire drops the limits of endpoints of other cells that were not confirmed within otherCellTTL. It reports
 // whether there were any. local reports whether an endpoint belongs to this cell.
 func (t *LimitTable) Expire(local func(endpoint string) bool, now time.Time) bool {
 	before := len(t.entries)
 	maps.DeleteFunc(t.entries, func(id string, e *entry) bool {
-		return now.Sub(e.confirmedAt) > foreignTTL && !local(id)
+		return now.Sub(e.confirmedAt) > otherCellTTL && !local(id)
 	})
 	return len(t.entries) < before
 }
--- a/ratelimit/known_test.go
+++ b/ratelimit/known_test.go
@@ -11,12 +11,12 @@
 	return AdvertisedLimit{Set: true, PerSecond: perSecond}
 }
 
-// TestWhichAnswerHolds checks that only a response to a request sent when the limit was known raises or ends
-// it, and that among responses in unknown order the lowest limit applies.
-func TestWhichAnswerHolds(t *testing.T) {
+// TestLowestLimitAppliesInUnknownOrder checks that only a response to a request sent when the limit was known
+// raises or ends it, and that among responses in unknown order the lowest limit applies.
+func TestLowestLimitAppliesInUnknownOrder(t *testing.T) {
 	type response struct {
 		sent  uint64
-		named AdvertisedLimit
+		limit AdvertisedLimit
 	}
 	cases := []struct {
 		name      string
@@ -35,11 +35,11 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			k, now := NewLimitTable(), time.Now()
-			for _, a := range tc.responses {
-				k.ApplyResponse("e", 0, a.sent, a.named, now)
+			table, now := NewLimitTable(), time.Now()
+			for _, response := range tc.responses {
+				table.ApplyResponse("e", 0, response.sent, response.limit, now)
 			}
-			perSecond, ok := k.Limit("e")
+			perSecond, ok := table.Limit("e")
 			if got := (AdvertisedLimit{Set: ok, PerSecond: perSecond}); got != tc.want {
 				t.Errorf("limit %v, want %v", got, tc.want)
 			}
@@ -48,18 +48,18 @@
 }
 
 // TestGatewaysAgreeOnLimits checks that two gateways that read different responses at the same time agree on
-// the limit once they exchange notices, and that an outdated notice does not restore a limit that has ended.
+// the limit once they exchange updates, and that an outdated update does not restore a limit that has ended.
 func TestGatewaysAgreeOnLimits(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	a, b := NewLimitTable(), NewLimitTable()
 	exchange := func() {
 		fromA, fromB := a.Updates(true, now), b.Updates(true, now)
-		for id, n := range fromA {
-			b.ApplyUpdate(id, n, now)
+		for id, update := range fromA {
+			b.ApplyUpdate(id, update, now)
 		}
-		for id, n := range fromB {
-			a.ApplyUpdate(id, n, now)
+		for id, update := range fromB {
+			a.ApplyUpdate(id, update, now)
 		}
 	}
 	a.ApplyResponse("e", 0, 0, limitOf(2), now)
@@ -82,38 +82,38 @@
 	is.Equal(b.Updates(false, now)["e"].Limit, AdvertisedLimit{}) // the newer state is sent again
 }
 
-// TestNewLifeHasNoLimit checks that the limit of an earlier incarnation does not apply to a later one, whether
-// or not the endpoint's clock was set back.
-func TestNewLifeHasNoLimit(t *testing.T) {
+// TestNewIncarnationHasNoLimit checks that the limit of an earlier incarnation does not apply to a later one,
+// whether or not the endpoint's clock was set back.
+func TestNewIncarnationHasNoLimit(t *testing.T) {
 	is := is.New(t)
 	for _, born := range []int64{9, 1} {
-		k, now := NewLimitTable(), time.Now()
-		k.ApplyResponse("e", 5, 0, limitOf(2), now)
-		k.ApplyResponse("e", 5, 1, limitOf(3), now)
-		is.True(!k.ApplyResponse("e", born, 2, AdvertisedLimit{}, now)) // another incarnation: the limit does not end
-		k.ApplyResponse("e", born, 0, limitOf(9), now)
-		got, _ := k.Limit("e")
+		table, now := NewLimitTable(), time.Now()
+		table.ApplyResponse("e", 5, 0, limitOf(2), now)
+		table.ApplyResponse("e", 5, 1, limitOf(3), now)
+		is.True(!table.ApplyResponse("e", born, 2, AdvertisedLimit{}, now)) // another incarnation: the limit does not end
+		table.ApplyResponse("e", born, 0, limitOf(9), now)
+		got, _ := table.Limit("e")
 		is.Equal(got, 9.0)
-		k.ApplyUpdate("e", LimitUpdate{Version: 1, Limit: limitOf(4), Born: 5}, now)
-		got, _ = k.Limit("e")
+		table.ApplyUpdate("e", LimitUpdate{Version: 1, Limit: limitOf(4), Born: 5}, now)
+		got, _ = table.Limit("e")
 		is.Equal(got, 4.0) // the caller vouches for the incarnation
-		k.Forget("e")
-		_, limited := k.Limit("e")
+		table.Forget("e")
+		_, limited := table.Limit("e")
 		is.True(!limited)
 	}
 }
 
-// TestForeignLimitsLapse checks that limits of endpoints of other cells expire, because no gateway of this cell
-// learns when they end.
-func TestForeignLimitsLapse(t *testing.T) {
+// TestLimitsOfOtherCellsExpire checks that limits of endpoints of other cells expire, because no gateway of
+// this cell learns when they end.
+func TestLimitsOfOtherCellsExpire(t *testing.T) {
 	is := is.New(t)
-	k, now := NewLimitTable(), time.Now()
-	k.ApplyResponse("own", 0, 0, limitOf(2), now)
-	k.ApplyResponse("foreign", 0, 0, limitOf(2), now)
-	is.True(k.Expire(func(id string) bool { return id == "own" }, now.Add(foreignTTL+time.Second)))
-	_, own := k.Limit("own")
-	_, foreign := k.Limit("foreign")
-	is.True(own)
-	is.True(!foreign)
-	is.Equal(k.Limits(), map[string]float64{"own": 2})
+	table, now := NewLimitTable(), time.Now()
+	table.ApplyResponse("own", 0, 0, limitOf(2), now)
+	table.ApplyResponse("foreign", 0, 0, limitOf(2), now)
+	is.True(table.Expire(func(id string) bool { return id == "own" }, now.Add(otherCellTTL+time.Second)))
+	_, local := table.Limit("own")
+	_, other := table.Limit("foreign")
+	is.True(local)
+	is.True(!other)
+	is.Equal(table.Limits(), map[string]float64{"own": 2})
 }
--- a/ratelimit/votes_test.go
+++ b/ratelimit/votes_test.go
@@ -10,29 +10,29 @@
 
 // gatewayGroup simulates gateways that exchange votes; receives tells which messages arrive.
 type gatewayGroup struct {
-	votes    []*Election
-	receives func(from, to int) bool
-	now      time.Time
+	elections []*Election
+	receives  func(from, to int) bool
+	now       time.Time
 }
 
 func newGatewayGroup(n int) *gatewayGroup {
-	e := &gatewayGroup{now: time.Now(), receives: func(int, int) bool { return true }}
+	g := &gatewayGroup{now: time.Now(), receives: func(int, int) bool { return true }}
 	for i := range n {
-		e.votes = append(e.votes, NewElection(gatewayName(i)))
+		g.elections = append(g.elections, NewElection(gatewayName(i)))
 	}
-	return e
+	return g
 }
 
 func gatewayName(i int) string { return fmt.Sprint("g", i) }
 
 // run makes all gateways send four messages a second for a time d.
-func (e *gatewayGroup) run(d time.Duration) {
-	for end := e.now.Add(d); e.now.Before(end); e.now = e.now.Add(250 * time.Millisecond) {
-		for from, v := range e.votes {
-			v.Choose(false, e.now)
-			for to, w := range e.votes {
-				if from != to && e.receives(from, to) {
-					w.RecordVote(gatewayName(from), v.OwnVote(e.now), e.now)
+func (g *gatewayGroup) run(d time.Duration) {
+	for end := g.now.Add(d); g.now.Before(end); g.now = g.now.Add(250 * time.Millisecond) {
+		for from, v := range g.elections {
+			v.Choose(false, g.now)
+			for to, w := range g.elections {
+				if from != to && g.receives(from, to) {
+					w.RecordVote(gatewayName(from), v.OwnVote(g.now), g.now)
 				}
 			}
 		}
@@ -40,9 +40,9 @@
 }
 
 // shares returns the sum of the shares that gateways may grant, and the number of gateways that may.
-func (e *gatewayGroup) shares() (sum float64, coordinators int) {
-	for _, v := range e.votes {
-		if s := v.Share(len(e.votes), e.now); s > 0 {
+func (g *gatewayGroup) shares() (sum float64, coordinators int) {
+	for _, v := range g.elections {
+		if s := v.Share(len(g.elections), g.now); s > 0 {
 			sum += s
 			coordinators++
 		}
@@ -50,12 +50,13 @@
 	return sum, coordinators
 }
 
-// TestOneCoordinates checks that connected gateways choose the same coordinator, which grants all of a limit.
-func TestOneCoordinates(t *testing.T) {
+// TestOneCoordinatorWhenConnected checks that connected gateways choose the same coordinator, which grants
+// all of a limit.
+func TestOneCoordinatorWhenConnected(t *testing.T) {
 	for _, n := range []int{1, 2, 6, 24, 400} {
-		e := newGatewayGroup(n)
-		e.run(2 * time.Second)
-		if sum, coordinators := e.shares(); sum != 1 || coordinators != 1 {
+		g := newGatewayGroup(n)
+		g.run(2 * time.Second)
+		if sum, coordinators := g.shares(); sum != 1 || coordinators != 1 {
 			t.Errorf("%d gateways: %d coordinators grant %.2f", n, coordinators, sum)
 		}
 	}
@@ -79,11 +80,11 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			e := newGatewayGroup(12)
-			e.run(2 * time.Second)
-			e.receives = tc.receives
-			e.run(5 * time.Second)
-			if sum, n := e.shares(); sum > maxTotalShare+0.001 || sum < tc.least {
+			g := newGatewayGroup(12)
+			g.run(2 * time.Second)
+			g.receives = tc.receives
+			g.run(5 * time.Second)
+			if sum, n := g.shares(); sum > maxTotalShare+0.001 || sum < tc.least {
 				t.Errorf("%d coordinators grant %.2f of the limit together, want %.2f to %.2f", n, sum, tc.least, maxTotalShare)
 			}
 		})
@@ -91,35 +92,35 @@
 }
 
 // TestCoordinatorIsReplaced checks that another gateway takes over when the coordinator is isolated, that the
-// former coordinator follows it once reconnected, and that a draining coordinator hands over.
+// former coordinator follows it once reconnected, and that a coordinator that is shutting down hands over.
 func TestCoordinatorIsReplaced(t *testing.T) {
 	is := is.New(t)
-	e := newGatewayGroup(6)
-	e.run(2 * time.Second)
-	first := e.votes[0].Choose(false, e.now)
+	g := newGatewayGroup(6)
+	g.run(2 * time.Second)
+	first := g.elections[0].Choose(false, g.now)
 	isolated := -1
-	for i := range e.votes {
+	for i := range g.elections {
 		if gatewayName(i) == first {
 			isolated = i
 		}
 	}
-	e.receives = func(from, to int) bool { return from != isolated && to != isolated }
-	e.run(2 * time.Second)
-	second := e.votes[(isolated+1)%6].Choose(false, e.now)
+	g.receives = func(from, to int) bool { return from != isolated && to != isolated }
+	g.run(2 * time.Second)
+	second := g.elections[(isolated+1)%6].Choose(false, g.now)
 	is.True(second != first)
-	e.receives = func(int, int) bool { return true }
-	e.run(2 * time.Second)
-	is.Equal(e.votes[isolated].Choose(false, e.now), second) // it has more votes
-	sum, n := e.shares()
+	g.receives = func(int, int) bool { return true }
+	g.run(2 * time.Second)
+	is.Equal(g.elections[isolated].Choose(false, g.now), second) // it has more votes
+	sum, n := g.shares()
 	is.Equal(n, 1)
 	is.Equal(sum, 1.0)
 
-	next := e.votes[isolated].Choose(true, e.now)
+	next := g.elections[isolated].Choose(true, g.now)
 	is.Equal(next, second)
 	leaving := NewElection("a")
-	leaving.RecordVote("b", gatewayKey("a"), e.now)
-	is.Equal(leaving.Choose(true, e.now), "b")
-	is.Equal(NewElection("a").Choose(true, e.now), "a") // there is no other candidate
+	leaving.RecordVote("b", gatewayKey("a"), g.now)
+	is.Equal(leaving.Choose(true, g.now), "b")
+	is.Equal(NewElection("a").Choose(true, g.now), "a") // there is no other candidate
 }
 
 // TestNewCoordinatorWaits checks that a new coordinator grants nothing before settlingTime has passed.
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -12,8 +12,8 @@
 	"github.com/micarudder/micarudder/upstream"
 )
 
-// attempt sends the request to one endpoint and relays the answer. again is set if there was no
-// answer that could be passed on.
+// attempt sends the request to one endpoint and relays the response. again is set if there was no
+// response that could be passed on.
 func (x *exchange) attempt(ctx context.Context, pl *placement) (o outcome, again bool) {
 	defer pl.release()
 	if !x.allAccept(pl, time.Now()) {
@@ -37,7 +37,7 @@
 		return x.abandonAttempt()
 	}
 	req := x.upstreamRequest(pl, memory, now)
-	x.answerBegun = false
+	x.responseBegun = false
 	res, err := x.g.do(ctx, pl.endpoint, req, callerRequest, x.call.ID)
 	if pl.endSend(err == nil) {
 		x.g.deps.Log.Logger().Info("Endpoint has rested.", "endpoint", pl.endpoint.ID)
@@ -85,7 +85,7 @@
 	return x.g.state.AcceptsRequests(pl.endpoint.ID, now)
 }
 
-// handleRejection handles an answer that says that the request did not run. If the answer names
+// handleRejection handles a response that says that the request did not run. If the response names
 // another endpoint, a helper, that helper is avoided from now on and the endpoint that answered may
 // be chosen again. Otherwise the next attempt would use the same helper: long prompts with a dead
 // engine among their helpers were given up after two attempts.
@@ -142,7 +142,7 @@
 	}
 }
 
-// handleSendFailure handles an attempt that got no answer.
+// handleSendFailure handles an attempt that got no response.
 func (x *exchange) handleSendFailure(ctx context.Context, pl *placement, err error) {
 	x.recordFailure(pl, err)
 	var failure *upstream.Error
@@ -167,7 +167,7 @@
 	}
 }
 
-// recordFailure records why an exchange ended without a complete answer.
+// recordFailure records why an exchange ended without a complete response.
 func (x *exchange) recordFailure(pl *placement, err error) {
 	x.lastError = err
 	if pl.reservations.endedUnused() {
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -23,7 +23,7 @@
 )
 
 // crashProbes checks whether endpoints whose exchanges broke have crashed, since an endpoint that
-// is alive may have broken off a single answer.
+// is alive may have broken off a single response.
 type crashProbes struct {
 	mu     sync.Mutex
 	latest map[string]*crashProbe // by endpoint
@@ -103,12 +103,12 @@
 	return !errors.As(err, &failure) || !failure.Timeout()
 }
 
-// handleBrokenExchange handles an exchange that its endpoint broke before the answer was complete.
+// handleBrokenExchange handles an exchange that its endpoint broke before the response was complete.
 func (x *exchange) handleBrokenExchange(pl *placement) {
 	crashed := mayHaveCrashed(x.lastError) && x.g.hasCrashed(pl.endpoint)
 	x.g.meter.brokenExchanges.Inc()
 	x.g.deps.Log.Request("Exchange broke.", "request", x.call.ID, "fingerprint", x.requestFingerprint(), "endpoint", pl.endpoint.ID,
-		"begun", x.answerBegun, "crashed", crashed, "in_flight_ms", time.Since(pl.chosenAt).Milliseconds(), "err", x.lastError)
+		"begun", x.responseBegun, "crashed", crashed, "in_flight_ms", time.Since(pl.chosenAt).Milliseconds(), "err", x.lastError)
 	// An endpoint that was draining ended as announced, whatever requests it still had.
 	if _, inUse := x.g.state.Endpoint(pl.endpoint.ID); crashed && inUse {
 		x.recordCrash(pl)
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -40,7 +40,7 @@
 			var b *testGateway
 			b = newTestGateway(t, func(n int, w *bufio.Writer, c *net.TCPConn, _ *http.Request) {
 				if n > 1 {
-					writeAnswer(w, "200 OK", "", "id: 2\n\n")
+					writeResponse(w, "200 OK", "", "id: 2\n\n")
 					return
 				}
 				if tc.begun {
@@ -57,9 +57,9 @@
 	}
 }
 
-// maxSendsAfterThird is how many attempts of a request may reach endpoints once it has crashed
+// maxAttemptsAfterThird is how many attempts of a request may reach endpoints once it has crashed
 // three of them and every connected gateway had the time to learn of it.
-const maxSendsAfterThird = 3
+const maxAttemptsAfterThird = 3
 
 // TestCrashingRequest: copies of one request crashed every endpoint that started them, up to 40,
 // with 17 to 22 crashes after the third. They came two to three times a second at any gateway, and
@@ -74,14 +74,14 @@
 		c := newCrashFleet(t, 1, 5, 18)
 		time.Sleep(time.Second)
 		r := c.run(crashLoad{duration: 15 * time.Second, harmlessInterval: 25 * time.Millisecond, crashInterval: 400 * time.Millisecond})
-		t.Logf("%+v; %d attempts of the crashing request, %d after the third crash, %d engines crashed, %d harmless streams on them", r, c.sendCount(), c.sendsAfterThird(), c.crashCount(), c.brokenHarmless)
+		t.Logf("%+v; %d attempts of the crashing request, %d after the third crash, %d engines crashed, %d harmless streams on them", r, c.attemptCount(), c.attemptsAfterThird(), c.crashCount(), c.brokenHarmless)
 		is.True(c.crashCount() >= 3)
-		is.True(c.sendsAfterThird() <= maxSendsAfterThird)
+		is.True(c.attemptsAfterThird() <= maxAttemptsAfterThird)
 	})
 }
 
 // TestEngineUnaffectedByCrashingRequest: if one engine survives the request that crashes all
-// others, whether it fails or completes it, its answers do not clear the request. In one fault soak
+// others, whether it fails or completes it, its responses do not clear the request. In one fault soak
 // run, 25 workers crashed because each success at that engine made the gateways forget the crashes.
 func TestEngineUnaffectedByCrashingRequest(t *testing.T) {
 	for name, status := range map[string]string{"completes it": "200 OK", "fails it": "500 Internal Server Error"} {
@@ -92,8 +92,8 @@
 				c.immune, c.immuneStatus = addressOf(2), status
 				time.Sleep(time.Second)
 				r := c.run(crashLoad{duration: 15 * time.Second, harmlessInterval: 100 * time.Millisecond, crashInterval: 400 * time.Millisecond})
-				t.Logf("%+v; %d attempts of the crashing request, %d after the third crash, %d engines crashed", r, c.sendCount(), c.sendsAfterThird(), c.crashCount())
-				is.True(c.sendsAfterThird() <= maxSendsAfterThird)
+				t.Logf("%+v; %d attempts of the crashing request, %d after the third crash, %d engines crashed", r, c.attemptCount(), c.attemptsAfterThird(), c.crashCount())
+				is.True(c.attemptsAfterThird() <= maxAttemptsAfterThird)
 				is.True(c.crashCount() <= 8)
 			})
 		})
--- a/relay/crashfleet_test.go
+++ b/relay/crashfleet_test.go
@@ -45,13 +45,13 @@
 	// startDelay is how long an engine takes to start a request.
 	startDelay time.Duration
 
-	// immune is the address of an engine that does not crash, and immuneStatus its answer to the
+	// immune is the address of an engine that does not crash, and immuneStatus its response to the
 	// request that crashes the others; empty: there is none.
 	immune, immuneStatus string
 
 	mu             sync.Mutex
 	engines        map[string]*scriptedEngine // by address
-	sends          []time.Time                // of the crashing request, at any engine
+	attempts       []time.Time                // of the crashing request, at any engine
 	crashes        []time.Time                // of engines that started it
 	brokenHarmless int                        // harmless requests that were on these engines
 
@@ -124,7 +124,7 @@
 		return err == nil
 	}
 	if crashing {
-		c.sends = append(c.sends, time.Now())
+		c.attempts = append(c.attempts, time.Now())
 	}
 	e.conns[conn] = !crashing
 	c.mu.Unlock()
@@ -206,7 +206,7 @@
 type callResult struct {
 	status     int
 	lastID     int // of the newest event
-	whole      bool
+	complete   bool
 	retryAfter time.Duration
 }
 
@@ -239,7 +239,7 @@
 		c.refusedCrashing++
 		c.mu.Unlock()
 	}
-	return callResult{whole: true}
+	return callResult{complete: true}
 }
 
 // fingerprint returns the fingerprint of the requests that attempt sends to a path.
@@ -294,15 +294,15 @@
 }
 
 // call sends a request as a caller does, with one retry at another gateway after a failure. It
-// reports whether the answer was complete, in one or two parts.
+// reports whether the response was complete, in one or two parts.
 func (c *crashFleet) call(gateway int, path string) bool {
 	first := c.attempt(gateway, path, 0)
-	if first.whole && first.status == http.StatusOK {
+	if first.complete && first.status == http.StatusOK {
 		return true
 	}
 	time.Sleep(min(first.retryAfter, 3*time.Second))
 	second := c.attempt((gateway+1)%len(c.gateways), path, first.lastID)
-	return second.whole && second.status == http.StatusOK && second.lastID == streamEvents
+	return second.complete && second.status == http.StatusOK && second.lastID == streamEvents
 }
 
 // crashLoad describes the load that callers generate.
@@ -313,7 +313,7 @@
 }
 
 // harmlessResult counts the harmless requests by result.
-type harmlessResult struct{ asked, served int }
+type harmlessResult struct{ sent, served int }
 
 // run generates the load at all gateways in turn; a few of the callers are hit by each crash.
 func (c *crashFleet) run(l crashLoad) harmlessResult {
@@ -328,7 +328,7 @@
 		}
 	})
 	for n := 0; time.Now().Before(end); n++ {
-		out.asked++
+		out.sent++
 		wg.Go(func() {
 			served := c.call(n%len(c.gateways), fmt.Sprint("/sound/", n))
 			mu.Lock()
@@ -343,12 +343,12 @@
 	return out
 }
 
-// sendCount returns how often the crashing request reached an engine, and crashCount how many
+// attemptCount returns how often the crashing request reached an engine, and crashCount how many
 // engines crashed.
-func (c *crashFleet) sendCount() int {
+func (c *crashFleet) attemptCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.sends)
+	return len(c.attempts)
 }
 
 func (c *crashFleet) crashCount() int {
@@ -361,16 +361,16 @@
 // partitioned.
 const contactTimeout = 3 * time.Second
 
-// sendsAfterThird returns how many attempts of the crashing request reached engines later than
+// attemptsAfterThird returns how many attempts of the crashing request reached engines later than
 // contactTimeout after it had crashed three of them.
-func (c *crashFleet) sendsAfterThird() int {
+func (c *crashFleet) attemptsAfterThird() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.crashes) < 3 {
 		return 0
 	}
 	n := 0
-	for _, at := range c.sends {
+	for _, at := range c.attempts {
 		if at.Sub(c.crashes[2]) > contactTimeout {
 			n++
 		}
--- a/relay/endpointlimits.go
+++ b/relay/endpointlimits.go
@@ -75,7 +75,7 @@
 	return l.known.Version(endpoint)
 }
 
-func (l *endpointLimits) recordAnswer(e catalog.Endpoint, sent uint64, limit ratelimit.AdvertisedLimit, now time.Time) bool {
+func (l *endpointLimits) recordResponse(e catalog.Endpoint, sent uint64, limit ratelimit.AdvertisedLimit, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	changed := l.known.ApplyResponse(e.ID, e.Born, sent, limit, now)
@@ -175,14 +175,14 @@
 	}
 	l.votes.RecordVote(msg.From, vote, now)
 	l.newcomer = l.newcomer || vote == 0 && !msg.ShuttingDown
-	for id, n := range msg.Limits {
-		if !l.known.ApplyUpdate(id, n, now) {
+	for id, update := range msg.Limits {
+		if !l.known.ApplyUpdate(id, update, now) {
 			continue
 		}
 		if changes == nil {
 			changes = make(map[string]ratelimit.AdvertisedLimit)
 		}
-		changes[id] = n.Limit
+		changes[id] = update.Limit
 	}
 	if len(changes) > 0 {
 		l.publish()
@@ -242,14 +242,14 @@
 	delete(l.lastProbe, service)
 }
 
-// recordLimit records what an answer says of its endpoint's rate limit, and notifies the other
+// recordLimit records what a response says of its endpoint's rate limit, and notifies the other
 // gateways at once if that is new.
-func (g *Gateway) recordLimit(e catalog.Endpoint, sent uint64, named ratelimit.AdvertisedLimit, request string) {
+func (g *Gateway) recordLimit(e catalog.Endpoint, sent uint64, limit ratelimit.AdvertisedLimit, request string) {
 	now := time.Now()
-	if !g.endpointLimits.recordAnswer(e, sent, named, now) {
+	if !g.endpointLimits.recordResponse(e, sent, limit, now) {
 		return
 	}
-	g.logLimit(e.ID, named, "answer", request)
+	g.logLimit(e.ID, limit, "answer", request)
 	g.updateCoordinator(now)
 	g.picker.notifyPeers()
 }
@@ -264,8 +264,8 @@
 	now := time.Now()
 	msg.Limits = g.currentIncarnations(msg.Limits)
 	changes := g.endpointLimits.recordPeer(msg, now)
-	for id, named := range changes {
-		g.logLimit(id, named, msg.From, "")
+	for id, limit := range changes {
+		g.logLimit(id, limit, msg.From, "")
 	}
 	if changed := g.updateCoordinator(now); changed || len(changes) > 0 {
 		g.picker.notifyPeers()
@@ -277,14 +277,14 @@
 // for the new incarnation are sent for longer than that takes.
 func (g *Gateway) currentIncarnations(updates map[string]ratelimit.LimitUpdate) map[string]ratelimit.LimitUpdate {
 	var out map[string]ratelimit.LimitUpdate
-	for id, n := range updates {
-		if e, ok := g.state.Endpoint(id); !ok || e.Born != n.Born {
+	for id, update := range updates {
+		if e, ok := g.state.Endpoint(id); !ok || e.Born != update.Born {
 			continue
 		}
 		if out == nil {
 			out = make(map[string]ratelimit.LimitUpdate)
 		}
-		out[id] = n
+		out[id] = update
 	}
 	return out
 }
@@ -318,6 +318,6 @@
 		g.deps.Log.Logger().Info("Endpoint limits requests no longer.", "endpoint", endpoint, "from", source, "request", request)
 		return
 	}
-	g.meter.limitsNamed.Inc()
+	g.meter.limitsAdvertised.Inc()
 	g.deps.Log.Logger().Info("Endpoint limits requests.", "endpoint", endpoint, "per_second", limit.PerSecond, "from", source, "request", request)
 }
--- a/relay/engines_memory_test.go
+++ b/relay/engines_memory_test.go
@@ -20,7 +20,7 @@
 
 	mu                 sync.Mutex
 	alwaysUsed         bool // reservations are reported as used, whatever the script does
-	noReports          bool // queries get no answer
+	noReports          bool // queries get no response
 	waiting            int  // queue length in the reports
 	reserved, released int  // numbers of orders
 	reports            int  // number of reports
@@ -92,7 +92,7 @@
 }
 
 // handleOrder executes an order, or returns the header of a report; ok is false if there is no
-// answer.
+// response.
 func (e *testEngines) handleOrder(parts []string) (header string, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,12 +105,12 @@
 		if err != nil {
 			panic(err)
 		}
-		a := e.reservations[parts[2]]
-		if a == nil {
-			a = &testReservation{unusedSince: now}
-			e.reservations[parts[2]] = a
+		rv := e.reservations[parts[2]]
+		if rv == nil {
+			rv = &testReservation{unusedSince: now}
+			e.reservations[parts[2]] = rv
 		}
-		a.expiresAt = now.Add(time.Duration(hold) * time.Millisecond)
+		rv.expiresAt = now.Add(time.Duration(hold) * time.Millisecond)
 	case "release":
 		e.released++
 		e.endReservation(parts[2], now)
@@ -127,8 +127,8 @@
 // reservationHeader returns the header fields of a report that list the reservations. The caller
 // holds mu.
 func (e *testEngines) reservationHeader() (header string) {
-	for id, a := range e.reservations {
-		if e.alwaysUsed || a.unusedSince.IsZero() {
+	for id, rv := range e.reservations {
+		if e.alwaysUsed || rv.unusedSince.IsZero() {
 			header += "Used: " + id + "\r\n"
 		} else {
 			header += "Idle: " + id + "\r\n"
@@ -139,21 +139,21 @@
 
 // removeExpired ends the reservations that were not renewed. The caller holds mu.
 func (e *testEngines) removeExpired() {
-	for id, a := range e.reservations {
-		if time.Now().After(a.expiresAt) {
-			e.endReservation(id, a.expiresAt)
+	for id, rv := range e.reservations {
+		if time.Now().After(rv.expiresAt) {
+			e.endReservation(id, rv.expiresAt)
 		}
 	}
 }
 
 // endReservation releases memory at the given time. The caller holds mu.
 func (e *testEngines) endReservation(id string, at time.Time) {
-	a := e.reservations[id]
-	if a == nil {
+	rv := e.reservations[id]
+	if rv == nil {
 		return
 	}
-	if !a.unusedSince.IsZero() {
-		e.maxUnusedTime = max(e.maxUnusedTime, at.Sub(a.unusedSince))
+	if !rv.unusedSince.IsZero() {
+		e.maxUnusedTime = max(e.maxUnusedTime, at.Sub(rv.unusedSince))
 	}
 	delete(e.reservations, id)
 }
@@ -180,7 +180,7 @@
 	return e.maxUnusedTime, len(e.reservations)
 }
 
-func (e *testEngines) sends() int {
+func (e *testEngines) attempts() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.sent)
@@ -193,16 +193,16 @@
 	defer e.mu.Unlock()
 	e.removeExpired()
 	for _, id := range r.reservations {
-		a := e.reservations[id]
+		rv := e.reservations[id]
 		switch {
-		case a == nil:
+		case rv == nil:
 		case used:
-			if !a.unusedSince.IsZero() {
-				e.maxUnusedTime = max(e.maxUnusedTime, time.Since(a.unusedSince))
+			if !rv.unusedSince.IsZero() {
+				e.maxUnusedTime = max(e.maxUnusedTime, time.Since(rv.unusedSince))
 			}
-			a.unusedSince = time.Time{}
-		case a.unusedSince.IsZero():
-			a.unusedSince = time.Now()
+			rv.unusedSince = time.Time{}
+		case rv.unusedSince.IsZero():
+			rv.unusedSince = time.Now()
 		}
 	}
 }
--- a/relay/engines_test.go
+++ b/relay/engines_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestSlowEngines: ten of sixty engines become five times slower in a burst of long prompts. After
-// a few late answers all gateways know, and place parts there only if they are prefilled in time.
+// a few late responses all gateways know, and place parts there only if they are prefilled in time.
 // All 24 prompts of the next two seconds are in time; 8 were while the placement took all engines
 // as equally fast.
 func TestSlowEngines(t *testing.T) {
@@ -23,12 +23,12 @@
 			f.slowdowns[addressOf(6*i)] = 5
 		}
 		f.mu.Unlock()
-		turn := func(n int) int { return n % 20 }
-		f.burst(t, 12, 190000, turn)
-		r := f.burst(t, 12, 190000, turn)
+		roundRobin := func(n int) int { return n % 20 }
+		f.burst(t, 12, 190000, roundRobin)
+		r := f.burst(t, 12, 190000, roundRobin)
 		t.Logf("%+v", r)
-		if 100*r.inTime < 95*r.asked {
-			t.Errorf("%d of %d in time", r.inTime, r.asked)
+		if 100*r.inTime < 95*r.sent {
+			t.Errorf("%d of %d in time", r.inTime, r.sent)
 		}
 	})
 }
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -15,7 +15,7 @@
 
 const (
 	answered    outcome = "answered"
-	brokenOff   outcome = "broken-off"   // the answer ended early
+	brokenOff   outcome = "broken-off"   // the response ended early
 	refusedFull outcome = "refused-full" // not run: no endpoint accepted it
 	refusedBusy outcome = "refused-busy" // not run: all slots are in use
 	// refusedLimit: not run, because endpoints limit their request rate and none can accept the
@@ -23,17 +23,17 @@
 	refusedLimit outcome = "refused-limit"
 	// refusedBackoff: not run, because endpoints asked this gateway to back off and none can accept
 	// the request within its deadline.
-	refusedBackoff outcome = "refused-rest"
-	refusedKey     outcome = "refused-key"  // not run: no proof that the key is still valid
-	noRoute        outcome = "no-route"     // 404
-	unknownKey     outcome = "unknown-key"  // 401
-	badRequest     outcome = "bad-request"  // 4xx
-	mayHaveRun     outcome = "may-have-run" // 502: sent without an answer and must not be sent again
-	outOfTime      outcome = "out-of-time"  // deadline exceeded
-	callerGone     outcome = "caller-gone"  // the caller closed its connection
-	notStarted     outcome = "not-started"  // 503: no configuration is known yet
-	stopping       outcome = "stopping"     // 503: the process is about to exit
-	tooLarge       outcome = "body-too-large"
+	refusedBackoff  outcome = "refused-rest"
+	refusedKey      outcome = "refused-key"  // not run: no proof that the key is still valid
+	noRoute         outcome = "no-route"     // 404
+	unknownKey      outcome = "unknown-key"  // 401
+	badRequest      outcome = "bad-request"  // 4xx
+	mayHaveRun      outcome = "may-have-run" // 502: sent without a response and must not be sent again
+	outOfTime       outcome = "out-of-time"  // deadline exceeded
+	callerGone      outcome = "caller-gone"  // the caller closed its connection
+	notStarted      outcome = "not-started"  // 503: no configuration is known yet
+	refusedShutdown outcome = "stopping"     // 503: the process is about to exit
+	tooLarge        outcome = "body-too-large"
 	// quarantinedOutcome is a 503: endpoints crash when they run the request. One that was sent
 	// before gets a 502 and the outcome mayHaveRun.
 	quarantinedOutcome outcome = "quarantined"
@@ -47,8 +47,8 @@
 	// startupWait is how long after the start of the process its requests wait for a configuration.
 	// A host with 0.144 of a core read a configuration of 1,400 routes in 0.34 s.
 	startupWait = 500 * time.Millisecond
-	// retryAfterStop is the Retry-After of a gateway that is about to exit.
-	retryAfterStop = 50 * time.Millisecond
+	// retryAfterShutdown is the Retry-After of a gateway that is about to exit.
+	retryAfterShutdown = 50 * time.Millisecond
 	// proofWait is how long a request waits for a newer proof of the configuration.
 	proofWait = 600 * time.Millisecond
 	// proofMargin is subtracted from RevokeAfter to allow for timers that fire late.
@@ -90,18 +90,18 @@
 	mayRun            bool     // whether an attempt may have run, or may run later
 	retryGranted      bool     // whether the next attempt needs no charge to the retry budget
 	stream            *eventStream
-	firstPartAt       time.Time     // when the first part of the answer arrived
-	lastPartAt        time.Time     // when the newest part of the answer arrived
+	firstPartAt       time.Time     // when the first part of the response arrived
+	lastPartAt        time.Time     // when the newest part of the response arrived
 	maxGap            time.Duration // longest pause between two parts
 	lastError         error
-	status            int                     // status of the newest answer
-	answerBegun       bool                    // whether the newest attempt delivered a part of the answer
+	status            int                     // status of the newest response
+	responseBegun     bool                    // whether the newest attempt delivered a part of the response
 	countedSuspension time.Duration           // total suspension of the host that started and deadline account for
 	fingerprint       *quarantine.Fingerprint // see requestFingerprint; nil: not computed yet
 }
 
 // refuse answers a request that has not run with the given status, or aborts the connection if the
-// head of an answer has already been sent.
+// head of a response has already been sent.
 func (x *exchange) refuse(status int, retryAfter time.Duration, o outcome) outcome {
 	if x.stream != nil && x.stream.headSent {
 		return x.abort()
@@ -114,7 +114,7 @@
 	return o
 }
 
-// abort closes the caller's connection, so that a truncated answer does not look complete.
+// abort closes the caller's connection, so that a truncated response does not look complete.
 func (x *exchange) abort() outcome {
 	x.recordEnd(brokenOff)
 	panic(http.ErrAbortHandler)
--- a/relay/faces.go
+++ b/relay/faces.go
@@ -99,7 +99,7 @@
 	return s
 }
 
-// disableKeepAlives closes idle connections at once and the others after their next answer.
+// disableKeepAlives closes idle connections at once and the others after their next response.
 func (cs *callerServers) disableKeepAlives() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -221,10 +221,10 @@
 	return f.drops != nil && f.drops(from, to)
 }
 
-// ask places a prompt at a gateway and simulates what the engines do with it. It returns how long
-// the prompt waited for endpoints, whether it was placed, and whether endpoints of other cells took
-// part.
-func (f *testFleet) ask(ctx context.Context, gateway, tokens int) (waited time.Duration, placed, remote bool) {
+// placePrompt places a prompt at a gateway and simulates what the engines do with it. It returns
+// how long the prompt waited for endpoints, whether it was placed, and whether endpoints of other
+// cells took part.
+func (f *testFleet) placePrompt(ctx context.Context, gateway, tokens int) (waited time.Duration, placed, remote bool) {
 	start := time.Now()
 	x := &exchange{
 		g: f.gateways[gateway], w: httptest.NewRecorder(), r: httptest.NewRequestWithContext(ctx, "POST", "/", nil), call: Call{ID: "r", PromptTokens: tokens, MaxTokens: 300},
@@ -271,8 +271,8 @@
 
 // burstResult counts the prompts of a burst by result.
 type burstResult struct {
-	asked, placed, remote, quick int
-	inTime                       int // whose first event came within the objective
+	sent, placed, remote, quick int
+	inTime                      int // whose first event came within the objective
 }
 
 // burst sends prompts to the gateways that at returns, this many per second, for two seconds.
@@ -281,10 +281,10 @@
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for n := range 2 * perSecond {
-		r.asked++
+		r.sent++
 		wg.Go(func() {
 			start := time.Now()
-			waited, placed, remote := f.ask(t.Context(), at(n), tokens)
+			waited, placed, remote := f.placePrompt(t.Context(), at(n), tokens)
 			mu.Lock()
 			defer mu.Unlock()
 			if !placed {
@@ -317,9 +317,9 @@
 		time.Sleep(3 * time.Second)
 		r := f.burst(t, 40, 120_000, func(n int) int { return n % 20 })
 		t.Logf("%+v, %d overlapping parts", r, f.overlaps)
-		is.True(r.placed >= r.asked*95/100)
-		is.True(r.quick >= r.asked*80/100)
-		is.True(r.inTime >= r.asked*90/100)
+		is.True(r.placed >= r.sent*95/100)
+		is.True(r.quick >= r.sent*80/100)
+		is.True(r.inTime >= r.sent*90/100)
 	})
 }
 
@@ -332,7 +332,7 @@
 		time.Sleep(3 * time.Second)
 		r := f.burst(t, 24, 190_000, func(n int) int { return n % 4 * 5 }) // all in the first data centre
 		t.Logf("%+v, %d overlapping parts", r, f.overlaps)
-		is.True(r.placed >= r.asked*90/100)
+		is.True(r.placed >= r.sent*90/100)
 		is.True(r.remote > 0)
 		is.True(f.overlaps*100 <= r.placed*20)
 	})
@@ -390,12 +390,12 @@
 				f := newFleet(t, 5, 20, 150)
 				time.Sleep(3 * time.Second)
 				drops := c.drops(f)
-				asking := f.nonRepresentatives() // before others represent the cell
+				senders := f.nonRepresentatives() // before others represent the cell
 				f.setDrops(drops)
 				time.Sleep(2 * time.Second)
-				r := f.burst(t, 24, 190_000, func(n int) int { return asking[n%len(asking)] })
+				r := f.burst(t, 24, 190_000, func(n int) int { return senders[n%len(senders)] })
 				t.Logf("%+v, %d overlapping parts", r, f.overlaps)
-				is.True(r.placed >= r.asked*c.minPlaced/100)
+				is.True(r.placed >= r.sent*c.minPlaced/100)
 				is.True(r.remote > 0)
 			})
 		})
--- a/relay/follow.go
+++ b/relay/follow.go
@@ -19,8 +19,8 @@
 	// it, in case only they cannot reach it. It is a little less than the time that a key may be
 	// used without a proof on the strictest installations.
 	readDeferral = 4 * time.Second
-	// silentAfter is how long the store may take for one answer before peers are told that it is
-	// unavailable: twice the time of a slow answer.
+	// silentAfter is how long the store may take for one response before peers are told that it is
+	// unavailable: twice the time of a slow response.
 	silentAfter = 600 * time.Millisecond
 	// readTimeout bounds one read; a slow store answers within a quarter of it.
 	readTimeout = 1500 * time.Millisecond
--- a/relay/gateway_test.go
+++ b/relay/gateway_test.go
@@ -20,7 +20,7 @@
 func TestRelaysRequestUnchanged(t *testing.T) {
 	is := is.New(t)
 	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
-		writeAnswer(w, "203 Fine", "Seal: x\r\nTwice: 1\r\nTwice: 2\r\nKeep-Alive: timeout=5\r\n", "body")
+		writeResponse(w, "203 Fine", "Seal: x\r\nTwice: 1\r\nTwice: 2\r\nKeep-Alive: timeout=5\r\n", "body")
 	})
 	b.readSource()
 	got := b.send(t.Context(), "POST", "/safe/%2F/x?q=%20&q", "asked", http.Header{"Twice": {"1", "2"}})
@@ -39,12 +39,12 @@
 	is.Equal(string(p), "asked")
 }
 
-// TestFirstAttemptFaults checks the answer and the number of attempts by route and by the fault of
+// TestFirstAttemptFaults checks the response and the number of attempts by route and by the fault of
 // the first attempt.
 func TestFirstAttemptFaults(t *testing.T) {
 	reset := func(_ *bufio.Writer, c *net.TCPConn) { reset(c) }
-	full := func(w *bufio.Writer, _ *net.TCPConn) { writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "") }
-	failed := func(w *bufio.Writer, _ *net.TCPConn) { writeAnswer(w, "500 Failed", "", "why") }
+	full := func(w *bufio.Writer, _ *net.TCPConn) { writeResponse(w, "503 Full", "Not-Run: 1\r\n", "") }
+	failed := func(w *bufio.Writer, _ *net.TCPConn) { writeResponse(w, "500 Failed", "", "why") }
 	cut := func(w *bufio.Writer, c *net.TCPConn) {
 		_, _ = w.WriteString("HTTP/1.1 200 OK\r\nId: r1\r\nContent-Length: 9\r\n\r\nhalf")
 		_ = w.Flush()
@@ -81,7 +81,7 @@
 					tc.fault(w, c)
 					return
 				}
-				writeAnswer(w, "200 OK", "", "second\n\n")
+				writeResponse(w, "200 OK", "", "second\n\n")
 			})
 			b.readSource()
 			got := b.send(t.Context(), "POST", tc.path, "", nil)
@@ -98,7 +98,7 @@
 func TestAllEndpointsFull(t *testing.T) {
 	is := is.New(t)
 	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
-		writeAnswer(w, "503 Full", "Not-Run: 1\r\nSeal: x\r\n", "")
+		writeResponse(w, "503 Full", "Not-Run: 1\r\nSeal: x\r\n", "")
 	})
 	b.readSource()
 	got := b.send(t.Context(), "POST", "/once/", "", nil)
@@ -109,7 +109,7 @@
 }
 
 // TestStreamResumesElsewhere: a stream that breaks inside an event resumes at the other endpoint
-// after the last complete event, under the head of the first answer.
+// after the last complete event, under the head of the first response.
 func TestStreamResumesElsewhere(t *testing.T) {
 	is := is.New(t)
 	b := newTestGateway(t, func(n int, w *bufio.Writer, c *net.TCPConn, _ *http.Request) {
@@ -132,7 +132,7 @@
 }
 
 // TestStreamNotResumedForever: the caller's connection is aborted if a stream breaks at each
-// endpoint, so that the answer does not look complete.
+// endpoint, so that the response does not look complete.
 func TestStreamNotResumedForever(t *testing.T) {
 	is := is.New(t)
 	b := newTestGateway(t, func(n int, w *bufio.Writer, c *net.TCPConn, _ *http.Request) {
@@ -157,10 +157,10 @@
 			wrong = r.Header.Get("Endpoint")
 		}
 		if r.Header.Get("Endpoint") == wrong {
-			writeAnswer(w, "421 Misdirected", "", "")
+			writeResponse(w, "421 Misdirected", "", "")
 			return
 		}
-		writeAnswer(w, "200 OK", "", "")
+		writeResponse(w, "200 OK", "", "")
 	})
 	b.readSource()
 	for range 3 {
@@ -198,13 +198,13 @@
 		defer mu.Unlock()
 		switch at := c.LocalAddr().String(); {
 		case !strings.HasPrefix(r.RequestURI, "/reserve/"):
-			writeAnswer(w, "200 OK", "", "")
+			writeResponse(w, "200 OK", "", "")
 		case refused == "" || refused == at:
 			refused = at
-			writeAnswer(w, "409 Conflict", "", "")
+			writeResponse(w, "409 Conflict", "", "")
 		default:
 			reserved++
-			writeAnswer(w, "200 OK", "", "")
+			writeResponse(w, "200 OK", "", "")
 		}
 	})
 	b.configureEngines(1000, "c", "d", "e", "f", "g", "h")
@@ -229,10 +229,10 @@
 			dead = helpers[0]
 		}
 		if slices.Contains(helpers, dead) {
-			writeAnswer(w, "503 Service Unavailable", "Not-Run: 1\r\nFault: "+dead+"\r\n", "")
+			writeResponse(w, "503 Service Unavailable", "Not-Run: 1\r\nFault: "+dead+"\r\n", "")
 			return
 		}
-		writeAnswer(w, "200 OK", "", "")
+		writeResponse(w, "200 OK", "", "")
 	})
 	b.configureEngines(100000, "c", "d")
 	got := b.send(t.Context(), "POST", "/once/", "", http.Header{"Tokens": {"9000"}})
@@ -266,11 +266,11 @@
 		}
 		for _, helper := range helpers {
 			if slices.Contains(dead, helper) {
-				writeAnswer(w, "503 Service Unavailable", "Not-Run: 1\r\nFault: "+helper+"\r\n", "")
+				writeResponse(w, "503 Service Unavailable", "Not-Run: 1\r\nFault: "+helper+"\r\n", "")
 				return
 			}
 		}
-		writeAnswer(w, "200 OK", "", "")
+		writeResponse(w, "200 OK", "", "")
 	})
 	b.configureEngines(100000, "c", "d", "e", "f", "g", "h")
 	got := b.send(t.Context(), "POST", "/once/", "", http.Header{"Tokens": {"9000"}})
@@ -280,9 +280,9 @@
 	is.True(len(asked) <= 2)
 }
 
-// TestCallerDoesNotReadAnswer: a caller that reads nothing of its answer occupies the gateway no
+// TestCallerDoesNotReadResponse: a caller that reads nothing of its response occupies the gateway no
 // longer than its deadline.
-func TestCallerDoesNotReadAnswer(t *testing.T) {
+func TestCallerDoesNotReadResponse(t *testing.T) {
 	is := is.New(t)
 	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
 		_, _ = w.WriteString("HTTP/1.1 200 OK\r\nId: r1\r\n\r\n")
@@ -306,7 +306,7 @@
 // TestBodyMemoryLimit: bodies that exceed the memory for all bodies are refused as not run.
 func TestBodyMemoryLimit(t *testing.T) {
 	is := is.New(t)
-	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeAnswer(w, "200 OK", "", "") })
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeResponse(w, "200 OK", "", "") })
 	b.readSource()
 	b.gateway.config.BodyMemory = 10
 	is.Equal(b.send(t.Context(), "POST", "/once/", "0123456789", nil).status, 200)
@@ -341,14 +341,14 @@
 }
 
 // TestShutdown: a shutdown makes the gateway not ready at once and lets requests in flight finish;
-// their connections are closed after the answer.
+// their connections are closed after the response.
 func TestShutdown(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
 	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
 		close(arrived)
 		<-release
-		writeAnswer(w, "200 OK", "", "whole")
+		writeResponse(w, "200 OK", "", "whole")
 	})
 	b.readSource()
 	is.True(b.gateway.Ready())
@@ -372,7 +372,7 @@
 // process that has just started waits for it and is served. Later it is refused at once.
 func TestRequestBeforeFirstConfiguration(t *testing.T) {
 	is := is.New(t)
-	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeAnswer(w, "200 OK", "", "x") })
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeResponse(w, "200 OK", "", "x") })
 	done := make(chan response)
 	go func() { done <- b.send(t.Context(), "POST", "/safe/x", "", nil) }()
 	for b.gateway.inFlight.Load() == 0 {
--- a/relay/grant.go
+++ b/relay/grant.go
@@ -32,7 +32,7 @@
 	maxGrantEndpoints = 64
 )
 
-// grantQuestion asks the coordinator for a send to one of several endpoints with rate limits.
+// grantQuestion asks the coordinator for a grant for one of several endpoints with rate limits.
 type grantQuestion struct {
 	Service   string
 	Endpoints []string // the best first
@@ -42,7 +42,7 @@
 	Probe     bool
 }
 
-// timeout returns how long the requester waits for the answer.
+// timeout returns how long the requester waits for the response.
 func (q grantQuestion) timeout() time.Duration {
 	if q.Probe {
 		return probeGrantTimeout
@@ -50,7 +50,7 @@
 	return grantRoundTrip + min(grantHoldTime, time.Duration(q.WaitMs)*time.Millisecond)
 }
 
-// grantAnswer is the coordinator's answer to a grantQuestion.
+// grantAnswer is the coordinator's response to a grantQuestion.
 type grantAnswer struct {
 	Endpoint     string // the granted endpoint; empty if none
 	Refused      bool
@@ -62,8 +62,8 @@
 // grant is the permission to send one request to an endpoint with a rate limit.
 type grant struct {
 	endpoint string
-	// expires is when the grant lapses. Otherwise a gateway that was stalled would send all its
-	// granted requests at once.
+	// expires is when the grant becomes invalid. Without an expiry, a gateway that was stalled
+	// would send all its granted requests at once.
 	expires time.Time
 	// suspended is the total time that the host had been suspended when the grant was requested.
 	suspended time.Duration
@@ -160,7 +160,7 @@
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	g.writePeerAnswer(w, a)
+	g.writePeerResponse(w, a)
 }
 
 // maxIdleGrantConns is the number of idle connections to the coordinator that are kept: as many
@@ -174,7 +174,7 @@
 	}}
 }
 
-// post sends body as JSON and decodes the answer into into.
+// post sends body as JSON and decodes the response into into.
 func (c *peerClient) post(ctx context.Context, url string, body, into any) error {
 	p, err := json.Marshal(body)
 	if err != nil {
--- a/relay/handler.go
+++ b/relay/handler.go
@@ -38,7 +38,7 @@
 		"first_ms", x.firstPartMs(), "gap_ms", x.maxGap.Milliseconds(), "ms", time.Since(x.started).Milliseconds(), "fingerprint", x.knownFingerprint(), "err", x.lastError)
 }
 
-// firstPartMs returns the time to the first part of the answer in milliseconds, or -1 if no part
+// firstPartMs returns the time to the first part of the response in milliseconds, or -1 if no part
 // has arrived.
 func (x *exchange) firstPartMs() int64 {
 	if x.firstPartAt.IsZero() {
@@ -67,7 +67,7 @@
 	if x.g.shuttingDown.Load() {
 		x.w.Header().Set("Connection", "close")
 		if x.g.shutdownNoticed() {
-			return x.refuse(http.StatusServiceUnavailable, retryAfterStop, stopping)
+			return x.refuse(http.StatusServiceUnavailable, retryAfterShutdown, refusedShutdown)
 		}
 	}
 	x.table = x.awaitTable()
@@ -182,7 +182,7 @@
 		limit = defaultDeadline
 	}
 	x.deadline = x.started.Add(limit)
-	// A caller that does not read its answer must not keep its request open indefinitely.
+	// A caller that does not read its response must not keep its request open indefinitely.
 	if err := http.NewResponseController(x.w).SetWriteDeadline(x.deadline.Add(writeGracePeriod)); err != nil {
 		x.g.deps.Log.Request("Setting the write deadline failed.", "request", x.call.ID, "err", err)
 	}
--- a/relay/harness_test.go
+++ b/relay/harness_test.go
@@ -105,7 +105,7 @@
 }
 
 func (testProtocol) ReadReport(res *http.Response) (r EndpointReport, ok bool, err error) {
-	r.Slowdown, err = strconv.ParseFloat(res.Header.Get("Pace"), 64)
+	r.Pace, err = strconv.ParseFloat(res.Header.Get("Pace"), 64)
 	r.Waiting, _ = strconv.Atoi(res.Header.Get("Waiting")) // 0 if it is not given
 	r.Reservations = make(map[string]ReservationState)
 	for _, id := range res.Header["Idle"] {
@@ -379,12 +379,12 @@
 	return response{res.StatusCode, res.Header, string(p), err}
 }
 
-// writeAnswer writes a complete answer.
-func writeAnswer(w *bufio.Writer, status, header, body string) {
+// writeResponse writes a complete response.
+func writeResponse(w *bufio.Writer, status, header, body string) {
 	_, _ = w.WriteString("HTTP/1.1 " + status + "\r\nId: r1\r\n" + header + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body)
 }
 
-// reset resets the connection without an answer.
+// reset resets the connection without a response.
 func reset(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
--- a/relay/keys_test.go
+++ b/relay/keys_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestUnknownRouteOrKey(t *testing.T) {
-	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeAnswer(w, "200 OK", "", "") })
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeResponse(w, "200 OK", "", "") })
 	if got := b.send(t.Context(), "GET", "/safe/", "", nil); got.status != 503 {
 		t.Fatalf("status before the first configuration: %d", got.status)
 	}
@@ -40,7 +40,7 @@
 // and unknown routes and keys are not denied as unknown.
 func TestNoConfigurationProof(t *testing.T) {
 	is := is.New(t)
-	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeAnswer(w, "200 OK", "", "") })
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeResponse(w, "200 OK", "", "") })
 	b.gateway.state.ApplyConfiguration(testConfig(1))
 	b.gateway.state.RecordProof(1, time.Now().Add(-time.Hour))
 	for _, path := range []string{"/safe/", "/none/"} {
@@ -61,7 +61,7 @@
 		c.Workspaces = nil
 		b.source.setConfiguration(c, nil)
 		_ = b.gateway.readConfiguration(time.Now())
-		writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "")
+		writeResponse(w, "503 Full", "Not-Run: 1\r\n", "")
 	})
 	b.readSource()
 	got := b.send(t.Context(), "GET", "/safe/", "", nil)
@@ -73,7 +73,7 @@
 // revoked in the meantime.
 func TestKeyRevokedWhileWaiting(t *testing.T) {
 	is := is.New(t)
-	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeAnswer(w, "200 OK", "", "") })
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeResponse(w, "200 OK", "", "") })
 	is.NoErr(b.gateway.readConfiguration(time.Now())) // no endpoint is known yet
 	answers := make(chan response, 1)
 	go func() { answers <- b.send(t.Context(), "GET", "/safe/", "", nil) }()
--- a/relay/learn.go
+++ b/relay/learn.go
@@ -15,7 +15,7 @@
 	// firstStartWait is how long, on the first start of an installation, a gateway leaves reading
 	// the store to the seeds. When each of 103 gateways read the store, they made 1,218 calls in
 	// the first three seconds; with this wait they make 987, since all start together and most get
-	// no answer from a seed within seedTimeout.
+	// no response from a seed within seedTimeout.
 	firstStartWait = 10 * time.Second
 	// seedRetryInterval is the pause between two queries.
 	seedRetryInterval = 200 * time.Millisecond
--- a/relay/leaves_test.go
+++ b/relay/leaves_test.go
@@ -13,7 +13,7 @@
 
 const drainHeader = "Leaves: 1\r\n"
 
-// TestDrainIsBroadcast: gateways that got no answer from a draining endpoint learn of it from
+// TestDrainIsBroadcast: gateways that got no response from a draining endpoint learn of it from
 // peers, also if messages were lost.
 func TestDrainIsBroadcast(t *testing.T) {
 	for name, lossTime := range map[string]time.Duration{"at once": 0, "messages lost for 5 s": 5 * time.Second} {
@@ -23,12 +23,12 @@
 				f := newLimitFleet(t, 6, 4)
 				time.Sleep(2 * time.Second)
 				f.setDrops(func(int, int) bool { return lossTime > 0 })
-				f.setAnswer("", drainHeader, 0)
-				f.gateways[0].recordAnswer(catalog.Endpoint{ID: "e0"}, 0, &http.Response{StatusCode: 200, Header: http.Header{"Leaves": {"1"}}}, callerRequest, "r")
+				f.setResponse("", drainHeader, 0)
+				f.gateways[0].recordResponse(catalog.Endpoint{ID: "e0"}, 0, &http.Response{StatusCode: 200, Header: http.Header{"Leaves": {"1"}}}, callerRequest, "r")
 				time.Sleep(lossTime)
 				f.setDrops(nil)
 				if lossTime > 0 {
-					time.Sleep(3 * time.Second) // drain notices are repeated
+					time.Sleep(3 * time.Second) // drain updates are repeated
 				}
 				time.Sleep(50 * time.Millisecond)
 				for _, g := range f.gateways {
@@ -72,9 +72,9 @@
 	is.Equal(usableIDs(m), "ab")
 }
 
-// TestDrainHeardBeforeListIsRead: a drain notice that arrives before the list was read takes effect
-// with the list.
-func TestDrainHeardBeforeListIsRead(t *testing.T) {
+// TestDrainReceivedBeforeListIsRead: a drain update that arrives before the list was read takes
+// effect with the list.
+func TestDrainReceivedBeforeListIsRead(t *testing.T) {
 	is := is.New(t)
 	m := newEndpointSet()
 	isNew, changes := m.markDraining(catalog.Endpoint{ID: "b"}, "g", msAfterStart(0))
@@ -122,7 +122,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLimitFleet(t, 1, 2)
-		f.setAnswer("", drainHeader, 0, 1)
+		f.setResponse("", drainHeader, 0, 1)
 		for range 4 {
 			f.send(t.Context(), 0, 500)
 		}
@@ -141,10 +141,10 @@
 }
 
 // TestDrainAcrossRestart: a drain statement from just before a restart was noticed may be of the
-// new incarnation, so the endpoint is asked.
+// new incarnation, so the endpoint is queried.
 func TestDrainAcrossRestart(t *testing.T) {
 	for name, tc := range map[string]struct {
-		headers      string        // of the new incarnation's answers
+		headers      string        // of the new incarnation's responses
 		statedBefore time.Duration // time before the restart is noticed
 		wantQueried  bool
 		wantDraining bool
@@ -172,7 +172,7 @@
 				time.Sleep(tc.statedBefore - 500*time.Millisecond)
 				applyList()
 				time.Sleep(500 * time.Millisecond)
-				f.setAnswer("", tc.headers, 0, 1)
+				f.setResponse("", tc.headers, 0, 1)
 				began := time.Now()
 				list[0].Born = 2
 				applyList()
--- a/relay/limited.go
+++ b/relay/limited.go
@@ -102,7 +102,7 @@
 	grantModeWait grantMode = iota
 	// grantModeNow: the other endpoints are busy; the request does not wait.
 	grantModeNow
-	// grantModeProbe: other endpoints have room; the answer shows whether the limit still holds.
+	// grantModeProbe: other endpoints have room; the response shows whether the limit still holds.
 	grantModeProbe
 )
 
--- a/relay/limitfleet_test.go
+++ b/relay/limitfleet_test.go
@@ -132,7 +132,7 @@
 		for _, g := range f.gateways {
 			for e := range 4 {
 				endpoint, _ := g.state.Endpoint(fmt.Sprint("e", e))
-				g.endpointLimits.recordAnswer(endpoint, g.endpointLimits.version(endpoint.ID), ratelimit.AdvertisedLimit{}, time.Now())
+				g.endpointLimits.recordResponse(endpoint, g.endpointLimits.version(endpoint.ID), ratelimit.AdvertisedLimit{}, time.Now())
 			}
 		}
 		all.Wait()
@@ -171,8 +171,9 @@
 	})
 }
 
-// TestPartitionedGatewaysKeepTheLimit: gateways that hear only every other gateway follow two
-// coordinators. The grants of both together stay within what the engines tolerate, and are used.
+// TestPartitionedGatewaysKeepTheLimit: gateways that receive the messages of only every other
+// gateway follow two coordinators. The grants of both together stay within what the engines
+// tolerate, and are used.
 func TestPartitionedGatewaysKeepTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -253,8 +254,8 @@
 	})
 }
 
-// TestGrantLapses: a gateway that was stalled between grant and send does not send.
-func TestGrantLapses(t *testing.T) {
+// TestGrantExpires: a gateway that was stalled between grant and send does not send.
+func TestGrantExpires(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	g := &grant{endpoint: "e", expires: now.Add(grantRoundTrip), suspended: time.Second}
@@ -295,9 +296,9 @@
 	}
 }
 
-// TestLimitNamedAfterChoice: a request is not sent to an endpoint that announces a limit after it
-// was chosen.
-func TestLimitNamedAfterChoice(t *testing.T) {
+// TestLimitAdvertisedAfterChoice: a request is not sent to an endpoint that announces a limit after
+// it was chosen.
+func TestLimitAdvertisedAfterChoice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLimitFleet(t, 1, 2)
@@ -307,14 +308,14 @@
 		pl, _ := x.findPlacement(t.Context())
 		is.True(x.withinLimits(pl, time.Now()))
 		res := &http.Response{StatusCode: http.StatusOK, Header: http.Header{"Limit": {"1"}}}
-		g.recordAnswer(pl.endpoint, 0, res, gatewayQuery, "")
+		g.recordResponse(pl.endpoint, 0, res, gatewayQuery, "")
 		is.True(!x.withinLimits(pl, time.Now()))
 		_, again := x.attempt(t.Context(), pl)
 		is.True(again)
 		is.True(x.mayRepeat())
 		is.Equal(x.attempts, 0)
 		res.Header.Del("Limit")
-		g.recordAnswer(pl.endpoint, g.endpointLimits.version(pl.endpoint.ID), res, gatewayQuery, "") // the answer to a gateway's own query ends no limit
+		g.recordResponse(pl.endpoint, g.endpointLimits.version(pl.endpoint.ID), res, gatewayQuery, "") // the response to a gateway's own query ends no limit
 		is.True(g.endpointLimits.any())
 	})
 }
@@ -324,30 +325,30 @@
 func TestGrantOverHTTP(t *testing.T) {
 	is := is.New(t)
 	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
-		writeAnswer(w, "200 OK", "Limit: 5\r\n", "x")
+		writeResponse(w, "200 OK", "Limit: 5\r\n", "x")
 	})
 	b.readSource()
 	server := httptest.NewServer(b.gateway.PeerHandler())
 	defer server.Close()
 	client := newGrantClient(int(netip.MustParseAddrPort(server.Listener.Addr().String()).Port()))
-	ask := func(q grantQuestion) (a grantAnswer, err error) {
+	post := func(q grantQuestion) (a grantAnswer, err error) {
 		err = client.post(t.Context(), server.URL+pathGrant, q, &a)
 		return a, err
 	}
-	_, err := ask(grantQuestion{Service: "s", Endpoints: []string{"a"}})
+	_, err := post(grantQuestion{Service: "s", Endpoints: []string{"a"}})
 	is.True(err != nil) // no limit is known
 	is.Equal(b.send(t.Context(), "POST", "/safe/x", "", nil).status, 200)
 	is.True(b.gateway.endpointLimits.any())
 	for !b.grantable() {
 		time.Sleep(10 * time.Millisecond)
 	}
-	named := "a"
+	limitedID := "a"
 	if _, ok := b.gateway.endpointLimits.limit("a"); !ok {
-		named = "b"
+		limitedID = "b"
 	}
-	a, err := ask(grantQuestion{Service: "s", Endpoints: []string{named}, WaitMs: 1000})
+	a, err := post(grantQuestion{Service: "s", Endpoints: []string{limitedID}, WaitMs: 1000})
 	is.NoErr(err)
-	is.True(a.Endpoint == named || !a.Refused) // the grant may take longer than grantHoldTime
+	is.True(a.Endpoint == limitedID || !a.Refused) // the grant may take longer than grantHoldTime
 	res, err := http.Post(server.URL+pathGrant, "application/json", http.NoBody)
 	is.NoErr(err)
 	_ = res.Body.Close()
--- a/relay/limitharness_test.go
+++ b/relay/limitharness_test.go
@@ -19,10 +19,10 @@
 	*testFleet
 	mu           sync.Mutex
 	limits       map[string]string // by address
-	extraHeaders map[string]string // additional header lines of answers, by address
-	statuses     map[string]string // of answers, by address; 200 if empty
+	extraHeaders map[string]string // additional header lines of responses, by address
+	statuses     map[string]string // of responses, by address; 200 if empty
 	arrivals     map[string][]time.Time
-	answerTime   time.Duration   // time that engines take to answer
+	responseTime time.Duration   // time that engines take to answer
 	onDial       func()          // called for each connection; nil if not needed
 	silent       map[string]bool // gateways that do not answer grant requests
 	answered     int
@@ -63,10 +63,10 @@
 	if f.onDial != nil {
 		f.onDial()
 	}
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	go func() {
-		defer func() { _ = far.Close() }()
-		br := bufio.NewReader(far)
+		defer func() { _ = server.Close() }()
+		br := bufio.NewReader(server)
 		for {
 			if _, err := http.ReadRequest(br); err != nil {
 				return
@@ -75,19 +75,19 @@
 			f.arrivals[address] = append(f.arrivals[address], time.Now())
 			limit := f.limits[address]
 			f.mu.Unlock()
-			time.Sleep(f.answerTime)
+			time.Sleep(f.responseTime)
 			f.mu.Lock()
 			headers, status := f.extraHeaders[address], cmp.Or(f.statuses[address], "200 OK")
 			f.mu.Unlock()
 			if limit != "" {
 				headers += "Limit: " + limit + "\r\n"
 			}
-			if _, err := fmt.Fprintf(far, "HTTP/1.1 %s\r\nPace: 1\r\n%sContent-Length: 0\r\n\r\n", status, headers); err != nil {
+			if _, err := fmt.Fprintf(server, "HTTP/1.1 %s\r\nPace: 1\r\n%sContent-Length: 0\r\n\r\n", status, headers); err != nil {
 				return
 			}
 		}
 	}()
-	return near, nil
+	return client, nil
 }
 
 // setLimit makes engines announce a limit from now on; empty means none.
@@ -99,8 +99,8 @@
 	}
 }
 
-// setAnswer sets the status of engines' answers, empty for 200, and additional header lines.
-func (f *limitFleet) setAnswer(status, headers string, engines ...int) {
+// setResponse sets the status of engines' responses, empty for 200, and additional header lines.
+func (f *limitFleet) setResponse(status, headers string, engines ...int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range engines {
@@ -150,7 +150,7 @@
 	return r
 }
 
-// exchange returns a caller's request at a gateway, not yet placed, and the recorder of its answer.
+// exchange returns a caller's request at a gateway, not yet placed, and the recorder of its response.
 func (f *limitFleet) exchange(ctx context.Context, gateway, tokens int) (*exchange, *httptest.ResponseRecorder) {
 	began := time.Now()
 	w := httptest.NewRecorder()
--- a/relay/members.go
+++ b/relay/members.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// returnWindow is how long after the store's return an endpoint whose entry lapsed may still
+	// returnWindow is how long after the store's return an endpoint whose entry expired may still
 	// come back; the platform documents about two seconds.
 	returnWindow = 2 * time.Second
-	// massLapseWindow is how long endpoints are kept while the store is suspected, see
-	// massLapseRatio: half of the time within which an endpoint that left must get no more
+	// massExpiryWindow is how long endpoints are kept while the store is suspected, see
+	// massExpiryRatio: half of the time within which an endpoint that left must get no more
 	// requests.
-	massLapseWindow = time.Second
-	// massLapseRatio is the part of a service's endpoints that has to be missing from one list for
+	massExpiryWindow = time.Second
+	// massExpiryRatio is the part of a service's endpoints that has to be missing from one list for
 	// the store to be suspected rather than the endpoints.
-	massLapseRatio = 0.5
+	massExpiryRatio = 0.5
 	// staleEntryWindow is how long after a restore of the store from an older copy an entry may
 	// belong to an endpoint that is gone: three missed heartbeats of 1.2 s plus a margin.
 	staleEntryWindow = 6 * time.Second
@@ -38,7 +38,7 @@
 type EndpointChange struct {
 	Endpoint catalog.Endpoint
 	Kind     ChangeKind
-	// Source is where the change was reported: the store's list, an answer of the endpoint, or a
+	// Source is where the change was reported: the store's list, a response of the endpoint, or a
 	// gateway, given by name.
 	Source string
 }
@@ -50,7 +50,7 @@
 const (
 	changeNew       ChangeKind = "new"
 	changeDraining  ChangeKind = "draining"  // it accepts no new requests
-	changeMissing   ChangeKind = "missing"   // its entry lapsed, perhaps because of the store
+	changeMissing   ChangeKind = "missing"   // its entry expired, perhaps because of the store
 	changeGone      ChangeKind = "gone"      // it gets no more requests
 	changeRestarted ChangeKind = "restarted" // under the same ID; state from before the restart is lost
 )
@@ -60,7 +60,7 @@
 type endpointSet struct {
 	known        map[string]catalog.Endpoint // Draining is set whatever the source
 	drains       *availability.DrainTable
-	missingSince map[string]time.Time // entries that lapsed, and when that was noticed
+	missingSince map[string]time.Time // entries that expired, and when that was noticed
 	// departed holds endpoints that were known and are gone. An older copy of the store may list
 	// them again.
 	departed   map[string]departure
@@ -92,27 +92,27 @@
 }
 
 // applyList applies a list that was read at now. An entry that disappeared while the store could be
-// read means that the endpoint has left; an entry that lapsed with the store may come back within
+// read means that the endpoint has left; an entry that expired with the store may come back within
 // returnWindow. An entry that became unreadable is not in the list and counts as one that
 // disappeared, since it gives no address to send to. Its endpoint keeps the requests that it works
 // on and comes back with the next entry that it writes.
-func (m *endpointSet) applyList(list []catalog.Endpoint, now, storeFailed time.Time) []EndpointChange {
+func (s *endpointSet) applyList(list []catalog.Endpoint, now, storeFailed time.Time) []EndpointChange {
 	var changes []EndpointChange
 	present := make(map[string]bool, len(list))
 	for _, e := range list {
-		if m.isStale(e, now) {
+		if s.isStale(e, now) {
 			continue
 		}
 		present[e.ID] = true
-		delete(m.missingSince, e.ID)
-		old, ok := m.known[e.ID]
+		delete(s.missingSince, e.ID)
+		old, ok := s.known[e.ID]
 		if old.RestartedAs(e) {
-			m.drains.Restarted(e, m.previousIncarnationListedAt(now), now)
+			s.drains.Restarted(e, s.previousIncarnationListedAt(now), now)
 		}
 		if e.Draining {
-			m.drains.Add(e, availability.FromStore, now)
+			s.drains.Add(e, availability.FromStore, now)
 		}
-		_, e.Draining = m.drains.Lookup(e)
+		_, e.Draining = s.drains.Lookup(e)
 		switch {
 		case !ok:
 			changes = append(changes, EndpointChange{e, changeNew, availability.FromStore})
@@ -121,99 +121,99 @@
 		case e.Draining && !old.Draining:
 			changes = append(changes, EndpointChange{e, changeDraining, availability.FromStore})
 		}
-		m.known[e.ID] = e
+		s.known[e.ID] = e
 	}
-	m.forgetDeparted(now)
-	m.drains.Expire(func(id string) (catalog.Endpoint, bool) { return m.known[id], present[id] }, now)
-	lapsed := m.massLapsed(present)
-	for id, e := range m.known {
+	s.forgetDeparted(now)
+	s.drains.Expire(func(id string) (catalog.Endpoint, bool) { return s.known[id], present[id] }, now)
+	expired := s.massExpired(present)
+	for id, e := range s.known {
 		if present[id] {
 			continue
 		}
-		since, seen := m.missingSince[id]
+		since, seen := s.missingSince[id]
 		if !seen {
 			since = now
 		}
-		if !e.Draining && m.mayReturn(since, now, storeFailed, lapsed[e.Service]) {
+		if !e.Draining && s.mayReturn(since, now, storeFailed, expired[e.Service]) {
 			if !seen {
-				m.missingSince[id] = now
+				s.missingSince[id] = now
 				changes = append(changes, EndpointChange{e, changeMissing, availability.FromStore})
 			}
 			continue
 		}
-		delete(m.known, id)
-		delete(m.missingSince, id)
-		m.departed[id] = departure{e, now}
+		delete(s.known, id)
+		delete(s.missingSince, id)
+		s.departed[id] = departure{e, now}
 		changes = append(changes, EndpointChange{e, changeGone, availability.FromStore})
 	}
-	m.sort()
+	s.sort()
 	return changes
 }
 
 // mayReadOldCopy reports whether lists may still come from an older copy of the store and contain
 // earlier incarnations.
-func (m *endpointSet) mayReadOldCopy(now time.Time) bool {
-	return !m.restoredAt.IsZero() && now.Sub(m.restoredAt) <= staleEntryWindow
+func (s *endpointSet) mayReadOldCopy(now time.Time) bool {
+	return !s.restoredAt.IsZero() && now.Sub(s.restoredAt) <= staleEntryWindow
 }
 
 // previousIncarnationListedAt returns when the previous incarnation was certainly the running one;
 // zero if that is not known, since a list from an older copy may contain it again.
-func (m *endpointSet) previousIncarnationListedAt(now time.Time) time.Time {
-	if m.mayReadOldCopy(now) {
+func (s *endpointSet) previousIncarnationListedAt(now time.Time) time.Time {
+	if s.mayReadOldCopy(now) {
 		return time.Time{}
 	}
-	return m.listSentAt
+	return s.listSentAt
 }
 
-// revokeUncertainDrain records an answer without a drain statement of an endpoint whose drain is
+// revokeUncertainDrain records a response without a drain statement of an endpoint whose drain is
 // uncertain. It reports whether the endpoint accepts requests again.
-func (m *endpointSet) revokeUncertainDrain(e catalog.Endpoint) bool {
-	m.drains.RevokeUncertain(e)
-	known, ok := m.known[e.ID]
-	if _, draining := m.drains.Lookup(known); !ok || draining || !known.Draining {
+func (s *endpointSet) revokeUncertainDrain(e catalog.Endpoint) bool {
+	s.drains.RevokeUncertain(e)
+	known, ok := s.known[e.ID]
+	if _, draining := s.drains.Lookup(known); !ok || draining || !known.Draining {
 		return false
 	}
 	known.Draining = false
-	m.known[e.ID] = known
-	m.sort()
+	s.known[e.ID] = known
+	s.sort()
 	return true
 }
 
 // markDraining records that a source other than the store reports an endpoint as draining. It
 // reports whether that is new, and returns the change if the endpoint is known.
-func (m *endpointSet) markDraining(e catalog.Endpoint, source string, now time.Time) (isNew bool, changes []EndpointChange) {
-	known, ok := m.known[e.ID]
-	if ok && known.RestartedAs(e) || !m.drains.Add(e, source, now) {
+func (s *endpointSet) markDraining(e catalog.Endpoint, source string, now time.Time) (isNew bool, changes []EndpointChange) {
+	known, ok := s.known[e.ID]
+	if ok && known.RestartedAs(e) || !s.drains.Add(e, source, now) {
 		return false, nil // an earlier incarnation, or a repeated report
 	}
 	if !ok || known.Draining {
 		return true, nil
 	}
 	known.Draining = true
-	m.known[e.ID] = known
-	m.sort()
+	s.known[e.ID] = known
+	s.sort()
 	return true, []EndpointChange{{known, changeDraining, source}}
 }
 
 // lastResort returns the endpoints of a service, by cell, that announced their drain recently. They
 // still accept requests while no other endpoint does.
-func (m *endpointSet) lastResort(service string, now time.Time) map[string][]catalog.Endpoint {
+func (s *endpointSet) lastResort(service string, now time.Time) map[string][]catalog.Endpoint {
 	var out map[string][]catalog.Endpoint
-	for _, e := range m.known {
-		if e.Service != service || !m.recentlyDraining(e, now) {
+	for _, e := range s.known {
+		if e.Service != service || !s.recentlyDraining(e, now) {
 			continue
 		}
 		if out == nil {
 			out = make(map[string][]catalog.Endpoint)
 		}
-		name := m.cells.Of(e.DataCentre)
+		name := s.cells.Of(e.DataCentre)
 		out[name] = append(out[name], e)
 	}
 	return out
 }
 
-func (m *endpointSet) recentlyDraining(e catalog.Endpoint, now time.Time) bool {
-	drain, ok := m.drains.Lookup(e)
+func (s *endpointSet) recentlyDraining(e catalog.Endpoint, now time.Time) bool {
+	drain, ok := s.drains.Lookup(e)
 	return ok && now.Sub(drain.Since) < lastResortWindow
 }
 
@@ -221,49 +221,49 @@
 // endpoint that has left. An endpoint that had announced its drain never comes back in the same
 // incarnation. One whose entry had only disappeared may: it counts again once its entry outlives
 // the heartbeats that a departed endpoint would miss.
-func (m *endpointSet) isStale(e catalog.Endpoint, now time.Time) bool {
-	dep, ok := m.departed[e.ID]
+func (s *endpointSet) isStale(e catalog.Endpoint, now time.Time) bool {
+	dep, ok := s.departed[e.ID]
 	if !ok {
 		return false
 	}
 	if dep.endpoint.RestartedAs(e) || now.Sub(dep.at) > departedRetention {
-		delete(m.departed, e.ID)
+		delete(s.departed, e.ID)
 		return false
 	}
 	if dep.endpoint.Draining {
 		return true
 	}
-	if dep.at.Before(m.restoredAt) && now.Sub(m.restoredAt) < staleEntryWindow {
+	if dep.at.Before(s.restoredAt) && now.Sub(s.restoredAt) < staleEntryWindow {
 		return true
 	}
-	delete(m.departed, e.ID)
+	delete(s.departed, e.ID)
 	return false
 }
 
 // mayReturn reports whether an endpoint that has been missing since that time may come back,
-// because its entry lapsed with the store or is missing in an older copy of it.
-func (m *endpointSet) mayReturn(since, now, storeFailed time.Time, massLapsed bool) bool {
-	for _, unavailableAt := range []time.Time{storeFailed, m.restoredAt} {
+// because its entry expired with the store or is missing in an older copy of it.
+func (s *endpointSet) mayReturn(since, now, storeFailed time.Time, massExpired bool) bool {
+	for _, unavailableAt := range []time.Time{storeFailed, s.restoredAt} {
 		if !unavailableAt.IsZero() && now.Sub(unavailableAt) < returnWindow {
 			return true
 		}
 	}
-	return massLapsed && now.Sub(since) < massLapseWindow
+	return massExpired && now.Sub(since) < massExpiryWindow
 }
 
 // forgetDeparted drops endpoints that left so long ago that no copy contains them.
-func (m *endpointSet) forgetDeparted(now time.Time) {
-	for id, dep := range m.departed {
+func (s *endpointSet) forgetDeparted(now time.Time) {
+	for id, dep := range s.departed {
 		if now.Sub(dep.at) > departedRetention {
-			delete(m.departed, id)
+			delete(s.departed, id)
 		}
 	}
 }
 
-// massLapsed returns the services of which most endpoints are missing at once.
-func (m *endpointSet) massLapsed(present map[string]bool) map[string]bool {
+// massExpired returns the services of which most endpoints are missing at once.
+func (s *endpointSet) massExpired(present map[string]bool) map[string]bool {
 	all, missing := make(map[string]int), make(map[string]int)
-	for id, e := range m.known {
+	for id, e := range s.known {
 		all[e.Service]++
 		if !present[id] {
 			missing[e.Service]++
@@ -271,64 +271,64 @@
 	}
 	out := make(map[string]bool)
 	for service, n := range missing {
-		out[service] = n > 1 && float64(n) >= massLapseRatio*float64(all[service])
+		out[service] = n > 1 && float64(n) >= massExpiryRatio*float64(all[service])
 	}
 	return out
 }
 
 // sort orders the endpoints in the same way at every gateway.
-func (m *endpointSet) sort() {
-	m.usableByService = make(map[string][]catalog.Endpoint)
-	for _, e := range m.known {
+func (s *endpointSet) sort() {
+	s.usableByService = make(map[string][]catalog.Endpoint)
+	for _, e := range s.known {
 		if !e.Draining {
-			m.usableByService[e.Service] = append(m.usableByService[e.Service], e)
+			s.usableByService[e.Service] = append(s.usableByService[e.Service], e)
 		}
 	}
-	for _, list := range m.usableByService {
+	for _, list := range s.usableByService {
 		slices.SortFunc(list, func(a, b catalog.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	}
-	m.groupCells()
+	s.groupCells()
 }
 
 // groupCells derives the cells from the data centres of the service with the most endpoints. If any
 // configured service has endpoints, only configured ones count, so that entries of other services
 // cannot change the cells.
-func (m *endpointSet) groupCells() {
+func (s *endpointSet) groupCells() {
 	var most []catalog.Endpoint
-	known := slices.ContainsFunc(m.services, func(name string) bool { return len(m.usableByService[name]) > 0 })
-	for _, service := range slices.Sorted(maps.Keys(m.usableByService)) {
-		if known && !slices.Contains(m.services, service) {
+	known := slices.ContainsFunc(s.services, func(name string) bool { return len(s.usableByService[name]) > 0 })
+	for _, service := range slices.Sorted(maps.Keys(s.usableByService)) {
+		if known && !slices.Contains(s.services, service) {
 			continue
 		}
-		if len(m.usableByService[service]) > len(most) {
-			most = m.usableByService[service]
+		if len(s.usableByService[service]) > len(most) {
+			most = s.usableByService[service]
 		}
 	}
 	count := make(map[string]int)
 	for _, e := range most {
 		count[e.DataCentre]++
 	}
-	m.cells = cell.Group(count)
-	m.usableByCell = make(map[string]map[string][]catalog.Endpoint, len(m.usableByService))
-	for service, list := range m.usableByService {
+	s.cells = cell.Group(count)
+	s.usableByCell = make(map[string]map[string][]catalog.Endpoint, len(s.usableByService))
+	for service, list := range s.usableByService {
 		cells := make(map[string][]catalog.Endpoint)
 		for _, e := range list {
-			name := m.cells.Of(e.DataCentre)
+			name := s.cells.Of(e.DataCentre)
 			cells[name] = append(cells[name], e)
 		}
-		m.usableByCell[service] = cells
+		s.usableByCell[service] = cells
 	}
 }
 
-func (m *endpointSet) usable(service string) []catalog.Endpoint { return m.usableByService[service] }
+func (s *endpointSet) usable(service string) []catalog.Endpoint { return s.usableByService[service] }
 
-func (m *endpointSet) endpoint(id string) (catalog.Endpoint, bool) {
-	e, ok := m.known[id]
+func (s *endpointSet) endpoint(id string) (catalog.Endpoint, bool) {
+	e, ok := s.known[id]
 	return e, ok && !e.Draining
 }
 
 // acceptsRequests reports whether a request may be sent to an endpoint now.
-func (m *endpointSet) acceptsRequests(id string, now time.Time) bool {
-	e, ok := m.known[id]
-	return ok && (!e.Draining || len(m.usableByService[e.Service]) == 0 && m.recentlyDraining(e, now))
+func (s *endpointSet) acceptsRequests(id string, now time.Time) bool {
+	e, ok := s.known[id]
+	return ok && (!e.Draining || len(s.usableByService[e.Service]) == 0 && s.recentlyDraining(e, now))
 }
--- a/relay/members_test.go
+++ b/relay/members_test.go
@@ -67,8 +67,8 @@
 		{"the store is suspected if most entries are missing at once", []step{
 			{endpoints("a", "b", "c"), 0, never, "abc"},
 			{endpoints("a"), 10, never, "abc"},
-			{endpoints("a"), 9 + int(massLapseWindow.Milliseconds()), never, "abc"},
-			{endpoints("a"), 10 + int(massLapseWindow.Milliseconds()), never, "a"},
+			{endpoints("a"), 9 + int(massExpiryWindow.Milliseconds()), never, "abc"},
+			{endpoints("a"), 10 + int(massExpiryWindow.Milliseconds()), never, "a"},
 		}},
 		{"a draining endpoint is not kept because of the store's return", []step{
 			{endpoints("a", "b", "c"), 0, never, "abc"}, {draining, 10, never, "ac"}, {endpoints("a", "c"), 5100, msAfterStart(5000), "ac"},
--- a/relay/memoryuse.go
+++ b/relay/memoryuse.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// queryAfter is how long an answer may stay silent before an endpoint is asked whether the
+	// queryAfter is how long a response may stay silent before an endpoint is queried for whether the
 	// memory reserved there is in use. Events arrive every 100 to 500 ms, so that streams cause no
 	// queries; the prefill of a prompt, which takes one to four seconds, causes one each second.
 	queryAfter = renewInterval
@@ -15,7 +15,7 @@
 	// tick late.
 	tickTolerance = renewInterval / 4
 	// maxUnusedAfterUse is how long memory that was in use may be unused before it is released: the
-	// request is then over and its answer lost. A request that an engine preempted and prefills
+	// request is then over and its response lost. A request that an engine preempted and prefills
 	// again uses the memory again within a pass or two, well below a second. With one query a
 	// second, the memory is released after three seconds at most; four are allowed.
 	maxUnusedAfterUse = 2 * time.Second
@@ -23,7 +23,7 @@
 
 // unusedLimits is how long memory may stay reserved without evidence that it is in use.
 type unusedLimits struct {
-	// notQueued applies to memory that was never used while no request waits at the generating
+	// notQueued applies to memory that was never used while no request waits at the decoding
 	// endpoint; queued applies while requests wait there, or if the endpoint does not answer.
 	notQueued, queued time.Duration
 }
@@ -44,7 +44,7 @@
 
 const (
 	renewMemory   usageAction = iota // renew the reservations
-	queryUsage                       // renew them, and ask whether the memory is in use
+	queryUsage                       // renew them, and query whether the memory is in use
 	releaseUnused                    // the memory is not in use: end the attempt and release it
 )
 
@@ -56,15 +56,15 @@
 	mu         sync.Mutex
 	lastUsed   time.Time // newest evidence of use; before there is any, when the memory was reserved
 	everUsed   bool      // whether there was any evidence of use
-	lastQueued time.Time // when a request was last known to wait at the generating endpoint
-	queries    int       // how often an endpoint was asked
+	lastQueued time.Time // when a request was last known to wait at the decoding endpoint
+	queries    int       // how often an endpoint was queried
 }
 
 func newMemoryUsage(l unusedLimits, now time.Time) *memoryUsage {
 	return &memoryUsage{limits: l, lastUsed: now, lastQueued: now}
 }
 
-// recordUse records that the memory was in use at that time: a part of the answer arrived, or an
+// recordUse records that the memory was in use at that time: a part of the response arrived, or an
 // endpoint reported the use.
 func (u *memoryUsage) recordUse(at time.Time) {
 	u.mu.Lock()
@@ -89,8 +89,8 @@
 	}
 }
 
-// recordUnused records the answer to a query sent at queriedAt that the reserved memory is not in
-// use. queued is set if requests wait at the generating endpoint, or if it does not answer. It
+// recordUnused records the response to a query sent at queriedAt that the reserved memory is not in
+// use. queued is set if requests wait at the decoding endpoint, or if it does not answer. It
 // reports whether the memory is to be released.
 func (u *memoryUsage) recordUnused(queriedAt time.Time, queued bool) bool {
 	u.mu.Lock()
@@ -114,7 +114,7 @@
 	return now.Sub(u.lastUsed)
 }
 
-// nextQuery returns which of n endpoints to ask next. It rotates, because an endpoint may not
+// nextQuery returns which of n endpoints to query next. It rotates, because an endpoint may not
 // answer.
 func (u *memoryUsage) nextQuery(n int) int {
 	u.mu.Lock()
--- a/relay/memoryuse_test.go
+++ b/relay/memoryuse_test.go
@@ -29,8 +29,8 @@
 	maxUnusedAfterLastUse = 4 * time.Second
 )
 
-// memoryTestGateway is a gateway with four engines under virtual time; a prompt of oversizePrompt tokens
-// needs the memory of two of them.
+// memoryTestGateway is a gateway with four engines under virtual time; a prompt of oversizePrompt
+// tokens needs the memory of two of them.
 type memoryTestGateway struct {
 	gateway   *Gateway
 	engines   *testEngines
@@ -43,9 +43,9 @@
 )
 
 // newMemoryTestGateway starts the gateway; it must be called in a synctest bubble.
-func newMemoryTestGateway(t *testing.T, play engineScript) *memoryTestGateway {
+func newMemoryTestGateway(t *testing.T, script engineScript) *memoryTestGateway {
 	t.Helper()
-	b := &memoryTestGateway{engines: newTestEngines(play)}
+	b := &memoryTestGateway{engines: newTestEngines(script)}
 	events := eventlog.New(io.Discard, eventlog.Options{Level: log.InfoLevel, LinesPerSecond: 100})
 	b.gateway = New(Config{
 		Name: "g", UnusedMemory: maxUnused, DrainTime: time.Minute, Policy: balance.Default(),
@@ -70,16 +70,16 @@
 	return b
 }
 
-// ask sends an oversize prompt on a route and returns the answer and how long it took.
-func (b *memoryTestGateway) ask(t *testing.T, route string) (*httptest.ResponseRecorder, time.Duration) {
+// send sends an oversize prompt on a route and returns the response and how long it took.
+func (b *memoryTestGateway) send(t *testing.T, route string) (*httptest.ResponseRecorder, time.Duration) {
 	start := time.Now()
 	w := httptest.NewRecorder()
-	b.askWith(t, route, w)
+	b.sendTo(t, route, w)
 	return w, time.Since(start)
 }
 
-// askWith sends an oversize prompt on a route and writes the answer to w.
-func (b *memoryTestGateway) askWith(t *testing.T, route string, w http.ResponseWriter) {
+// sendTo sends an oversize prompt on a route and writes the response to w.
+func (b *memoryTestGateway) sendTo(t *testing.T, route string, w http.ResponseWriter) {
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/"+route+"/1", strings.NewReader("x"))
 	r.Host = "h.example"
 	r.Header = http.Header{"Id": {"r1"}, "Key": {"k"}, "Tokens": {strconv.Itoa(oversizePrompt)}, "Wait-Ms": {"15000"}}
@@ -91,10 +91,10 @@
 	b.gateway.ServeHTTP(w, r)
 }
 
-// completeAnswer is the answer that the scripts in this file send.
-const completeAnswer = "id: 1\ndata: d1\n\nid: 2\ndata: d2\n\n"
+// completeResponse is the response that the scripts in this file send.
+const completeResponse = "id: 1\ndata: d1\n\nid: 2\ndata: d2\n\n"
 
-// serveComplete uses the memory and sends the complete answer.
+// serveComplete uses the memory and sends the complete response.
 func serveComplete(r *engineRun) {
 	r.setUsed(true)
 	time.Sleep(time.Second)
@@ -105,13 +105,13 @@
 }
 
 // TestUnusedMemoryIsReleased: an engine never started a prompt that needs the memory of several
-// engines, or its answer was lost. The gateway took waiting for the answer for use and renewed the
-// reservations until the caller's deadline: memory stayed reserved without use for over 13 s, and
-// over a tenth of the longest prompts was not served.
+// engines, or its response was lost. The gateway took waiting for the response for use and renewed
+// the reservations until the caller's deadline: memory stayed reserved without use for over 13 s,
+// and over a tenth of the longest prompts was not served.
 func TestUnusedMemoryIsReleased(t *testing.T) {
 	// A prompt that needs the memory of several engines gets it reserved at all of them but the
-	// generating one, which it is sent to. In the failure, the engines with the memory reported it as
-	// reserved and unused from the first second to the fourteenth, while the generating engine had
+	// decoding one, which it is sent to. In the failure, the engines with the memory reported it as
+	// reserved and unused from the first second to the fourteenth, while the decoding engine had
 	// neither this prompt in its queue nor other work. It happened twice within a second.
 	first := func(script func(r *engineRun)) engineScript {
 		return func(n int, r *engineRun) {
@@ -148,22 +148,22 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				b := newMemoryTestGateway(t, tc.script)
-				w, took := b.ask(t, "stream")
-				t.Logf("status %d after %v, %d attempts, unused for %v", w.Code, took, b.engines.sends(), b.engines.longestUnused())
+				w, took := b.send(t, "stream")
+				t.Logf("status %d after %v, %d attempts, unused for %v", w.Code, took, b.engines.attempts(), b.engines.longestUnused())
 				time.Sleep(maxUnusedAfterLastUse)
 				unused, left := b.engines.memoryState()
 				is.True(unused <= tc.maxUnused) // memory stayed reserved without use for too long
 				is.Equal(left, 0)
-				is.Equal(b.engines.sends(), 2)
+				is.Equal(b.engines.attempts(), 2)
 				is.Equal(w.Code, http.StatusOK) // from another engine, within the caller's deadline
-				is.Equal(w.Body.String(), completeAnswer)
+				is.Equal(w.Body.String(), completeResponse)
 			})
 		})
 	}
 }
 
 // TestSlowPromptKeepsItsMemory: a prompt keeps its reservation and its endpoint while it waits in a
-// queue that moves, while its prefill takes long, and while its answer pauses.
+// queue that moves, while its prefill takes long, and while its response pauses.
 func TestSlowPromptKeepsItsMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -177,10 +177,10 @@
 			r.writeEvent(2)
 			r.endStream()
 		})
-		w, _ := b.ask(t, "stream")
+		w, _ := b.send(t, "stream")
 		is.Equal(w.Code, http.StatusOK)
-		is.Equal(w.Body.String(), completeAnswer)
-		is.Equal(b.engines.sends(), 1)
+		is.Equal(w.Body.String(), completeResponse)
+		is.Equal(b.engines.attempts(), 1)
 		time.Sleep(time.Second)
 		_, left := b.engines.memoryState()
 		is.Equal(left, 0)
@@ -188,7 +188,7 @@
 }
 
 // TestUnusedMemoryWithoutReports: if no endpoint answers whether its memory is in use, a prompt
-// without an answer keeps it no longer than allowed either.
+// without a response keeps it no longer than allowed either.
 func TestUnusedMemoryWithoutReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -200,13 +200,13 @@
 			serveComplete(r)
 		})
 		b.engines.noReports = true
-		w, _ := b.ask(t, "stream")
+		w, _ := b.send(t, "stream")
 		time.Sleep(maxUnusedAfterLastUse)
 		unused, left := b.engines.memoryState()
 		is.True(unused <= maxUnused)
 		is.Equal(left, 0)
 		is.Equal(w.Code, http.StatusOK)
-		is.Equal(w.Body.String(), completeAnswer)
+		is.Equal(w.Body.String(), completeResponse)
 	})
 }
 
@@ -226,9 +226,9 @@
 			r.endStream()
 		})
 		b.engines.noReports = true
-		w, _ := b.ask(t, "stream")
+		w, _ := b.send(t, "stream")
 		is.Equal(strings.Count(w.Body.String(), "data: "), events)
-		is.Equal(b.engines.sends(), 1)
+		is.Equal(b.engines.attempts(), 1)
 	})
 }
 
@@ -238,10 +238,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newMemoryTestGateway(t, func(_ int, r *engineRun) { r.hang() })
-		w, took := b.ask(t, "story")
+		w, took := b.send(t, "story")
 		is.Equal(w.Code, http.StatusBadGateway)
 		is.True(took <= maxUnused)
-		is.Equal(b.engines.sends(), 1)
+		is.Equal(b.engines.attempts(), 1)
 		time.Sleep(time.Second)
 		unused, left := b.engines.memoryState()
 		is.True(unused <= maxUnused)
@@ -264,7 +264,7 @@
 }
 
 // TestSlowCallerReleasesMemory: a run is over and its memory unused while its caller does not read.
-// The memory is released, and the rest of the answer, which is ready, is still delivered.
+// The memory is released, and the rest of the response, which is ready, is still delivered.
 func TestSlowCallerReleasesMemory(t *testing.T) {
 	for _, route := range []string{"stream", "story"} {
 		synctest.Test(t, func(t *testing.T) {
@@ -273,14 +273,14 @@
 				r.setUsed(true)
 				r.writeHead()
 				r.writeEvent(1)
-				r.setUsed(false) // the rest of the answer is in the connection
+				r.setUsed(false) // the rest of the response is in the connection
 				r.writeEvent(2)
 				r.endStream()
 			})
 			w := &slowCaller{httptest.NewRecorder(), 8 * time.Second}
-			b.askWith(t, route, w)
-			is.Equal(w.Body.String(), completeAnswer)
-			is.Equal(b.engines.sends(), 1)
+			b.sendTo(t, route, w)
+			is.Equal(w.Body.String(), completeResponse)
+			is.Equal(b.engines.attempts(), 1)
 			unused, left := b.engines.memoryState()
 			is.True(unused <= maxUnusedAfterLastUse)
 			is.Equal(left, 0)
@@ -319,10 +319,10 @@
 		return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
 	}
 	const (
-		used   = 'u' // reported by a part of the answer or by an endpoint
+		used   = 'u' // reported by a part of the response or by an endpoint
 		unused = 'i' // an endpoint reports that it is not used, and nothing is queued
-		queued = 'q' // an endpoint reports that it is not used, and requests are queued at the generating endpoint
-		silent = 's' // no answer
+		queued = 'q' // an endpoint reports that it is not used, and requests are queued at the decoding endpoint
+		silent = 's' // no response
 	)
 	type answer struct {
 		at   float64
@@ -354,29 +354,29 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			u := newMemoryUsage(newUnusedLimits(maxUnused), at(0))
-			back := 0.0
+			releasedAfter := 0.0
 			for _, a := range tc.answers {
-				asked := at(a.at + 0.001)
-				if u.nextAction(asked) == releaseUnused {
-					back = a.at
+				queriedAt := at(a.at + 0.001)
+				if u.nextAction(queriedAt) == releaseUnused {
+					releasedAfter = a.at
 					break
 				}
 				if a.kind == used {
-					u.recordUse(asked)
+					u.recordUse(queriedAt)
 				}
-				if (a.kind == unused || a.kind == queued) && u.recordUnused(asked, a.kind == queued) {
-					back = a.at
+				if (a.kind == unused || a.kind == queued) && u.recordUnused(queriedAt, a.kind == queued) {
+					releasedAfter = a.at
 					break
 				}
 			}
-			if back != tc.releasedAfter {
-				t.Errorf("released after %v s, want %v", back, tc.releasedAfter)
+			if releasedAfter != tc.releasedAfter {
+				t.Errorf("released after %v s, want %v", releasedAfter, tc.releasedAfter)
 			}
 		})
 	}
 }
 
-// TestQueryUsage: endpoints are queried only if an answer is silent, and a result that is older
+// TestQueryUsage: endpoints are queried only if a response is silent, and a result that is older
 // than the newest event is ignored.
 func TestQueryUsage(t *testing.T) {
 	is := is.New(t)
--- a/relay/meter.go
+++ b/relay/meter.go
@@ -24,7 +24,7 @@
 	quarantines       *metrics.Counter
 	suspensions       *metrics.Counter
 	restores          *metrics.Counter
-	limitsNamed       *metrics.Counter
+	limitsAdvertised  *metrics.Counter
 	limitsEnded       *metrics.Counter
 	grants            *metrics.Counter
 	limitRefusals     *metrics.Counter
@@ -53,7 +53,7 @@
 		quarantines:       set.NewCounter("relay_quarantines_total"),
 		suspensions:       set.NewCounter("relay_suspensions_total"),
 		restores:          set.NewCounter("relay_store_restores_total"),
-		limitsNamed:       set.NewCounter("relay_endpoint_limits_named_total"),
+		limitsAdvertised:  set.NewCounter("relay_endpoint_limits_named_total"),
 		limitsEnded:       set.NewCounter("relay_endpoint_limits_ended_total"),
 		grants:            set.NewCounter("relay_limit_grants_total"),
 		limitRefusals:     set.NewCounter("relay_limit_refusals_total"),
--- a/relay/patience.go
+++ b/relay/patience.go
@@ -24,11 +24,11 @@
 	// endpoints. After that it is refused, since it would be late, and most prompts that wait
 	// longer are never served.
 	waitPercent = 35
-	// latePercent is the part of the time that its caller waits for a first part of the answer, in
+	// latePercent is the part of the time that its caller waits for a first part of the response, in
 	// percent, after which a long prompt counts as late.
 	latePercent = 40
 	// resumeWaitPercent is the part of the time that its caller waits for a first part of the
-	// answer, in percent, that a prompt may wait after it has been sent once.
+	// response, in percent, that a prompt may wait after it has been sent once.
 	resumeWaitPercent = 70
 	// earlyRefusalDivisor is the part of its objective, as a divisor, within which a request may be
 	// refused because all slots are in use: its caller then learns of it at once.
@@ -52,10 +52,10 @@
 type waitPolicy struct {
 	started  time.Time
 	deadline time.Time // the earlier of the caller's and the route's
-	// objective is the time to the first part of the answer within which the request counts as in
+	// objective is the time to the first part of the response within which the request counts as in
 	// time.
 	objective time.Duration
-	// firstPartTimeout is how long the caller waits for the first part of the answer; zero means
+	// firstPartTimeout is how long the caller waits for the first part of the response; zero means
 	// until the deadline.
 	firstPartTimeout time.Duration
 	// attempts counts the attempts that may have reached an endpoint, unsentAttempts the others.
@@ -66,7 +66,7 @@
 	resumed bool
 }
 
-// firstPartLimit returns how long the caller waits for the first part of the answer.
+// firstPartLimit returns how long the caller waits for the first part of the response.
 func (p waitPolicy) firstPartLimit() time.Duration {
 	limit := p.deadline.Sub(p.started)
 	if p.firstPartTimeout > 0 {
@@ -98,7 +98,7 @@
 
 // mayWait reports whether a request that was not placed goes on waiting, for busy endpoints or for
 // any endpoint to become known. One that was already sent waits longer: without the rest of the
-// answer its caller loses what it has received.
+// response its caller loses what it has received.
 func (p waitPolicy) mayWait(busy bool, now time.Time) bool {
 	waited := now.Sub(p.started)
 	switch {
@@ -154,7 +154,7 @@
 	}
 }
 
-// retryDecision says whether a request is sent again after an attempt that brought no answer.
+// retryDecision says whether a request is sent again after an attempt that brought no response.
 type retryDecision uint8
 
 const (
--- a/relay/patience_test.go
+++ b/relay/patience_test.go
@@ -80,7 +80,7 @@
 	is.Equal(testWaitPolicy().queueRetryAfter(msAfterHead(9000)), 2*time.Second)
 }
 
-// TestFillTimes: the remaining times decrease with the wait, up to the first part of the answer if
+// TestFillTimes: the remaining times decrease with the wait, up to the first part of the response if
 // the caller limits the wait for that.
 func TestFillTimes(t *testing.T) {
 	is := is.New(t)
--- a/relay/peerclient.go
+++ b/relay/peerclient.go
@@ -27,7 +27,7 @@
 	pathConfiguration = "/peer/configuration"
 )
 
-// proofAnswer is a gateway's answer about its newest proof of the configuration.
+// proofAnswer is a gateway's response about its newest proof of the configuration.
 type proofAnswer struct {
 	Version uint64
 	AgeMs   int64 // since the read was sent that proved Version
@@ -46,7 +46,7 @@
 		if listed := g.storeReads.endpointsAge(now); listed < time.Hour {
 			a.EndpointsAgeMs = listed.Milliseconds()
 		}
-		g.writePeerAnswer(w, a)
+		g.writePeerResponse(w, a)
 	})
 	m.HandleFunc("GET "+pathConfiguration, func(w http.ResponseWriter, _ *http.Request) {
 		t := g.state.Table()
@@ -54,7 +54,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		g.answerDocument(w, &g.configurationDocument, t.Version, t.Configuration)
+		g.writeDocument(w, &g.configurationDocument, t.Version, t.Configuration)
 	})
 	m.HandleFunc("GET "+pathEndpoints, g.serveEndpoints)
 	m.HandleFunc("POST "+pathGrant, g.serveGrant)
@@ -63,7 +63,7 @@
 	return m
 }
 
-func (g *Gateway) writePeerAnswer(w http.ResponseWriter, v any) {
+func (g *Gateway) writePeerResponse(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
 		g.deps.Log.Logger().Debug("Sending an answer to a peer failed.", "err", err)
@@ -71,7 +71,7 @@
 }
 
 // compressedDocument is the compressed form of a document that many peers request. After an update
-// of a large configuration, 103 gateways made 200 calls to the store within 8 s: twenty answers,
+// of a large configuration, 103 gateways made 200 calls to the store within 8 s: twenty responses,
 // uncompressed, do not fit through a link of 20 Mbit/s within peerQueryTimeout.
 type compressedDocument struct {
 	mu   sync.Mutex
@@ -95,8 +95,8 @@
 	return d.body, nil
 }
 
-// answerDocument answers with the compressed form of v; every peer accepts it.
-func (g *Gateway) answerDocument(w http.ResponseWriter, d *compressedDocument, key uint64, v any) {
+// writeDocument answers with the compressed form of v; every peer accepts it.
+func (g *Gateway) writeDocument(w http.ResponseWriter, d *compressedDocument, key uint64, v any) {
 	p, err := d.get(key, v)
 	if err != nil {
 		g.deps.Log.Logger().Error("Encoding a document for peers failed.", "err", err)
@@ -131,7 +131,7 @@
 	return c.do(req, into)
 }
 
-// do sends a request and decodes the answer.
+// do sends a request and decodes the response.
 func (c *peerClient) do(req *http.Request, into any) error {
 	res, err := c.http.Do(req)
 	if err != nil {
@@ -192,7 +192,7 @@
 	return proof, nil
 }
 
-// queryPeerLogged calls queryPeer and logs the error, for callers that continue without an answer.
+// queryPeerLogged calls queryPeer and logs the error, for callers that continue without a response.
 func (g *Gateway) queryPeerLogged(m netip.AddrPort) {
 	if _, err := g.queryPeer(m); err != nil {
 		g.deps.Log.Logger().Warn("Reading a peer's configuration failed.", "peer", m, "err", err)
--- a/relay/picker_test.go
+++ b/relay/picker_test.go
@@ -50,8 +50,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p, s := enginePicker(4)
-		work := balance.Request{InputTokens: 100000, OutputTokens: 500, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second}
-		pl, _, o := p.pick(s, work, noIdleConns, time.Now())
+		req := balance.Request{InputTokens: 100000, OutputTokens: 500, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second}
+		pl, _, o := p.pick(s, req, noIdleConns, time.Now())
 		is.Equal(o, picked)
 		is.True(len(pl.loads) > 1)
 		is.True(loadAt(p, pl.endpoint.ID).PrefillMs > 0)
@@ -75,11 +75,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p, s := enginePicker(4)
-		work := balance.Request{InputTokens: 100000, OutputTokens: 500, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second}
-		first, _, _ := p.pick(s, work, noIdleConns, time.Now())
+		req := balance.Request{InputTokens: 100000, OutputTokens: 500, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second}
+		first, _, _ := p.pick(s, req, noIdleConns, time.Now())
 		first.release()
 		is.Equal(len(p.loads.Local()), 0)
-		second, _, _ := p.pick(s, work, noIdleConns, time.Now())
+		second, _, _ := p.pick(s, req, noIdleConns, time.Now())
 		before := p.loads.Local()
 		is.Equal(len(before), len(second.loads))
 		second.release()
@@ -97,7 +97,7 @@
 // newEngineTestGateway returns a gateway whose service is an engine with one slot per endpoint, all
 // of which are in use. Its routes have the given objective.
 func newEngineTestGateway(t *testing.T, objective time.Duration) *testGateway {
-	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeAnswer(w, "200 OK", "", "x") })
+	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) { writeResponse(w, "200 OK", "", "x") })
 	c := testConfig(2)
 	c.Services[0].Engine = &catalog.Engine{Slots: 1, MemoryTokens: 232000, StepMs: 1, ReadPerMs: 206, PairsPerM: 0.138, ChunkTokens: 2048, Stride: 43}
 	for i := range c.Routes {
@@ -147,7 +147,7 @@
 	b := newEngineTestGateway(t, longObjective)
 	p := b.gateway.picker
 	p.loads = balance.NewLoadTracker()
-	sendClaims := func(waiting map[string]balance.QueueHead) {
+	sendHeads := func(waiting map[string]balance.QueueHead) {
 		p.recordPeer(peers.Message{From: "p", Waiting: waiting}, time.Now())
 	}
 	stop := make(chan struct{})
@@ -155,7 +155,7 @@
 	go func() { // the peer keeps reporting that its prompt waits
 		defer close(stopped)
 		for {
-			sendClaims(map[string]balance.QueueHead{"s": {Urgency: balance.InTime, DueInMs: -60000}})
+			sendHeads(map[string]balance.QueueHead{"s": {Urgency: balance.InTime, DueInMs: -60000}})
 			select {
 			case <-stop:
 				return
@@ -173,7 +173,7 @@
 	is.Equal(b.requestCount(), 0)
 	close(stop)
 	<-stopped
-	sendClaims(nil)
+	sendHeads(nil)
 	is.Equal((<-done).status, http.StatusOK)
 	is.Equal(b.requestCount(), 1)
 }
@@ -182,19 +182,19 @@
 func hasWaitedLong(p *picker) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	claim, ok := p.queue.LocalHeads(time.Now())["s"]
-	return ok && claim.DueInMs < (longObjective-100*time.Millisecond).Milliseconds()
+	head, ok := p.queue.LocalHeads(time.Now())["s"]
+	return ok && head.DueInMs < (longObjective-100*time.Millisecond).Milliseconds()
 }
 
-// TestStopRefusesWaitingPrompts: a gateway that is about to stop refuses a prompt that still waits
-// for endpoints, rather than closing its connection without an answer.
-func TestStopRefusesWaitingPrompts(t *testing.T) {
+// TestShutdownRefusesWaitingPrompts: a gateway that is about to stop refuses a prompt that still
+// waits for endpoints, rather than closing its connection without a response.
+func TestShutdownRefusesWaitingPrompts(t *testing.T) {
 	is := is.New(t)
 	b := newEngineTestGateway(t, longObjective)
 	p := b.gateway.picker
-	reading := balance.Load{PrefillMs: 900, Parts: 1}
-	p.loads.Add("a", reading)
-	p.loads.Add("b", reading)
+	prefilling := balance.Load{PrefillMs: 900, Parts: 1}
+	p.loads.Add("a", prefilling)
+	p.loads.Add("b", prefilling)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	done := make(chan response)
@@ -223,9 +223,9 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := newEngineTestGateway(t, time.Second)
-			reading := balance.Load{PrefillMs: 5000, Parts: 1}
-			b.gateway.picker.loads.Add("a", reading)
-			b.gateway.picker.loads.Add("b", reading)
+			prefilling := balance.Load{PrefillMs: 5000, Parts: 1}
+			b.gateway.picker.loads.Add("a", prefilling)
+			b.gateway.picker.loads.Add("b", prefilling)
 			began := time.Now()
 			got := b.send(t.Context(), "POST", "/stream/x", "", http.Header{"Tokens": {"50000"}, "Wait-Ms": {c.waitMs}})
 			is.NoErr(got.err)
--- a/relay/placing.go
+++ b/relay/placing.go
@@ -107,7 +107,7 @@
 		return p.refuse(refusalReason(found), now, func() outcome { return x.refuse(http.StatusServiceUnavailable, retryAfterBusy, refusedBusy) })
 	case x.attempts == 0 && x.g.shutdownNoticed():
 		// The process may end before an endpoint is free.
-		return nil, x.refuse(http.StatusServiceUnavailable, retryAfterStop, stopping), tryEnded
+		return nil, x.refuse(http.StatusServiceUnavailable, retryAfterShutdown, refusedShutdown), tryEnded
 	case found == pickNone && len(p.request.Excluded) > 0:
 		p.request.Excluded = nil // better the same endpoint again than none
 		return nil, "", tryAgain
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -1,5 +1,5 @@
 // Package relay implements a gateway that forwards HTTP requests to an endpoint of their route and
-// returns the answers byte for byte. It guarantees for each request: a single deadline, a bounded
+// returns the responses byte for byte. It guarantees for each request: a single deadline, a bounded
 // number of attempts, no second run of a request that may run only once, resumption of a broken
 // stream at another endpoint without a gap, and no attempt for a key that may have been revoked. A
 // Protocol defines which header fields carry this information.
@@ -43,12 +43,12 @@
 	Reservation string
 }
 
-// Verdict is what an endpoint's answer means for the request.
+// Verdict is what an endpoint's response means for the request.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Final: the endpoint ran the request, and this is its answer.
+	// Final: the endpoint ran the request, and this is its response.
 	Final Verdict = iota
 	// NotRun: the endpoint did not run the request and will not run it.
 	NotRun
@@ -60,8 +60,8 @@
 
 // EndpointReport is the status that an endpoint with an engine reports.
 type EndpointReport struct {
-	// Slowdown is the factor by which the endpoint is slower than usual.
-	Slowdown float64
+	// Pace is the factor by which the endpoint is slower than usual.
+	Pace float64
 	// Waiting and Running are the numbers of its requests in these states.
 	Waiting, Running int
 	// MemoryUsed is how many of the MemoryTotal tokens cannot be evicted.
@@ -90,25 +90,25 @@
 	return [...]string{"none", "waiting", "idle", "used"}[s]
 }
 
-// Protocol translates between the heads of requests and answers and the types of this package.
+// Protocol translates between the heads of requests and responses and the types of this package.
 type Protocol interface {
 	// Call parses the head of a caller's request. It returns an error for a malformed head.
 	Call(h http.Header) (Call, error)
 	// Header returns the header for an endpoint: the caller's header without the fields that belong
 	// to its connection or to the gateway, and with the values of s.
 	Header(caller http.Header, c Call, s AttemptFields) http.Header
-	// Verdict classifies an endpoint's answer.
+	// Verdict classifies an endpoint's response.
 	Verdict(res *http.Response) Verdict
-	// FaultyEndpoint returns the address of the endpoint because of which, according to an answer,
-	// the request was not run; empty: the answer names none.
+	// FaultyEndpoint returns the address of the endpoint because of which, according to a response,
+	// the request was not run; empty: the response names none.
 	FaultyEndpoint(res *http.Response) string
-	// Statement parses what an answer says about the availability of the endpoint that gave it. The
+	// Statement parses what a response says about the availability of the endpoint that gave it. The
 	// error reports a value that cannot be read or applies only in part; the other values are
 	// valid.
 	Statement(res *http.Response) (availability.Statement, error)
 	// Report returns the request for the report of an endpoint with an engine.
 	Report(endpointID string) *upstream.Request
-	// ReadReport parses the answer to Report; ok is false if it contains no report.
+	// ReadReport parses the response to Report; ok is false if it contains no report.
 	ReadReport(res *http.Response) (report EndpointReport, ok bool, err error)
 	// HealthCheck returns the health check of an endpoint, at the path of its service.
 	HealthCheck(endpointID, path string) *upstream.Request
@@ -117,12 +117,12 @@
 	Reserve(endpointID, id string, tokens int, hold time.Duration) *upstream.Request
 	// Release returns the order to end a reservation.
 	Release(endpointID, id string) *upstream.Request
-	// EchoedHeader returns the name of the header field that an answer repeats from its request.
+	// EchoedHeader returns the name of the header field that a response repeats from its request.
 	EchoedHeader() string
 }
 
 // Source provides the configuration and the list of endpoints and gateways, and stores the
-// gateways' findings. Its methods return when they have an answer or when ctx ends.
+// gateways' findings. Its methods return when they have a response or when ctx ends.
 type Source interface {
 	// Configuration returns the newest configuration, or nil if its version is the one that was
 	// returned last.
@@ -131,7 +131,7 @@
 	Endpoints(ctx context.Context) ([]catalog.Endpoint, error)
 	// Gateways registers this gateway and returns the peer addresses of all gateways.
 	Gateways(ctx context.Context) ([]peers.Member, error)
-	// StoreEra returns the era in the store's newest answer, or 0 before the first one. The era
+	// StoreEra returns the era in the store's newest response, or 0 before the first one. The era
 	// increases each time the store is restored from an older copy, which lacks the latest writes.
 	StoreEra() uint64
 	QuarantineStore
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -130,7 +130,7 @@
 	var before, after quarantine.Verdict
 	g.quarantine.change(func(t *quarantine.Table) {
 		before = t.Verdict(f, now)
-		t.RecordCrash(f, quarantine.Crash{Endpoint: quarantine.IncarnationOf(pl.endpoint.ID, pl.endpoint.Born), Begun: x.answerBegun, At: now}, now)
+		t.RecordCrash(f, quarantine.Crash{Endpoint: quarantine.IncarnationOf(pl.endpoint.ID, pl.endpoint.Born), Begun: x.responseBegun, At: now}, now)
 		after = t.Verdict(f, now)
 	})
 	g.announceCrashes()
@@ -154,13 +154,13 @@
 	}
 	f, now := x.requestFingerprint(), time.Now()
 	var before, after quarantine.Verdict
-	fresh := false
+	isNew := false
 	g.quarantine.change(func(t *quarantine.Table) {
 		before = t.Verdict(f, now)
-		fresh = t.RecordSuccess(f, quarantine.IncarnationOf(pl.endpoint.ID, pl.endpoint.Born), now)
+		isNew = t.RecordSuccess(f, quarantine.IncarnationOf(pl.endpoint.ID, pl.endpoint.Born), now)
 		after = t.Verdict(f, now)
 	})
-	if !fresh {
+	if !isNew {
 		return
 	}
 	g.announceCrashes()
@@ -177,7 +177,7 @@
 }
 
 // checkQuarantine reports whether the request may be sent. A quarantined request is refused with
-// the time until it may be sent again, or, if it was sent before, with the answer that it may have
+// the time until it may be sent again, or, if it was sent before, with the response that it may have
 // run.
 func (x *exchange) checkQuarantine() (outcome, bool) {
 	q := x.g.quarantine
@@ -204,16 +204,16 @@
 	}
 	now := time.Now()
 	var quarantined []quarantine.Fingerprint
-	fresh := 0
+	added := 0
 	g.quarantine.change(func(t *quarantine.Table) {
-		quarantined, fresh = t.Apply(msg.CrashReports, g.fromOtherCell(msg), now)
+		quarantined, added = t.Apply(msg.CrashReports, g.fromOtherCell(msg), now)
 	})
 	for _, f := range quarantined {
 		v := g.quarantine.verdict(f, now)
 		g.deps.Log.Logger().Warn("Request quarantined.", "fingerprint", f, "peer", msg.From,
 			"crashed_before", v.CrashesBefore, "crashed_within", v.CrashesWithin, "for", v.Until.Sub(now))
 	}
-	if fresh > 0 && g.quarantine.representative.Load() {
+	if added > 0 && g.quarantine.representative.Load() {
 		g.broadcastSoon()
 	}
 }
@@ -307,7 +307,7 @@
 func (g *Gateway) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
 	var list []quarantine.Listing
 	g.quarantine.change(func(t *quarantine.Table) { list = t.List(time.Now()) })
-	g.writePeerAnswer(w, list)
+	g.writePeerResponse(w, list)
 }
 
 // serveClear clears a request for an operator.
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -45,10 +45,10 @@
 				c.setDrops(tc.drops)
 				time.Sleep(3 * time.Second)
 				r := c.run(defaultLoad)
-				t.Logf("%+v; %d attempts of the crashing request, %d engines crashed, %d harmless streams on them", r, c.sendCount(), c.crashCount(), c.brokenHarmless)
-				is.True(c.sendsAfterThird() <= maxSendsAfterThird)
+				t.Logf("%+v; %d attempts of the crashing request, %d engines crashed, %d harmless streams on them", r, c.attemptCount(), c.crashCount(), c.brokenHarmless)
+				is.True(c.attemptsAfterThird() <= maxAttemptsAfterThird)
 				is.True(c.crashCount() <= tc.maxCrashes)
-				is.True(r.served >= r.asked*97/100)
+				is.True(r.served >= r.sent*97/100)
 				is.Equal(c.refusedHarmless(), 0)
 			})
 		})
@@ -84,17 +84,17 @@
 		for range 4 { // the others detect it
 			c.call(1, crashPath)
 		}
-		found := c.sendCount()
+		found := c.attemptCount()
 		is.True(found >= 3)
 		c.call(0, crashPath) // this gateway does not know of it
-		is.True(c.sendCount() > found)
+		is.True(c.attemptCount() > found)
 		c.setDrops(nil)
 		time.Sleep(time.Second)
-		known := c.sendCount()
+		known := c.attemptCount()
 		for range 4 {
 			c.attempt(0, crashPath, 0)
 		}
-		is.Equal(c.sendCount(), known)
+		is.Equal(c.attemptCount(), known)
 	})
 }
 
@@ -121,23 +121,23 @@
 		}
 		time.Sleep(time.Second)
 		is.Equal(source.storedCount(), 1)
-		known := c.sendCount()
+		known := c.attemptCount()
 
 		source.setConfiguration(nil, errors.New("store unavailable"))
-		fresh := c.restartedGateways()
-		for _, g := range fresh {
+		restarted := c.restartedGateways()
+		for _, g := range restarted {
 			g.background.Go(g.loadQuarantined)
 		}
 		time.Sleep(time.Second)
 		source.setConfiguration(nil, nil)
-		for _, g := range fresh {
+		for _, g := range restarted {
 			g.state.RecordProof(1, time.Now()) // a gateway reads the store again
 		}
 		time.Sleep(2 * time.Second)
-		for _, g := range fresh {
+		for _, g := range restarted {
 			is.Equal(c.attemptAt(g, crashPath, 0).status, 503)
 		}
-		is.Equal(c.sendCount(), known)
+		is.Equal(c.attemptCount(), known)
 	})
 }
 
@@ -195,10 +195,10 @@
 	is.Equal(b.gateway.quarantine.count.Load(), int64(0))
 }
 
-// TestQuarantineAnswers: the caller of a crashing request is told that it may have run as long as
+// TestQuarantineResponses: the caller of a crashing request is told that it may have run as long as
 // it is sent. Once it is quarantined, the caller is told at once that it did not run, and when to
 // retry.
-func TestQuarantineAnswers(t *testing.T) {
+func TestQuarantineResponses(t *testing.T) {
 	for _, path := range []string{"/safe/", "/once/", "/stream/", "/story/"} {
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
--- a/relay/reserve.go
+++ b/relay/reserve.go
@@ -35,20 +35,20 @@
 }
 
 // reservations is the memory reserved for one attempt. It is renewed only while there is evidence
-// that the request uses it (see memoryUsage). An attempt that waits for an answer is no such
-// evidence: its endpoint may have hung or lost the answer, while nobody else can use the memory.
+// that the request uses it (see memoryUsage). An attempt that waits for a response is no such
+// evidence: its endpoint may have hung or lost the response, while nobody else can use the memory.
 type reservations struct {
 	g       *Gateway
 	request string
-	// generating is the endpoint that the request is sent to.
-	generating catalog.Endpoint
-	list       []*reservation
-	usage      *memoryUsage
+	// decoding is the endpoint that the request is sent to.
+	decoding catalog.Endpoint
+	list     []*reservation
+	usage    *memoryUsage
 	// sendCtx is the context of the attempt; it is cancelled if the memory is released as unused.
 	sendCtx    context.Context
 	cancelSend context.CancelCauseFunc
-	// writingToCaller is set while the answer waits for its caller. The endpoint is then not the
-	// cause of the delay, and the unread rest of the answer must not be dropped.
+	// writingToCaller is set while the response waits for its caller. The endpoint is then not the
+	// cause of the delay, and the unread rest of the response must not be dropped.
 	writingToCaller atomic.Bool
 	stopRenewal     context.CancelFunc // cancels the renewals
 	background      sync.WaitGroup
@@ -77,7 +77,7 @@
 		endpoint string
 		err      error
 	}
-	r := &reservations{g: g, request: request, generating: pl.endpoint}
+	r := &reservations{g: g, request: request, decoding: pl.endpoint}
 	results := make(chan orderResult, len(pl.memoryDemands))
 	for _, want := range pl.memoryDemands {
 		rv := &reservation{endpoint: want.endpoint, id: uuid.NewString(), tokens: want.tokens}
@@ -173,7 +173,7 @@
 	}
 }
 
-// renewAll sends a renewal to every endpoint without waiting for the answers.
+// renewAll sends a renewal to every endpoint without waiting for the responses.
 func (r *reservations) renewAll(ctx context.Context) {
 	for _, rv := range r.list {
 		if !r.g.state.SameIncarnation(rv.endpoint) {
@@ -187,7 +187,7 @@
 	}
 }
 
-// queryUsage asks one of the endpoints whether the memory reserved there is in use. All
+// queryUsage queries one of the endpoints for whether the memory reserved there is in use. All
 // reservations are used by the same request, so that one query is enough, however many endpoints
 // hold one.
 func (r *reservations) queryUsage(ctx context.Context) {
@@ -207,7 +207,7 @@
 	}
 }
 
-// nextReservation returns the reservation to ask about next. It rotates through the endpoints and
+// nextReservation returns the reservation to query next. It rotates through the endpoints and
 // skips those that asked this gateway to back off, unless all of them did.
 func (r *reservations) nextReservation(now time.Time) *reservation {
 	next := r.usage.nextQuery(len(r.list))
@@ -219,12 +219,12 @@
 	return r.list[next]
 }
 
-// handleUnused handles the answer that reserved memory is not in use: it asks the generating
-// endpoint whether requests are queued there.
+// handleUnused handles the response that reserved memory is not in use: it queries the decoding
+// endpoint for whether requests are queued there.
 func (r *reservations) handleUnused(ctx context.Context, rv *reservation, state ReservationState, queriedAt time.Time) {
-	report, err := r.g.fetchReport(ctx, r.generating)
+	report, err := r.g.fetchReport(ctx, r.decoding)
 	r.g.deps.Log.Request("Memory is not used.", "request", r.request, "endpoint", rv.endpoint.ID, "reservation", rv.id, "tokens", rv.tokens, "state", state.String(),
-		"unproved_ms", r.usage.sinceLastUse(queriedAt).Milliseconds(), "generating", r.generating.ID, "waiting", report.Waiting, "running", report.Running,
+		"unproved_ms", r.usage.sinceLastUse(queriedAt).Milliseconds(), "generating", r.decoding.ID, "waiting", report.Waiting, "running", report.Running,
 		"memory_used", report.MemoryUsed, "memory_total", report.MemoryTotal, "reservations_there", len(report.Reservations), "err", err)
 	if ctx.Err() == nil && r.usage.recordUnused(queriedAt, err != nil || report.Waiting > 0) {
 		r.releaseUnused("not used", queriedAt)
@@ -236,7 +236,7 @@
 func (r *reservations) releaseUnused(reason string, now time.Time) {
 	waitsForCaller := r.writingToCaller.Load()
 	r.g.meter.memoryUnused.Inc()
-	r.g.deps.Log.Request("Memory given back.", "request", r.request, "why", reason, "generating", r.generating.ID, "endpoints", r.endpointIDs(), "reservations", r.reservationIDs(),
+	r.g.deps.Log.Request("Memory given back.", "request", r.request, "why", reason, "generating", r.decoding.ID, "endpoints", r.endpointIDs(), "reservations", r.reservationIDs(),
 		"unproved_ms", r.usage.sinceLastUse(now).Milliseconds(), "answer_waits_for_caller", waitsForCaller)
 	if !waitsForCaller {
 		r.cancelSend(errMemoryUnused)
@@ -259,7 +259,7 @@
 	r.release()
 }
 
-// release releases the memory in the background, once. A release without an answer is not repeated,
+// release releases the memory in the background, once. A release without a response is not repeated,
 // since the reservation expires by itself.
 func (r *reservations) release() { r.releaseOnce.Do(r.releaseAll) }
 
--- a/relay/rest_test.go
+++ b/relay/rest_test.go
@@ -17,7 +17,7 @@
 
 const status503 = "503 Service Unavailable"
 
-// backoffHeaders returns the header lines of an answer that refuses a request and asks for a
+// backoffHeaders returns the header lines of a response that refuses a request and asks for a
 // backoff.
 func backoffHeaders(d time.Duration) string {
 	return "Not-Run: 1\r\nRest-Ms: " + strconv.FormatInt(d.Milliseconds(), 10) + "\r\n"
@@ -36,9 +36,9 @@
 			inBackoff = 1 // the endpoint that short requests go to
 		}
 		id := fmt.Sprint("e", inBackoff)
-		f.setAnswer(status503, backoffHeaders(3*time.Second), inBackoff)
+		f.setResponse(status503, backoffHeaders(3*time.Second), inBackoff)
 		f.send(t.Context(), 0, 500)
-		f.setAnswer("", "", inBackoff)
+		f.setResponse("", "", inBackoff)
 		g := f.gateways[0]
 		is.True(g.state.InBackoff(id, time.Now()))
 		is.True(!f.gateways[1].state.InBackoff(id, time.Now()))
@@ -63,7 +63,7 @@
 // for a backoff after it was chosen.
 func TestBackoffRequestedAfterChoice(t *testing.T) {
 	requestBackoff := func(g *Gateway, id string) {
-		g.recordAnswer(catalog.Endpoint{ID: id}, 0, &http.Response{StatusCode: 503, Header: http.Header{"Rest-Ms": {"1000"}}}, callerRequest, "")
+		g.recordResponse(catalog.Endpoint{ID: id}, 0, &http.Response{StatusCode: 503, Header: http.Header{"Rest-Ms": {"1000"}}}, callerRequest, "")
 	}
 	for name, tc := range map[string]struct {
 		endpoint func(pl *placement) string
@@ -100,9 +100,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLimitFleet(t, 1, 2)
-		f.setAnswer(status503, backoffHeaders(3*time.Second), 0, 1)
+		f.setResponse(status503, backoffHeaders(3*time.Second), 0, 1)
 		f.send(t.Context(), 0, 500)
-		f.setAnswer("", "", 0, 1)
+		f.setResponse("", "", 0, 1)
 		is.Equal(f.refusalTimes, []time.Duration{0})
 		time.Sleep(time.Second)
 		began := time.Now()
@@ -124,7 +124,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newLimitFleet(t, 1, 1)
-		f.answerTime = queuePollInterval + 10*time.Millisecond // longer than a wait that misses a change of the load
+		f.responseTime = queuePollInterval + 10*time.Millisecond // longer than a wait that misses a change of the load
 		f.gateways[0].state.RecordBackoff("e0", 700*time.Millisecond, time.Now())
 		backoffEnd := time.Now().Add(700 * time.Millisecond)
 		var ended []int
--- a/relay/share.go
+++ b/relay/share.go
@@ -221,7 +221,7 @@
 }
 
 // recordPeerStore records whether a peer can reach the store. A peer's failure counts like a failed
-// read of this gateway, which keeps endpoints whose entries lapsed meanwhile, unless other peers
+// read of this gateway, which keeps endpoints whose entries expired meanwhile, unless other peers
 // can reach the store: a gateway that takes its lists from these may not have read for long. The
 // caller holds the lock.
 func (s *storeReads) recordPeerStore(msg peers.Message, now time.Time) {
@@ -427,5 +427,5 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	g.answerDocument(w, &g.endpointsDocument, hash, list)
+	g.writeDocument(w, &g.endpointsDocument, hash, list)
 }
--- a/relay/share_test.go
+++ b/relay/share_test.go
@@ -17,8 +17,9 @@
 const veryOld = time.Minute
 
 // TestFewGatewaysQueryAnUnreachableStore: of many gateways that report to each other that they
-// cannot reach the store, only two go on querying it. So does one that hears no others, or whose
-// peers fell silent. The others query now and then, in case only their peers cannot reach it.
+// cannot reach the store, only two go on querying it. So does one that receives no messages of
+// others, or whose peers fell silent. The others query now and then, in case only their peers
+// cannot reach it.
 func TestFewGatewaysQueryAnUnreachableStore(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -56,7 +57,7 @@
 	is := is.New(t)
 	now := time.Now()
 	const gateways = 9
-	reading := func(age time.Duration, unreachableFrom string) (out []string) {
+	readers := func(age time.Duration, unreachableFrom string) (out []string) {
 		for i := range gateways {
 			s, self := newStoreReads(), fmt.Sprint(i)
 			if self == unreachableFrom {
@@ -73,13 +74,13 @@
 		}
 		return out
 	}
-	first := reading(readInterval, "")
+	first := readers(readInterval, "")
 	is.Equal(len(first), 1)
-	both := reading(standbyAge+time.Millisecond, "")
+	both := readers(standbyAge+time.Millisecond, "")
 	is.Equal(len(both), 2)
 	is.True(slices.Contains(both, first[0]))
-	is.Equal(len(reading(takeoverAge+time.Millisecond, "")), gateways)
-	without := reading(readInterval, first[0])
+	is.Equal(len(readers(takeoverAge+time.Millisecond, "")), gateways)
+	without := readers(readInterval, first[0])
 	is.Equal(len(without), 2) // the one that cannot reach the store goes on querying it, and the next one reads
 	is.True(slices.Contains(without, first[0]))
 }
@@ -99,8 +100,8 @@
 }
 
 // TestPeersFailedReadsKeepEndpoints: a gateway that leaves querying to its peers still learns from
-// them that the store was unreachable a moment ago. One that reads the store itself, or hears of a
-// peer that does, ignores such reports.
+// them that the store was unreachable a moment ago. One that reads the store itself, or receives a
+// message of a peer that does, ignores such reports.
 func TestPeersFailedReadsKeepEndpoints(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -122,25 +123,25 @@
 // blockedSource is a store whose list of endpoints never completes.
 type blockedSource struct {
 	testSource
-	asked chan struct{}
+	queried chan struct{}
 }
 
 func (s *blockedSource) Endpoints(ctx context.Context) ([]catalog.Endpoint, error) {
-	close(s.asked)
+	close(s.queried)
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// TestPeerListCancelsOwnRead: a gateway that is still reading the list when a peer's list arrives
+// TestPeerListCancelsLocalRead: a gateway that is still reading the list when a peer's list arrives
 // uses that one, and does not consider the store lost.
-func TestPeerListCancelsOwnRead(t *testing.T) {
+func TestPeerListCancelsLocalRead(t *testing.T) {
 	is := is.New(t)
 	b := newTestGateway(t, nil)
-	source := &blockedSource{asked: make(chan struct{})}
+	source := &blockedSource{queried: make(chan struct{})}
 	b.gateway.deps.Source = source
 	done := make(chan bool)
 	go func() { done <- b.gateway.readEndpoints() }()
-	<-source.asked
+	<-source.queried
 	b.gateway.storeReads.recordList(endpoints("a"), time.Now())
 	is.True(<-done)
 	is.True(!b.gateway.storeReads.storeUnreachable())
--- a/relay/shed_test.go
+++ b/relay/shed_test.go
@@ -18,7 +18,7 @@
 func TestRejectionWithCapacity(t *testing.T) {
 	is := is.New(t)
 	b := newTestGateway(t, func(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
-		writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "")
+		writeResponse(w, "503 Full", "Not-Run: 1\r\n", "")
 	})
 	b.readSource()
 	for range 3 {
--- a/relay/statements.go
+++ b/relay/statements.go
@@ -11,33 +11,33 @@
 	"github.com/micarudder/micarudder/upstream"
 )
 
-// requestKind tells how the answer to a request counts with respect to the endpoint's rate limit.
+// requestKind tells how the response to a request counts with respect to the endpoint's rate limit.
 type requestKind uint8
 
 const (
 	callerRequest requestKind = iota
-	// gatewayQuery is a health check, a query or a memory order of this gateway. Its answer may
-	// announce a rate limit, but an answer without one does not end a limit: endpoints need not
+	// gatewayQuery is a health check, a query or a memory order of this gateway. Its response may
+	// announce a rate limit, but a response without one does not end a limit: endpoints need not
 	// repeat it there.
 	gatewayQuery
 )
 
-// do sends a request to an endpoint and records what the answer says of that endpoint.
+// do sends a request to an endpoint and records what the response says of that endpoint.
 func (g *Gateway) do(ctx context.Context, e catalog.Endpoint, req *upstream.Request, kind requestKind, request string) (*http.Response, error) {
 	sent := g.endpointLimits.version(e.ID)
 	res, err := g.deps.Endpoints.Do(ctx, e.ID, e.Address, req)
 	if err != nil {
 		return nil, err
 	}
-	if g.deps.Protocol.Verdict(res) != WrongEndpoint { // that answer speaks of another endpoint
-		g.recordAnswer(e, sent, res, kind, request)
+	if g.deps.Protocol.Verdict(res) != WrongEndpoint { // that response is about another endpoint
+		g.recordResponse(e, sent, res, kind, request)
 	}
 	return res, nil
 }
 
-// recordAnswer records what an answer says of the endpoint that sent it. sent is the version of the
-// endpoint's rate limit at the time of the request.
-func (g *Gateway) recordAnswer(e catalog.Endpoint, sent uint64, res *http.Response, kind requestKind, request string) {
+// recordResponse records what a response says of the endpoint that sent it. sent is the version of
+// the endpoint's rate limit at the time of the request.
+func (g *Gateway) recordResponse(e catalog.Endpoint, sent uint64, res *http.Response, kind requestKind, request string) {
 	statement, err := g.deps.Protocol.Statement(res)
 	if err != nil {
 		g.deps.Log.Request("What an endpoint says of itself cannot be read.", "request", request, "endpoint", e.ID, "err", err)
@@ -86,7 +86,7 @@
 // drainCheckInterval is the time between two queries to an endpoint whose drain is uncertain.
 const drainCheckInterval = time.Second
 
-// resolveUncertainDrain queries a restarted endpoint whether it is draining, since the statement
+// resolveUncertainDrain queries a restarted endpoint for whether it is draining, since the statement
 // may be of its previous incarnation. An endpoint that cannot be queried counts as draining until
 // it answers.
 func (g *Gateway) resolveUncertainDrain(e catalog.Endpoint) {
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// unreadyDetectionTime is how long the load balancer takes to notice that this gateway is not ready: two
-	// failed checks one second apart, and one more for timers that fire late.
+	// unreadyDetectionTime is how long the load balancer takes to notice that this gateway is not
+	// ready: two failed checks one second apart, and one more for timers that fire late.
 	unreadyDetectionTime = 3 * time.Second
 	// shutdownMargin is the part of the drain time that is left for the process to exit: a freeze
 	// of a fraction of a second must not make it exceed its grace period.
@@ -17,7 +17,7 @@
 )
 
 // Shutdown ends the gateway without interrupting a request. The gateway reports not ready at once,
-// continues to serve, closes connections after their next answer, refuses requests once the load
+// continues to serve, closes connections after their next response, refuses requests once the load
 // balancer must have noticed, and returns when nothing is in flight or ctx ends.
 func (g *Gateway) Shutdown(ctx context.Context) error {
 	now := time.Now()
--- a/relay/storeera.go
+++ b/relay/storeera.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// checkStoreEra records the era in the store's latest answer to this gateway. After a restore, the
+// checkStoreEra records the era in the store's latest response to this gateway. After a restore, the
 // data that gateways keep in the store is written again by whichever gateway sees the new era
 // first.
 func (g *Gateway) checkStoreEra() {
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -15,7 +15,7 @@
 const (
 	// maxEventBytes is the largest event that is buffered until it is complete.
 	maxEventBytes = 1 << 20
-	// maxBufferedBytes is how much of an answer that is not a stream is buffered; answers of plain
+	// maxBufferedBytes is how much of a response that is not a stream is buffered; responses of plain
 	// services are a few KB.
 	maxBufferedBytes = 64 << 10
 	// copyBufferBytes is the most that is read from an endpoint at once.
@@ -71,7 +71,7 @@
 	return "", false
 }
 
-// relay passes an answer on to the caller. again is set if a stream broke that may resume at
+// relay passes a response on to the caller. again is set if a stream broke that may resume at
 // another endpoint.
 func (x *exchange) relay(ctx context.Context, pl *placement, res *http.Response) (o outcome, again bool) {
 	if x.isResumable(res) {
@@ -82,12 +82,12 @@
 	}
 	if x.route.Kind == catalog.Streaming {
 		x.writeHead(res)
-		return x.finishAnswer(pl, x.copyBody(pl, res.Body, true)), false
+		return x.finishResponse(pl, x.copyBody(pl, res.Body, true)), false
 	}
 	return x.relayBuffered(ctx, pl, res)
 }
 
-// relayBuffered buffers the beginning of an answer until the answer is complete or exceeds the
+// relayBuffered buffers the beginning of a response until the response is complete or exceeds the
 // buffer. If it breaks before, the caller has seen nothing of it and the request may be sent again
 // where that is allowed.
 func (x *exchange) relayBuffered(ctx context.Context, pl *placement, res *http.Response) (o outcome, again bool) {
@@ -106,12 +106,12 @@
 		return callerGone, false
 	}
 	if len(buffered) < maxBufferedBytes {
-		return x.finishAnswer(pl, nil), false
+		return x.finishResponse(pl, nil), false
 	}
-	return x.finishAnswer(pl, x.copyBody(pl, res.Body, false)), false
+	return x.finishResponse(pl, x.copyBody(pl, res.Body, false)), false
 }
 
-// isResumable reports whether the answer is a stream that can resume at another endpoint.
+// isResumable reports whether the response is a stream that can resume at another endpoint.
 func (x *exchange) isResumable(res *http.Response) bool {
 	if !x.route.Resumable || res.StatusCode != http.StatusOK {
 		return false
@@ -120,7 +120,7 @@
 	return kind == "" || strings.HasPrefix(kind, "text/event-stream")
 }
 
-// writeHead passes on the status and header of an answer without its hop-by-hop fields.
+// writeHead passes on the status and header of a response without its hop-by-hop fields.
 func (x *exchange) writeHead(res *http.Response) {
 	h := x.w.Header()
 	for name, values := range res.Header {
@@ -182,13 +182,13 @@
 			if !s.headSent {
 				x.writeHead(res)
 			}
-			return x.finishAnswer(pl, nil), false
+			return x.finishResponse(pl, nil), false
 		}
 		return x.handleBrokenStream(ctx, pl, err)
 	}
 }
 
-// writeEvents passes on complete events, preceded by the head of the first answer.
+// writeEvents passes on complete events, preceded by the head of the first response.
 func (x *exchange) writeEvents(pl *placement, res *http.Response, events []byte) error {
 	x.recordPart(pl)
 	if !x.stream.headSent {
@@ -198,7 +198,7 @@
 	return x.writeToCaller(pl, events, true)
 }
 
-// writeToCaller writes a part of the answer to the caller and, if flush is set, flushes it. It
+// writeToCaller writes a part of the response to the caller and, if flush is set, flushes it. It
 // blocks while the caller does not read.
 func (x *exchange) writeToCaller(pl *placement, part []byte, flush bool) error {
 	if pl.reservations != nil {
@@ -228,10 +228,10 @@
 	return "", true
 }
 
-// recordPart records that a part of the answer has arrived.
+// recordPart records that a part of the response has arrived.
 func (x *exchange) recordPart(pl *placement) {
 	now := time.Now()
-	x.answerBegun = true
+	x.responseBegun = true
 	if x.firstPartAt.IsZero() {
 		x.firstPartAt = now
 		x.g.meter.firstByte.UpdateDuration(x.started)
@@ -258,8 +258,8 @@
 	}
 }
 
-// finishAnswer returns the outcome of an answer whose relaying ended with err.
-func (x *exchange) finishAnswer(pl *placement, err error) outcome {
+// finishResponse returns the outcome of a response whose relaying ended with err.
+func (x *exchange) finishResponse(pl *placement, err error) outcome {
 	if err == nil {
 		x.recordOutcome(pl, health.Success)
 		x.recordSuccess(pl)
--- a/relay/suspend_test.go
+++ b/relay/suspend_test.go
@@ -22,13 +22,13 @@
 	"github.com/micarudder/micarudder/upstream"
 )
 
-func answerOK(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
-	writeAnswer(w, "200 OK", "", "")
+func respondOK(_ int, w *bufio.Writer, _ *net.TCPConn, _ *http.Request) {
+	writeResponse(w, "200 OK", "", "")
 }
 
-// askWaiting sends a request with a deadline of ten seconds, which waits because no endpoint is
+// sendWaiting sends a request with a deadline of ten seconds, which waits because no endpoint is
 // known.
-func (b *testGateway) askWaiting() <-chan response {
+func (b *testGateway) sendWaiting() <-chan response {
 	b.t.Helper()
 	if err := b.gateway.readConfiguration(time.Now()); err != nil {
 		b.t.Fatal(err)
@@ -52,7 +52,7 @@
 
 	t.Run("proof from before", func(t *testing.T) {
 		is := is.New(t)
-		b := newTestGateway(t, answerOK)
+		b := newTestGateway(t, respondOK)
 		b.readSource()
 		is.Equal(b.send(t.Context(), "POST", "/safe/", "", nil).status, 200)
 		b.suspend(long)
@@ -66,32 +66,32 @@
 
 	t.Run("configuration read sent before", func(t *testing.T) {
 		is := is.New(t)
-		b := newTestGateway(t, answerOK)
+		b := newTestGateway(t, respondOK)
 		b.readSource()
 		sent := time.Now()
 		b.suspend(long)
-		b.gateway.state.RecordProof(1, sent) // the answer arrived before the suspension and was read after it
+		b.gateway.state.RecordProof(1, sent) // the response arrived before the suspension and was read after it
 		is.Equal(b.send(t.Context(), "POST", "/safe/", "", nil).status, 503)
 	})
 
 	t.Run("peer message from before", func(t *testing.T) {
 		is := is.New(t)
-		b := newTestGateway(t, answerOK)
+		b := newTestGateway(t, respondOK)
 		mesh, err := peers.Listen("g", "127.0.0.1:0")
 		is.NoErr(err)
 		defer func() { is.NoErr(mesh.Close()) }()
 		b.gateway.deps.Mesh = mesh
 		b.readSource()
 		b.suspend(long)
-		w := peers.Message{From: "other", Version: 1, ProofAgeMs: 1, ClockEchoes: map[string]int64{"g": 1}}
-		b.gateway.handlePeerMessage(w, netip.AddrPort{}) // it acknowledges a message that this gateway sent before
+		msg := peers.Message{From: "other", Version: 1, ProofAgeMs: 1, ClockEchoes: map[string]int64{"g": 1}}
+		b.gateway.handlePeerMessage(msg, netip.AddrPort{}) // it acknowledges a message that this gateway sent before
 		is.Equal(b.send(t.Context(), "POST", "/safe/", "", nil).status, 503)
 	})
 
 	t.Run("deadline passed", func(t *testing.T) {
 		is := is.New(t)
-		b := newTestGateway(t, answerOK)
-		answers := b.askWaiting()
+		b := newTestGateway(t, respondOK)
+		answers := b.sendWaiting()
 		b.suspend(long)
 		b.readSource()
 		is.Equal((<-answers).status, 503)
@@ -100,8 +100,8 @@
 
 	t.Run("remaining time reduced", func(t *testing.T) {
 		is := is.New(t)
-		b := newTestGateway(t, answerOK)
-		answers := b.askWaiting()
+		b := newTestGateway(t, respondOK)
+		answers := b.sendWaiting()
 		b.suspend(2 * time.Second)
 		b.readSource()
 		is.Equal((<-answers).status, 200)
@@ -112,7 +112,7 @@
 
 	t.Run("endpoint list from before", func(t *testing.T) {
 		is := is.New(t)
-		b := newTestGateway(t, answerOK)
+		b := newTestGateway(t, respondOK)
 		b.readSource()
 		is.True(b.gateway.readEndpoints())
 		is.True(b.gateway.storeReads.endpointsAge(time.Now()) < time.Minute)
@@ -120,7 +120,7 @@
 		b.suspend(long)
 		b.gateway.checkSuspension()
 		is.True(b.gateway.storeReads.endpointsAge(time.Now()) > time.Hour)
-		b.gateway.storeReads.recordList(b.source.endpoints, sent) // the answer arrived before the suspension and was read after it
+		b.gateway.storeReads.recordList(b.source.endpoints, sent) // the response arrived before the suspension and was read after it
 		is.True(b.gateway.storeReads.endpointsAge(time.Now()) > time.Hour)
 		is.True(b.gateway.readEndpoints())
 		is.True(b.gateway.storeReads.endpointsAge(time.Now()) < time.Minute)
@@ -171,7 +171,7 @@
 
 	t.Run("connection from before", func(t *testing.T) {
 		is := is.New(t)
-		b := newTestGateway(t, answerOK)
+		b := newTestGateway(t, respondOK)
 		b.readSource()
 		list, err := b.source.Endpoints(t.Context())
 		is.NoErr(err)
--- a/relay/takers.go
+++ b/relay/takers.go
@@ -69,7 +69,7 @@
 	return s.backoffs.End(send, answered)
 }
 
-// MarkDraining records that an endpoint is draining, as an answer of the endpoint or a gateway
+// MarkDraining records that an endpoint is draining, as a response of the endpoint or a gateway
 // says. It reports whether that is new, and returns the resulting changes.
 func (s *State) MarkDraining(e catalog.Endpoint, source string, now time.Time) (isNew bool, changes []EndpointChange) {
 	s.mu.Lock()
@@ -85,7 +85,7 @@
 	return s.endpoints.drains.Uncertain(e)
 }
 
-// RevokeUncertainDrain records an answer of such an endpoint that does not say that it is draining.
+// RevokeUncertainDrain records a response of such an endpoint that does not say that it is draining.
 // It reports whether the endpoint accepts requests again.
 func (s *State) RevokeUncertainDrain(e catalog.Endpoint) bool {
 	s.mu.Lock()
@@ -135,7 +135,7 @@
 // serviceBackoff is the state of a service with respect to backoffs of its endpoints.
 type serviceBackoff struct {
 	// opensAt is when one more endpoint accepts requests: now if one already does, or if that depends
-	// only on outstanding answers.
+	// only on outstanding responses.
 	opensAt time.Time
 	// open counts the endpoints that accept requests, closed those that will after their backoff.
 	open, closed int
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// queryEndpoint queries an endpoint and records the answer, or that there was none, as evidence of
-// its health. Any answer of its own shows that the endpoint is alive, since health checks may be
+// queryEndpoint queries an endpoint and records the response, or that there was none, as evidence of
+// its health. Any response of its own shows that the endpoint is alive, since health checks may be
 // wrong in either direction.
 func (g *Gateway) queryEndpoint(e *watchedEndpoint) {
 	query := g.queryRequest(e)
@@ -160,7 +160,7 @@
 		g.recordQueryFailure(e.Endpoint, health.Replaced, nil)
 		return
 	}
-	report := EndpointReport{Slowdown: 1}
+	report := EndpointReport{Pace: 1}
 	if e.service.Engine != nil {
 		if parsed, ok, err := g.deps.Protocol.ReadReport(res); err != nil {
 			g.deps.Log.Logger().Warn("Reading an endpoint's report failed.", "endpoint", e.ID, "err", err)
@@ -169,14 +169,14 @@
 		}
 	}
 	if g.picker.recordReport(e.ID, report, time.Now()) {
-		g.deps.Log.Logger().Info("Endpoint's pace changed.", "endpoint", e.ID, "pace", report.Slowdown)
+		g.deps.Log.Logger().Info("Endpoint's pace changed.", "endpoint", e.ID, "pace", report.Pace)
 	}
 	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDiscardedBytes)); err != nil {
 		return // the error closes the connection; the rest was read only to keep it
 	}
 }
 
-// fetchReport asks an endpoint with an engine for its report.
+// fetchReport queries an endpoint with an engine for its report.
 func (g *Gateway) fetchReport(ctx context.Context, e catalog.Endpoint) (r EndpointReport, err error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -197,7 +197,7 @@
 	return r, trace.Wrap(err)
 }
 
-// maxDiscardedBytes bounds how much of an answer is read beyond the report to keep the connection.
+// maxDiscardedBytes bounds how much of a response is read beyond the report to keep the connection.
 const maxDiscardedBytes = 64 << 10
 
 // queryRequest returns the query for an endpoint, or nil if there is none that it would answer.
