--- a/balance/turns.go
+++ b/balance/turns.go
@@ -96,7 +96,7 @@
 	return true
 }
 
-// before reports whether t goes before o in the queue for the same service.
+// before reports whether e goes before o in the queue for the same service.
 func (e *QueueEntry) before(o *QueueEntry) bool {
 	return e.service == o.service && cmp.Or(cmp.Compare(e.urgency, o.urgency), e.due.Compare(o.due)) < 0
 }
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -77,7 +77,7 @@
 	StoreEra uint64
 	// Limits holds the request rates that endpoints of the sender's cell accept.
 	Limits map[string]ratelimit.LimitUpdate
-	// Coordinator identifies the gateway that grants sends to the endpoints in Limits;
+	// Coordinator identifies the gateway that grants requests to the endpoints in Limits;
 	// see ratelimit.Election. It is 0 if the sender knows of no limit or cannot
 	// coordinate itself.
 	Coordinator uint64
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -253,9 +253,7 @@
 // TestUpdates checks which updates go to which audience, how often and for how long.
 func TestUpdates(t *testing.T) {
 	is := is.New(t)
-	count := func(table *Table, a Audience, representative bool) int {
-		return len(table.Updates(a, representative, false, start))
-	}
+	count := func(table *Table, a Audience, rep bool) int { return len(table.Updates(a, rep, false, start)) }
 	observer, peer, remotePeer := NewTable(), NewTable(), NewTable()
 	observer.RecordCrash(fingerprint, crash(1, false, 0), start)
 	reports := observer.Updates(LocalCell, false, false, start)
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -19,15 +19,15 @@
 	if !x.allAccept(pl, time.Now()) {
 		return x.abandonAttempt()
 	}
-	var memory *reservations
+	var reserved *reservations
 	if len(pl.memoryDemands) > 0 {
 		var err error
-		if memory, err = x.g.reserve(ctx, x.call.ID, pl); err != nil {
+		if reserved, err = x.g.reserve(ctx, x.call.ID, pl); err != nil {
 			x.handleReserveFailure(err)
 			return "", true
 		}
-		defer memory.end()
-		pl.reservations, ctx = memory, memory.sendCtx
+		defer reserved.end()
+		pl.reservations, ctx = reserved, reserved.attemptCtx
 	}
 	if o, ok := x.mayProceed(); !ok {
 		return o, false
@@ -36,14 +36,14 @@
 	if !x.allAccept(pl, now) || !x.withinLimits(pl, now) {
 		return x.abandonAttempt()
 	}
-	req := x.upstreamRequest(pl, memory, now)
+	req := x.upstreamRequest(pl, reserved, now)
 	x.responseBegun = false
 	res, err := x.g.do(ctx, pl.endpoint, req, callerRequest, x.call.ID)
-	if pl.endSend(err == nil) {
+	if pl.endAttempt(err == nil) {
 		x.g.deps.Log.Logger().Info("Endpoint has rested.", "endpoint", pl.endpoint.ID)
 	}
 	if err != nil {
-		x.handleSendFailure(ctx, pl, err)
+		x.handleAttemptFailure(ctx, pl, err)
 		return "", true
 	}
 	defer res.Body.Close()
@@ -142,8 +142,8 @@
 	}
 }
 
-// handleSendFailure handles an attempt that got no response.
-func (x *exchange) handleSendFailure(ctx context.Context, pl *placement, err error) {
+// handleAttemptFailure handles an attempt that got no response.
+func (x *exchange) handleAttemptFailure(ctx context.Context, pl *placement, err error) {
 	x.recordFailure(pl, err)
 	var failure *upstream.Error
 	if errors.Is(err, upstream.ErrWithdrawn) {
@@ -187,25 +187,25 @@
 }
 
 // upstreamRequest builds the request that is sent to the endpoint.
-func (x *exchange) upstreamRequest(pl *placement, memory *reservations, now time.Time) *upstream.Request {
-	s := AttemptFields{
+func (x *exchange) upstreamRequest(pl *placement, reserved *reservations, now time.Time) *upstream.Request {
+	fields := AttemptFields{
 		EndpointID:  pl.endpoint.ID,
 		Remaining:   x.deadline.Sub(now),
 		LastEventID: x.call.LastEventID,
 		Priority:    DefaultPriority,
 	}
 	if x.stream != nil && x.stream.lastID != "" {
-		s.LastEventID = x.stream.lastID
+		fields.LastEventID = x.stream.lastID
 	}
 	if x.workspace != nil {
-		s.Workspace = x.workspace.Name
+		fields.Workspace = x.workspace.Name
 	}
-	s.Helpers = memory.helpers(pl)
+	fields.Helpers = reserved.helpers(pl)
 	req := &upstream.Request{
 		Method:  x.r.Method,
 		Target:  x.r.RequestURI,
 		Host:    x.r.Host,
-		Header:  x.g.deps.Protocol.Header(x.r.Header, x.call, s),
+		Header:  x.g.deps.Protocol.Header(x.r.Header, x.call, fields),
 		Body:    x.body,
 		Echo:    x.g.deps.Protocol.EchoedHeader(),
 		MaxIdle: x.maxIdle(),
@@ -217,7 +217,7 @@
 			if !x.allAccept(pl, now) || !x.withinLimits(pl, now) {
 				return false
 			}
-			x.g.meter.sends.Inc()
+			x.g.meter.attempts.Inc()
 			return true
 		},
 	}
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -96,7 +96,7 @@
 }
 
 // mayHaveCrashed reports whether an exchange that broke with this error may have lost its
-// endpoint's process. After a time-out the answer is no: a host that does not respond does not
+// endpoint's process. After a timeout the answer is no: a host that does not respond does not
 // answer a probe either, which would only delay the resumption of its streams by probeTimeout.
 func mayHaveCrashed(err error) bool {
 	var failure net.Error
--- a/relay/crash_test.go
+++ b/relay/crash_test.go
@@ -27,12 +27,12 @@
 		begun   bool // whether an event arrives first
 		crashes uint64
 	}{
-		{"crash before the answer", "/stream/x", (*testGateway).crashEndpoint, false, 1},
-		{"crash inside the answer", "/stream/x", (*testGateway).crashEndpoint, true, 1},
-		{"crash inside an answer that cannot resume", "/story/x", (*testGateway).crashEndpoint, true, 1},
+		{"crash before the response", "/stream/x", (*testGateway).crashEndpoint, false, 1},
+		{"crash inside the response", "/stream/x", (*testGateway).crashEndpoint, true, 1},
+		{"crash inside a response that cannot resume", "/story/x", (*testGateway).crashEndpoint, true, 1},
 		{"crash of a plain service", "/safe/x", (*testGateway).crashEndpoint, false, 1},
-		{"answer broken off", "/stream/x", func(_ *testGateway, c *net.TCPConn) { reset(c) }, true, 0},
-		{"no answer", "/safe/x", func(_ *testGateway, c *net.TCPConn) { reset(c) }, false, 0},
+		{"response broken off", "/stream/x", func(_ *testGateway, c *net.TCPConn) { reset(c) }, true, 0},
+		{"no response", "/safe/x", func(_ *testGateway, c *net.TCPConn) { reset(c) }, false, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/relay/digest.go
+++ b/relay/digest.go
@@ -13,20 +13,20 @@
 const minSpareDivisor = 3
 
 // localDigest returns the digest of this gateway's cell for the gateways of another cell.
-func (p *picker) localDigest(to, dataCentre string, gateways int, now time.Time) peers.Digest {
+func (p *picker) localDigest(receiverCell, dataCentre string, gateways int, now time.Time) peers.Digest {
 	cells := p.state.Cells()
 	localCell := cells.Of(dataCentre)
 	d := peers.Digest{DataCentre: dataCentre, Gateways: gateways, Loads: make(map[string]balance.Load)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	theirs := func(peer string) bool { return cells.Of(peer) == to }
+	inReceiverCell := func(peer string) bool { return cells.Of(peer) == receiverCell }
 	withoutSpare := p.cellsWithoutSpare(now)
 	for _, s := range p.state.Services() {
 		spare := p.spareEndpoints(&s, p.state.EndpointsByCell(s.Name)[localCell], now)
 		d.NoSpareEndpoints = d.NoSpareEndpoints || s.Engine != nil && len(spare) == 0
 		for _, e := range spare {
-			if other, ok := cells.SharedWith(e.ID, localCell, withoutSpare); ok && other == to {
-				d.Loads[e.ID] = p.loads.LoadExcluding(e.ID, theirs, now)
+			if other, ok := cells.SharedWith(e.ID, localCell, withoutSpare); ok && other == receiverCell {
+				d.Loads[e.ID] = p.loads.LoadExcluding(e.ID, inReceiverCell, now)
 			}
 		}
 	}
--- a/relay/endpointlimits.go
+++ b/relay/endpointlimits.go
@@ -11,7 +11,7 @@
 )
 
 // endpointLimits holds the rate limits of endpoints known to this gateway, and the gateway that
-// grants sends to these endpoints. Its methods may be called concurrently.
+// grants requests to these endpoints. Its methods may be called concurrently.
 type endpointLimits struct {
 	// current holds the limits in force, in requests per second by endpoint. The map is replaced,
 	// never changed, since every choice reads it.
@@ -289,7 +289,7 @@
 	return out
 }
 
-// updateCoordinator re-evaluates which gateway grants sends to endpoints with rate limits; it
+// updateCoordinator re-evaluates which gateway grants requests to endpoints with rate limits; it
 // reports whether that has changed.
 func (g *Gateway) updateCoordinator(now time.Time) bool {
 	name, changed := g.endpointLimits.chooseCoordinator(g.shuttingDown.Load(), now)
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -148,23 +148,23 @@
 	heartbeat := time.NewTicker(broadcastInterval)
 	defer heartbeat.Stop()
 	for beat := 0; ctx.Err() == nil; {
-		reason := loadChanged
+		cause := loadChanged
 		select {
 		case <-ctx.Done():
 			return
 		case <-heartbeat.C:
-			reason = broadcastDue
+			cause = broadcastDue
 			if beat++; beat%broadcastsPerDigest == 0 {
-				reason = digestsDue
+				cause = digestsDue
 			}
 		case <-g.fullMessageDue:
-			reason = proofRead
+			cause = proofRead
 		case <-g.picker.sendSoon:
 		}
 		now := time.Now()
 		others := slices.Delete(slices.Clone(f.members), i, i+1)
 		r := newRecipients(g.config.Name, g.config.DataCentre, g.state.Cells(), others, g.storeReads.recentPeers(now))
-		for _, out := range g.outgoing(r, reason, now) {
+		for _, out := range g.outgoing(r, cause, now) {
 			f.deliver(i, out, now)
 		}
 		time.Sleep(minBroadcastGap)
--- a/relay/gateway_test.go
+++ b/relay/gateway_test.go
@@ -255,11 +255,11 @@
 	is := is.New(t)
 	var mu sync.Mutex
 	var dead []string
-	asked := make(map[string]bool)
+	used := make(map[string]bool)
 	b := newTestGateway(t, func(_ int, w *bufio.Writer, c *net.TCPConn, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		asked[c.LocalAddr().String()] = true
+		used[c.LocalAddr().String()] = true
 		helpers := r.Header["Helper"]
 		if len(dead) < 3 && len(helpers) > 0 {
 			dead = append(dead, helpers[0])
@@ -277,7 +277,7 @@
 	is.Equal(got.status, 200)
 	is.Equal(len(dead), 3)
 	is.Equal(b.requestCount(), 4)
-	is.True(len(asked) <= 2)
+	is.True(len(used) <= 2)
 }
 
 // TestCallerDoesNotReadResponse: a caller that reads nothing of its response occupies the gateway no
--- a/relay/grant.go
+++ b/relay/grant.go
@@ -69,7 +69,7 @@
 	suspended time.Duration
 }
 
-// valid reports whether the grant allows a send now; g may be nil.
+// valid reports whether the grant permits an attempt now; g may be nil.
 func (g *grant) valid(now time.Time, suspended time.Duration) bool {
 	return g != nil && now.Before(g.expires) && suspended == g.suspended
 }
@@ -80,8 +80,8 @@
 // requestGrant asks the coordinator, which may be this gateway, for a grant. A nil grant without an
 // error means that the request was refused or has to ask again.
 func (g *Gateway) requestGrant(ctx context.Context, q grantQuestion) (*grant, grantAnswer, error) {
-	askedAt, suspended := time.Now(), g.checkSuspension()
-	if g.updateCoordinator(askedAt) {
+	requestedAt, suspended := time.Now(), g.checkSuspension()
+	if g.updateCoordinator(requestedAt) {
 		g.picker.notifyPeers()
 	}
 	name := g.endpointLimits.coordinatorName()
@@ -97,7 +97,7 @@
 	if err != nil || a.Endpoint == "" {
 		return nil, a, err
 	}
-	expires := askedAt.Add(time.Duration(a.KeptMs)*time.Millisecond + grantRoundTrip)
+	expires := requestedAt.Add(time.Duration(a.KeptMs)*time.Millisecond + grantRoundTrip)
 	return &grant{a.Endpoint, expires, suspended}, a, nil
 }
 
--- a/relay/handler.go
+++ b/relay/handler.go
@@ -88,7 +88,7 @@
 	if o, ok := x.readBody(); !ok {
 		return o
 	}
-	// The service is drawn from the route's targets only once, so that a retry uses the same
+	// The service is picked from the route's targets only once, so that a retry uses the same
 	// service.
 	x.service = x.table.Service(pickService(x.route))
 	if x.service == nil {
--- a/relay/learn.go
+++ b/relay/learn.go
@@ -57,21 +57,21 @@
 func (g *Gateway) querySeeds(seeds []netip.AddrPort) (from netip.AddrPort, answered bool) {
 	ctx, cancel := context.WithTimeout(g.ctx, seedTimeout)
 	defer cancel()
-	type answer struct {
+	type seedResponse struct {
 		from  netip.AddrPort
 		proof proofAnswer
 		err   error
 	}
-	answers := make(chan answer, len(seeds))
+	responses := make(chan seedResponse, len(seeds))
 	for _, seed := range seeds {
 		go func() {
-			a := answer{from: seed}
+			a := seedResponse{from: seed}
 			a.err = g.peerClient.get(ctx, g.peerURL(seed, pathProof), &a.proof)
-			answers <- a
+			responses <- a
 		}()
 	}
 	for range seeds {
-		a := <-answers
+		a := <-responses
 		if a.err != nil {
 			g.deps.Log.Logger().Info("A named gateway does not answer.", "peer", a.from, "err", a.err)
 			continue
@@ -92,10 +92,10 @@
 
 // bootstrapFrom takes over the state of a peer; it reports whether that is complete and fresh.
 func (g *Gateway) bootstrapFrom(peer netip.AddrPort) bool {
-	asked := time.Now()
+	queriedAt := time.Now()
 	proof, err := g.queryPeer(peer)
 	if err == nil {
-		err = g.fetchEndpoints(peer, asked.Add(-time.Duration(proof.EndpointsAgeMs)*time.Millisecond))
+		err = g.fetchEndpoints(peer, queriedAt.Add(-time.Duration(proof.EndpointsAgeMs)*time.Millisecond))
 	}
 	if err != nil {
 		g.deps.Log.Logger().Warn("Configuration or endpoints could not be taken over from a seed gateway.", "peer", peer, "err", err)
--- a/relay/leaves_test.go
+++ b/relay/leaves_test.go
@@ -91,7 +91,7 @@
 	is.True(again)
 	is.True(x.mayRepeat())
 	is.Equal(x.attempts, 0)
-	is.Equal(x.g.meter.sends.Get(), uint64(0))
+	is.Equal(x.g.meter.attempts.Get(), uint64(0))
 }
 
 // TestDrainAfterChoice: a request is not sent if its endpoint or one of its helpers starts draining
--- a/relay/limitcost_test.go
+++ b/relay/limitcost_test.go
@@ -20,7 +20,7 @@
 // BenchmarkLimitedChoice measures what 290 rate limits or backoffs among 2,900 endpoints of 16
 // cells add to a choice. docs/CAPACITY.md has the figures.
 func BenchmarkLimitedChoice(b *testing.B) {
-	for name, interval := range map[string]struct{ limited, resting int }{"none": {}, "a tenth": {limited: 10}, "none, a tenth rest": {resting: 10}} {
+	for name, interval := range map[string]struct{ limited, inBackoff int }{"none": {}, "a tenth": {limited: 10}, "none, a tenth rest": {inBackoff: 10}} {
 		limited := interval.limited
 		b.Run(name, func(b *testing.B) {
 			p, s := enginePicker(0)
@@ -36,14 +36,14 @@
 			p.dataCentre = "dc03"
 			p.state.ApplyList(list, now, now, time.Time{})
 			for n, e := range list {
-				if interval.resting > 0 && n%interval.resting == 0 {
+				if interval.inBackoff > 0 && n%interval.inBackoff == 0 {
 					p.state.RecordBackoff(e.ID, time.Hour, now)
 				}
 			}
-			w := balance.Request{InputTokens: 500, OutputTokens: 10, ObjectiveLeftMs: 300, DeadlineLeftMs: 2000}
+			req := balance.Request{InputTokens: 500, OutputTokens: 10, ObjectiveLeftMs: 300, DeadlineLeftMs: 2000}
 			b.ResetTimer()
 			for range b.N {
-				if pl, _, _ := p.pick(s, w, noIdleConns, time.Now()); pl != nil {
+				if pl, _, _ := p.pick(s, req, noIdleConns, time.Now()); pl != nil {
 					pl.release()
 				}
 			}
--- a/relay/limited.go
+++ b/relay/limited.go
@@ -12,7 +12,7 @@
 )
 
 // withoutLimited leaves out endpoints with rate limits. A choice never takes these by itself,
-// neither for the request nor as helpers: a send to one of them needs a grant.
+// neither for the request nor as helpers: a request to one of them needs a grant.
 func (p *picker) withoutLimited(cells map[string][]catalog.Endpoint) map[string][]catalog.Endpoint {
 	if !p.limits.any() {
 		return cells
@@ -160,7 +160,7 @@
 }
 
 // placeAmongLimited looks for an endpoint with a rate limit after the choice among the others
-// resulted in o.
+// resulted in found.
 func (x *exchange) placeAmongLimited(ctx context.Context, req *balance.Request, found pickOutcome, now time.Time) limitedResult {
 	mode := grantModeNow
 	switch {
@@ -201,7 +201,7 @@
 // soon after the coordinator has fallen silent.
 const retryAfterCoordinator = 1500 * time.Millisecond
 
-// probeLimited sends the request to an endpoint with a rate limit that has not been heard from for
+// probeLimited places the request on an endpoint with a rate limit that has not been heard from for
 // a while. Otherwise no gateway would find out that the limit has ended.
 func (x *exchange) probeLimited(ctx context.Context, req balance.Request) *placement {
 	now := time.Now()
@@ -246,9 +246,9 @@
 	return x.route.Priority
 }
 
-// withinLimits reports whether a send to the placement may go out now: none of its helpers has a
-// rate limit, and if the endpoint has one, the grant is still valid. Limits may have been announced
-// since the endpoints were chosen.
+// withinLimits reports whether the request may be sent to the placement now: none of its helpers
+// has a rate limit, and if the endpoint has one, the grant is still valid. Limits may have been
+// announced since the endpoints were chosen.
 func (x *exchange) withinLimits(pl *placement, now time.Time) bool {
 	for _, helper := range pl.helpers {
 		if _, limited := x.g.endpointLimits.limit(helper.ID); limited {
--- a/relay/limitfleet_test.go
+++ b/relay/limitfleet_test.go
@@ -116,7 +116,7 @@
 		f.setLimit("2", engineIndexes(4)...)
 		roundRobin := func(n int) int { return n % 6 }
 		f.sendLoad(t, 40, 2*time.Second, roundRobin)
-		time.Sleep(2 * time.Second) // each endpoint has accumulated two sends and accepts another one in half a second
+		time.Sleep(2 * time.Second) // each limit has accumulated two requests and permits another one in half a second
 		f.mu.Lock()
 		f.refusalTimes, f.answered = nil, 0
 		f.mu.Unlock()
--- a/relay/meter.go
+++ b/relay/meter.go
@@ -11,7 +11,7 @@
 	set               *metrics.Set
 	storeFailures     *metrics.Counter
 	peerSendFailures  *metrics.Counter
-	sends             *metrics.Counter
+	attempts          *metrics.Counter
 	retries           *metrics.Counter
 	resumes           *metrics.Counter
 	orders            *metrics.Counter
@@ -41,7 +41,7 @@
 		set:               set,
 		storeFailures:     set.NewCounter("relay_store_failures_total"),
 		peerSendFailures:  set.NewCounter("relay_peer_send_failures_total"),
-		sends:             set.NewCounter("relay_sends_total"),
+		attempts:          set.NewCounter("relay_sends_total"),
 		retries:           set.NewCounter("relay_retries_total"),
 		orders:            set.NewCounter("relay_orders_total"),
 		reserveFailures:   set.NewCounter("relay_reserve_failures_total"),
--- a/relay/peerclient.go
+++ b/relay/peerclient.go
@@ -66,7 +66,7 @@
 func (g *Gateway) writePeerResponse(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		g.deps.Log.Logger().Debug("Sending an answer to a peer failed.", "err", err)
+		g.deps.Log.Logger().Debug("Sending a response to a peer failed.", "err", err)
 	}
 }
 
@@ -106,7 +106,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Encoding", "gzip")
 	if _, err := w.Write(p); err != nil {
-		g.deps.Log.Logger().Debug("Sending an answer to a peer failed.", "err", err)
+		g.deps.Log.Logger().Debug("Sending a response to a peer failed.", "err", err)
 	}
 }
 
--- a/relay/picker.go
+++ b/relay/picker.go
@@ -62,7 +62,7 @@
 	memoryDemands []memoryDemand
 	reservations  *reservations // reserved for the attempt; nil if none
 	grant         *grant        // permits an attempt at an endpoint with a rate limit; nil if none
-	send          availability.SentRequest
+	sentRequest   availability.SentRequest
 	loadBefore    balance.Load // load of the endpoint before this request
 	chosenAt      time.Time
 	slowdown      float64 // of the slowest of the endpoints, as known when the choice was made
@@ -100,12 +100,12 @@
 // moment. The caller holds the lock.
 func (p *picker) assign(res searchResult, now time.Time) *placement {
 	c := res.choice
-	send, ok := p.state.BeginSend(res.endpoints[c.Endpoint].ID, now)
+	sent, ok := p.state.BeginAttempt(res.endpoints[c.Endpoint].ID, now)
 	if !ok {
 		return nil
 	}
 	pl := &placement{
-		picker: p, endpoint: res.endpoints[c.Endpoint], loadBefore: res.candidates[c.Endpoint].Load, send: send,
+		picker: p, endpoint: res.endpoints[c.Endpoint], loadBefore: res.candidates[c.Endpoint].Load, sentRequest: sent,
 		candidates: len(res.candidates), expected: c.Expected, chosenAt: time.Now(),
 	}
 	for _, i := range c.Helpers {
@@ -230,7 +230,7 @@
 // release removes all load of the request.
 func (pl *placement) release() {
 	p := pl.picker
-	pl.endSend(false)
+	pl.endAttempt(false)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pl.removePrefill()
@@ -241,12 +241,12 @@
 	p.notifyWaitersLocked()
 }
 
-// endSend records that the request was answered, or will not be; only the first call counts. It
+// endAttempt records that the request was answered, or will not be; only the first call counts. It
 // reports whether this ends the slow start of an endpoint after its backoff.
-func (pl *placement) endSend(answered bool) bool {
-	send := pl.send
-	pl.send = availability.SentRequest{}
-	return pl.picker.state.EndSend(send, answered)
+func (pl *placement) endAttempt(answered bool) bool {
+	sent := pl.sentRequest
+	pl.sentRequest = availability.SentRequest{}
+	return pl.picker.state.EndAttempt(sent, answered)
 }
 
 // notifyWaiters wakes the requests that wait for endpoints.
--- a/relay/picker_test.go
+++ b/relay/picker_test.go
@@ -51,8 +51,8 @@
 		is := is.New(t)
 		p, s := enginePicker(4)
 		req := balance.Request{InputTokens: 100000, OutputTokens: 500, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second}
-		pl, _, o := p.pick(s, req, noIdleConns, time.Now())
-		is.Equal(o, picked)
+		pl, _, found := p.pick(s, req, noIdleConns, time.Now())
+		is.Equal(found, picked)
 		is.True(len(pl.loads) > 1)
 		is.True(loadAt(p, pl.endpoint.ID).PrefillMs > 0)
 		time.Sleep(2 * time.Second)
--- a/relay/place.go
+++ b/relay/place.go
@@ -51,8 +51,8 @@
 }
 
 // refusalReason returns the reason for the log when a choice with this outcome leads to a refusal.
-func refusalReason(o pickOutcome) string {
-	switch o {
+func refusalReason(found pickOutcome) string {
+	switch found {
 	case pickFull:
 		return "all slots are taken"
 	case pickWait:
--- a/relay/placing.go
+++ b/relay/placing.go
@@ -148,7 +148,7 @@
 	case p.x.waitPolicy().mayWait(busy, now):
 		return nil, "", tryLater
 	case retryAfter > 0:
-		return p.refuse("no endpoint with a rate limit took it in its time", now, func() outcome { return p.x.refuseLimited(retryAfter) })
+		return p.refuse("no endpoint with a rate limit accepted it in time", now, func() outcome { return p.x.refuseLimited(retryAfter) })
 	default:
 		return p.refuse(refusalReason(found), now, func() outcome { return p.x.refuseUnplaced(busy) })
 	}
--- a/relay/reserve.go
+++ b/relay/reserve.go
@@ -44,9 +44,9 @@
 	decoding catalog.Endpoint
 	list     []*reservation
 	usage    *memoryUsage
-	// sendCtx is the context of the attempt; it is cancelled if the memory is released as unused.
-	sendCtx    context.Context
-	cancelSend context.CancelCauseFunc
+	// attemptCtx is the context of the attempt; it is cancelled if the memory is released as unused.
+	attemptCtx    context.Context
+	cancelAttempt context.CancelCauseFunc
 	// writingToCaller is set while the response waits for its caller. The endpoint is then not the
 	// cause of the delay, and the unread rest of the response must not be dropped.
 	writingToCaller atomic.Bool
@@ -102,7 +102,7 @@
 		return nil, &failed
 	}
 	r.usage = newMemoryUsage(newUnusedLimits(g.config.UnusedMemory), time.Now())
-	r.sendCtx, r.cancelSend = context.WithCancelCause(ctx)
+	r.attemptCtx, r.cancelAttempt = context.WithCancelCause(ctx)
 	renewing, stop := context.WithCancel(g.ctx)
 	r.stopRenewal = stop
 	r.background.Go(func() { r.renew(renewing) })
@@ -239,7 +239,7 @@
 	r.g.deps.Log.Request("Memory given back.", "request", r.request, "why", reason, "generating", r.decoding.ID, "endpoints", r.endpointIDs(), "reservations", r.reservationIDs(),
 		"unproved_ms", r.usage.sinceLastUse(now).Milliseconds(), "answer_waits_for_caller", waitsForCaller)
 	if !waitsForCaller {
-		r.cancelSend(errMemoryUnused)
+		r.cancelAttempt(errMemoryUnused)
 	}
 	r.release()
 }
@@ -247,7 +247,7 @@
 // endedUnused reports whether the attempt was ended because its reserved memory was not used; r may
 // be nil.
 func (r *reservations) endedUnused() bool {
-	return r != nil && errors.Is(context.Cause(r.sendCtx), errMemoryUnused)
+	return r != nil && errors.Is(context.Cause(r.attemptCtx), errMemoryUnused)
 }
 
 // end ends the attempt and releases the memory; r may be nil.
@@ -255,7 +255,7 @@
 	if r == nil {
 		return
 	}
-	r.cancelSend(nil)
+	r.cancelAttempt(nil)
 	r.release()
 }
 
--- a/relay/rest.go
+++ b/relay/rest.go
@@ -56,7 +56,7 @@
 )
 
 // next decides what to do after no endpoint was chosen. minEndpoints is how many endpoints the
-// request needs at once; turn says whether it was the request's turn to choose, among long prompts
+// request needs at once; state says whether it was the request's turn to choose, among long prompts
 // and in the backoff queue.
 func (b *backoffWait) next(minEndpoints int, state choiceState, now time.Time) (step backoffStep, retryAfter time.Duration) {
 	backoff := b.x.g.state.ServiceBackoff(b.x.service.Name, now)
--- a/relay/share.go
+++ b/relay/share.go
@@ -17,11 +17,11 @@
 )
 
 // Calls to the store are charged individually, so not every gateway reads it. One gateway, chosen
-// by its name among those heard recently, reads the configuration and the endpoints, and another
-// one stands by. The other gateways take both from their messages, in other cells through the
-// representatives of the cells, each dated by the receiver's own clock. A gateway that receives
-// nothing fresh enough reads the store itself, so that readers which hang or are cut off cost only
-// additional calls.
+// by its name among those that sent messages recently, reads the configuration and the endpoints,
+// and another one stands by. The other gateways take both from their messages, in other cells
+// through the representatives of the cells, each dated by the receiver's own clock. A gateway that
+// receives nothing fresh enough reads the store itself, so that readers which hang or are cut off
+// cost only additional calls.
 
 const (
 	// storeReaders is how many gateways ensure that the store is read: one reads, and one stands by
@@ -71,23 +71,23 @@
 	return &storeReads{withStore: make(map[string]time.Time), withoutStore: make(map[string]time.Time), crossCell: make(map[string]time.Time)}
 }
 
-// recentPeers returns the peers that were heard recently.
+// recentPeers returns the peers that sent a message recently.
 func (s *storeReads) recentPeers(now time.Time) recentPeers {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	recent := recentPeers{all: make(map[string]bool), withStore: make(map[string]bool), crossCell: make(map[string]bool)}
-	for name, heardAt := range s.withStore {
-		if now.Sub(heardAt) <= peerTimeout {
+	for name, receivedAt := range s.withStore {
+		if now.Sub(receivedAt) <= peerTimeout {
 			recent.all[name], recent.withStore[name] = true, true
 		}
 	}
-	for name, heardAt := range s.withoutStore {
-		if now.Sub(heardAt) <= peerTimeout {
+	for name, receivedAt := range s.withoutStore {
+		if now.Sub(receivedAt) <= peerTimeout {
 			recent.all[name] = true
 		}
 	}
-	for name, heardAt := range s.crossCell {
-		if now.Sub(heardAt) > remotePeerTimeout {
+	for name, receivedAt := range s.crossCell {
+		if now.Sub(receivedAt) > remotePeerTimeout {
 			delete(s.crossCell, name)
 			continue
 		}
@@ -132,12 +132,12 @@
 	}
 }
 
-// countPreceding returns how many of the recently heard peers precede a gateway; it drops the
-// others.
+// countPreceding returns how many of the peers that sent a message recently precede a gateway; it
+// drops the others.
 func countPreceding(self string, peers map[string]time.Time, now time.Time) int {
 	preceding := 0
-	for name, heardAt := range peers {
-		if now.Sub(heardAt) > peerTimeout {
+	for name, receivedAt := range peers {
+		if now.Sub(receivedAt) > peerTimeout {
 			delete(peers, name)
 			continue
 		}
@@ -242,11 +242,11 @@
 	}
 }
 
-// peerReachesStore reports whether a peer that can reach the store was heard recently. The caller
-// holds the lock.
+// peerReachesStore reports whether a peer that can reach the store sent a message recently. The
+// caller holds the lock.
 func (s *storeReads) peerReachesStore(now time.Time) bool {
-	for _, heardAt := range s.withStore {
-		if now.Sub(heardAt) <= peerTimeout {
+	for _, receivedAt := range s.withStore {
+		if now.Sub(receivedAt) <= peerTimeout {
 			return true
 		}
 	}
--- a/relay/takers.go
+++ b/relay/takers.go
@@ -50,23 +50,23 @@
 	return s.endpoints.acceptsRequests(id, now) && !s.backoffs.InBackoff(id, now)
 }
 
-// BeginSend counts a request for which an endpoint was chosen; ok is false if it must not be sent
-// there. The caller has to call EndSend.
-func (s *State) BeginSend(id string, now time.Time) (send availability.SentRequest, ok bool) {
+// BeginAttempt counts a request for which an endpoint was chosen; ok is false if it must not be sent
+// there. The caller has to call EndAttempt.
+func (s *State) BeginAttempt(id string, now time.Time) (sent availability.SentRequest, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.endpoints.acceptsRequests(id, now) {
-		return send, false
+		return sent, false
 	}
 	return s.backoffs.Begin(id, now)
 }
 
-// EndSend records that a request was answered, or will not be. It reports whether this ends the
+// EndAttempt records that a request was answered, or will not be. It reports whether this ends the
 // slow start of the endpoint after its backoff.
-func (s *State) EndSend(send availability.SentRequest, answered bool) bool {
+func (s *State) EndAttempt(sent availability.SentRequest, answered bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.backoffs.End(send, answered)
+	return s.backoffs.End(sent, answered)
 }
 
 // MarkDraining records that an endpoint is draining, as a response of the endpoint or a gateway
--- a/relay/tell.go
+++ b/relay/tell.go
@@ -132,20 +132,20 @@
 
 // remoteMessage returns the message for another cell, if there is one to send: the load at that
 // cell's endpoints, and what representatives of cells send each other.
-func (g *Gateway) remoteMessage(msg peers.Message, r recipients, c string, cause trigger, loads map[string]balance.Load, repeat bool, now time.Time) (outgoingMessage, bool) {
+func (g *Gateway) remoteMessage(msg peers.Message, r recipients, otherCell string, cause trigger, loads map[string]balance.Load, repeat bool, now time.Time) (outgoingMessage, bool) {
 	msg.Loads = loads
 	representative := r.representative && (cause == digestsDue || cause == proofRead)
 	if representative && cause == digestsDue {
-		msg.Digests = []peers.Digest{g.picker.localDigest(c, g.config.DataCentre, r.gateways, now)}
+		msg.Digests = []peers.Digest{g.picker.localDigest(otherCell, g.config.DataCentre, r.gateways, now)}
 	}
 	if representative {
 		msg.CrashReports = g.crashReports(quarantine.OtherCells, true, false, repeat, now)
 	}
 	switch {
 	case len(loads) > 0:
-		return outgoingMessage{msg, r.remote[c]}, true
+		return outgoingMessage{msg, r.remote[otherCell]}, true
 	case representative:
-		return outgoingMessage{msg, r.remoteRecipients[c]}, true
+		return outgoingMessage{msg, r.remoteRecipients[otherCell]}, true
 	default:
 		return outgoingMessage{}, false
 	}
@@ -153,13 +153,13 @@
 
 // crashReports returns the reports on requests that were running on endpoints when these crashed;
 // repeat adds all reports on quarantined requests.
-func (g *Gateway) crashReports(to quarantine.Audience, representative, urgent, repeat bool, now time.Time) []quarantine.Report {
+func (g *Gateway) crashReports(audience quarantine.Audience, representative, urgent, repeat bool, now time.Time) []quarantine.Report {
 	if g.quarantine.count.Load() == 0 {
 		return nil
 	}
 	var out []quarantine.Report
 	g.quarantine.change(func(t *quarantine.Table) {
-		out = t.Updates(to, representative, urgent, now)
+		out = t.Updates(audience, representative, urgent, now)
 		if repeat {
 			out = append(out, t.RepeatReports(now)...)
 		}
