--- a/availability/rests_test.go
+++ b/availability/rests_test.go
@@ -81,8 +81,8 @@
 	is.True(!table.Active())
 }
 
-// TestResponsesFromBeforeBackoff checks that responses to requests sent before an endpoint asked for a backoff do
-// not widen the window after it.
+// TestResponsesFromBeforeBackoff checks that responses to requests sent before an endpoint asked for a
+// backoff do not widen the window after it.
 func TestResponsesFromBeforeBackoff(t *testing.T) {
 	is := is.New(t)
 	table := NewBackoffTable()
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -43,8 +43,8 @@
 	is.Equal(len(tracker.Local()), 0)
 }
 
-// TestLoadTrackerLocalChanges: a peer that has a gateway's earlier full load and applies its
-// changes obtains its current load.
+// TestLoadTrackerLocalChanges: a peer that has a gateway's earlier full load and
+// applies its changes obtains its current load.
 func TestLoadTrackerLocalChanges(t *testing.T) {
 	is := is.New(t)
 	a, b := NewLoadTracker(), NewLoadTracker()
@@ -68,8 +68,8 @@
 	is.Equal(len(a.LocalChanges()), 0)
 }
 
-// TestLoadTrackerDropsStaleLoadOfReturningPeer: changes of a peer that was silent for longer
-// than peerTTL do not restore its earlier load.
+// TestLoadTrackerDropsStaleLoadOfReturningPeer: changes of a peer that was silent for
+// longer than peerTTL do not restore its earlier load.
 func TestLoadTrackerDropsStaleLoadOfReturningPeer(t *testing.T) {
 	is := is.New(t)
 	tracker := NewLoadTracker()
--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -71,9 +71,9 @@
 	is.Equal(choose(plain, Request{Excluded: []string{"1"}}, all).Endpoint, 0)
 }
 
-// TestShortRequestsArePacked: the short requests of all gateways use the first endpoints of
-// the shared order, which leaves the last ones free for long prompts, and spread to the
-// next one before an endpoint is full.
+// TestShortRequestsArePacked: the short requests of all gateways use the first
+// endpoints of the shared order, which leaves the last ones free for long prompts, and
+// spread to the next one before an endpoint is full.
 func TestShortRequestsArePacked(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(4)
@@ -139,10 +139,10 @@
 	is.Equal(choose(model, short, all).Endpoint, 2)
 }
 
-// TestMediumPromptDecodesWithShortRequests: a prompt whose route does not allow the longest gaps
-// decodes on the first endpoint of the shared order where it causes no interference, so
-// that parts of longer prompts cause it no gaps. A gap-tolerant one avoids the
-// endpoints of short requests.
+// TestMediumPromptDecodesWithShortRequests: a prompt whose route does not allow the
+// longest gaps decodes on the first endpoint of the shared order where it causes no
+// interference, so that parts of longer prompts cause it no gaps. A gap-tolerant one
+// avoids the endpoints of short requests.
 func TestMediumPromptDecodesWithShortRequests(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(6)
@@ -253,8 +253,8 @@
 	}
 }
 
-// TestLongPartsJoinGapTolerantRequests: a part that is too long for the gap objective of one
-// long request is placed with another one whose route allows longer gaps.
+// TestLongPartsJoinGapTolerantRequests: a part that is too long for the gap objective
+// of one long request is placed with another one whose route allows longer gaps.
 func TestLongPartsJoinGapTolerantRequests(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(2)
@@ -297,9 +297,9 @@
 	is.Equal(choose(model, req, all).Endpoint, 1)
 }
 
-// TestOversizePromptMayInterfereUpToItsValue: a prompt that exceeds an endpoint's memory is placed on
-// endpoints without prefill work. It shares them with short requests up to its own
-// value, and with none when it is late.
+// TestOversizePromptMayInterfereUpToItsValue: a prompt that exceeds an endpoint's
+// memory is placed on endpoints without prefill work. It shares them with short
+// requests up to its own value, and with none when it is late.
 func TestOversizePromptMayInterfereUpToItsValue(t *testing.T) {
 	is := is.New(t)
 	few, many, prefilling := idleCandidates(18), idleCandidates(18), idleCandidates(18)
@@ -330,8 +330,9 @@
 	is.True(!choose(model, req, idleCandidates(18)).Wait)
 }
 
-// TestOversizePromptLeavesIdleEndpoints: a prompt that exceeds an endpoint's memory leaves some idle
-// endpoints to other requests, but uses all of them if there are only a few.
+// TestOversizePromptLeavesIdleEndpoints: a prompt that exceeds an endpoint's memory
+// leaves some idle endpoints to other requests, but uses all of them if there are only
+// a few.
 func TestOversizePromptLeavesIdleEndpoints(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(10)
@@ -343,8 +344,8 @@
 	is.True(!choose(model, req, idleCandidates(2)).Wait)
 }
 
-// TestValue: typical prompts have their expected value, within a factor of 1.5, by class or, if
-// no class is more gap-tolerant than another, by length.
+// TestValue: typical prompts have their expected value, within a factor of 1.5, by
+// class or, if no class is more gap-tolerant than another, by length.
 func TestValue(t *testing.T) {
 	two := catalog.Gaps{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: 600 * time.Millisecond}
 	cases := []struct {
--- a/balance/turns_test.go
+++ b/balance/turns_test.go
@@ -25,8 +25,8 @@
 	is.Equal(queue.Waiting(), 2)
 }
 
-// TestPromptQueueByUrgency: a prompt that can be in time goes before an oversize one, and that
-// before a late one, regardless of their due times.
+// TestPromptQueueByUrgency: a prompt that can be in time goes before an oversize one,
+// and that before a late one, regardless of their due times.
 func TestPromptQueueByUrgency(t *testing.T) {
 	is := is.New(t)
 	queue := NewPromptQueue()
@@ -43,8 +43,8 @@
 	is.True(queue.First(late, Late, settled))
 }
 
-// TestPromptQueueWithPeers: two gateways with one prompt each never place them at the same
-// time, as long as each receives the other's messages in time.
+// TestPromptQueueWithPeers: two gateways with one prompt each never place them at the
+// same time, as long as each receives the other's messages in time.
 func TestPromptQueueWithPeers(t *testing.T) {
 	is := is.New(t)
 	a, b := NewPromptQueue(), NewPromptQueue()
@@ -59,8 +59,8 @@
 	is.True(b.First(second, InTime, settled.Add(time.Millisecond)))
 }
 
-// TestPromptQueueWaitsForMessages: a new prompt waits until a message about a placement that a
-// peer makes at the same time would have arrived.
+// TestPromptQueueWaitsForMessages: a new prompt waits until a message about a placement
+// that a peer makes at the same time would have arrived.
 func TestPromptQueueWaitsForMessages(t *testing.T) {
 	is := is.New(t)
 	queue := NewPromptQueue()
--- a/ratelimit/votes_test.go
+++ b/ratelimit/votes_test.go
@@ -28,11 +28,11 @@
 // run makes all gateways send four messages a second for a time d.
 func (g *gatewayGroup) run(d time.Duration) {
 	for end := g.now.Add(d); g.now.Before(end); g.now = g.now.Add(250 * time.Millisecond) {
-		for from, v := range g.elections {
-			v.Choose(false, g.now)
-			for to, w := range g.elections {
+		for from, sender := range g.elections {
+			sender.Choose(false, g.now)
+			for to, receiver := range g.elections {
 				if from != to && g.receives(from, to) {
-					w.RecordVote(gatewayName(from), v.OwnVote(g.now), g.now)
+					receiver.RecordVote(gatewayName(from), sender.OwnVote(g.now), g.now)
 				}
 			}
 		}
@@ -41,8 +41,8 @@
 
 // shares returns the sum of the shares that gateways may grant, and the number of gateways that may.
 func (g *gatewayGroup) shares() (sum float64, coordinators int) {
-	for _, v := range g.elections {
-		if s := v.Share(len(g.elections), g.now); s > 0 {
+	for _, election := range g.elections {
+		if s := election.Share(len(g.elections), g.now); s > 0 {
 			sum += s
 			coordinators++
 		}
@@ -117,21 +117,21 @@
 
 	next := g.elections[isolated].Choose(true, g.now)
 	is.Equal(next, second)
-	leaving := NewElection("a")
-	leaving.RecordVote("b", gatewayKey("a"), g.now)
-	is.Equal(leaving.Choose(true, g.now), "b")
+	shuttingDown := NewElection("a")
+	shuttingDown.RecordVote("b", gatewayKey("a"), g.now)
+	is.Equal(shuttingDown.Choose(true, g.now), "b")
 	is.Equal(NewElection("a").Choose(true, g.now), "a") // there is no other candidate
 }
 
 // TestNewCoordinatorWaits checks that a new coordinator grants nothing before settlingTime has passed.
 func TestNewCoordinatorWaits(t *testing.T) {
 	is := is.New(t)
-	v, now := NewElection("a"), time.Now()
-	v.Choose(false, now)
-	is.Equal(v.Share(1, now), 0.0)
-	is.Equal(v.Share(1, now.Add(settlingTime)), 1.0)
-	v.RecordVote("b", gatewayKey("a"), now.Add(settlingTime))
-	is.Equal(v.Share(2, now.Add(settlingTime)), 1.0)
-	v.DropVotes()
-	is.Equal(v.Share(2, now.Add(settlingTime)), maxTotalShare/2)
+	election, now := NewElection("a"), time.Now()
+	election.Choose(false, now)
+	is.Equal(election.Share(1, now), 0.0)
+	is.Equal(election.Share(1, now.Add(settlingTime)), 1.0)
+	election.RecordVote("b", gatewayKey("a"), now.Add(settlingTime))
+	is.Equal(election.Share(2, now.Add(settlingTime)), 1.0)
+	election.DropVotes()
+	is.Equal(election.Share(2, now.Add(settlingTime)), maxTotalShare/2)
 }
--- a/relay/limitfleet_test.go
+++ b/relay/limitfleet_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestLimitEnds: while other engines have room, an engine whose limit has ended gets its part again
-// a few seconds later, although all gateways had avoided it.
+// TestLimitEnds: while other engines have room, an engine whose limit has ended gets its share of
+// the requests again a few seconds later, although all gateways had avoided it.
 func TestLimitEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -18,7 +18,7 @@
 	Quarantined(ctx context.Context) ([]quarantine.Entry, error)
 	// StoreQuarantined stores an entry for the given time and replaces an older one of the same
 	// request.
-	StoreQuarantined(ctx context.Context, e quarantine.Entry, life time.Duration) error
+	StoreQuarantined(ctx context.Context, e quarantine.Entry, ttl time.Duration) error
 	// DropQuarantined removes an entry.
 	DropQuarantined(ctx context.Context, f quarantine.Fingerprint) error
 }
--- a/relay/state.go
+++ b/relay/state.go
@@ -12,8 +12,8 @@
 )
 
 // State holds the configuration and the endpoints known to the gateway, with the time of the reads
-// that prove them to be current. The configuration never goes back to an older version during the
-// life of the process.
+// that prove them to be current. The configuration never goes back to an older version while the
+// process runs.
 type State struct {
 	table atomic.Pointer[catalog.Table]
 
--- a/relay/stream_test.go
+++ b/relay/stream_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestSplitEvents(t *testing.T) {
-	cases := []struct{ name, in, whole, id string }{
+	cases := []struct{ name, in, complete, id string }{
 		{"nothing", "", "", ""},
 		{"one", "id: 1\ndata: a\n\n", "id: 1\ndata: a\n\n", "1"},
 		{"part of a second", "id: 1\ndata: a\n\nid: 2\nda", "id: 1\ndata: a\n\n", "1"},
@@ -22,9 +22,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			var s eventStream
-			whole, rest := s.splitEvents([]byte(tc.in))
-			is.Equal(string(whole), tc.whole)
-			is.Equal(string(whole)+string(rest), tc.in)
+			complete, rest := s.splitEvents([]byte(tc.in))
+			is.Equal(string(complete), tc.complete)
+			is.Equal(string(complete)+string(rest), tc.in)
 			is.Equal(s.lastID, tc.id)
 		})
 	}
@@ -40,8 +40,8 @@
 			n := rapid.IntRange(1, min(9, len(left))).Draw(t, "read")
 			partial = append(partial, left[:n]...)
 			left = left[n:]
-			whole, rest := s.splitEvents(partial)
-			out += string(whole)
+			complete, rest := s.splitEvents(partial)
+			out += string(complete)
 			partial = append([]byte(nil), rest...)
 		}
 		if out != stream || len(partial) != 0 {
@@ -54,8 +54,8 @@
 	f.Add([]byte("id: 1\ndata: a\n\nid"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var s eventStream
-		whole, rest := s.splitEvents(in)
-		if string(whole)+string(rest) != string(in) {
+		complete, rest := s.splitEvents(in)
+		if string(complete)+string(rest) != string(in) {
 			t.Fatal("bytes were lost")
 		}
 	})
