--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -30,16 +30,16 @@
 	return out
 }
 
-func choose(s *catalog.Service, w Request, all []Candidate) Choice {
-	return Default().Choose(s, w, all)
+func choose(s *catalog.Service, req Request, all []Candidate) Choice {
+	return Default().Choose(s, req, all)
 }
 
 var (
-	pauses = catalog.Gaps{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: time.Second}
+	gaps = catalog.Gaps{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: time.Second}
 
-	short    = Request{InputTokens: 5000, OutputTokens: 1400, ObjectiveLeftMs: 300, DeadlineLeftMs: 2000, Gaps: pauses}
-	long     = Request{InputTokens: 133000, OutputTokens: 700, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second, Gaps: pauses}
-	oversize = Request{InputTokens: 400000, OutputTokens: 700, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second, Gaps: pauses}
+	short    = Request{InputTokens: 5000, OutputTokens: 1400, ObjectiveLeftMs: 300, DeadlineLeftMs: 2000, Gaps: gaps}
+	long     = Request{InputTokens: 133000, OutputTokens: 700, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second, Gaps: gaps}
+	oversize = Request{InputTokens: 400000, OutputTokens: 700, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second, Gaps: gaps}
 )
 
 func TestModel(t *testing.T) {
@@ -71,10 +71,10 @@
 	is.Equal(choose(plain, Request{Excluded: []string{"1"}}, all).Endpoint, 0)
 }
 
-// TestShortsStayTogether: the short requests of all gateways use the first endpoints of
-// the shared order, which leaves the last ones free for long prompts, and spread to the
-// next one before an endpoint is full.
-func TestShortsStayTogether(t *testing.T) {
+// TestShortRequestsArePacked: the short requests of all gateways use the first
+// endpoints of the shared order, which leaves the last ones free for long prompts, and
+// spread to the next one before an endpoint is full.
+func TestShortRequestsArePacked(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(4)
 	for range 24 {
@@ -104,9 +104,9 @@
 	is.Equal(choose(model, short, all).Endpoint, 1)
 }
 
-// TestShortIsRefusedWhenAllSlotsAreTaken: a request is refused only while the requests
+// TestShortIsRefusedWhenAllSlotsAreInUse: a request is refused only while the requests
 // in flight use all slots, and only if it would be late and may be retried.
-func TestShortIsRefusedWhenAllSlotsAreTaken(t *testing.T) {
+func TestShortIsRefusedWhenAllSlotsAreInUse(t *testing.T) {
 	is := is.New(t)
 	busyCandidates := func(short int) []Candidate {
 		all := idleCandidates(3)
@@ -139,11 +139,11 @@
 	is.Equal(choose(model, short, all).Endpoint, 2)
 }
 
-// TestMiddleGeneratesBesideShorts: a prompt whose route does not allow the longest gaps
-// decodes on the first endpoint of the shared order where it causes no interference, so
-// that parts of longer prompts cause it no gaps. A gap-tolerant one avoids the
-// endpoints of short requests.
-func TestMiddleGeneratesBesideShorts(t *testing.T) {
+// TestMediumPromptDecodesWithShortRequests: a prompt whose route does not allow the
+// longest gaps decodes on the first endpoint of the shared order where it causes no
+// interference, so that parts of longer prompts cause it no gaps. A gap-tolerant one
+// avoids the endpoints of short requests.
+func TestMediumPromptDecodesWithShortRequests(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(6)
 	for i := range 2 {
@@ -199,14 +199,14 @@
 	is.Equal(len(c.Helpers), 0)
 }
 
-// TestLongAcceptsHarmByItsValue: a prompt that can be in time shares endpoints with a
+// TestLongMayInterfereUpToItsValue: a prompt that can be in time shares endpoints with a
 // few short requests at once, and with more of them after waiting, limited by its own
 // value. A late prompt shares with none.
-func TestLongAcceptsHarmByItsValue(t *testing.T) {
+func TestLongMayInterfereUpToItsValue(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(4)
 	long := long
-	long.MaxGap = pauses.Longest // the class with the highest value
+	long.MaxGap = gaps.Longest // the class with the highest value
 	for i := range all {
 		all[i].Load.Short = 1
 	}
@@ -246,29 +246,29 @@
 	for i := range 3 {
 		all[i].Load = Load{Long: 1, MemoryTokens: 50000}
 	}
-	w := long
-	w.InputTokens = 200000
-	for _, p := range choose(model, w, all).Loads {
+	req := long
+	req.InputTokens = 200000
+	for _, p := range choose(model, req, all).Loads {
 		is.True(p.Candidate >= 3)
 	}
 }
 
-// TestPatientOnesBearLongerParts: a part that is too long for the gap objective of one
-// long request is placed with another one whose route allows longer gaps.
-func TestPatientOnesBearLongerParts(t *testing.T) {
+// TestLongPartsJoinGapTolerantRequests: a part that is too long for the gap objective
+// of one long request is placed with another one whose route allows longer gaps.
+func TestLongPartsJoinGapTolerantRequests(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(2)
 	all[0].Load = Load{Long: 1, GapTolerant: 1, MemoryTokens: 50000}
 	all[1].Load = Load{Long: 1, MemoryTokens: 50000}
-	w := long
-	w.InputTokens, w.MaxGap = 70000, time.Second // 680 ms of prefill
+	req := long
+	req.InputTokens, req.MaxGap = 70000, time.Second // 680 ms of prefill
 	noHelpers := Default()
 	noHelpers.MaxHelpers = 0
-	c := noHelpers.Choose(model, w, all)
+	c := noHelpers.Choose(model, req, all)
 	is.Equal(c.Endpoint, 0)
 	is.Equal(c.Loads[0].Load.GapTolerant, 1)
-	w.MaxGap = 600 * time.Millisecond
-	is.Equal(choose(model, w, idleCandidates(1)).Loads[0].Load.GapTolerant, 0)
+	req.MaxGap = 600 * time.Millisecond
+	is.Equal(choose(model, req, idleCandidates(1)).Loads[0].Load.GapTolerant, 0)
 }
 
 // TestPrefillEndsByEstimate: each part of a long prompt counts as prefilled after a
@@ -291,87 +291,88 @@
 	all := idleCandidates(2)
 	all[0].Load = Load{Short: 14, MemoryTokens: 20000}
 	all[1].Load = Load{Long: 1, MemoryTokens: 60000}
-	w := long
-	w.Slack, w.Late = 0, true
-	w.Gaps = catalog.Gaps{} // late events cause no interference
-	is.Equal(choose(model, w, all).Endpoint, 1)
+	req := long
+	req.Slack, req.Late = 0, true
+	req.Gaps = catalog.Gaps{} // late events cause no interference
+	is.Equal(choose(model, req, all).Endpoint, 1)
 }
 
-// TestHugeWeighsLikeOthers: a prompt that exceeds an endpoint's memory is placed on
-// endpoints without prefill work. It shares them with short requests up to its own
-// value, and with none when it is late.
-func TestHugeWeighsLikeOthers(t *testing.T) {
+// TestOversizePromptMayInterfereUpToItsValue: a prompt that exceeds an endpoint's
+// memory is placed on endpoints without prefill work. It shares them with short
+// requests up to its own value, and with none when it is late.
+func TestOversizePromptMayInterfereUpToItsValue(t *testing.T) {
 	is := is.New(t)
 	few, many, prefilling := idleCandidates(18), idleCandidates(18), idleCandidates(18)
 	for i := range few {
 		few[i].Load.Short, many[i].Load.Short = 1, 8
 		prefilling[i].Load = Load{PrefillMs: 250, Parts: 1}
 	}
-	w := oversize
-	w.WaitedShare = 1
-	is.True(!choose(model, w, few).Wait)
-	is.True(choose(model, w, many).Wait)
+	req := oversize
+	req.WaitedShare = 1
+	is.True(!choose(model, req, few).Wait)
+	is.True(choose(model, req, many).Wait)
 	for _, late := range []bool{false, true} {
-		w.Late = late
-		is.True(choose(model, w, prefilling).Wait)
-		is.True(!choose(model, w, idleCandidates(18)).Wait)
+		req.Late = late
+		is.True(choose(model, req, prefilling).Wait)
+		is.True(!choose(model, req, idleCandidates(18)).Wait)
 	}
-	w.ObjectiveLeftMs, w.Slack = -100, -time.Second
-	is.True(choose(model, w, few).Wait)
+	req.ObjectiveLeftMs, req.Slack = -100, -time.Second
+	is.True(choose(model, req, few).Wait)
 }
 
-// TestNothingForACallerThatWouldBeGone: a prompt is not prefilled if its first event
+// TestNoPlacementAfterCallerGivesUp: a prompt is not prefilled if its first event
 // would come after its caller has given up.
-func TestNothingForACallerThatWouldBeGone(t *testing.T) {
+func TestNoPlacementAfterCallerGivesUp(t *testing.T) {
 	is := is.New(t)
-	w := oversize
-	w.DeadlineLeftMs = 3000
-	is.True(choose(model, w, idleCandidates(2)).Wait) // 6.5 s of prefill each
-	is.True(!choose(model, w, idleCandidates(18)).Wait)
+	req := oversize
+	req.DeadlineLeftMs = 3000
+	is.True(choose(model, req, idleCandidates(2)).Wait) // 6.5 s of prefill each
+	is.True(!choose(model, req, idleCandidates(18)).Wait)
 }
 
-// TestHugeLeavesRoom: a prompt that exceeds an endpoint's memory leaves some idle
-// endpoints to other requests, but uses all of them if there are only a few.
-func TestHugeLeavesRoom(t *testing.T) {
+// TestOversizePromptLeavesIdleEndpoints: a prompt that exceeds an endpoint's memory
+// leaves some idle endpoints to other requests, but uses all of them if there are only
+// a few.
+func TestOversizePromptLeavesIdleEndpoints(t *testing.T) {
 	is := is.New(t)
 	all := idleCandidates(10)
 	c := choose(model, oversize, all)
 	is.True(!c.Wait)
 	is.True(len(c.Loads) <= 9)
-	w := oversize
-	w.InputTokens = 300000
-	is.True(!choose(model, w, idleCandidates(2)).Wait)
+	req := oversize
+	req.InputTokens = 300000
+	is.True(!choose(model, req, idleCandidates(2)).Wait)
 }
 
-// TestValue: typical prompts have their expected value, within a factor of 1.5, by class or, if
-// no class is more gap-tolerant than another, by length.
+// TestValue: typical prompts have their expected value, within a factor of 1.5, by
+// class or, if no class is more gap-tolerant than another, by length.
 func TestValue(t *testing.T) {
 	two := catalog.Gaps{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: 600 * time.Millisecond}
 	cases := []struct {
 		name   string
 		tokens int
-		pauses catalog.Gaps
-		pause  time.Duration
+		gaps   catalog.Gaps
+		maxGap time.Duration
 		want   float64
 	}{
-		{"medium", 45000, pauses, pauses.Next, 2.4},
-		{"medium class, long prompt", 110000, pauses, pauses.Next, 4.4},
-		{"gap-tolerant class, short prompt", 60000, pauses, pauses.Longest, 8},
-		{"gap-tolerant class, 133,000 tokens", 133000, pauses, pauses.Longest, 11.5},
-		{"gap-tolerant class, 190,000 tokens", 190000, pauses, pauses.Longest, 15.4},
-		{"gap-tolerant class, 300,000 tokens", 300000, pauses, pauses.Longest, 21.4},
-		{"gap-tolerant class, 1,000,000 tokens", 1000000, pauses, pauses.Longest, 56},
+		{"medium", 45000, gaps, gaps.Next, 2.4},
+		{"medium class, long prompt", 110000, gaps, gaps.Next, 4.4},
+		{"gap-tolerant class, short prompt", 60000, gaps, gaps.Longest, 8},
+		{"gap-tolerant class, 133,000 tokens", 133000, gaps, gaps.Longest, 11.5},
+		{"gap-tolerant class, 190,000 tokens", 190000, gaps, gaps.Longest, 15.4},
+		{"gap-tolerant class, 300,000 tokens", 300000, gaps, gaps.Longest, 21.4},
+		{"gap-tolerant class, 1,000,000 tokens", 1000000, gaps, gaps.Longest, 56},
 		{"no gap-tolerant class", 133000, two, two.Longest, 13.3},
 	}
 	for _, tc := range cases {
-		w := Request{InputTokens: tc.tokens, Gaps: tc.pauses, MaxGap: tc.pause}
-		if got := w.value(); got < 0.67*tc.want || got > 1.5*tc.want {
+		req := Request{InputTokens: tc.tokens, Gaps: tc.gaps, MaxGap: tc.maxGap}
+		if got := req.value(); got < 0.67*tc.want || got > 1.5*tc.want {
 			t.Errorf("%s: value %.1f, want %.1f within a factor of 1.5", tc.name, got, tc.want)
 		}
 	}
 }
 
-func TestTakesTurns(t *testing.T) {
+func TestMustQueue(t *testing.T) {
 	is := is.New(t)
 	p := Default()
 	is.True(!p.MustQueue(plain, long))
@@ -382,17 +383,17 @@
 	is.True(!p.ExceedsMemory(plain, oversize))
 }
 
-// TestHugeFitsTogether: the memory of the decoding endpoint and the reservations on
+// TestOversizePromptMemory: the memory of the decoding endpoint and the reservations on
 // helpers hold the prompt, and no endpoint is given more than it has.
-func TestHugeFitsTogether(t *testing.T) {
+func TestOversizePromptMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := idleCandidates(18)
 		for i := range all {
 			all[i].Load.MemoryTokens = rapid.IntRange(0, 232000).Draw(t, "tokens")
 		}
-		w := oversize
-		w.InputTokens = rapid.IntRange(240000, 1000000).Draw(t, "prompt")
-		c := choose(model, w, all)
+		req := oversize
+		req.InputTokens = rapid.IntRange(240000, 1000000).Draw(t, "prompt")
+		c := choose(model, req, all)
 		if c.Wait {
 			return
 		}
@@ -403,8 +404,8 @@
 				t.Fatalf("candidate %d is assigned %d tokens, %d already in use", p.Candidate, p.Load.MemoryTokens, all[p.Candidate].Load.MemoryTokens)
 			}
 		}
-		if held != w.InputTokens+w.OutputTokens {
-			t.Fatalf("memory assigned for %d tokens, prompt needs %d", held, w.InputTokens+w.OutputTokens)
+		if held != req.InputTokens+req.OutputTokens {
+			t.Fatalf("memory assigned for %d tokens, prompt needs %d", held, req.InputTokens+req.OutputTokens)
 		}
 		for _, r := range c.Reservations {
 			if r.Candidate == c.Endpoint || r.Tokens <= 0 {
@@ -424,9 +425,9 @@
 				Long: rapid.IntRange(0, 3).Draw(t, "long"), MemoryTokens: rapid.IntRange(0, 300000).Draw(t, "tokens"), Parts: rapid.IntRange(0, 3).Draw(t, "parts")}
 			all[i].Suspect = rapid.Bool().Draw(t, "suspect")
 		}
-		w := Request{InputTokens: rapid.IntRange(0, 700000).Draw(t, "prompt"), OutputTokens: 700, ObjectiveLeftMs: 1500, DeadlineLeftMs: 10000, Gaps: pauses, Excluded: []string{"1"},
+		req := Request{InputTokens: rapid.IntRange(0, 700000).Draw(t, "prompt"), OutputTokens: 700, ObjectiveLeftMs: 1500, DeadlineLeftMs: 10000, Gaps: gaps, Excluded: []string{"1"},
 			Slack: time.Duration(rapid.IntRange(-1, 1).Draw(t, "slack")), Late: rapid.Bool().Draw(t, "late")}
-		c := choose(model, w, all)
+		c := choose(model, req, all)
 		if c.Wait || c.Endpoint < 0 {
 			return
 		}
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -23,7 +23,7 @@
 )
 
 // crashProbes checks whether endpoints whose exchanges broke have crashed, since an endpoint that
-// is alive may have broken off a single answer.
+// is alive may have broken off a single response.
 type crashProbes struct {
 	mu     sync.Mutex
 	latest map[string]*crashProbe // by endpoint
@@ -96,21 +96,21 @@
 }
 
 // mayHaveCrashed reports whether an exchange that broke with this error may have lost its
-// endpoint's process. After a time-out the answer is no: a host that does not respond does not
+// endpoint's process. After a timeout the answer is no: a host that does not respond does not
 // answer a probe either, which would only delay the resumption of its streams by probeTimeout.
 func mayHaveCrashed(err error) bool {
 	var failure net.Error
 	return !errors.As(err, &failure) || !failure.Timeout()
 }
 
-// handleBrokenExchange handles an exchange that its endpoint broke before the answer was complete.
-func (x *exchange) handleBrokenExchange(at *placement) {
-	crashed := mayHaveCrashed(x.lastError) && x.g.hasCrashed(at.endpoint)
+// handleBrokenExchange handles an exchange that its endpoint broke before the response was complete.
+func (x *exchange) handleBrokenExchange(pl *placement) {
+	crashed := mayHaveCrashed(x.lastError) && x.g.hasCrashed(pl.endpoint)
 	x.g.meter.brokenExchanges.Inc()
-	x.g.deps.Log.Request("Exchange broke.", "request", x.call.ID, "fingerprint", x.requestFingerprint(), "endpoint", at.endpoint.ID,
-		"begun", x.answerBegun, "crashed", crashed, "in_flight_ms", time.Since(at.chosenAt).Milliseconds(), "err", x.lastError)
+	x.g.deps.Log.Request("Exchange broke.", "request", x.call.ID, "fingerprint", x.requestFingerprint(), "endpoint", pl.endpoint.ID,
+		"begun", x.responseBegun, "crashed", crashed, "in_flight_ms", time.Since(pl.chosenAt).Milliseconds(), "err", x.lastError)
 	// An endpoint that was draining ended as announced, whatever requests it still had.
-	if _, inUse := x.g.state.Endpoint(at.endpoint.ID); crashed && inUse {
-		x.recordCrash(at)
+	if _, inUse := x.g.state.Endpoint(pl.endpoint.ID); crashed && inUse {
+		x.recordCrash(pl)
 	}
 }
--- a/relay/follow.go
+++ b/relay/follow.go
@@ -19,13 +19,13 @@
 	// it, in case only they cannot reach it. It is a little less than the time that a key may be
 	// used without a proof on the strictest installations.
 	readDeferral = 4 * time.Second
-	// silentAfter is how long the store may take for one answer before peers are told that it is
-	// unavailable: twice the time of a slow answer.
+	// silentAfter is how long the store may take for one response before peers are told that it is
+	// unavailable: twice the time of a slow response.
 	silentAfter = 600 * time.Millisecond
 	// readTimeout bounds one read; a slow store answers within a quarter of it.
 	readTimeout = 1500 * time.Millisecond
-	// listTimeout bounds the read of a whole list, which is paged: 3,000 endpoints are 61 pages,
-	// too many for readTime on a host with 0.144 of a core.
+	// listTimeout bounds the read of a complete list, which is paged: 3,000 endpoints are 61 pages,
+	// too many for readTimeout on a host with 0.144 of a core.
 	listTimeout = 8 * time.Second
 	// peerQueryAge is the age of this gateway's proof at which it asks peers for theirs.
 	peerQueryAge = 1600 * time.Millisecond
@@ -162,8 +162,8 @@
 func (g *Gateway) handleEndpointChange(c EndpointChange) {
 	e := c.Endpoint
 	g.deps.Log.Logger().Info("Endpoint changed.", "endpoint", e.ID, "change", string(c.Kind), "from", c.Source, "born", e.Born, "service", e.Service, "address", e.Address)
-	if c.Kind == changeRestarted && g.state.DrainDoubted(e) {
-		g.background.Go(func() { g.settleDoubtedDrain(e) })
+	if c.Kind == changeRestarted && g.state.DrainUncertain(e) {
+		g.background.Go(func() { g.resolveUncertainDrain(e) })
 	}
 	if c.Kind == changeDraining {
 		g.deps.Endpoints.Forget(e.ID) // close idle connections
--- a/relay/grant.go
+++ b/relay/grant.go
@@ -32,7 +32,7 @@
 	maxGrantEndpoints = 64
 )
 
-// grantQuestion asks the coordinator for a send to one of several endpoints with rate limits.
+// grantQuestion asks the coordinator for a grant for one of several endpoints with rate limits.
 type grantQuestion struct {
 	Service   string
 	Endpoints []string // the best first
@@ -42,7 +42,7 @@
 	Probe     bool
 }
 
-// timeout returns how long the requester waits for the answer.
+// timeout returns how long the requester waits for the response.
 func (q grantQuestion) timeout() time.Duration {
 	if q.Probe {
 		return probeGrantTimeout
@@ -50,7 +50,7 @@
 	return grantRoundTrip + min(grantHoldTime, time.Duration(q.WaitMs)*time.Millisecond)
 }
 
-// grantAnswer is the coordinator's answer to a grantQuestion.
+// grantAnswer is the coordinator's response to a grantQuestion.
 type grantAnswer struct {
 	Endpoint     string // the granted endpoint; empty if none
 	Refused      bool
@@ -62,14 +62,14 @@
 // grant is the permission to send one request to an endpoint with a rate limit.
 type grant struct {
 	endpoint string
-	// expires is when the grant lapses. Otherwise a gateway that was stalled would send all its
-	// granted requests at once.
+	// expires is when the grant becomes invalid. Without an expiry, a gateway that was stalled
+	// would send all its granted requests at once.
 	expires time.Time
 	// suspended is the total time that the host had been suspended when the grant was requested.
 	suspended time.Duration
 }
 
-// valid reports whether the grant allows a send now; g may be nil.
+// valid reports whether the grant permits an attempt now; g may be nil.
 func (g *grant) valid(now time.Time, suspended time.Duration) bool {
 	return g != nil && now.Before(g.expires) && suspended == g.suspended
 }
@@ -80,8 +80,8 @@
 // requestGrant asks the coordinator, which may be this gateway, for a grant. A nil grant without an
 // error means that the request was refused or has to ask again.
 func (g *Gateway) requestGrant(ctx context.Context, q grantQuestion) (*grant, grantAnswer, error) {
-	asked, suspended := time.Now(), g.checkSuspension()
-	if g.updateCoordinator(asked) {
+	requestedAt, suspended := time.Now(), g.checkSuspension()
+	if g.updateCoordinator(requestedAt) {
 		g.picker.notifyPeers()
 	}
 	name := g.endpointLimits.coordinatorName()
@@ -97,7 +97,7 @@
 	if err != nil || a.Endpoint == "" {
 		return nil, a, err
 	}
-	expires := asked.Add(time.Duration(a.KeptMs)*time.Millisecond + grantRoundTrip)
+	expires := requestedAt.Add(time.Duration(a.KeptMs)*time.Millisecond + grantRoundTrip)
 	return &grant{a.Endpoint, expires, suspended}, a, nil
 }
 
@@ -105,29 +105,29 @@
 // after grantHoldTime.
 func (g *Gateway) decideGrant(ctx context.Context, q grantQuestion) (grantAnswer, error) {
 	received := time.Now()
-	ask := &ratelimit.GrantRequest{
+	req := &ratelimit.GrantRequest{
 		Service: q.Service, Endpoints: q.Endpoints, Urgency: q.Urgency, Probe: q.Probe,
 		Since: received.Add(-time.Duration(q.SinceMs) * time.Millisecond), Until: received.Add(time.Duration(q.WaitMs) * time.Millisecond),
 	}
-	defer g.endpointLimits.removeAsk(ask)
+	defer g.endpointLimits.removeRequest(req)
 	for {
 		now := time.Now()
 		g.checkSuspension() // votes from before a suspension do not count
-		answer, ok := g.endpointLimits.tryGrant(ask, now)
+		decision, ok := g.endpointLimits.tryGrant(req, now)
 		switch {
 		case !ok:
 			return grantAnswer{}, errNotCoordinator
-		case answer.Unlimited:
+		case decision.Unlimited:
 			return grantAnswer{Unlimited: true}, nil
-		case answer.Refused:
-			return grantAnswer{Refused: true, RetryAfterMs: answer.RetryAfter.Milliseconds()}, nil
-		case answer.Endpoint != "":
+		case decision.Refused:
+			return grantAnswer{Refused: true, RetryAfterMs: decision.RetryAfter.Milliseconds()}, nil
+		case decision.Endpoint != "":
 			g.meter.grants.Inc()
-			return grantAnswer{Endpoint: answer.Endpoint, KeptMs: now.Sub(received).Milliseconds()}, nil
+			return grantAnswer{Endpoint: decision.Endpoint, KeptMs: now.Sub(received).Milliseconds()}, nil
 		case now.Sub(received) >= grantHoldTime:
 			return grantAnswer{}, nil
 		}
-		timer := time.NewTimer(min(grantPollInterval, max(time.Millisecond, answer.Expected.Sub(now))))
+		timer := time.NewTimer(min(grantPollInterval, max(time.Millisecond, decision.Expected.Sub(now))))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -160,7 +160,7 @@
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	g.writePeerAnswer(w, a)
+	g.writePeerResponse(w, a)
 }
 
 // maxIdleGrantConns is the number of idle connections to the coordinator that are kept: as many
@@ -174,7 +174,7 @@
 	}}
 }
 
-// post sends body as JSON and decodes the answer into into.
+// post sends body as JSON and decodes the response into into.
 func (c *peerClient) post(ctx context.Context, url string, body, into any) error {
 	p, err := json.Marshal(body)
 	if err != nil {
--- a/relay/learn.go
+++ b/relay/learn.go
@@ -15,7 +15,7 @@
 	// firstStartWait is how long, on the first start of an installation, a gateway leaves reading
 	// the store to the seeds. When each of 103 gateways read the store, they made 1,218 calls in
 	// the first three seconds; with this wait they make 987, since all start together and most get
-	// no answer from a seed within seedTimeout.
+	// no response from a seed within seedTimeout.
 	firstStartWait = 10 * time.Second
 	// seedRetryInterval is the pause between two queries.
 	seedRetryInterval = 200 * time.Millisecond
@@ -57,21 +57,21 @@
 func (g *Gateway) querySeeds(seeds []netip.AddrPort) (from netip.AddrPort, answered bool) {
 	ctx, cancel := context.WithTimeout(g.ctx, seedTimeout)
 	defer cancel()
-	type answer struct {
+	type seedResponse struct {
 		from  netip.AddrPort
 		proof proofAnswer
 		err   error
 	}
-	answers := make(chan answer, len(seeds))
+	responses := make(chan seedResponse, len(seeds))
 	for _, seed := range seeds {
 		go func() {
-			a := answer{from: seed}
+			a := seedResponse{from: seed}
 			a.err = g.peerClient.get(ctx, g.peerURL(seed, pathProof), &a.proof)
-			answers <- a
+			responses <- a
 		}()
 	}
 	for range seeds {
-		a := <-answers
+		a := <-responses
 		if a.err != nil {
 			g.deps.Log.Logger().Info("A named gateway does not answer.", "peer", a.from, "err", a.err)
 			continue
@@ -84,7 +84,7 @@
 	return netip.AddrPort{}, answered
 }
 
-// fresh reports whether a gateway that takes over this proof need not read the store at once.
+// isFresh reports whether a gateway that takes over this proof need not read the store at once.
 func (p proofAnswer) isFresh() bool {
 	limit := takeoverAge.Milliseconds()
 	return p.Version > 0 && p.AgeMs < limit && p.EndpointsAgeMs >= 0 && p.EndpointsAgeMs < limit
@@ -92,10 +92,10 @@
 
 // bootstrapFrom takes over the state of a peer; it reports whether that is complete and fresh.
 func (g *Gateway) bootstrapFrom(peer netip.AddrPort) bool {
-	asked := time.Now()
+	queriedAt := time.Now()
 	proof, err := g.queryPeer(peer)
 	if err == nil {
-		err = g.fetchEndpoints(peer, asked.Add(-time.Duration(proof.EndpointsAgeMs)*time.Millisecond))
+		err = g.fetchEndpoints(peer, queriedAt.Add(-time.Duration(proof.EndpointsAgeMs)*time.Millisecond))
 	}
 	if err != nil {
 		g.deps.Log.Logger().Warn("Configuration or endpoints could not be taken over from a seed gateway.", "peer", peer, "err", err)
