--- a/agent/admit.go
+++ b/agent/admit.go
@@ -30,9 +30,9 @@
 	if a.clockMS() > claims.ExpiresAgentMs {
 		return nil, false, refusalEnd(result.New(result.TicketExpired, ""), false)
 	}
-	if gen := a.deps.Keeper.Generation(); req.Generation < gen {
+	if gen := a.deps.Tracker.Generation(); req.Generation < gen {
 		end := refusalEnd(result.New(result.OldGeneration, ""), false)
-		end.Newer = a.deps.Keeper.Update(req.Generation)
+		end.Newer = a.deps.Tracker.Update(req.Generation)
 		return nil, false, end
 	}
 	req.RemainingMs -= a.transitDelay(req)
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -48,7 +48,7 @@
 	Service service.Service
 	Signer  *ticket.Signer
 	Queue   admission.Queue
-	Keeper  *generation.Tracker
+	Tracker *generation.Tracker
 	Client  *inner.Client // connects to other agents; if nil, spans cannot be imported and records cannot be handed over
 	Log     *log.Logger
 	Metrics *metrics.Set
--- a/agent/export.go
+++ b/agent/export.go
@@ -122,7 +122,7 @@
 
 // peerAddress returns the declared address of an endpoint's agent.
 func (a *Agent) peerAddress(endpoint string) string {
-	for _, e := range a.deps.Keeper.Document().GetEndpoints() {
+	for _, e := range a.deps.Tracker.Document().GetEndpoints() {
 		if e.Name == endpoint {
 			return e.AgentAddress
 		}
--- a/agent/handover.go
+++ b/agent/handover.go
@@ -132,7 +132,7 @@
 
 // successors returns the peers to try, best first.
 func (a *Agent) successors() []membership.Peer {
-	doc := a.deps.Keeper.Document()
+	doc := a.deps.Tracker.Document()
 	self := membership.Peer{Endpoint: a.cfg.Endpoint, Host: a.cfg.Host, DataCentre: a.cfg.DataCentre}
 	var peers []membership.Peer
 	for _, e := range doc.Endpoints {
--- a/agent/leaving.go
+++ b/agent/leaving.go
@@ -42,7 +42,7 @@
 // declaredLeaving reports whether the configuration in force declares the endpoint or its host
 // as leaving; the caller holds mu.
 func (a *Agent) declaredLeaving() bool {
-	doc := a.deps.Keeper.Document()
+	doc := a.deps.Tracker.Document()
 	if doc.Generation != a.leaving.checkedGeneration {
 		a.leaving.checkedGeneration, a.leaving.declared = doc.Generation, documentLeaving(doc, a.cfg.Endpoint, a.cfg.Host)
 	}
@@ -69,7 +69,7 @@
 func (a *Agent) watchDocument() {
 	reported := false
 	for {
-		changed := a.deps.Keeper.Changed()
+		changed := a.deps.Tracker.Changed()
 		if leaving := a.isLeaving(); leaving != reported {
 			reported = leaving
 			a.leavingChanged()
@@ -139,7 +139,7 @@
 // hasPeer reports whether another endpoint of the same kind is declared and not leaving; the
 // caller holds mu.
 func (a *Agent) hasPeer() bool {
-	doc := a.deps.Keeper.Document()
+	doc := a.deps.Tracker.Document()
 	for _, e := range doc.Endpoints {
 		if e.Name != a.cfg.Endpoint && e.Service == a.cfg.Service && !documentLeaving(doc, e.Name, e.Host) {
 			return true
--- a/agent/meter.go
+++ b/agent/meter.go
@@ -36,7 +36,7 @@
 	gauge("rudder_agent_records", func() float64 { return float64(len(a.records.runs)) })
 	gauge("rudder_agent_tombstones", func() float64 { return float64(len(a.records.tombstones)) })
 	gauge("rudder_agent_answer_bytes", func() float64 { return float64(a.records.bytes) })
-	generation.RegisterMetrics(m.set, "agent", a.deps.Keeper)
+	generation.RegisterMetrics(m.set, "agent", a.deps.Tracker)
 }
 
 func (m *meter) reserved(granted bool) {
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -210,7 +210,7 @@
 func (a *Agent) snapshot() orders.Snapshot {
 	return orders.Snapshot{
 		Incarnation: a.incarnation, ClockMS: a.clockMS(), State: a.effectiveState(),
-		Document: a.deps.Keeper.Document(), Endpoint: a.cfg.Endpoint, Models: a.models,
+		Document: a.deps.Tracker.Document(), Endpoint: a.cfg.Endpoint, Models: a.models,
 	}
 }
 
--- a/agent/process.go
+++ b/agent/process.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	deps := Deps{Signer: signer, Client: client, Queue: admission.New(admission.Config{}), Keeper: generation.NewTracker(), Log: env.Log, Metrics: env.Metrics}
+	deps := Deps{Signer: signer, Client: client, Queue: admission.New(admission.Config{}), Tracker: generation.NewTracker(), Log: env.Log, Metrics: env.Metrics}
 	base := "http://" + string(s.Endpoint.Address)
 	if s.Endpoint.Kind == kindEngine {
 		deps.Engine = engine.NewClient(engine.Options{BaseURL: base, Name: s.Endpoint.Name})
--- a/agent/reload.go
+++ b/agent/reload.go
@@ -13,9 +13,9 @@
 	if !ok {
 		return trace.BadParameter("settings of another process")
 	}
-	if err := daemon.TakeKeys(s.TLS, s.Tickets, p.a.deps.Signer); err != nil {
+	if err := daemon.ReloadKeys(s.TLS, s.Tickets, p.a.deps.Signer); err != nil {
 		return err
 	}
-	daemon.WarnRestart(p.a.deps.Log, p.settings, s, func(x *Settings) { x.Tickets.Keys = nil })
+	daemon.WarnRestartRequired(p.a.deps.Log, p.settings, s, func(x *Settings) { x.Tickets.Keys = nil })
 	return nil
 }
--- a/agent/report.go
+++ b/agent/report.go
@@ -17,7 +17,7 @@
 		Incarnation: a.incarnation,
 		AgentMs:     a.clockMS(),
 		State:       a.effectiveState(),
-		Generation:  a.deps.Keeper.Generation(),
+		Generation:  a.deps.Tracker.Generation(),
 		Load:        a.load(),
 		Models:      a.loadedModels(),
 		Role:        a.role,
--- a/agent/reports.go
+++ b/agent/reports.go
@@ -36,7 +36,7 @@
 
 // next returns the next report to send.
 func (s *reportStream) next() *rudderv1.AgentReport {
-	s.generationChanged = s.a.deps.Keeper.Changed()
+	s.generationChanged = s.a.deps.Tracker.Changed()
 	s.a.mu.Lock()
 	now := s.a.report()
 	s.changed = s.a.changed
@@ -135,7 +135,7 @@
 
 // loadInterval returns the minimum time between two reports of a changed load.
 func (s *reportStream) loadInterval() time.Duration {
-	doc := s.a.deps.Keeper.Document()
+	doc := s.a.deps.Tracker.Document()
 	if doc.Generation != s.countedGeneration {
 		s.countedGeneration, s.endpoints = doc.Generation, endpointsIn(doc, s.a.cfg.DataCentre)
 	}
--- a/agent/server.go
+++ b/agent/server.go
@@ -159,7 +159,7 @@
 func (a *Agent) accepted(attached bool) *rudderv1.Accepted {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return &rudderv1.Accepted{Attached: attached, Load: a.load(), Generation: a.deps.Keeper.Generation()}
+	return &rudderv1.Accepted{Attached: attached, Load: a.load(), Generation: a.deps.Tracker.Generation()}
 }
 
 // cancelIfUnread cancels a repeatable run if it has no reader.
--- a/agent/span.go
+++ b/agent/span.go
@@ -247,7 +247,7 @@
 	if stateErr != nil {
 		return err
 	}
-	if slices.ContainsFunc(st.Held, func(h engine.Held) bool { return h.ID == j.id }) {
+	if slices.ContainsFunc(st.Held, func(h engine.HeldMemory) bool { return h.ID == j.id }) {
 		return nil
 	}
 	return err
--- a/agent/sweep.go
+++ b/agent/sweep.go
@@ -77,7 +77,7 @@
 
 // freeOrphan frees a span unless a live lease owns it. It returns true if the span was freed,
 // was already gone or has a live owner.
-func (a *Agent) freeOrphan(h engine.Held) bool {
+func (a *Agent) freeOrphan(h engine.HeldMemory) bool {
 	a.mu.Lock()
 	live := a.mem.leases.Live(h.Owner, time.Now())
 	a.mu.Unlock()
--- a/agent/watch.go
+++ b/agent/watch.go
@@ -62,5 +62,5 @@
 // knowsOrder reports whether the engine works on an order, or holds the span that the order
 // produced.
 func knowsOrder(st engine.State, id string) bool {
-	return slices.Contains(st.Running, id) || slices.ContainsFunc(st.Held, func(h engine.Held) bool { return h.ID == id })
+	return slices.Contains(st.Running, id) || slices.ContainsFunc(st.Held, func(h engine.HeldMemory) bool { return h.ID == id })
 }
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -18,7 +18,7 @@
 	WaitedShare float64
 	// Gaps holds the gaps between two events that the routes to the service allow,
 	// and MaxGap the one that the request's own route allows.
-	Gaps   catalog.Gaps
+	Gaps   catalog.GapObjectives
 	MaxGap time.Duration
 	// ObjectiveLeftMs is the time left until the objective, DeadlineLeftMs until the
 	// deadline.
--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -35,7 +35,7 @@
 }
 
 var (
-	gaps = catalog.Gaps{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: time.Second}
+	gaps = catalog.GapObjectives{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: time.Second}
 
 	short    = Request{InputTokens: 5000, OutputTokens: 1400, ObjectiveLeftMs: 300, DeadlineLeftMs: 2000, Gaps: gaps}
 	long     = Request{InputTokens: 133000, OutputTokens: 700, ObjectiveLeftMs: 2500, DeadlineLeftMs: 10000, Slack: time.Second, Gaps: gaps}
@@ -293,7 +293,7 @@
 	all[1].Load = Load{Long: 1, MemoryTokens: 60000}
 	req := long
 	req.Slack, req.Late = 0, true
-	req.Gaps = catalog.Gaps{} // late events cause no interference
+	req.Gaps = catalog.GapObjectives{} // late events cause no interference
 	is.Equal(choose(model, req, all).Endpoint, 1)
 }
 
@@ -347,11 +347,11 @@
 // TestValue: typical prompts have their expected value, within a factor of 1.5, by
 // class or, if no class is more gap-tolerant than another, by length.
 func TestValue(t *testing.T) {
-	two := catalog.Gaps{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: 600 * time.Millisecond}
+	two := catalog.GapObjectives{Shortest: 250 * time.Millisecond, Next: 600 * time.Millisecond, Longest: 600 * time.Millisecond}
 	cases := []struct {
 		name   string
 		tokens int
-		gaps   catalog.Gaps
+		gaps   catalog.GapObjectives
 		maxGap time.Duration
 		want   float64
 	}{
--- a/catalog/table.go
+++ b/catalog/table.go
@@ -13,12 +13,12 @@
 	routesByHost    map[string]map[string]*Route // by host, then by path prefix
 	services        map[string]*Service
 	workspacesByKey map[string]*Workspace
-	gapsByService   map[string]Gaps // by service name
+	gapsByService   map[string]GapObjectives // by service name
 }
 
-// Gaps summarizes the gap objectives of the routes to a service; its fields are zero if
+// GapObjectives summarizes the gap objectives of the routes to a service; its fields are zero if
 // no route has one.
-type Gaps struct {
+type GapObjectives struct {
 	Shortest time.Duration
 	Next     time.Duration // the second shortest, or Shortest if all are equal
 	Longest  time.Duration
@@ -31,7 +31,7 @@
 		routesByHost:    make(map[string]map[string]*Route),
 		services:        make(map[string]*Service, len(c.Services)),
 		workspacesByKey: make(map[string]*Workspace),
-		gapsByService:   make(map[string]Gaps),
+		gapsByService:   make(map[string]GapObjectives),
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
@@ -76,7 +76,7 @@
 }
 
 // including returns p with one more gap objective taken into account.
-func (p Gaps) including(gap time.Duration) Gaps {
+func (p GapObjectives) including(gap time.Duration) GapObjectives {
 	if gap <= 0 {
 		return p
 	}
@@ -92,8 +92,8 @@
 	return p
 }
 
-// Gaps returns the gap objectives of the routes to a service.
-func (t *Table) Gaps(service string) Gaps { return t.gapsByService[service] }
+// GapObjectives returns the gap objectives of the routes to a service.
+func (t *Table) GapObjectives(service string) GapObjectives { return t.gapsByService[service] }
 
 // Service returns the service with that name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
--- a/catalog/table_test.go
+++ b/catalog/table_test.go
@@ -56,18 +56,18 @@
 // found in any order of the routes.
 func TestGaps(t *testing.T) {
 	is := is.New(t)
-	gapsOf := func(ms ...int) Gaps {
+	gapsOf := func(ms ...int) GapObjectives {
 		var c Configuration
 		for _, n := range ms {
 			c.Routes = append(c.Routes, Route{GapObjective: time.Duration(n) * time.Millisecond, Targets: []Target{{Service: "s", Weight: 1}}})
 		}
-		return NewTable(&c).Gaps("s")
+		return NewTable(&c).GapObjectives("s")
 	}
-	all := Gaps{250 * time.Millisecond, 600 * time.Millisecond, time.Second}
+	all := GapObjectives{250 * time.Millisecond, 600 * time.Millisecond, time.Second}
 	is.Equal(gapsOf(250, 600, 1000), all)
 	is.Equal(gapsOf(1000, 0, 600, 250, 250), all)
 	is.Equal(gapsOf(600, 1000, 250), all)
-	is.Equal(gapsOf(250, 250), Gaps{250 * time.Millisecond, 250 * time.Millisecond, 250 * time.Millisecond})
-	is.Equal(gapsOf(600, 250), Gaps{250 * time.Millisecond, 600 * time.Millisecond, 600 * time.Millisecond})
-	is.Equal(gapsOf(), Gaps{})
+	is.Equal(gapsOf(250, 250), GapObjectives{250 * time.Millisecond, 250 * time.Millisecond, 250 * time.Millisecond})
+	is.Equal(gapsOf(600, 250), GapObjectives{250 * time.Millisecond, 600 * time.Millisecond, 600 * time.Millisecond})
+	is.Equal(gapsOf(), GapObjectives{})
 }
--- a/ctl/exit.go
+++ b/ctl/exit.go
@@ -112,7 +112,7 @@
 	}
 	fmt.Fprintln(a.Stderr, "\naccepted since the plan's base:")
 	plan.WriteChanges(a.Stderr, stale.Theirs)
-	for _, c := range stale.Clashes {
+	for _, c := range stale.Conflicts {
 		fmt.Fprintf(a.Stderr, "  both change [%s], differently\n", c)
 	}
 }
@@ -133,7 +133,7 @@
 		return ExitDeclaration, f
 	case errors.As(err, &stale):
 		f.setResult(stale.Err)
-		f.Theirs, f.Clashes = stale.Theirs, stale.Clashes
+		f.Theirs, f.Clashes = stale.Theirs, stale.Conflicts
 		return ExitStale, f
 	case errors.As(err, &resultErr):
 		f.setResult(resultErr)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -248,10 +248,10 @@
 	return m
 }
 
-// WarnRestart logs a warning if settings have changed that take effect only
+// WarnRestartRequired logs a warning if settings have changed that take effect only
 // after a restart. clearReloadable clears the settings that take effect at once;
 // it is called on copies.
-func WarnRestart[S any](logger *log.Logger, old, fresh *S, clearReloadable func(*S)) {
+func WarnRestartRequired[S any](logger *log.Logger, old, fresh *S, clearReloadable func(*S)) {
 	a, b := *old, *fresh
 	clearReloadable(&a)
 	clearReloadable(&b)
--- a/daemon/keys.go
+++ b/daemon/keys.go
@@ -55,10 +55,10 @@
 	return s.Rotate(keys...)
 }
 
-// TakeKeys replaces the signer's keys by those of reloaded settings. It only
+// ReloadKeys replaces the signer's keys by those of reloaded settings. It only
 // checks the TLS files, which are read at each handshake.
-func TakeKeys(t TLS, k Tickets, s *ticket.Signer) error {
-	if err := t.Files().Usable(); err != nil {
+func ReloadKeys(t TLS, k Tickets, s *ticket.Signer) error {
+	if err := t.Files().CheckLoadable(); err != nil {
 		return err
 	}
 	return k.Rotate(s)
--- a/document/delta.go
+++ b/document/delta.go
@@ -15,9 +15,9 @@
 // document records.
 const HistoryLen = 256
 
-// ErrBase is returned by Apply when the delta was not made from the given base;
+// ErrBaseMismatch is returned by Apply when the delta was not made from the given base;
 // the caller has to fetch the full document instead.
-var ErrBase = errors.New("document: delta was made from a different base document")
+var ErrBaseMismatch = errors.New("document: delta was made from a different base document")
 
 // History returns the history of the document that follows base: the plan id of
 // base and those of its own history, newest first, at most HistoryLen.
@@ -56,7 +56,7 @@
 // differs from the one in the delta.
 func Apply(base *rudderv1.Document, d *rudderv1.DocumentDelta) (*rudderv1.Document, error) {
 	if base.GetGeneration() != d.GetBaseGeneration() || base.GetPlanId() != d.GetBasePlanId() || d.GetChanged() == nil {
-		return nil, ErrBase
+		return nil, ErrBaseMismatch
 	}
 	next := proto.CloneOf(d.Changed)
 	if d.HistoryFollows {
@@ -69,7 +69,7 @@
 	next.Hosts = applyList(old.GetHosts(), next.Hosts, d.GoneHosts)
 	next.Services = applyList(old.GetServices(), next.Services, d.GoneServices)
 	if checksum(next) != d.Checksum {
-		return nil, ErrBase
+		return nil, ErrBaseMismatch
 	}
 	return next, nil
 }
--- a/document/delta_test.go
+++ b/document/delta_test.go
@@ -64,8 +64,8 @@
 	delta := Diff(base, &rudderv1.Document{Generation: 8, PlanId: "p8"})
 	for _, other := range []*rudderv1.Document{nil, {Generation: 6, PlanId: "p7"}, {Generation: 7, PlanId: "q"}, {Generation: 7, PlanId: "p7", Operator: "x", Hosts: []*rudderv1.Host{{Name: "h"}}}} {
 		_, err := Apply(other, delta)
-		is.True(errors.Is(err, ErrBase))
+		is.True(errors.Is(err, ErrBaseMismatch))
 	}
 	_, err := Apply(base, &rudderv1.DocumentDelta{BaseGeneration: 7, BasePlanId: "p7"})
-	is.True(errors.Is(err, ErrBase))
+	is.True(errors.Is(err, ErrBaseMismatch))
 }
--- a/e2e/bubble_test.go
+++ b/e2e/bubble_test.go
@@ -224,7 +224,7 @@
 func (b *bubble) agent(name, serviceName string, memory uint64) *agent.Agent {
 	b.keepers[name] = generation.NewTracker()
 	deps := agent.Deps{
-		Client: b.innerClientFrom(name), Signer: b.signerOf(name), Queue: admission.New(admission.Config{}), Keeper: b.keepers[name], Log: quiet(),
+		Client: b.innerClientFrom(name), Signer: b.signerOf(name), Queue: admission.New(admission.Config{}), Tracker: b.keepers[name], Log: quiet(),
 		Metrics: metrics.NewSet(),
 	}
 	b.gauges[name] = deps.Metrics
@@ -296,7 +296,7 @@
 		b.change(&cfg)
 	}
 	g := gateway.New(cfg, gateway.Deps{
-		Store: store, Hosts: store, Client: client, Signer: b.signerOf(name), Keeper: b.keepers[name], Policy: b.policy, Log: quiet(), Metrics: set,
+		Store: store, Hosts: store, Client: client, Signer: b.signerOf(name), Tracker: b.keepers[name], Policy: b.policy, Log: quiet(), Metrics: set,
 	})
 	b.gateways[name] = g
 	face, err := g.Handler()
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -120,9 +120,9 @@
 	Loading  bool     `json:"loading,omitempty"`
 }
 
-// Held is a piece of cache memory that is held outside any run: an exported or
+// HeldMemory is a piece of cache memory that is held outside any run: an exported or
 // imported span, or a reservation.
-type Held struct {
+type HeldMemory struct {
 	ID     string `json:"id"`
 	Owner  string `json:"owner,omitempty"` // id of the group or run that it is held for
 	Tokens uint64 `json:"tokens"`
@@ -131,15 +131,15 @@
 // State is what the engine holds; unlike Load, it is exact at the time of the
 // response.
 type State struct {
-	Incarnation string   `json:"incarnation"` // changes when the engine restarts
-	Models      []Model  `json:"models"`
-	Role        string   `json:"role"`
-	Fence       uint64   `json:"fence"`
-	Running     []string `json:"running"` // ids of runs and of spans being computed or waiting
-	Held        []Held   `json:"held"`
-	Load        Load     `json:"load"`
-	OrderID     string   `json:"order_id,omitempty"` // last finished order
-	OrderBusy   bool     `json:"order_busy,omitempty"`
+	Incarnation string       `json:"incarnation"` // changes when the engine restarts
+	Models      []Model      `json:"models"`
+	Role        string       `json:"role"`
+	Fence       uint64       `json:"fence"`
+	Running     []string     `json:"running"` // ids of runs and of spans being computed or waiting
+	Held        []HeldMemory `json:"held"`
+	Load        Load         `json:"load"`
+	OrderID     string       `json:"order_id,omitempty"` // last finished order
+	OrderBusy   bool         `json:"order_busy,omitempty"`
 }
 
 // Span is a part of a prompt for the engine to prefill and hold.
--- a/engine/failure.go
+++ b/engine/failure.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// Certain reports whether err proves that the request did not start.
-func Certain(err error) bool {
+// NotStarted reports whether err proves that the request did not start.
+func NotStarted(err error) bool {
 	return errors.Is(err, ErrRefused) || errors.Is(err, ErrNoMemory) || errors.Is(err, ErrUnreachable)
 }
--- a/engine/fault_test.go
+++ b/engine/fault_test.go
@@ -55,7 +55,7 @@
 				defer stop()
 				_, err := b.client.Start(ctx, c.req)
 				is.True(errors.Is(err, c.want))
-				is.Equal(engine.Certain(err), c.want != engine.ErrLost)
+				is.Equal(engine.NotStarted(err), c.want != engine.ErrLost)
 				is.Equal(b.engine.Counts().Total, c.ran)
 			})
 		})
--- a/engine/stream_test.go
+++ b/engine/stream_test.go
@@ -67,7 +67,7 @@
 		resp := &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader(body))}
 		err := responseError(opStart, resp)
 		hasCode := strings.Contains(strings.ToLower(body), "code")
-		if Certain(err) && !hasCode && (status < 400 || status >= 500 || status == http.StatusRequestTimeout) {
+		if NotStarted(err) && !hasCode && (status < 400 || status >= 500 || status == http.StatusRequestTimeout) {
 			t.Fatalf("status %d, body %q counts as not started: %v", status, body, err)
 		}
 	})
--- a/gateway/claim.go
+++ b/gateway/claim.go
@@ -115,7 +115,7 @@
 		return claimRecord{}, claimsUnavailable()
 	}
 	e, err := g.createClaim(ctx, key, value)
-	if errors.Is(err, metastore.ErrLeaseGone) {
+	if errors.Is(err, metastore.ErrLeaseExpired) {
 		g.leases.invalidate()
 		e, err = g.createClaim(ctx, key, value)
 	}
@@ -134,7 +134,7 @@
 		return metastore.Entry{}, err
 	}
 	same := func(e metastore.Entry) bool { return string(e.Value) == string(value) }
-	return metastore.Settle(ctx, g.deps.Store, key, 0, value, lease, same)
+	return metastore.SwapAndResolve(ctx, g.deps.Store, key, 0, value, lease, same)
 }
 
 // claimLeases provides the lease that removes expired claims. Each gateway uses
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -27,9 +27,9 @@
 
 // platformHealth is the gateway's view of the platform's service.
 type platformHealth struct {
-	contact    metastore.Contact // nil: the store does not report contact
-	generation atomic.Uint64     // of the document last read from the store; 0: none
-	restored   atomic.Uint64     // number of times that the store was restored to an older state
+	contact    metastore.ContactReporter // nil: the store does not report contact
+	generation atomic.Uint64             // of the document last read from the store; 0: none
+	restored   atomic.Uint64             // number of times that the store was restored to an older state
 }
 
 // silence returns the time since the last message from the platform, or -1 if
@@ -38,7 +38,7 @@
 	if p.contact == nil {
 		return -1
 	}
-	heard := p.contact.Heard()
+	heard := p.contact.LastContact()
 	if heard.IsZero() {
 		return -1
 	}
@@ -63,7 +63,7 @@
 		g.platform.restored.Add(1)
 		g.platform.generation.Store(0) // until the restored store has been read
 		g.deps.Log.Error("The platform's store was restored to an older state; keeping the current configuration.",
-			"generation", g.deps.Keeper.Generation(), "revision", c.Seen)
+			"generation", g.deps.Tracker.Generation(), "revision", c.Seen)
 		return
 	}
 	if c.Entry.Value == nil {
@@ -84,7 +84,7 @@
 // cannot be applied to the current document and the complete document is
 // needed.
 func (g *Gateway) learn(offer *rudderv1.OfferRequest, from source) error {
-	verdict, err := g.deps.Keeper.ApplyOffer(offer)
+	verdict, err := g.deps.Tracker.ApplyOffer(offer)
 	if err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 // document, it calls fetchWhole for the complete document and applies that.
 func (g *Gateway) learnOrFetch(offer *rudderv1.OfferRequest, from source, fetchWhole func() (*rudderv1.Document, error)) error {
 	err := g.learn(offer, from)
-	if !errors.Is(err, document.ErrBase) {
+	if !errors.Is(err, document.ErrBaseMismatch) {
 		return err
 	}
 	doc, err := fetchWhole()
--- a/gateway/faces.go
+++ b/gateway/faces.go
@@ -156,7 +156,7 @@
 		OwnedBy string `json:"owned_by"`
 	}
 	list := []model{}
-	for _, m := range g.deps.Keeper.Document().Models {
+	for _, m := range g.deps.Tracker.Document().Models {
 		if !allowed(x.workspace.Models, m.Name) {
 			continue
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -46,7 +46,7 @@
 	Hosts   metastore.HostLister // nil: no list of hosts
 	Client  *inner.Client
 	Signer  *ticket.Signer
-	Keeper  *generation.Tracker
+	Tracker *generation.Tracker
 	Policy  routing.Policy
 	Log     *log.Logger
 	Metrics *metrics.Set
@@ -93,7 +93,7 @@
 	g.placer = newPlacer(g)
 	g.limits = newLimiter(g)
 	g.peers = newPeers(g)
-	g.platform.contact, _ = deps.Store.(metastore.Contact)
+	g.platform.contact, _ = deps.Store.(metastore.ContactReporter)
 	return g
 }
 
@@ -118,7 +118,7 @@
 // Ready reports whether the gateway has a configuration, has queried its peers
 // for a newer one, is not leaving and is not cut off from all others.
 func (g *Gateway) Ready() bool {
-	return g.deps.Keeper.Generation() > 0 && g.peers.allQueried.Load() && !g.leaving.Load() && !g.members.cutOff()
+	return g.deps.Tracker.Generation() > 0 && g.peers.allQueried.Load() && !g.leaving.Load() && !g.members.cutOff()
 }
 
 // Close stops the background work and waits for it to end.
--- a/gateway/limiter.go
+++ b/gateway/limiter.go
@@ -97,8 +97,8 @@
 	tick := time.NewTicker(shareInterval(len(l.g.cfg.Peers)))
 	defer tick.Stop()
 	for {
-		changed := l.g.deps.Keeper.Changed()
-		l.apply(l.g.deps.Keeper.Document())
+		changed := l.g.deps.Tracker.Changed()
+		l.apply(l.g.deps.Tracker.Document())
 		for waiting := true; waiting; {
 			select {
 			case <-changed:
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -80,7 +80,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream, err := l.client.Subscribe(ctx, connect.NewRequest(&rudderv1.SubscribeRequest{
-		Gateway: l.g.cfg.Name, Generation: l.g.deps.Keeper.Generation(), ShortReports: true, ShortLoads: true,
+		Gateway: l.g.cfg.Name, Generation: l.g.deps.Tracker.Generation(), ShortReports: true, ShortLoads: true,
 	}))
 	if err != nil {
 		return false
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -31,8 +31,8 @@
 // loop keeps the links in step with the endpoints of the current document.
 func (ls *links) loop() {
 	for {
-		changed := ls.g.deps.Keeper.Changed()
-		ls.apply(ls.g.deps.Keeper.Document())
+		changed := ls.g.deps.Tracker.Changed()
+		ls.apply(ls.g.deps.Tracker.Document())
 		select {
 		case <-changed:
 		case <-ls.g.ctx.Done():
--- a/gateway/meter.go
+++ b/gateway/meter.go
@@ -23,7 +23,7 @@
 	}
 	set.NewGauge("rudder_gateway_in_flight", func() float64 { return float64(g.active.Load()) })
 	set.NewGauge("rudder_gateway_groups_forming", func() float64 { return float64(len(g.formingSlots)) })
-	generation.RegisterMetrics(set, "gateway", g.deps.Keeper)
+	generation.RegisterMetrics(set, "gateway", g.deps.Tracker)
 	set.NewGauge("rudder_gateway_platform_generation", func() float64 { return float64(g.platform.generation.Load()) })
 	set.NewGauge("rudder_gateway_platform_restores", func() float64 { return float64(g.platform.restored.Load()) })
 	set.NewGauge("rudder_gateway_platform_silent_seconds", func() float64 { return g.platform.silence().Seconds() })
--- a/gateway/offer.go
+++ b/gateway/offer.go
@@ -35,7 +35,7 @@
 // another gateway, and fetches its document if that is newer than the
 // gateway's.
 func (l *link) offerLoop(ctx context.Context) {
-	k := l.g.deps.Keeper
+	k := l.g.deps.Tracker
 	for {
 		changed := k.Changed()
 		ok := true
@@ -81,7 +81,7 @@
 	if rank > 0 && !sleep.For(ctx, time.Duration(min(rank, maxStaggerSteps))*offerStagger+rand.N(offerStagger/4)) {
 		return false
 	}
-	if has, connected := l.generation(); !connected || has >= l.g.deps.Keeper.Generation() {
+	if has, connected := l.generation(); !connected || has >= l.g.deps.Tracker.Generation() {
 		return true
 	}
 	if err := l.offer(ctx); err != nil {
@@ -116,7 +116,7 @@
 func (l *link) fetchNewer(ctx context.Context) error {
 	l.g.links.fetchMu.Lock()
 	defer l.g.links.fetchMu.Unlock()
-	have := l.g.deps.Keeper.Generation()
+	have := l.g.deps.Tracker.Generation()
 	if has, _ := l.generation(); has <= have {
 		return nil
 	}
@@ -137,13 +137,13 @@
 		return ctx.Err()
 	}
 	has, _ := l.generation()
-	offer := l.g.deps.Keeper.Update(has)
+	offer := l.g.deps.Tracker.Update(has)
 	if offer == nil {
 		return nil
 	}
 	resp, err := l.send(ctx, offer)
 	if err == nil && offer.Delta != nil && resp.Generation < generation.OfferedGeneration(offer) {
-		resp, err = l.send(ctx, &rudderv1.OfferRequest{Document: l.g.deps.Keeper.Document()})
+		resp, err = l.send(ctx, &rudderv1.OfferRequest{Document: l.g.deps.Tracker.Document()})
 	}
 	if err != nil {
 		return err
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -98,7 +98,7 @@
 				best = i
 			}
 		}
-		if len(generations) == 0 || generations[best] <= p.g.deps.Keeper.Generation() {
+		if len(generations) == 0 || generations[best] <= p.g.deps.Tracker.Generation() {
 			return
 		}
 		if p.fetch(ctx, all[best], 0) == nil {
@@ -144,7 +144,7 @@
 func (p *peers) poll(target peer) error {
 	ctx, cancel := context.WithTimeout(p.g.ctx, longPollTime+longPollSlack)
 	defer cancel()
-	changed := p.g.deps.Keeper.Changed()
+	changed := p.g.deps.Tracker.Changed()
 	go func() {
 		select {
 		case <-changed:
@@ -165,7 +165,7 @@
 // for one.
 func (p *peers) fetch(ctx context.Context, target peer, wait time.Duration) error {
 	resp, err := target.client.Fetch(ctx, connect.NewRequest(&rudderv1.FetchRequest{
-		Have: p.g.deps.Keeper.Generation(), WaitMs: uint32(wait.Milliseconds()),
+		Have: p.g.deps.Tracker.Generation(), WaitMs: uint32(wait.Milliseconds()),
 	}))
 	if err != nil {
 		return err
@@ -184,7 +184,7 @@
 // Fetch returns the current document once it is newer than the caller's, or the
 // current generation without a document after the requested time.
 func (s *server) Fetch(ctx context.Context, req *connect.Request[rudderv1.FetchRequest]) (*connect.Response[rudderv1.FetchResponse], error) {
-	k := s.g.deps.Keeper
+	k := s.g.deps.Tracker
 	wait := min(time.Duration(req.Msg.WaitMs)*time.Millisecond, maxFetchWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -208,8 +208,8 @@
 
 // fetchResponse returns the answer to a peer that has generation have.
 func (g *Gateway) fetchResponse(have uint64) *rudderv1.FetchResponse {
-	resp := &rudderv1.FetchResponse{Generation: g.deps.Keeper.Generation()}
-	if u := g.deps.Keeper.Update(have); u != nil {
+	resp := &rudderv1.FetchResponse{Generation: g.deps.Tracker.Generation()}
+	if u := g.deps.Tracker.Update(have); u != nil {
 		resp.Document, resp.Delta = u.Document, u.Delta
 		g.meter.recordOffer(toPeer, u)
 	}
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -78,7 +78,7 @@
 // may be given now.
 func (p *placer) round() {
 	now := time.Now()
-	doc := p.g.deps.Keeper.Document()
+	doc := p.g.deps.Tracker.Document()
 	links := p.ownLinks()
 	if p.g.draining.Load() {
 		p.elector.release()
--- a/gateway/placer_test.go
+++ b/gateway/placer_test.go
@@ -26,12 +26,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := New(Config{Name: "gw", DataCentre: zone}, Deps{Client: client, Keeper: generation.NewTracker(), Log: log.New(io.Discard)})
+	g := New(Config{Name: "gw", DataCentre: zone}, Deps{Client: client, Tracker: generation.NewTracker(), Log: log.New(io.Discard)})
 	doc := &rudderv1.Document{Generation: 2, Models: []*rudderv1.Model{{Name: "m", Version: "2", Floor: 1, Replicas: map[string]uint32{zone: uint32(n)}}}}
 	for i := range n {
 		doc.Endpoints = append(doc.Endpoints, &rudderv1.Endpoint{Name: fmt.Sprintf("e%03d", i), DataCentre: zone})
 	}
-	g.deps.Keeper.Offer(doc)
+	g.deps.Tracker.Offer(doc)
 	for _, e := range doc.Endpoints {
 		l := newLink(g, e)
 		l.connected, l.lastReportAt = true, time.Now()
@@ -49,7 +49,7 @@
 	is := is.New(t)
 	g := gatewayWithReports(t, 4)
 	p := g.placer
-	planned := p.nextOrders(g.deps.Keeper.Document(), p.ownLinks(), time.Now().Add(300*time.Millisecond))
+	planned := p.nextOrders(g.deps.Tracker.Document(), p.ownLinks(), time.Now().Add(300*time.Millisecond))
 	is.Equal(len(planned), 1)
 	l := g.links.byName[planned[0].Endpoint]
 	l.report.Holds, l.report.AgentMs = 8, 60_000 // the plan was not based on this later report
@@ -99,6 +99,6 @@
 	g := gatewayWithReports(b, 181)
 	now := time.Now()
 	for b.Loop() {
-		g.placer.nextOrders(g.deps.Keeper.Document(), g.placer.ownLinks(), now)
+		g.placer.nextOrders(g.deps.Tracker.Document(), g.placer.ownLinks(), now)
 	}
 }
--- a/gateway/process.go
+++ b/gateway/process.go
@@ -111,7 +111,7 @@
 		return nil, err
 	}
 	g := New(s.config(), Deps{
-		Store: store, Hosts: store, Client: client, Signer: signer, Keeper: generation.NewTracker(),
+		Store: store, Hosts: store, Client: client, Signer: signer, Tracker: generation.NewTracker(),
 		Policy: policies[s.Routing.Policy](), Log: env.Log, Metrics: env.Metrics,
 	})
 	p := &Process{g: g, settings: s}
--- a/gateway/read.go
+++ b/gateway/read.go
@@ -117,7 +117,7 @@
 // newCompletion checks the request against the workspace and the document and
 // returns the completion to order.
 func (g *Gateway) newCompletion(c *completionBody, path string, ws *rudderv1.Workspace) (*rudderv1.Completion, *result.Err) {
-	m := findModel(g.deps.Keeper.Document(), c.Model)
+	m := findModel(g.deps.Tracker.Document(), c.Model)
 	if m == nil || !allowed(ws.Models, m.Name) {
 		return nil, result.New(result.UnknownModel, c.Model)
 	}
@@ -141,7 +141,7 @@
 // mayUseModel reports whether a workspace may use the model or adapter with the
 // given name.
 func (g *Gateway) mayUseModel(ws *rudderv1.Workspace, name string) bool {
-	m := findModel(g.deps.Keeper.Document(), name)
+	m := findModel(g.deps.Tracker.Document(), name)
 	return m != nil && allowed(ws.Models, m.Name)
 }
 
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -13,9 +13,9 @@
 	if !ok {
 		return trace.BadParameter("settings are not those of a gateway")
 	}
-	if err := daemon.TakeKeys(s.TLS, s.Tickets.Tickets, p.g.deps.Signer); err != nil {
+	if err := daemon.ReloadKeys(s.TLS, s.Tickets.Tickets, p.g.deps.Signer); err != nil {
 		return err
 	}
-	daemon.WarnRestart(p.g.deps.Log, p.settings, s, func(x *Settings) { x.Tickets.Keys = nil })
+	daemon.WarnRestartRequired(p.g.deps.Log, p.settings, s, func(x *Settings) { x.Tickets.Keys = nil })
 	return nil
 }
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -28,7 +28,7 @@
 	g := s.g
 	silent := g.platform.silence()
 	resp := &rudderv1.StatusResponse{
-		Gateway: g.cfg.Name, DataCentre: g.cfg.DataCentre, Generation: g.deps.Keeper.Generation(),
+		Gateway: g.cfg.Name, DataCentre: g.cfg.DataCentre, Generation: g.deps.Tracker.Generation(),
 		PlatformReachable: g.platform.reachable(), PlatformSilentMs: silent.Milliseconds(), Draining: g.leaving.Load(),
 		Placing: g.placer.elector.heldID(time.Now()) != 0,
 	}
--- a/gateway/session.go
+++ b/gateway/session.go
@@ -287,7 +287,7 @@
 		RequestId: s.cr.id, Attempt: s.attempt, Ticket: s.ticket, Workspace: s.cr.workspace.Name,
 		Repeatable: s.cr.repeatable, RemainingMs: time.Until(s.cr.deadline).Milliseconds(),
 		Priority: s.cr.workspace.Priority, Weight: s.cr.workspace.Weight,
-		Generation: s.g.deps.Keeper.Generation(), Gateway: s.g.cfg.Name,
+		Generation: s.g.deps.Tracker.Generation(), Gateway: s.g.cfg.Name,
 		Completion: s.cr.completion, Call: s.cr.call, Body: s.cr.body, Ephemeral: !s.dispatch.HasName && !s.dispatch.EarlierMayHaveRun(),
 		SentAgentMs: clock,
 	}
--- a/gateway/starting.go
+++ b/gateway/starting.go
@@ -22,8 +22,8 @@
 // for the first one.
 func (g *Gateway) awaitConfiguration(ctx context.Context) *rudderv1.Document {
 	for {
-		changed := g.deps.Keeper.Changed()
-		doc := g.deps.Keeper.Document()
+		changed := g.deps.Tracker.Changed()
+		doc := g.deps.Tracker.Document()
 		if doc.Generation > 0 || !g.starting() {
 			return doc
 		}
--- a/gateway/tenure.go
+++ b/gateway/tenure.go
@@ -135,7 +135,7 @@
 	}
 	value := []byte(e.id + " " + uuid.NewString())
 	same := func(e metastore.Entry) bool { return string(e.Value) == string(value) }
-	if _, err := metastore.Settle(ctx, store, key, 0, value, l.ID(), same); err != nil {
+	if _, err := metastore.SwapAndResolve(ctx, store, key, 0, value, l.ID(), same); err != nil {
 		e.g.background.Go(func() { e.revoke(l) })
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 
 // keepAlive renews the lease until it ends.
 func (e *elector) keepAlive(l *metastore.Lease) {
-	err := l.Keep(e.g.ctx)
+	err := l.KeepAlive(e.g.ctx)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.lease == l && e.g.ctx.Err() == nil {
--- a/inner/keys.go
+++ b/inner/keys.go
@@ -28,9 +28,9 @@
 	return nil
 }
 
-// Usable returns an error if TLS is enabled and the files cannot be loaded in
+// CheckLoadable returns an error if TLS is enabled and the files cannot be loaded in
 // their current state.
-func (k KeyFiles) Usable() error {
+func (k KeyFiles) CheckLoadable() error {
 	if !k.Enabled() {
 		return nil
 	}
--- a/inner/keys_test.go
+++ b/inner/keys_test.go
@@ -154,10 +154,10 @@
 	for _, s := range peers {
 		cert, key := second.issue(t)
 		s.write(s.files.Cert, cert) // does not match the old key
-		is.True(s.files.Usable() != nil)
+		is.True(s.files.CheckLoadable() != nil)
 		check()
 		s.write(s.files.Key, key)
-		is.NoErr(s.files.Usable())
+		is.NoErr(s.files.CheckLoadable())
 		check()
 	}
 	for _, s := range peers {
--- a/internal/bench/virtual_test.go
+++ b/internal/bench/virtual_test.go
@@ -113,7 +113,7 @@
 		ReattachWindow: 10 * time.Second, AnswerKeep: 2 * time.Minute, BufferBytes: 64 << 20, MaxRecords: 20_000,
 		ReportInterval: 250 * time.Millisecond, Heartbeat: 5 * time.Second,
 	}, agent.Deps{
-		Client: client, Signer: b.signer, Queue: admission.New(admission.Config{}), Keeper: generation.NewTracker(), Log: log.New(io.Discard),
+		Client: client, Signer: b.signer, Queue: admission.New(admission.Config{}), Tracker: generation.NewTracker(), Log: log.New(io.Discard),
 		Engine: engine.NewClient(engine.Options{BaseURL: "http://" + address, HTTPClient: b.client(), Name: name}),
 	})
 	path, h := a.Handler()
@@ -134,7 +134,7 @@
 	g := gateway.New(gateway.Config{
 		Name: name, DataCentre: dataCentre, MaxBody: 16 << 20, BodyTime: 30 * time.Second, WriteTime: 30 * time.Second,
 		DefaultDeadline: 5 * time.Minute, MaxDeadline: time.Hour, TicketLife: 15 * time.Minute, DefaultTokens: 256, FirstTokenGoal: time.Second,
-	}, gateway.Deps{Store: store, Hosts: store, Client: client, Signer: b.signer, Keeper: generation.NewTracker(), Policy: policy, Log: log.New(io.Discard)})
+	}, gateway.Deps{Store: store, Hosts: store, Client: client, Signer: b.signer, Tracker: generation.NewTracker(), Policy: policy, Log: log.New(io.Discard)})
 	face, err := g.Handler()
 	b.check(err)
 	b.plain(name+":80", face)
--- a/internal/standin/engine/control.go
+++ b/internal/standin/engine/control.go
@@ -82,7 +82,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.held)) {
 		h := s.held[id]
-		st.Held = append(st.Held, engine.Held{ID: h.id, Owner: h.owner, Tokens: h.memory})
+		st.Held = append(st.Held, engine.HeldMemory{ID: h.id, Owner: h.owner, Tokens: h.memory})
 	}
 	s.shop.describe(&st)
 	return st
--- a/metastore/client.go
+++ b/metastore/client.go
@@ -41,9 +41,9 @@
 }
 
 var (
-	_ Store      = (*Client)(nil)
-	_ HostLister = (*Client)(nil)
-	_ Contact    = (*Client)(nil)
+	_ Store           = (*Client)(nil)
+	_ HostLister      = (*Client)(nil)
+	_ ContactReporter = (*Client)(nil)
 )
 
 // NewClient returns a client without making a call. Invalid options are
@@ -76,8 +76,8 @@
 	c.lastContact.Store(&now)
 }
 
-// Heard implements Contact.
-func (c *Client) Heard() time.Time {
+// LastContact implements Contact.
+func (c *Client) LastContact() time.Time {
 	if at := c.lastContact.Load(); at != nil {
 		return *at
 	}
--- a/metastore/contract_test.go
+++ b/metastore/contract_test.go
@@ -125,7 +125,7 @@
 		_, err = s.Get(b.t.Context(), "k")
 		b.True(errors.Is(err, metastore.ErrNotFound))
 		_, err = s.KeepAlive(b.t.Context(), id)
-		b.True(errors.Is(err, metastore.ErrLeaseGone))
+		b.True(errors.Is(err, metastore.ErrLeaseExpired))
 	}},
 	{"every call with a revoked lease fails", func(b *fixture, s metastore.Store) {
 		id, err := s.Grant(b.t.Context(), time.Minute)
@@ -135,9 +135,9 @@
 		b.NoErr(s.Revoke(b.t.Context(), id))
 		_, err = s.Get(b.t.Context(), "k")
 		b.True(errors.Is(err, metastore.ErrNotFound))
-		b.True(errors.Is(s.Revoke(b.t.Context(), id), metastore.ErrLeaseGone))
+		b.True(errors.Is(s.Revoke(b.t.Context(), id), metastore.ErrLeaseExpired))
 		_, err = s.CompareAndSwap(b.t.Context(), "k", 0, []byte("v"), id)
-		b.True(errors.Is(err, metastore.ErrLeaseGone))
+		b.True(errors.Is(err, metastore.ErrLeaseExpired))
 	}},
 }
 
--- a/metastore/golden_test.go
+++ b/metastore/golden_test.go
@@ -125,7 +125,7 @@
 
 		section("a write that is applied and whose answer is lost")
 		b.server.SetFaults(standin.Faults{LoseApplied: 1})
-		e, err = metastore.Settle(ctx, b.client, "k", e.Revision, []byte("4"), l.ID(), func(e metastore.Entry) bool { return string(e.Value) == "4" })
+		e, err = metastore.SwapAndResolve(ctx, b.client, "k", e.Revision, []byte("4"), l.ID(), func(e metastore.Entry) bool { return string(e.Value) == "4" })
 		b.NoErr(err)
 		synctest.Wait()
 
--- a/metastore/lease.go
+++ b/metastore/lease.go
@@ -84,10 +84,10 @@
 func (l *Lease) Renew(ctx context.Context) error {
 	sent := time.Now()
 	if !l.Held(sent) {
-		return ErrLeaseGone
+		return ErrLeaseExpired
 	}
 	remaining, err := l.store.KeepAlive(ctx, l.id)
-	if errors.Is(err, ErrLeaseGone) {
+	if errors.Is(err, ErrLeaseExpired) {
 		l.invalidate()
 	}
 	if err != nil {
@@ -102,7 +102,7 @@
 	defer l.mu.Unlock()
 	if l.deadline.remaining(now) == 0 {
 		l.deadline = deadline{}
-		return ErrLeaseGone
+		return ErrLeaseExpired
 	}
 	if t := l.expiry(sent, remaining); t.After(l.deadline.monotonic) {
 		l.deadline = newDeadline(t)
@@ -116,17 +116,17 @@
 	return sent.Add(min(remaining, l.ttl) - l.ttl/leaseMarginDivisor)
 }
 
-// Keep renews the lease until it has expired (ErrLeaseGone) or ctx ends.
-func (l *Lease) Keep(ctx context.Context) error {
+// KeepAlive renews the lease until it has expired (ErrLeaseGone) or ctx ends.
+func (l *Lease) KeepAlive(ctx context.Context) error {
 	for {
 		if err := sleep(ctx, l.renewInterval()); err != nil {
 			return err
 		}
-		if err := l.renewWithTimeout(ctx); errors.Is(err, ErrLeaseGone) {
+		if err := l.renewWithTimeout(ctx); errors.Is(err, ErrLeaseExpired) {
 			return err
 		}
 		if !l.Held(time.Now()) {
-			return ErrLeaseGone
+			return ErrLeaseExpired
 		}
 	}
 }
--- a/metastore/lease_test.go
+++ b/metastore/lease_test.go
@@ -40,7 +40,7 @@
 		time.Sleep(time.Millisecond)
 		b.True(!l.Held(time.Now()))
 		b.True(!keyDeleted(b, initialState{}))
-		b.True(errors.Is(l.Renew(t.Context()), metastore.ErrLeaseGone)) // expiry is final although the service still knows the lease
+		b.True(errors.Is(l.Renew(t.Context()), metastore.ErrLeaseExpired)) // expiry is final although the service still knows the lease
 		time.Sleep(margin)
 		synctest.Wait()
 		b.True(keyDeleted(b, initialState{}))
@@ -100,13 +100,13 @@
 				defer cancel()
 				b.server.SetFaults(c.fault)
 				start := time.Now()
-				err := l.Keep(ctx)
+				err := l.KeepAlive(ctx)
 				b.Equal(l.Held(time.Now()), c.lasts)
 				if c.lasts {
 					b.True(errors.Is(err, context.DeadlineExceeded))
 					return
 				}
-				b.True(errors.Is(err, metastore.ErrLeaseGone))
+				b.True(errors.Is(err, metastore.ErrLeaseExpired))
 				b.True(time.Since(start) <= leaseTTL-margin)
 			})
 		})
@@ -120,7 +120,7 @@
 		b := newFixture(t, standin.Config{}, nil)
 		l := b.acquire()
 		b.NoErr(b.client.Revoke(t.Context(), l.ID()))
-		b.True(errors.Is(l.Renew(t.Context()), metastore.ErrLeaseGone))
+		b.True(errors.Is(l.Renew(t.Context()), metastore.ErrLeaseExpired))
 		b.True(!l.Held(time.Now()))
 
 		l = b.acquire()
--- a/metastore/leases.go
+++ b/metastore/leases.go
@@ -43,7 +43,7 @@
 		return 0, err
 	}
 	if res.TTL <= 0 {
-		return 0, ErrLeaseGone
+		return 0, ErrLeaseExpired
 	}
 	return time.Duration(res.TTL) * time.Second, nil
 }
--- a/metastore/linear_test.go
+++ b/metastore/linear_test.go
@@ -39,7 +39,7 @@
 	a := writeAttempt{value: value, expect: e.Revision, usedSettle: settle}
 	if settle {
 		same := func(e metastore.Entry) bool { return string(e.Value) == value }
-		e, a.err = metastore.Settle(ctx, c, "k", a.expect, []byte(value), 0, same)
+		e, a.err = metastore.SwapAndResolve(ctx, c, "k", a.expect, []byte(value), 0, same)
 	} else {
 		e, a.err = c.CompareAndSwap(ctx, "k", a.expect, []byte(value), 0)
 	}
--- a/metastore/outcome.go
+++ b/metastore/outcome.go
@@ -104,7 +104,7 @@
 	case r.message == etcdjson.MessageTooLarge, r.status == http.StatusRequestEntityTooLarge:
 		return ErrTooLarge
 	case r.message == etcdjson.MessageLeaseNotFound:
-		return ErrLeaseGone
+		return ErrLeaseExpired
 	case r.message == etcdjson.MessageNoLeader:
 		return ErrUnavailable
 	case r.status == http.StatusRequestTimeout:
@@ -133,7 +133,7 @@
 		return "unknown"
 	case errors.Is(err, ErrTooLarge):
 		return "too-large"
-	case errors.Is(err, ErrLeaseGone):
+	case errors.Is(err, ErrLeaseExpired):
 		return "lease-gone"
 	default:
 		return "unavailable"
--- a/metastore/platform.go
+++ b/metastore/platform.go
@@ -30,8 +30,8 @@
 	// ErrTooLarge: the value exceeds the service's limit of one megabyte;
 	// nothing was written.
 	ErrTooLarge = errors.New("platform: value too large")
-	// ErrLeaseGone: the lease does not exist or has expired.
-	ErrLeaseGone = errors.New("platform: lease not found or expired")
+	// ErrLeaseExpired: the lease does not exist or has expired.
+	ErrLeaseExpired = errors.New("platform: lease not found or expired")
 	// ErrRestored: the service responded from an older state than one seen
 	// before; see RestoredError.
 	ErrRestored = errors.New("platform: store reverted to an older state")
@@ -71,9 +71,9 @@
 	Revoke(ctx context.Context, id LeaseID) error
 }
 
-// Contact reports the time of the last successful response to any call or of
+// ContactReporter reports the time of the last successful response to any call or of
 // the last watch frame. Heard returns the zero time before the first one.
-type Contact interface{ Heard() time.Time }
+type ContactReporter interface{ LastContact() time.Time }
 
 // HostState is the state of a host as the platform reports it. The report lags
 // behind the actual state.
--- a/metastore/settle.go
+++ b/metastore/settle.go
@@ -15,7 +15,7 @@
 	settleMaxInterval     = 2 * time.Second
 )
 
-// Settle writes like CompareAndSwap and, if the outcome is unknown, determines
+// SwapAndResolve writes like CompareAndSwap and, if the outcome is unknown, determines
 // it. isOwn reports whether an entry is the one written by this call or derives
 // from it; the values of different writers must therefore differ.
 //
@@ -28,7 +28,7 @@
 // While the outcome is unknown the same write is repeated. All attempts carry
 // the same expected revision, so at most one takes effect and any late one
 // fails.
-func Settle(ctx context.Context, store Store, key string, expect int64, value []byte, lease LeaseID, isOwn func(Entry) bool) (Entry, error) {
+func SwapAndResolve(ctx context.Context, store Store, key string, expect int64, value []byte, lease LeaseID, isOwn func(Entry) bool) (Entry, error) {
 	e, err := store.CompareAndSwap(ctx, key, expect, value, lease)
 	if !errors.Is(err, ErrUnknown) {
 		return e, err
@@ -84,7 +84,7 @@
 		return e, nil, true
 	case errors.Is(err, ErrConflict):
 		return s.classifyEntry(e)
-	case errors.Is(err, ErrLeaseGone), errors.Is(err, ErrTooLarge):
+	case errors.Is(err, ErrLeaseExpired), errors.Is(err, ErrTooLarge):
 		// The first attempt may have been applied and its lease may have
 		// expired since.
 		return e, unknownError(err), true
--- a/metastore/settle_test.go
+++ b/metastore/settle_test.go
@@ -75,7 +75,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
 				same := func(e metastore.Entry) bool { return len(e.Value) >= 4 && string(e.Value[:4]) == "mine" }
-				got, err := metastore.Settle(ctx, b.client, "k", e.Revision, []byte("mine"), 0, same)
+				got, err := metastore.SwapAndResolve(ctx, b.client, "k", e.Revision, []byte("mine"), 0, same)
 				b.True(errors.Is(err, c.err))
 				time.Sleep(5 * time.Second)
 				b.clearFaults()
@@ -99,8 +99,8 @@
 		b.NoErr(err)
 		b.server.SetFaults(standin.Faults{AnswerDelay: 3 * time.Second})
 		b.runAfter(2500*time.Millisecond, func() { b.server.SetFaults(standin.Faults{}) })
-		_, err = metastore.Settle(t.Context(), b.client, "k", 0, []byte("mine"), id, func(metastore.Entry) bool { return true })
+		_, err = metastore.SwapAndResolve(t.Context(), b.client, "k", 0, []byte("mine"), id, func(metastore.Entry) bool { return true })
 		b.True(errors.Is(err, metastore.ErrUnknown))
-		b.True(errors.Is(err, metastore.ErrLeaseGone))
+		b.True(errors.Is(err, metastore.ErrLeaseExpired))
 	})
 }
--- a/plan/confirm.go
+++ b/plan/confirm.go
@@ -29,9 +29,9 @@
 // derived from the plan, or when its history no longer covers the plan.
 type StaleError struct {
 	*result.Err
-	Current uint64   // the generation accepted now
-	Theirs  []Change // changes from the plan's base to the accepted document
-	Clashes []string // sections that both sides changed to different contents
+	Current   uint64   // the generation accepted now
+	Theirs    []Change // changes from the plan's base to the accepted document
+	Conflicts []string // sections that both sides changed to different contents
 }
 
 // Unwrap returns the error with its result code.
@@ -189,7 +189,7 @@
 		}
 	}
 	e.Theirs = Diff(base, cur)
-	e.Clashes = conflicts(p.Changes, e.Theirs, Diff(p.next, cur))
+	e.Conflicts = conflicts(p.Changes, e.Theirs, Diff(p.next, cur))
 	return e
 }
 
--- a/plan/confirm_test.go
+++ b/plan/confirm_test.go
@@ -172,5 +172,5 @@
 		{Action: Alter, Section: "model m", Fields: []Field{{Key: "version", From: "1", To: "3"}}},
 		{Action: Alter, Section: "host h1", Fields: []Field{{Key: "leaving", To: "true"}}},
 	})
-	is.Equal(stale.Clashes, []string{"model m"})
+	is.Equal(stale.Conflicts, []string{"model m"})
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -146,7 +146,7 @@
 func (x *exchange) handleAttemptFailure(ctx context.Context, pl *placement, err error) {
 	x.recordFailure(pl, err)
 	var failure *upstream.Error
-	if errors.Is(err, upstream.ErrWithdrawn) {
+	if errors.Is(err, upstream.ErrCheckFailed) {
 		x.abandonAttempt()
 		return
 	}
@@ -202,17 +202,17 @@
 	}
 	fields.Helpers = reserved.helpers(pl)
 	req := &upstream.Request{
-		Method:  x.r.Method,
-		Target:  x.r.RequestURI,
-		Host:    x.r.Host,
-		Header:  x.g.deps.Protocol.Header(x.r.Header, x.call, fields),
-		Body:    x.body,
-		Echo:    x.g.deps.Protocol.EchoedHeader(),
-		MaxIdle: x.maxIdle(),
+		Method:     x.r.Method,
+		Target:     x.r.RequestURI,
+		Host:       x.r.Host,
+		Header:     x.g.deps.Protocol.Header(x.r.Header, x.call, fields),
+		Body:       x.body,
+		EchoHeader: x.g.deps.Protocol.EchoedHeader(),
+		MaxIdle:    x.maxIdle(),
 		// An endpoint resets connections beyond the number that it accepts from all gateways
 		// together.
-		KeepIdle: maxIdlePerGateway(x.service.MaxConnections, x.g.endpointLimits.gatewayCount()),
-		Check: func() bool {
+		MaxIdleConns: maxIdlePerGateway(x.service.MaxConnections, x.g.endpointLimits.gatewayCount()),
+		PreSendCheck: func() bool {
 			now := time.Now()
 			if !x.allAccept(pl, now) || !x.withinLimits(pl, now) {
 				return false
--- a/relay/crash.go
+++ b/relay/crash.go
@@ -33,7 +33,7 @@
 type crashProbe struct {
 	done       chan struct{}
 	finishedAt time.Time
-	result     upstream.Listens
+	result     upstream.ProbeResult
 }
 
 func newCrashProbes() *crashProbes { return &crashProbes{latest: make(map[string]*crashProbe)} }
@@ -44,7 +44,7 @@
 	p, created := g.crashProbes.joinOrCreate(e.ID, time.Now())
 	if !created {
 		<-p.done
-		return p.result == upstream.NotRunning
+		return p.result == upstream.ProbeRefused
 	}
 	ctx, cancel := context.WithTimeout(g.ctx, probeTimeout)
 	defer cancel()
@@ -53,7 +53,7 @@
 	close(p.done)
 	g.meter.probes.Inc()
 	g.crashProbes.removeExpired(p.finishedAt)
-	if p.result != upstream.NotRunning {
+	if p.result != upstream.ProbeRefused {
 		return false
 	}
 	g.meter.crashes.Inc()
--- a/relay/follow.go
+++ b/relay/follow.go
@@ -166,10 +166,10 @@
 		g.background.Go(func() { g.resolveUncertainDrain(e) })
 	}
 	if c.Kind == changeDraining {
-		g.deps.Endpoints.Forget(e.ID) // close idle connections
+		g.deps.Endpoints.CloseIdleTo(e.ID) // close idle connections
 	}
 	if c.Kind == changeGone || c.Kind == changeRestarted {
-		g.deps.Endpoints.Forget(e.ID)
+		g.deps.Endpoints.CloseIdleTo(e.ID)
 		g.picker.forget(e.ID)
 		g.endpointLimits.forget(e.ID)
 	}
--- a/relay/harness_test.go
+++ b/relay/harness_test.go
@@ -105,7 +105,7 @@
 }
 
 func (testProtocol) ReadReport(res *http.Response) (r EndpointReport, ok bool, err error) {
-	r.Pace, err = strconv.ParseFloat(res.Header.Get("Pace"), 64)
+	r.Slowdown, err = strconv.ParseFloat(res.Header.Get("Pace"), 64)
 	r.Waiting, _ = strconv.Atoi(res.Header.Get("Waiting")) // 0 if it is not given
 	r.Reservations = make(map[string]ReservationState)
 	for _, id := range res.Header["Idle"] {
--- a/relay/picker.go
+++ b/relay/picker.go
@@ -281,7 +281,7 @@
 	defer p.mu.Unlock()
 	before := p.health.Slowdown(endpoint, now)
 	p.health.RecordReachable(endpoint, now)
-	p.health.SetSlowdown(endpoint, r.Pace, now)
+	p.health.SetSlowdown(endpoint, r.Slowdown, now)
 	after := p.health.Slowdown(endpoint, now)
 	changed := after > significantSlowdownRatio*before || before > significantSlowdownRatio*after
 	if changed {
--- a/relay/place.go
+++ b/relay/place.go
@@ -22,7 +22,7 @@
 
 // hasIdleConn reports whether an idle connection to an endpoint may carry the request.
 func (x *exchange) hasIdleConn(endpoint string) bool {
-	return x.g.deps.Endpoints.Kept(endpoint, x.maxIdle())
+	return x.g.deps.Endpoints.HasIdle(endpoint, x.maxIdle())
 }
 
 // maxIdle returns how long a connection may have been idle to carry the request; zero means no
@@ -38,7 +38,7 @@
 func (x *exchange) balanceRequest() balance.Request {
 	return balance.Request{
 		InputTokens: x.call.PromptTokens, OutputTokens: x.call.MaxTokens, Excluded: slices.Concat(x.tried, x.excluded),
-		Gaps: x.table.Gaps(x.service.Name), MaxGap: x.route.GapObjective,
+		Gaps: x.table.GapObjectives(x.service.Name), MaxGap: x.route.GapObjective,
 	}
 }
 
--- a/relay/process.go
+++ b/relay/process.go
@@ -159,6 +159,6 @@
 		return trace.BadParameter("settings are not those of rudder-relay")
 	}
 	p.deps.Log.Logger().Info("Settings read again.")
-	daemon.WarnRestart(p.deps.Log.Logger(), p.settings, s, func(*Settings) {})
+	daemon.WarnRestartRequired(p.deps.Log.Logger(), p.settings, s, func(*Settings) {})
 	return nil
 }
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -60,8 +60,8 @@
 
 // EndpointReport is the status that an endpoint with an engine reports.
 type EndpointReport struct {
-	// Pace is the factor by which the endpoint is slower than usual.
-	Pace float64
+	// Slowdown is the factor by which the endpoint is slower than usual.
+	Slowdown float64
 	// Waiting and Running are the numbers of its requests in these states.
 	Waiting, Running int
 	// MemoryUsed is how many of the MemoryTotal tokens cannot be evicted.
--- a/relay/watch.go
+++ b/relay/watch.go
@@ -160,7 +160,7 @@
 		g.recordQueryFailure(e.Endpoint, health.Replaced, nil)
 		return
 	}
-	report := EndpointReport{Pace: 1}
+	report := EndpointReport{Slowdown: 1}
 	if e.service.Engine != nil {
 		if parsed, ok, err := g.deps.Protocol.ReadReport(res); err != nil {
 			g.deps.Log.Logger().Warn("Reading an endpoint's report failed.", "endpoint", e.ID, "err", err)
@@ -169,7 +169,7 @@
 		}
 	}
 	if g.picker.recordReport(e.ID, report, time.Now()) {
-		g.deps.Log.Logger().Info("Endpoint's pace changed.", "endpoint", e.ID, "pace", report.Pace)
+		g.deps.Log.Logger().Info("Endpoint's pace changed.", "endpoint", e.ID, "pace", report.Slowdown)
 	}
 	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDiscardedBytes)); err != nil {
 		return // the error closes the connection; the rest was read only to keep it
--- a/upstream/probe.go
+++ b/upstream/probe.go
@@ -6,19 +6,19 @@
 	"syscall"
 )
 
-// Listens is the result of a probe: whether a process listens at an endpoint's address.
-type Listens uint8
+// ProbeResult is the result of a probe: whether a process listens at an endpoint's address.
+type ProbeResult uint8
 
 // The results of a probe.
 const (
-	ProbeUnknown   Listens = iota // no response in time, or a network failure
-	ProbeListening                // it accepts connections
-	NotRunning                    // its host refuses the connection: nothing listens at the address
+	ProbeUnknown   ProbeResult = iota // no response in time, or a network failure
+	ProbeListening                    // it accepts connections
+	ProbeRefused                      // its host refuses the connection: nothing listens at the address
 )
 
 // Probe reports whether a process listens at an endpoint's address by opening a new
 // connection. An established connection is kept idle for the next request.
-func (c *Client) Probe(ctx context.Context, key, address string) Listens {
+func (c *Client) Probe(ctx context.Context, key, address string) ProbeResult {
 	nc, err := c.options.Dialer(ctx, address)
 	switch {
 	case err == nil:
@@ -26,7 +26,7 @@
 		c.idle.put(newConn(nc, key, address))
 		return ProbeListening
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return NotRunning
+		return ProbeRefused
 	default:
 		return ProbeUnknown
 	}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -57,23 +57,23 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Echo names a header that a valid response repeats with the request's value.
+	// EchoHeader names a header that a valid response repeats with the request's value.
 	// Responses with another value belong to another request and are skipped.
 	// Empty: no check.
-	Echo string
+	EchoHeader string
 	// MaxIdle is how long a connection may have been idle to be reused for this
 	// request, below Options.MaxIdle; zero: Options.MaxIdle.
 	MaxIdle time.Duration
-	// KeepIdle is the largest number of idle connections to the endpoint that are kept after
+	// MaxIdleConns is the largest number of idle connections to the endpoint that are kept after
 	// this request, below Options.IdlePerHost; zero: Options.IdlePerHost.
-	KeepIdle int
-	// Check is called once a connection is available, right before the first byte is written.
+	MaxIdleConns int
+	// PreSendCheck is called once a connection is available, right before the first byte is written.
 	// If it returns false, the request is not sent and Do fails with ErrWithdrawn. Nil: no check.
-	Check func() bool
+	PreSendCheck func() bool
 }
 
-// ErrWithdrawn is the cause of an exchange that Request.Check canceled.
-var ErrWithdrawn = errors.New("request canceled by its check before it was sent")
+// ErrCheckFailed is the cause of an exchange that Request.Check canceled.
+var ErrCheckFailed = errors.New("request canceled by its check before it was sent")
 
 // Options configures a Client.
 type Options struct {
@@ -118,8 +118,8 @@
 // CloseIdle closes all idle connections; the client stays usable.
 func (c *Client) CloseIdle() { c.idle.closeIdle() }
 
-// Forget closes the idle connections to an endpoint.
-func (c *Client) Forget(key string) { c.idle.closeKey(key) }
+// CloseIdleTo closes the idle connections to an endpoint.
+func (c *Client) CloseIdleTo(key string) { c.idle.closeKey(key) }
 
 // Do sends one request to the endpoint named key at address and returns its
 // response once the head has arrived. Cancelling ctx closes the connection, also
@@ -134,12 +134,12 @@
 		c.idle.put(conn)
 		return nil, &Error{Stage: NotSent, Err: err}
 	}
-	if r.Check != nil && !r.Check() {
+	if r.PreSendCheck != nil && !r.PreSendCheck() {
 		c.idle.put(conn)
-		return nil, &Error{Stage: NotSent, Err: ErrWithdrawn}
+		return nil, &Error{Stage: NotSent, Err: ErrCheckFailed}
 	}
 	conn.watch(ctx)
-	conn.maxIdleConns = r.KeepIdle
+	conn.maxIdleConns = r.MaxIdleConns
 	conn.send(r)
 	res, err := conn.readHead(r)
 	if err != nil {
@@ -155,9 +155,9 @@
 	return res, nil
 }
 
-// Kept reports whether a request to the endpoint with this MaxIdle would reuse an idle
+// HasIdle reports whether a request to the endpoint with this MaxIdle would reuse an idle
 // connection. That connection may turn out to be closed when it is taken.
-func (c *Client) Kept(key string, maxIdle time.Duration) bool {
+func (c *Client) HasIdle(key string, maxIdle time.Duration) bool {
 	return c.idle.hasIdle(key, c.maxIdle(maxIdle))
 }
 
@@ -313,7 +313,7 @@
 		if res.StatusCode/100 == 1 && res.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		if r.Echo == "" || res.Header.Get(r.Echo) == r.Header.Get(r.Echo) {
+		if r.EchoHeader == "" || res.Header.Get(r.EchoHeader) == r.Header.Get(r.EchoHeader) {
 			return res, nil
 		}
 		mismatched++
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -65,7 +65,7 @@
 }
 
 func get(id string) *Request {
-	return &Request{Method: "GET", Target: "/a/b?c=%2f", Host: "h.example", Header: http.Header{"Request-Id": {id}}, Echo: "Request-Id"}
+	return &Request{Method: "GET", Target: "/a/b?c=%2f", Host: "h.example", Header: http.Header{"Request-Id": {id}}, EchoHeader: "Request-Id"}
 }
 
 // exchange sends r to e and returns the whole response body.
@@ -392,7 +392,7 @@
 		var bodies []io.ReadCloser
 		for range 3 {
 			r := get("r1")
-			r.KeepIdle = keep
+			r.MaxIdleConns = keep
 			res, err := client.Do(t.Context(), "e", e.Addr().String(), r)
 			is.NoErr(err)
 			bodies = append(bodies, res.Body)
