--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -14,121 +14,121 @@
 	"github.com/micarudder/micarudder/internal/standin/usersplatform"
 )
 
-// asked is one request as its client saw it.
-type asked struct {
-	id        string
-	kind      string // safe, once, stream, story
-	key       string
-	gateway   string
-	sent      time.Time
-	headAt    time.Time // when the head of the answer came; zero: it did not
-	ended     time.Time
-	status    int // 0: no head came
-	seal      string
-	said      usersplatform.Said // of the worker, by the answer
-	body      string
-	broken    error         // why the answer did not end well; nil for a whole one
-	abandoned bool          // the client left before the end
-	crashing  bool          // it ends each worker that begins it
-	patience  time.Duration // how long the client waits; 0: requestTime
-	tokens    int           // of a long prompt
+// request is one request as its client observed it.
+type request struct {
+	id            string
+	kind          string // safe, once, stream, story or long
+	key           string
+	gateway       string
+	sent          time.Time
+	headerAt      time.Time // when the response header arrived; zero: it did not
+	ended         time.Time
+	status        int // 0: no header arrived
+	seal          string
+	statement     usersplatform.Statement // of the worker, from the response
+	body          string
+	err           error         // why the response did not end properly; nil for a complete one
+	abandoned     bool          // the client disconnects before the end
+	crashesWorker bool          // it ends each worker that begins it
+	timeout       time.Duration // how long the client waits; 0: requestTimeout
+	tokens        int           // of a long prompt
 }
 
-// client sends requests one after the other over connections that it keeps
-// until the process at the other end is gone.
+// client sends requests one after the other over connections that it keeps open until the process
+// at the other end has ended.
 type client struct {
-	run    *run
-	number int
-	random *rand.Rand
-	http   map[string]*http.Transport // by gateway
-	// gateway is the only one that it asks; empty: any that is ready.
-	gateway string
-	pause   time.Duration // longest between two requests; zero: clientPause
+	run        *run
+	number     int
+	random     *rand.Rand
+	transports map[string]*http.Transport // by gateway
+	// gateway is the only gateway that it uses; empty: any that is ready.
+	gateway  string
+	maxPause time.Duration // longest pause between two requests; zero: maxClientPause
 }
 
-// kinds are the kinds of request and how often they are sent.
+// kinds holds the kinds of request; those that are listed more often are sent more often.
 var kinds = []string{"safe", "safe", "once", "once", "stream", "stream", "stream", "story"}
 
-// clientPause is the longest pause between two requests of a client.
-const clientPause = 40 * time.Millisecond
+// maxClientPause is the longest pause between two requests of a client.
+const maxClientPause = 40 * time.Millisecond
 
 func (c *client) loop(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		gateway := c.gateway
 		if gateway == "" {
-			gateway = c.run.pickGateway(c.random)
+			gateway = c.run.pickReadyGateway(c.random)
 		}
 		if gateway == "" {
-			time.Sleep(clientPause)
+			time.Sleep(maxClientPause)
 			continue
 		}
-		c.run.record(c.ask(ctx, gateway, n))
-		time.Sleep(time.Duration(c.random.Int64N(int64(cmp.Or(c.pause, clientPause)))))
+		c.run.record(c.sendRandom(ctx, gateway, n))
+		time.Sleep(time.Duration(c.random.Int64N(int64(cmp.Or(c.maxPause, maxClientPause)))))
 	}
-	for _, t := range c.http {
+	for _, t := range c.transports {
 		t.CloseIdleConnections()
 	}
 }
 
-// ask sends one request and reads the whole answer.
-func (c *client) ask(ctx context.Context, gateway string, n int) asked {
-	a := asked{
+// sendRandom sends one request of a random kind. One in 25 is abandoned by the client.
+func (c *client) sendRandom(ctx context.Context, gateway string, n int) request {
+	a := request{
 		id: fmt.Sprintf("c%d-%d", c.number, n), kind: kinds[c.random.IntN(len(kinds))],
 		key: c.run.pickKey(c.random), gateway: gateway,
 	}
 	if c.random.IntN(25) == 0 {
 		a.abandoned = true
-		var leave context.CancelFunc
-		ctx, leave = context.WithTimeout(ctx, time.Duration(c.random.Int64N(int64(100*time.Millisecond))))
-		defer leave()
+		var abandon context.CancelFunc
+		ctx, abandon = context.WithTimeout(ctx, time.Duration(c.random.Int64N(int64(100*time.Millisecond))))
+		defer abandon()
 	}
 	return c.send(ctx, a, a.id)
 }
 
-// send sends the request and reads the answer.
-func (c *client) send(ctx context.Context, a asked, body string) asked {
-	if a.patience == 0 {
-		a.patience = requestTime
+// send sends a request and reads the response.
+func (c *client) send(ctx context.Context, a request, body string) request {
+	if a.timeout == 0 {
+		a.timeout = requestTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, a.patience)
+	ctx, cancel := context.WithTimeout(ctx, a.timeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.gateway+"/"+a.kind+"/x", strings.NewReader(body))
 	if err != nil {
-		a.broken = err
+		a.err = err
 		return a
 	}
 	r.Host = soakHost
-	r.GetBody = nil // nothing is sent twice behind the soak's back
-	usersplatform.Ask{ID: a.id, Key: a.key, Deadline: a.patience, Tokens: a.tokens}.Write(r.Header)
+	r.GetBody = nil // the transport must not resend requests on its own
+	usersplatform.RequestHeader{ID: a.id, Key: a.key, Deadline: a.timeout, Tokens: a.tokens}.Write(r.Header)
 	a.sent = time.Now()
 	res, err := c.transport(a.gateway).RoundTrip(r)
 	if err == nil {
-		a.headAt, a.said = time.Now(), usersplatform.Saying(res.Header)
+		a.headerAt, a.statement = time.Now(), usersplatform.StatementIn(res.Header)
 		a.status, a.seal = res.StatusCode, usersplatform.SealIn(res.Header)
 		var p []byte
 		p, err = io.ReadAll(res.Body)
 		a.body = string(p)
 		_ = res.Body.Close()
 	}
-	a.broken, a.ended = err, time.Now()
+	a.err, a.ended = err, time.Now()
 	return a
 }
 
-// requestTime is how long a client waits for an answer.
-const requestTime = 3 * time.Second
+// requestTimeout is how long a client waits for a response.
+const requestTimeout = 3 * time.Second
 
 func (c *client) transport(gateway string) *http.Transport {
-	t := c.http[gateway]
+	t := c.transports[gateway]
 	if t == nil {
 		d := &net.Dialer{Timeout: time.Second}
 		t = &http.Transport{DialContext: d.DialContext, DisableCompression: true}
-		c.http[gateway] = t
+		c.transports[gateway] = t
 	}
 	return t
 }
 
-// want returns the whole answer to a request of the kind.
-func want(kind, id string) string {
+// expectedBody returns the complete response body for a kind of request.
+func expectedBody(kind, id string) string {
 	if kind == "safe" || kind == "once" {
 		return usersplatform.Body(id)
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -14,102 +14,102 @@
 	"github.com/micarudder/micarudder/internal/standin/usersplatform"
 )
 
-// A fault begins at its time, lasts for its length and ends what it began.
+// fault is a kind of fault. inject starts it, waits for its length and reverts it.
 type fault struct {
-	name    string
-	planned bool // asked for: it must cut no request off
-	begin   func(r *run, random *rand.Rand, length time.Duration)
+	name     string
+	graceful bool // a graceful change, which must not interrupt requests
+	inject   func(r *run, random *rand.Rand, length time.Duration)
 }
 
-// faults are all kinds; a seed draws from them.
+// faults lists all kinds of general faults; the seed selects from them.
 var faults = []fault{
 	{"gateway killed", false, killGateway},
 	{"gateway frozen", false, freezeGateway},
 	{"gateway's host suspended", false, suspendGateway},
 	{"gateway stopped", true, stopGateway},
 	{"gateway stopped", true, stopGateway},
-	{"settings read again", true, reloadGateway},
-	{"store busy", false, troubleStore(usersplatform.Busy)},
-	{"store silent", false, troubleStore(usersplatform.Silent)},
-	{"store slow", false, troubleStore(usersplatform.Slow)},
+	{"settings reloaded", true, reloadGateway},
+	{"store busy", false, disruptStore(usersplatform.Busy)},
+	{"store unresponsive", false, disruptStore(usersplatform.Silent)},
+	{"store slow", false, disruptStore(usersplatform.Slow)},
 	{"store connections reset", false, resetStore},
-	{"worker connections delayed", false, weather(Weather{Delay: 60 * time.Millisecond})},
-	{"worker cut one way, towards it", false, weather(Weather{SilenceUp: true})},
-	{"worker cut one way, from it", false, weather(Weather{SilenceDown: true})},
+	{"worker connections delayed", false, impairWorker(Impairment{Delay: 60 * time.Millisecond})},
+	{"bytes to a worker held back", false, impairWorker(Impairment{HoldUp: true})},
+	{"bytes from a worker held back", false, impairWorker(Impairment{HoldDown: true})},
 	{"worker connections reset", false, resetWorker},
-	{"worker crashes, another comes", false, crashWorker},
-	{"worker leaves", true, leaveWorker},
-	{"worker starts again under its name", false, restartWorker},
+	{"worker crashes and is replaced", false, crashWorker},
+	{"worker drains", true, drainWorker},
+	{"worker restarts under its name", false, restartWorker},
 	{"entries of another writer", true, foreignEntries},
-	{"workers lose answers", false, spoilWorkers(usersplatform.Faults{LoseRun: 0.2})},
-	{"workers break off answers", false, spoilWorkers(usersplatform.Faults{CutShort: 0.2})},
-	{"workers send other answers", false, spoilWorkers(usersplatform.Faults{Surplus: 0.3})},
-	{"workers are full", false, spoilWorkers(usersplatform.Faults{Refuse: 0.4})},
+	{"workers lose responses", false, setWorkerFaults(usersplatform.Faults{LoseRun: 0.2})},
+	{"workers truncate responses", false, setWorkerFaults(usersplatform.Faults{Truncate: 0.2})},
+	{"workers send extra responses", false, setWorkerFaults(usersplatform.Faults{ExtraResponse: 0.3})},
+	{"workers are full", false, setWorkerFaults(usersplatform.Faults{Refuse: 0.4})},
 	{"key withdrawn", true, withdrawKey},
 	{"configuration changes", true, changeConfiguration},
 }
 
 const (
-	// gap is the longest time between two faults; they overlap, since each
-	// lasts up to longest.
-	gap     = 700 * time.Millisecond
-	longest = 3 * time.Second
+	// maxFaultGap is the longest time between the starts of two faults. Faults overlap, since each
+	// lasts up to maxFaultTime and 200 ms.
+	maxFaultGap  = 700 * time.Millisecond
+	maxFaultTime = 3 * time.Second
 )
 
-// inject plays the seed's faults of some kinds and waits until all have ended. stream tells their draws
-// from those of other kinds.
+// inject injects the seed's faults of the given kinds and waits until all have ended. stream
+// separates its random sequence from those of other kinds.
 func (r *run) inject(ctx context.Context, kinds []fault, stream uint64) {
 	random := rand.New(rand.NewPCG(r.c.Seed, stream))
 	end := time.Now().Add(r.c.Length)
 	var running sync.WaitGroup
 	for time.Now().Before(end) && ctx.Err() == nil {
 		f := kinds[random.IntN(len(kinds))]
-		length := 200*time.Millisecond + time.Duration(random.Int64N(int64(longest)))
+		length := 200*time.Millisecond + time.Duration(random.Int64N(int64(maxFaultTime)))
 		own := rand.New(rand.NewPCG(random.Uint64(), 1))
 		began := time.Now()
 		r.mu.Lock()
 		r.faults = append(r.faults, fmt.Sprintf("%s %s for %v", began.Format("15:04:05.000"), f.name, length))
 		r.mu.Unlock()
 		running.Go(func() {
-			f.begin(r, own, length)
-			if f.planned {
+			f.inject(r, own, length)
+			if f.graceful {
 				return
 			}
 			r.mu.Lock()
-			r.facts.unplanned = append(r.facts.unplanned, span{began, time.Now().Add(effectTime)})
+			r.facts.unplanned = append(r.facts.unplanned, interval{began, time.Now().Add(recoveryTime)})
 			r.mu.Unlock()
 		})
-		time.Sleep(time.Duration(random.Int64N(int64(gap))))
+		time.Sleep(time.Duration(random.Int64N(int64(maxFaultGap))))
 	}
 	running.Wait()
 }
 
-// gateway draws a gateway's number.
-func (r *run) gateway(random *rand.Rand) int { return random.IntN(r.c.Gateways) }
+// pickGateway returns the number of a random gateway.
+func (r *run) pickGateway(random *rand.Rand) int { return random.IntN(r.c.Gateways) }
 
-// again starts a gateway whose process has ended.
-func (r *run) again(i int) {
-	if _, err := r.group.Start(r.spec(i)); err != nil {
+// restartGateway starts a gateway whose process has ended.
+func (r *run) restartGateway(i int) {
+	if _, err := r.group.Start(r.gatewaySpec(i)); err != nil {
 		r.mu.Lock()
-		r.faults = append(r.faults, "not started again: "+err.Error())
+		r.faults = append(r.faults, "not restarted: "+err.Error())
 		r.mu.Unlock()
 	}
 }
 
 func killGateway(r *run, random *rand.Rand, length time.Duration) {
-	i := r.gateway(random)
+	i := r.pickGateway(random)
 	p := r.group.Get(fmt.Sprintf("gateway-%d", i))
 	if p == nil || p.Ended() || p.Kill() != nil {
 		return
 	}
 	began := time.Now()
 	time.Sleep(length / 4)
-	r.again(i)
-	r.troubled(i, began)
+	r.restartGateway(i)
+	r.recordDisruption(i, began)
 }
 
 func freezeGateway(r *run, random *rand.Rand, length time.Duration) {
-	i := r.gateway(random)
+	i := r.pickGateway(random)
 	p := r.group.Get(fmt.Sprintf("gateway-%d", i))
 	began := time.Now()
 	if p == nil || p.Ended() || p.Freeze() != nil {
@@ -117,18 +117,19 @@
 	}
 	time.Sleep(length)
 	_ = p.Thaw() // it may have been killed meanwhile
-	r.troubled(i, began)
+	r.recordDisruption(i, began)
 }
 
-// suspendedFile is where a gateway's process reads how long its host was suspended in all.
+// suspendedFile is the file from which a gateway's process reads the total time for which its host
+// was suspended.
 func (r *run) suspendedFile(gateway int) string {
 	return filepath.Join(r.c.Dir, fmt.Sprintf("suspended-%d", gateway))
 }
 
-// suspendGateway freezes a gateway for a moment, in which its host is suspended for the
-// length of the fault: its own clock counts the moment only.
+// suspendGateway freezes a gateway for a tenth of the fault's length and reports the whole length
+// as time for which its host was suspended: the gateway's own clock counts only the freeze.
 func suspendGateway(r *run, random *rand.Rand, length time.Duration) {
-	i := r.gateway(random)
+	i := r.pickGateway(random)
 	p := r.group.Get(fmt.Sprintf("gateway-%d", i))
 	began := time.Now()
 	if p == nil || p.Ended() || p.Freeze() != nil {
@@ -139,41 +140,41 @@
 	r.suspended[i] += length
 	err := os.WriteFile(r.suspendedFile(i), []byte(r.suspended[i].String()), 0o600)
 	if err != nil {
-		r.faults = append(r.faults, "not suspended: "+err.Error())
+		r.faults = append(r.faults, "suspension not written: "+err.Error())
 	}
 	r.mu.Unlock()
 	_ = p.Thaw() // it may have been killed meanwhile
-	r.troubled(i, began)
+	r.recordDisruption(i, began)
 }
 
 func stopGateway(r *run, random *rand.Rand, _ time.Duration) {
-	i := r.gateway(random)
+	i := r.pickGateway(random)
 	p := r.group.Get(fmt.Sprintf("gateway-%d", i))
 	if p == nil || p.Ended() {
 		return
 	}
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), drainTime+longest)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTime+maxFaultTime)
 	defer cancel()
 	err := p.Stop(ctx)
 	r.mu.Lock()
-	r.facts.stops = append(r.facts.stops, span{began, time.Now()})
+	r.facts.stops = append(r.facts.stops, interval{began, time.Now()})
 	if err != nil {
-		r.faults = append(r.faults, "a stop was not in order: "+err.Error())
+		r.faults = append(r.faults, "gateway did not stop cleanly: "+err.Error())
 	}
 	r.mu.Unlock()
-	r.again(i)
-	r.troubled(i, began)
+	r.restartGateway(i)
+	r.recordDisruption(i, began)
 }
 
 func reloadGateway(r *run, random *rand.Rand, _ time.Duration) {
-	p := r.group.Get(fmt.Sprintf("gateway-%d", r.gateway(random)))
+	p := r.group.Get(fmt.Sprintf("gateway-%d", r.pickGateway(random)))
 	if p != nil && !p.Ended() {
 		_ = syscall.Kill(p.PID(), syscall.SIGHUP) // it may have ended meanwhile
 	}
 }
 
-func troubleStore(t usersplatform.Trouble) func(*run, *rand.Rand, time.Duration) {
+func disruptStore(t usersplatform.Trouble) func(*run, *rand.Rand, time.Duration) {
 	return func(r *run, _ *rand.Rand, length time.Duration) {
 		r.store.SetTrouble(t)
 		time.Sleep(length)
@@ -181,101 +182,102 @@
 	}
 }
 
-func resetStore(r *run, _ *rand.Rand, _ time.Duration) { r.proxy.resetAll() }
+func resetStore(r *run, _ *rand.Rand, _ time.Duration) { r.storeProxy.resetAll() }
 
-// worker draws one of the workers that are announced.
-func (r *run) worker(random *rand.Rand) *pooled {
+// pickWorker returns a random announced worker.
+func (r *run) pickWorker(random *rand.Rand) *proxiedWorker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.workers[random.IntN(len(r.workers))]
 }
 
-func weather(w Weather) func(*run, *rand.Rand, time.Duration) {
+func impairWorker(w Impairment) func(*run, *rand.Rand, time.Duration) {
 	return func(r *run, random *rand.Rand, length time.Duration) {
-		worker, began := r.worker(random), time.Now()
-		worker.proxy.set(w)
+		worker, began := r.pickWorker(random), time.Now()
+		worker.proxy.setImpairment(w)
 		time.Sleep(length)
-		worker.proxy.set(Weather{})
-		r.harm(worker, began)
+		worker.proxy.setImpairment(Impairment{})
+		r.recordLoss(worker, began)
 	}
 }
 
-func resetWorker(r *run, random *rand.Rand, _ time.Duration) { r.reset(r.worker(random)) }
+func resetWorker(r *run, random *rand.Rand, _ time.Duration) { r.reset(r.pickWorker(random)) }
 
 // reset resets a worker's connections.
-func (r *run) reset(p *pooled) {
-	r.harm(p, time.Now())
+func (r *run) reset(p *proxiedWorker) {
+	r.recordLoss(p, time.Now())
 	p.proxy.resetAll()
 }
 
-// replace takes a worker out of the list and starts another.
-func (r *run) replace(random *rand.Rand) *pooled {
+// replaceWorker removes a random worker from the list and starts another.
+func (r *run) replaceWorker(random *rand.Rand) *proxiedWorker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	i := random.IntN(len(r.workers))
 	old := r.workers[i]
 	r.workers = append(r.workers[:i:i], r.workers[i+1:]...)
-	if err := r.bear(old.worker.Kind); err != nil {
-		r.faults = append(r.faults, "no new worker: "+err.Error())
+	if err := r.startWorker(old.worker.Kind); err != nil {
+		r.faults = append(r.faults, "replacement worker not started: "+err.Error())
 	}
 	return old
 }
 
 func crashWorker(r *run, random *rand.Rand, length time.Duration) {
-	old := r.replace(random)
+	old := r.replaceWorker(random)
 	old.worker.Crash()
 	old.proxy.close()
 	time.Sleep(length)
 	r.store.Withdraw(old.worker)
 }
 
-// restartWorker ends a worker and starts it again under its name at once: only its entry
-// tells, and not before the length of the fault has passed. The new process bears the request
-// that ends the others, as one of another release may.
+// restartWorker ends a worker and starts it again under its name immediately. The new entry of the
+// worker is written only after a quarter of the fault's length. The new process survives the
+// crashing request, as one of another release may.
 func restartWorker(r *run, random *rand.Rand, length time.Duration) {
-	r.restart(r.worker(random), length/4)
+	r.restartWorkerAs(r.pickWorker(random), length/4)
 }
 
-// restart ends a worker and starts it again under its name; its entry tells so after a time.
-func (r *run) restart(old *pooled, told time.Duration) {
+// restartWorkerAs ends a worker and starts it again under its name; its new entry is written after
+// announceAfter.
+func (r *run) restartWorkerAs(old *proxiedWorker, announceAfter time.Duration) {
 	old.worker.Crash()
 	next, err := usersplatform.NewWorker(old.worker.ID, old.worker.Service, old.worker.Kind, old.worker.Address(), r.ledger, r.c.Seed)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.faults = append(r.faults, "not started again: "+err.Error())
+		r.faults = append(r.faults, "not restarted: "+err.Error())
 		return
 	}
-	announced := slices.ContainsFunc(r.workers, func(p *pooled) bool { return p == old })
+	announced := slices.ContainsFunc(r.workers, func(p *proxiedWorker) bool { return p == old })
 	old.worker = next
 	if !announced {
-		return // it was leaving
+		return // it was draining
 	}
-	time.AfterFunc(told, func() { r.store.Announce(next, old.proxy.address(), usersplatform.Ready) })
+	time.AfterFunc(announceAfter, func() { r.store.Announce(next, old.proxy.address(), usersplatform.Ready) })
 }
 
-// foreignEntries lets somebody else write entries beside those of the workers.
+// foreignEntries lets another writer add entries beside those of the workers.
 func foreignEntries(r *run, _ *rand.Rand, length time.Duration) {
 	remove := r.store.PutForeign()
 	time.Sleep(length)
 	remove()
 }
 
-// leaveTime is how long a worker serves after it has stated that it leaves.
-const leaveTime = 2*time.Second + requestTime
+// drainPeriod is how long a worker serves after it has announced that it drains.
+const drainPeriod = 2*time.Second + requestTimeout
 
-func leaveWorker(r *run, random *rand.Rand, _ time.Duration) {
-	old := r.replace(random)
+func drainWorker(r *run, random *rand.Rand, _ time.Duration) {
+	old := r.replaceWorker(random)
 	r.store.Announce(old.worker, old.proxy.address(), usersplatform.Draining)
-	time.Sleep(leaveTime)
+	time.Sleep(drainPeriod)
 	r.store.Withdraw(old.worker)
 	old.worker.Crash()
 	old.proxy.close()
 }
 
-func spoilWorkers(f usersplatform.Faults) func(*run, *rand.Rand, time.Duration) {
+func setWorkerFaults(f usersplatform.Faults) func(*run, *rand.Rand, time.Duration) {
 	return func(r *run, random *rand.Rand, length time.Duration) {
-		w := r.worker(random).worker
+		w := r.pickWorker(random).worker
 		w.SetFaults(f)
 		time.Sleep(length)
 		w.SetFaults(usersplatform.Faults{})
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -11,102 +11,105 @@
 )
 
 const (
-	// limitSpan is the time over which a worker's limit is judged, limitFactor and limitSlack what is
-	// tolerated in it: that many times what the limit allows, and so many requests more.
-	limitSpan   = 4 * time.Second
+	// limitWindow is the time over which a worker's limit is checked. Within it, limitFactor times
+	// the number of requests that the limit allows are tolerated, and limitSlack more.
+	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitTold is how long after a gateway has passed on an answer that names a limit its sends count.
-	limitTold = 500 * time.Millisecond
+	// limitNoticeTime is how long after a gateway has forwarded a response with a limit its
+	// requests begin to count.
+	limitNoticeTime = 500 * time.Millisecond
 )
 
-// life is one life of a worker.
-type life struct {
-	worker string
-	born   int64
+// incarnation is one process of a worker.
+type incarnation struct {
+	worker    string
+	startedAt int64
 }
 
-// counted is a request that a worker got and that counts against its limit.
-type counted struct {
+// limitedArrival is a request that reached a worker and counts against its limit.
+type limitedArrival struct {
 	at    time.Time
-	limit float64 // that the worker named in its answer
+	limit float64 // that the worker advertised in its response
 }
 
-// limitUse is the worst span of one worker.
+// limitUse is the window with the greatest load relative to the limit of one worker.
 type limitUse struct {
-	life
-	from    time.Time
-	got     int
-	allowed float64
+	incarnation
+	from     time.Time
+	received int
+	allowed  float64
 }
 
-// share returns what the worker got as a part of what is tolerated.
-func (u limitUse) share() float64 { return float64(u.got) / u.allowed }
+// ratio returns the requests received relative to those tolerated.
+func (u limitUse) ratio() float64 { return float64(u.received) / u.allowed }
 
-// checkLimits: no worker gets more than it has named from gateways that were told.
-func checkLimits(all []asked, f *facts) []string {
+// checkLimits verifies that no worker receives more than the limit it advertised from gateways that
+// know of it.
+func checkLimits(all []request, f *facts) []string {
 	var out []string
 	for _, u := range limitUses(all, f) {
-		if u.share() > 1 {
-			out = append(out, fmt.Sprintf("worker %s got %d requests in %v from %s on, allowed %.1f", u.worker, u.got, limitSpan, u.from.Format("15:04:05.000"), u.allowed))
+		if u.ratio() > 1 {
+			out = append(out, fmt.Sprintf("worker %s received %d requests in the %v from %s on, at most %.1f are tolerated", u.worker, u.received, limitWindow, u.from.Format("15:04:05.000"), u.allowed))
 		}
 	}
 	return out
 }
 
-// byID returns the requests by their ids.
-func byID(all []asked) map[string]*asked {
-	out := make(map[string]*asked, len(all))
+// indexByID returns the requests by id.
+func indexByID(all []request) map[string]*request {
+	out := make(map[string]*request, len(all))
 	for i := range all {
 		out[all[i].id] = &all[i]
 	}
 	return out
 }
 
-// lives returns what reached each life of a worker, in the order of time, and by request the life that it reached last,
-// whose answer was passed on.
-func (f *facts) lives() (lives map[life][]usersplatform.Arrival, answered map[string]life) {
-	lives, answered = make(map[life][]usersplatform.Arrival), make(map[string]life)
+// arrivals returns the requests that reached each incarnation of a worker, in order of time, and
+// for each request the last incarnation that it reached, whose response was forwarded.
+func (f *facts) arrivals() (byIncarnation map[incarnation][]usersplatform.Arrival, answered map[string]incarnation) {
+	byIncarnation, answered = make(map[incarnation][]usersplatform.Arrival), make(map[string]incarnation)
 	for _, a := range f.ledger.Arrivals() {
-		l := life{a.Worker, a.Born}
-		lives[l] = append(lives[l], a)
+		l := incarnation{a.Worker, a.StartedMs}
+		byIncarnation[l] = append(byIncarnation[l], a)
 		answered[a.ID] = l
 	}
-	return lives, answered
+	return byIncarnation, answered
 }
 
-// limitUses returns the worst span of each worker that named a limit for long enough.
-func limitUses(all []asked, f *facts) []limitUse {
-	byID := byID(all)
-	lives, answered := f.lives()
+// limitUses returns the worst window of each worker that advertised a limit for long enough.
+func limitUses(all []request, f *facts) []limitUse {
+	byID := indexByID(all)
+	incarnations, answered := f.arrivals()
 	var out []limitUse
-	for l, arrivals := range lives {
+	for l, arrivals := range incarnations {
 		var worst limitUse
-		for _, need := range needs(arrivals) {
-			told := toldBy(l, need, byID, answered)
-			if u := worstSpan(need, byID, told, f); u.got > 0 && u.share() > worst.share() || worst.got == 0 {
+		for _, period := range limitedPeriods(arrivals) {
+			notices := noticesFrom(l, period, byID, answered)
+			if u := worstWindow(period, byID, notices, f); u.received > 0 && u.ratio() > worst.ratio() || worst.received == 0 {
 				worst = u
 			}
 		}
-		if worst.got > 0 {
-			worst.life = l
+		if worst.received > 0 {
+			worst.incarnation = l
 			out = append(out, worst)
 		}
 	}
 	return out
 }
 
-// readLimit reads what an answer named; ok is false where that is no limit.
-func readLimit(text string) (perSecond float64, ok bool) {
+// parseLimit parses the limit in a response; ok is false if it is not a valid limit.
+func parseLimit(text string) (perSecond float64, ok bool) {
 	perSecond, err := strconv.ParseFloat(text, 64)
 	return perSecond, err == nil && perSecond >= 0
 }
 
-// needs splits what reached a worker into the stretches in which its answers named a limit.
-func needs(arrivals []usersplatform.Arrival) (out [][]usersplatform.Arrival) {
+// limitedPeriods splits the arrivals at a worker into the periods in which its responses advertised
+// a limit.
+func limitedPeriods(arrivals []usersplatform.Arrival) (out [][]usersplatform.Arrival) {
 	begin := -1
 	for i, a := range arrivals {
-		_, ok := readLimit(a.Said.Limit)
+		_, ok := parseLimit(a.Statement.Limit)
 		switch {
 		case ok && begin < 0:
 			begin = i
@@ -121,71 +124,73 @@
 	return out
 }
 
-// worstSpan returns the span of a stretch in which a worker got most of what it allowed; it got nothing where
-// the stretch is too short.
-func worstSpan(need []usersplatform.Arrival, byID map[string]*asked, told []telling, f *facts) (worst limitUse) {
-	from := need[0].At.Add(contactTime)
-	list := countedOf(need, byID, firstTold(told), f)
+// worstWindow returns the window of a period in which a worker received most relative to what was
+// tolerated. It is empty if the period is too short.
+func worstWindow(period []usersplatform.Arrival, byID map[string]*request, notices []limitNotice, f *facts) (worst limitUse) {
+	from := period[0].At.Add(propagationTime)
+	list := countedArrivals(period, byID, firstNotices(notices), f)
 	for i, c := range list {
 		if c.at.Before(from) {
 			continue
 		}
-		if u := spanFrom(list, i, lastTold(told, c.at.Add(-limitTold))); worst.got == 0 || u.share() > worst.share() {
+		if u := windowFrom(list, i, lastNotice(notices, c.at.Add(-limitNoticeTime))); worst.received == 0 || u.ratio() > worst.ratio() {
 			worst = u
 		}
 	}
 	return worst
 }
 
-// spanFrom counts the span that begins with the ith request. Where the limit changes, the highest that held
-// counts, also the one before the span, and the one that gateways had been told last: a worker that gets nothing for
-// a while can tell nobody that it takes less.
-func spanFrom(list []counted, i int, told float64) limitUse {
+// windowFrom evaluates the window that begins with the ith request. If the limit changes, the
+// highest one counts that was in force in the window or in the limitWindow before it, or that
+// gateways were last notified of: a worker that receives nothing for a while cannot announce that
+// it accepts less.
+func windowFrom(list []limitedArrival, i int, lastNoticed float64) limitUse {
 	u := limitUse{from: list[i].at}
-	highest := max(told, list[i].limit)
+	highest := max(lastNoticed, list[i].limit)
 	for _, before := range list[:i] {
-		if list[i].at.Sub(before.at) <= limitSpan {
+		if list[i].at.Sub(before.at) <= limitWindow {
 			highest = max(highest, before.limit)
 		}
 	}
 	for _, c := range list[i:] {
-		if c.at.Sub(u.from) >= limitSpan {
+		if c.at.Sub(u.from) >= limitWindow {
 			break
 		}
-		u.got++
+		u.received++
 		highest = max(highest, c.limit)
 	}
-	u.allowed = limitFactor*highest*limitSpan.Seconds() + limitSlack
+	u.allowed = limitFactor*highest*limitWindow.Seconds() + limitSlack
 	return u
 }
 
-// telling is an answer that a gateway passed on and that names a limit.
-type telling struct {
+// limitNotice is a response with a limit that a gateway forwarded.
+type limitNotice struct {
 	at      time.Time
 	gateway string
 	limit   float64
 }
 
-// toldBy returns what gateways passed on of a worker's limit, in the order of time. An answer that came from another worker, after
-// this one had lost the request, told nothing of it.
-func toldBy(l life, need []usersplatform.Arrival, byID map[string]*asked, answered map[string]life) (told []telling) {
-	for _, a := range need {
+// noticesFrom returns the notices of a worker's limit that gateways forwarded, in order of time. A
+// response that came from another worker, after this one had lost the request, is not a notice of
+// this worker.
+func noticesFrom(l incarnation, period []usersplatform.Arrival, byID map[string]*request, answered map[string]incarnation) (notices []limitNotice) {
+	for _, a := range period {
 		x := byID[a.ID]
 		if x == nil || answered[a.ID] != l {
 			continue
 		}
-		if limit, ok := readLimit(x.said.Limit); ok {
-			told = append(told, telling{x.headAt, x.gateway, limit})
+		if limit, ok := parseLimit(x.statement.Limit); ok {
+			notices = append(notices, limitNotice{x.headerAt, x.gateway, limit})
 		}
 	}
-	slices.SortFunc(told, func(a, b telling) int { return a.at.Compare(b.at) })
-	return told
+	slices.SortFunc(notices, func(a, b limitNotice) int { return a.at.Compare(b.at) })
+	return notices
 }
 
-// firstTold returns when each gateway was told first.
-func firstTold(told []telling) map[string]time.Time {
+// firstNotices returns when each gateway received its first notice.
+func firstNotices(notices []limitNotice) map[string]time.Time {
 	out := make(map[string]time.Time)
-	for _, t := range told {
+	for _, t := range notices {
 		if _, ok := out[t.gateway]; !ok {
 			out[t.gateway] = t.at
 		}
@@ -193,9 +198,9 @@
 	return out
 }
 
-// lastTold returns the limit that was told last before a moment, 0 for none.
-func lastTold(told []telling, before time.Time) (limit float64) {
-	for _, t := range told {
+// lastNotice returns the limit in the last notice before a time, 0 for none.
+func lastNotice(notices []limitNotice, before time.Time) (limit float64) {
+	for _, t := range notices {
 		if t.at.Before(before) {
 			limit = t.limit
 		}
@@ -203,57 +208,58 @@
 	return limit
 }
 
-// countedOf returns what counts of a stretch: what came from gateways in touch that had passed on an answer
-// with a limit in it. Questions and orders carry no id: they count from when one gateway has, since others hear of it. A worker whose
-// answers reach nobody has told nobody.
-func countedOf(need []usersplatform.Arrival, byID map[string]*asked, told map[string]time.Time, f *facts) []counted {
+// countedArrivals returns the arrivals of a period that count against the limit: those from
+// undisturbed gateways that had forwarded a response with a limit. Reports and orders carry no
+// request id: they count once any gateway has had a notice, since the others learn of it. If no
+// response of a worker is forwarded, no gateway knows its limit and nothing counts.
+func countedArrivals(period []usersplatform.Arrival, byID map[string]*request, firstNotices map[string]time.Time, f *facts) []limitedArrival {
 	var first time.Time
-	for _, at := range told {
+	for _, at := range firstNotices {
 		if first.IsZero() || at.Before(first) {
 			first = at
 		}
 	}
-	var out []counted
-	for _, a := range need {
+	var out []limitedArrival
+	for _, a := range period {
 		at, ok := first, !first.IsZero()
 		x := byID[a.ID]
 		if x != nil {
-			at, ok = told[x.gateway]
+			at, ok = firstNotices[x.gateway]
 		}
-		if !ok || a.At.Sub(at) < limitTold || x != nil && !f.inTouch(x.gateway, a.At) {
+		if !ok || a.At.Sub(at) < limitNoticeTime || x != nil && !f.undisturbed(x.gateway, a.At) {
 			continue
 		}
-		if limit, ok := readLimit(a.Said.Limit); ok {
-			out = append(out, counted{a.At, limit})
+		if limit, ok := parseLimit(a.Statement.Limit); ok {
+			out = append(out, limitedArrival{a.At, limit})
 		}
 	}
 	return out
 }
 
-// limitFaults befall workers of any kind, drawn apart from the others. A limit may outlast its fault: it holds until the
-// worker's next one.
+// limitFaults are the faults with limits of workers of any kind; they have a random sequence of
+// their own. A limit may outlast its fault: it holds until the next limit of that worker.
 var limitFaults = []fault{
-	{"a worker limits its requests", true, limitOne},
-	{"a worker limits its requests", true, limitOne},
-	{"a worker limits its requests", true, limitOne},
-	{"all workers of a service limit their requests", true, limitService},
-	{"a worker's limit cannot be read", true, func(r *run, random *rand.Rand, _ time.Duration) { r.anyWorker(random).SetLimit("-1") }},
-	{"limits end", true, endLimits},
+	{"worker advertises a limit", true, limitWorker},
+	{"worker advertises a limit", true, limitWorker},
+	{"worker advertises a limit", true, limitWorker},
+	{"all workers of a service advertise a limit", true, limitService},
+	{"worker advertises an invalid limit", true, func(r *run, random *rand.Rand, _ time.Duration) { r.pickAnyWorker(random).SetLimit("-1") }},
+	{"limits of a service removed", true, clearLimits},
 }
 
-// limitTexts are the limits that workers name.
+// limitTexts are the limits that workers advertise.
 var limitTexts = []string{"0", "0.3", "1.9", "5", "20", "1000000"}
 
-func drawLimit(random *rand.Rand) string { return limitTexts[random.IntN(len(limitTexts))] }
+func pickLimit(random *rand.Rand) string { return limitTexts[random.IntN(len(limitTexts))] }
 
-// limitOne makes a worker name a limit.
-func limitOne(r *run, random *rand.Rand, _ time.Duration) {
-	r.anyWorker(random).SetLimit(drawLimit(random))
+// limitWorker makes a worker advertise a limit.
+func limitWorker(r *run, random *rand.Rand, _ time.Duration) {
+	r.pickAnyWorker(random).SetLimit(pickLimit(random))
 }
 
-// limitService makes all workers of one service name the same limit.
+// limitService makes all workers of one service advertise the same limit.
 func limitService(r *run, random *rand.Rand, _ time.Duration) {
-	service, text := r.anyWorker(random).Service, drawLimit(random)
+	service, text := r.pickAnyWorker(random).Service, pickLimit(random)
 	r.eachWorker(func(w *usersplatform.Worker) {
 		if w.Service == service {
 			w.SetLimit(text)
@@ -261,9 +267,9 @@
 	})
 }
 
-// endLimits ends those of one service, one time in three.
-func endLimits(r *run, random *rand.Rand, _ time.Duration) {
-	service := r.anyWorker(random).Service
+// clearLimits removes the limits of one service in one case out of three.
+func clearLimits(r *run, random *rand.Rand, _ time.Duration) {
+	service := r.pickAnyWorker(random).Service
 	if random.IntN(3) > 0 {
 		return
 	}
@@ -274,7 +280,7 @@
 	})
 }
 
-// eachWorker calls do for every worker that is announced.
+// eachWorker calls do for every announced worker.
 func (r *run) eachWorker(do func(w *usersplatform.Worker)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -283,8 +289,8 @@
 	}
 }
 
-// anyWorker draws a worker of any kind.
-func (r *run) anyWorker(random *rand.Rand) *usersplatform.Worker {
+// pickAnyWorker returns a random worker of any kind.
+func (r *run) pickAnyWorker(random *rand.Rand) *usersplatform.Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := slices.Concat(r.workers, r.engines)
--- a/internal/soak/memory.go
+++ b/internal/soak/memory.go
@@ -11,47 +11,48 @@
 )
 
 const (
-	// unusedAllowed is how long memory may stay set aside at a worker without use, as the
-	// gateways are told.
-	unusedAllowed = 5 * time.Second
-	// unusedSlack is what the soak's own clock and a busy machine may add.
+	// maxUnusedTime is how long memory may stay reserved at a worker without being used, as set in
+	// the gateways' settings.
+	maxUnusedTime = 5 * time.Second
+	// unusedSlack allows for the soak's own clock and a busy machine.
 	unusedSlack = 500 * time.Millisecond
-	// promptTime is how long the client of a long prompt waits for its answer.
-	promptTime = 12 * time.Second
-	// promptTokens need the memory of two workers.
+	// promptTimeout is how long the client of a long prompt waits for its response.
+	promptTimeout = 12 * time.Second
+	// promptTokens is the length of a long prompt, which needs the memory of two workers.
 	promptTokens = usersplatform.EngineMemory * 3 / 2
-	// promptPause is the longest pause between two long prompts of a client.
-	promptPause = 400 * time.Millisecond
+	// maxPromptPause is the longest pause between two long prompts of a client.
+	maxPromptPause = 400 * time.Millisecond
 	// promptClients is how many clients send long prompts.
 	promptClients = 3
 	engineService = "engine"
 )
 
-// engineFaults befall the workers of kind engine, drawn apart from the others.
+// engineFaults are the faults of the workers of kind engine; they have a random sequence of their
+// own.
 var engineFaults = []fault{
-	{"engines hang", false, spoilEngines(usersplatform.Faults{Hang: 0.6})},
-	{"engines hang", false, spoilEngines(usersplatform.Faults{Hang: 0.6})},
-	{"engines lose answers", false, spoilEngines(usersplatform.Faults{LoseAnswer: 0.6})},
-	{"engine connections reset", false, func(r *run, random *rand.Rand, _ time.Duration) { r.reset(r.engine(random)) }},
-	{"engine cut off", false, func(r *run, random *rand.Rand, length time.Duration) {
-		engine, began := r.engine(random), time.Now()
-		engine.proxy.set(Weather{SilenceUp: true, SilenceDown: true})
+	{"engines hang", false, setEngineFaults(usersplatform.Faults{Hang: 0.6})},
+	{"engines hang", false, setEngineFaults(usersplatform.Faults{Hang: 0.6})},
+	{"engines lose responses", false, setEngineFaults(usersplatform.Faults{LoseAnswer: 0.6})},
+	{"engine connections reset", false, func(r *run, random *rand.Rand, _ time.Duration) { r.reset(r.pickEngine(random)) }},
+	{"engine unreachable", false, func(r *run, random *rand.Rand, length time.Duration) {
+		engine, began := r.pickEngine(random), time.Now()
+		engine.proxy.setImpairment(Impairment{HoldUp: true, HoldDown: true})
 		time.Sleep(length)
-		engine.proxy.set(Weather{})
-		r.harm(engine, began)
+		engine.proxy.setImpairment(Impairment{})
+		r.recordLoss(engine, began)
 	}},
-	{"engine crashes, another comes", false, crashEngine},
+	{"engine crashes and is replaced", false, crashEngine},
 }
 
-// engine draws one of the workers of kind engine.
-func (r *run) engine(random *rand.Rand) *pooled {
+// pickEngine returns a random worker of kind engine.
+func (r *run) pickEngine(random *rand.Rand) *proxiedWorker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.engines[random.IntN(len(r.engines))]
 }
 
-// spoilEngines gives all workers of kind engine the same faults for a while.
-func spoilEngines(f usersplatform.Faults) func(*run, *rand.Rand, time.Duration) {
+// setEngineFaults sets the same faults for all workers of kind engine for a while.
+func setEngineFaults(f usersplatform.Faults) func(*run, *rand.Rand, time.Duration) {
 	set := func(r *run, f usersplatform.Faults) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -71,8 +72,8 @@
 	i := random.IntN(len(r.engines))
 	old := r.engines[i]
 	r.engines = append(r.engines[:i:i], r.engines[i+1:]...)
-	if err := r.bearEngine(); err != nil {
-		r.faults = append(r.faults, "no new engine: "+err.Error())
+	if err := r.startEngine(); err != nil {
+		r.faults = append(r.faults, "replacement engine not started: "+err.Error())
 	}
 	r.mu.Unlock()
 	old.worker.Crash()
@@ -81,11 +82,12 @@
 	r.store.Withdraw(old.worker)
 }
 
-// bearEngine starts a worker of kind engine and announces it. The caller holds mu, or is alone.
-func (r *run) bearEngine() error {
-	r.bornEngines++
-	id := fmt.Sprintf("e-%d", r.bornEngines)
-	w, err := usersplatform.NewEngine(id, engineService, r.host(102)+":0", r.ledger, r.memory, r.c.Seed+uint64(r.bornEngines))
+// startEngine starts a worker of kind engine and announces it. The caller holds mu, or no other
+// goroutine uses r yet.
+func (r *run) startEngine() error {
+	r.enginesStarted++
+	id := fmt.Sprintf("e-%d", r.enginesStarted)
+	w, err := usersplatform.NewEngine(id, engineService, r.host(102)+":0", r.ledger, r.memory, r.c.Seed+uint64(r.enginesStarted))
 	if err != nil {
 		return err
 	}
@@ -93,63 +95,63 @@
 	if err != nil {
 		return err
 	}
-	r.engines = append(r.engines, &pooled{w, p})
+	r.engines = append(r.engines, &proxiedWorker{w, p})
 	r.store.Announce(w, p.address(), usersplatform.Ready)
 	return nil
 }
 
-// prompts sends long prompts, one after the other.
-func (r *run) prompts(ctx context.Context, number int) {
+// sendLongPrompts sends long prompts, one after the other.
+func (r *run) sendLongPrompts(ctx context.Context, number int) {
 	random := rand.New(rand.NewPCG(r.c.Seed, 0x9801+uint64(number)))
-	c := &client{run: r, number: r.c.Clients + 1 + number, random: random, http: make(map[string]*http.Transport)}
+	c := &client{run: r, number: r.c.Clients + 1 + number, random: random, transports: make(map[string]*http.Transport)}
 	for n := 0; ctx.Err() == nil; n++ {
-		if gateway := r.pickGateway(random); gateway != "" {
-			a := asked{id: fmt.Sprintf("p%d-%d", number, n), kind: "long", key: r.pickKey(random), gateway: gateway, patience: promptTime, tokens: promptTokens}
+		if gateway := r.pickReadyGateway(random); gateway != "" {
+			a := request{id: fmt.Sprintf("p%d-%d", number, n), kind: "long", key: r.pickKey(random), gateway: gateway, timeout: promptTimeout, tokens: promptTokens}
 			r.record(c.send(ctx, a, a.id))
 		}
-		time.Sleep(time.Duration(random.Int64N(int64(promptPause))))
+		time.Sleep(time.Duration(random.Int64N(int64(maxPromptPause))))
 	}
-	for _, t := range c.http {
+	for _, t := range c.transports {
 		t.CloseIdleConnections()
 	}
 }
 
-// checkMemory: no memory stays set aside for longer than is allowed without use, whatever
-// befalls gateways and workers.
+// checkMemory verifies that no memory stays reserved but unused for longer than allowed, whatever
+// faults gateways and workers have.
 func checkMemory(m *usersplatform.Memory) (out []string) {
-	for _, u := range m.Unused(unusedAllowed + unusedSlack) {
+	for _, u := range m.Unused(maxUnusedTime + unusedSlack) {
 		out = append(out, u.String())
 	}
 	return out
 }
 
-// restoreStore lets the store come back from an older copy, and what the operator and the workers
-// wrote since be written again.
+// restoreStore restores the store from an older snapshot; later the operator and the workers repeat
+// what they wrote since.
 func (r *run) restoreStore(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.c.Seed, 0x2e57))
-	draw := func(most time.Duration) time.Duration { return time.Duration(random.Int64N(int64(most))) }
+	draw := func(limit time.Duration) time.Duration { return time.Duration(random.Int64N(int64(limit))) }
 	time.Sleep(draw(r.c.Length / 2))
-	older := r.store.Copy()
-	time.Sleep(draw(oldestCopy))
+	snapshot := r.store.Copy()
+	time.Sleep(draw(maxSnapshotAge))
 	if ctx.Err() != nil {
 		return
 	}
-	r.store.Restore(older)
+	r.store.Restore(snapshot)
 	r.mu.Lock()
-	r.faults = append(r.faults, time.Now().Format("15:04:05.000")+" store back from an older copy")
+	r.faults = append(r.faults, time.Now().Format("15:04:05.000")+" store restored from an older snapshot")
 	r.mu.Unlock()
-	time.Sleep(draw(writtenAgain))
-	r.store.WriteAgain(older, false)
-	time.Sleep(staleEntries)
-	r.store.WriteAgain(older, true)
+	time.Sleep(draw(maxRewriteDelay))
+	r.store.Replay(snapshot, false)
+	time.Sleep(staleEntryTime)
+	r.store.Replay(snapshot, true)
 }
 
 const (
-	// oldestCopy is the greatest age of a copy.
-	oldestCopy = 2 * time.Second
-	// writtenAgain is the longest time until the operator and the workers write again.
-	writtenAgain = time.Second
-	// staleEntries is how long the entry of a worker that has ended stays in an older copy: three
+	// maxSnapshotAge is the greatest age of a snapshot.
+	maxSnapshotAge = 2 * time.Second
+	// maxRewriteDelay is the longest time until the operator and the workers repeat their writes.
+	maxRewriteDelay = time.Second
+	// staleEntryTime is how long the entry of an ended worker remains in a restored snapshot: three
 	// missed heartbeats.
-	staleEntries = 3600 * time.Millisecond
+	staleEntryTime = 3600 * time.Millisecond
 )
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Weather is what a proxy does to the connections that pass it.
-type Weather struct {
-	Delay       time.Duration // added to each piece, both ways
-	SilenceUp   bool          // bytes towards the target are held back
-	SilenceDown bool          // bytes from the target are held back
+// Impairment is what a proxy does to the connections through it.
+type Impairment struct {
+	Delay    time.Duration // added to each chunk, in both directions
+	HoldUp   bool          // hold back bytes towards the target
+	HoldDown bool          // hold back bytes from the target
 }
 
-// proxy passes TCP connections on and harms them from outside.
+// proxy forwards TCP connections and impairs them.
 type proxy struct {
 	listener net.Listener
 	target   string
 
-	mu      sync.Mutex
-	weather Weather
-	conns   map[*net.TCPConn]bool
+	mu         sync.Mutex
+	impairment Impairment
+	conns      map[*net.TCPConn]bool
 }
 
-// newProxy starts a proxy before target on a free port of the address.
+// newProxy starts a proxy for target on a free port of host.
 func newProxy(host, target string) (*proxy, error) {
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
@@ -37,13 +37,13 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-func (p *proxy) set(w Weather) {
+func (p *proxy) setImpairment(w Impairment) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.weather = w
+	p.impairment = w
 }
 
-// resetAll resets every connection that passes now.
+// resetAll resets every open connection.
 func (p *proxy) resetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,43 +64,42 @@
 		if err != nil {
 			return
 		}
-		go p.pass(c.(*net.TCPConn))
+		go p.forward(c.(*net.TCPConn))
 	}
 }
 
-func (p *proxy) pass(near *net.TCPConn) {
+func (p *proxy) forward(client *net.TCPConn) {
 	c, err := net.Dial("tcp", p.target)
 	if err != nil {
-		_ = near.SetLinger(0)
-		_ = near.Close()
+		_ = client.SetLinger(0)
+		_ = client.Close()
 		return
 	}
-	far := c.(*net.TCPConn)
+	server := c.(*net.TCPConn)
 	p.mu.Lock()
-	p.conns[near], p.conns[far] = true, true
+	p.conns[client], p.conns[server] = true, true
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(far, near, true) })
-	both.Go(func() { p.copy(near, far, false) })
+	both.Go(func() { p.copy(server, client, true) })
+	both.Go(func() { p.copy(client, server, false) })
 	both.Wait()
 	p.mu.Lock()
-	delete(p.conns, near)
-	delete(p.conns, far)
+	delete(p.conns, client)
+	delete(p.conns, server)
 	p.mu.Unlock()
-	_ = near.Close()
-	_ = far.Close()
+	_ = client.Close()
+	_ = server.Close()
 }
 
-// pieceWait is how often a silenced direction is looked at again.
-const pieceWait = 5 * time.Millisecond
+// holdPollInterval is how often a direction that is held back is checked again.
+const holdPollInterval = 5 * time.Millisecond
 
-// copy passes bytes on in one direction until an end or an error, which it
-// passes on as well.
+// copy forwards bytes in one direction until end of file or an error, which it forwards as well.
 func (p *proxy) copy(to, from *net.TCPConn, up bool) {
 	buf := make([]byte, 8<<10)
 	for {
 		n, err := from.Read(buf)
-		p.hold(up)
+		p.applyImpairment(up)
 		if n > 0 {
 			if _, e := to.Write(buf[:n]); e != nil {
 				_ = from.SetLinger(0)
@@ -120,16 +119,16 @@
 	}
 }
 
-// hold waits as the weather says.
-func (p *proxy) hold(up bool) {
+// applyImpairment waits as the impairment demands.
+func (p *proxy) applyImpairment(up bool) {
 	for {
 		p.mu.Lock()
-		w := p.weather
+		w := p.impairment
 		p.mu.Unlock()
-		if !(up && w.SilenceUp || !up && w.SilenceDown) {
+		if !(up && w.HoldUp || !up && w.HoldDown) {
 			time.Sleep(w.Delay)
 			return
 		}
-		time.Sleep(pieceWait)
+		time.Sleep(holdPollInterval)
 	}
 }
--- a/internal/soak/said.go
+++ b/internal/soak/said.go
@@ -7,66 +7,70 @@
 )
 
 const (
-	// leavingBound is how long after a gateway has passed on an answer that says that its worker leaves clients may send
-	// requests that still reach that worker from it.
-	leavingBound = 2 * time.Second
-	// restNoticed is how long after a worker has asked for rest its gateway's requests do not count yet, and
-	// restTolerated how many may reach it from then on until the rest is over.
-	restNoticed   = 500 * time.Millisecond
-	restTolerated = 2
+	// drainNoticeTime is how long after a gateway has forwarded a drain notice of a worker requests
+	// that clients send through it may still reach that worker.
+	drainNoticeTime = 2 * time.Second
+	// backoffNoticeTime is how long after a worker has requested backoff the requests of that
+	// gateway do not count yet; maxSendsInBackoff is how many may reach the worker from then until
+	// the end of the backoff.
+	backoffNoticeTime = 500 * time.Millisecond
+	maxSendsInBackoff = 2
 )
 
-// lateSend is a request that reached a worker although its gateway had passed on that this one leaves.
+// lateSend is a request that reached a worker although its gateway had forwarded a drain notice of
+// it.
 type lateSend struct {
-	life
+	incarnation
 	request, gateway string
-	after            time.Duration // from the answer until the client sent it
+	after            time.Duration // from the notice until the client sent the request
 }
 
-// checkLeaving: a gateway that has passed on an answer which says that its worker leaves sends it nothing new after the bound.
-func checkLeaving(all []asked, f *facts) []string {
+// checkDraining verifies that a gateway that has forwarded a drain notice sends the worker no new
+// requests after drainNoticeTime.
+func checkDraining(all []request, f *facts) []string {
 	var out []string
 	for _, s := range lateSends(all, f) {
-		out = append(out, fmt.Sprintf("request %s reached worker %s, sent %v after gateway %s had passed on that it leaves", s.request, s.worker, s.after, s.gateway))
+		out = append(out, fmt.Sprintf("request %s reached draining worker %s, sent %v after gateway %s had forwarded the drain notice", s.request, s.worker, s.after, s.gateway))
 	}
 	return out
 }
 
-// toldLeaves returns when each gateway first passed on an answer that says that its worker leaves, by worker.
-func toldLeaves(all []asked, f *facts) map[life]map[string]time.Time {
-	byID := byID(all)
-	lives, answered := f.lives()
-	out := make(map[life]map[string]time.Time)
-	for l, arrivals := range lives {
+// drainNotices returns, by worker, when each gateway first forwarded a drain notice.
+func drainNotices(all []request, f *facts) map[incarnation]map[string]time.Time {
+	byID := indexByID(all)
+	incarnations, answered := f.arrivals()
+	out := make(map[incarnation]map[string]time.Time)
+	for l, arrivals := range incarnations {
 		for _, a := range arrivals {
 			x := byID[a.ID]
-			if x == nil || a.Said.Leaving == "" || x.said.Leaving == "" || answered[a.ID] != l {
+			if x == nil || a.Statement.Draining == "" || x.statement.Draining == "" || answered[a.ID] != l {
 				continue
 			}
 			if out[l] == nil {
 				out[l] = make(map[string]time.Time)
 			}
-			if at, ok := out[l][x.gateway]; !ok || x.headAt.Before(at) {
-				out[l][x.gateway] = x.headAt
+			if at, ok := out[l][x.gateway]; !ok || x.headerAt.Before(at) {
+				out[l][x.gateway] = x.headerAt
 			}
 		}
 	}
 	return out
 }
 
-// lateSends returns the requests that were sent too late. One whose gateway was started again, frozen or suspended since counts not.
-func lateSends(all []asked, f *facts) (out []lateSend) {
-	byID := byID(all)
-	lives, _ := f.lives()
-	for l, told := range toldLeaves(all, f) {
-		for _, a := range lives[l] {
+// lateSends returns the requests that were sent too late, except those whose gateway was disrupted
+// since the notice.
+func lateSends(all []request, f *facts) (out []lateSend) {
+	byID := indexByID(all)
+	incarnations, _ := f.arrivals()
+	for l, notices := range drainNotices(all, f) {
+		for _, a := range incarnations[l] {
 			x := byID[a.ID]
 			if x == nil {
 				continue
 			}
-			at, ok := told[x.gateway]
+			at, ok := notices[x.gateway]
 			after := x.sent.Sub(at)
-			if ok && after > leavingBound && !f.troubledIn(x.gateway, at, a.At) {
+			if ok && after > drainNoticeTime && !f.disruptedDuring(x.gateway, at, a.At) {
 				out = append(out, lateSend{l, a.ID, x.gateway, after})
 			}
 		}
@@ -74,43 +78,45 @@
 	return out
 }
 
-// restUse is what a worker got of one gateway in a rest for which it had asked it.
-type restUse struct {
-	life
-	gateway string
-	asked   time.Time
-	rest    time.Duration
-	got     int
+// backoffUse is what a worker received from one gateway during a backoff that it had requested from
+// that gateway.
+type backoffUse struct {
+	incarnation
+	gateway     string
+	requestedAt time.Time
+	backoff     time.Duration
+	received    int
 }
 
-// checkRests: no worker gets more than is tolerated of a gateway that it has asked for rest.
-func checkRests(all []asked, f *facts) []string {
+// checkBackoffs verifies that no worker receives more requests than tolerated from a gateway of
+// which it has requested backoff.
+func checkBackoffs(all []request, f *facts) []string {
 	var out []string
-	for _, u := range restUses(all, f) {
-		if u.got > restTolerated {
-			out = append(out, fmt.Sprintf("worker %s had asked gateway %s for %v of rest at %s and got %d requests of it", u.worker, u.gateway, u.rest, u.asked.Format("15:04:05.000"), u.got))
+	for _, u := range backoffUses(all, f) {
+		if u.received > maxSendsInBackoff {
+			out = append(out, fmt.Sprintf("worker %s had requested of gateway %s a backoff of %v at %s and received %d requests from it", u.worker, u.gateway, u.backoff, u.requestedAt.Format("15:04:05.000"), u.received))
 		}
 	}
 	return out
 }
 
-// restUses returns what each worker got in its rests. One counts not whose answer may have been lost on the way, or whose
-// gateway was started again, frozen or suspended since.
-func restUses(all []asked, f *facts) (out []restUse) {
-	byID := byID(all)
-	lives, _ := f.lives()
-	for l, arrivals := range lives {
+// backoffUses returns what each worker received in its backoffs. A backoff whose response may have
+// been lost in transit is left out, and so are requests whose gateway was disrupted since.
+func backoffUses(all []request, f *facts) (out []backoffUse) {
+	byID := indexByID(all)
+	incarnations, _ := f.arrivals()
+	for l, arrivals := range incarnations {
 		for i, a := range arrivals {
-			rest, ok := readRest(a.Said.Rest)
+			backoff, ok := parseBackoff(a.Statement.Backoff)
 			x := byID[a.ID]
-			if x == nil || !ok || f.harmedIn(l.worker, a.At, a.At) {
+			if x == nil || !ok || f.lossyDuring(l.worker, a.At, a.At) {
 				continue
 			}
-			u := restUse{life: l, gateway: x.gateway, asked: a.At, rest: rest}
+			u := backoffUse{incarnation: l, gateway: x.gateway, requestedAt: a.At, backoff: backoff}
 			for _, b := range arrivals[i+1:] {
 				since := b.At.Sub(a.At)
-				if y := byID[b.ID]; y != nil && y.gateway == u.gateway && since >= restNoticed && since < rest && !f.troubledIn(u.gateway, a.At, b.At) && !f.harmedIn(l.worker, a.At, b.At) {
-					u.got++
+				if y := byID[b.ID]; y != nil && y.gateway == u.gateway && since >= backoffNoticeTime && since < backoff && !f.disruptedDuring(u.gateway, a.At, b.At) && !f.lossyDuring(l.worker, a.At, b.At) {
+					u.received++
 				}
 			}
 			out = append(out, u)
@@ -119,24 +125,24 @@
 	return out
 }
 
-// readRest reads the rest that an answer asked for; ok is false where it asked for none.
-func readRest(text string) (rest time.Duration, ok bool) {
+// parseBackoff parses the backoff in a response; ok is false if none was requested.
+func parseBackoff(text string) (backoff time.Duration, ok bool) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	return time.Duration(seconds * float64(time.Second)), err == nil && seconds > 0
 }
 
-// troubledIn reports whether a gateway was in trouble in a stretch of time.
-func (f *facts) troubledIn(gateway string, from, to time.Time) bool {
-	return overlapsAnySpan(f.troubled[gateway], from, to)
+// disruptedDuring reports whether a gateway was disrupted in an interval.
+func (f *facts) disruptedDuring(gateway string, from, to time.Time) bool {
+	return overlapsAny(f.disrupted[gateway], from, to)
 }
 
-// harmedIn reports whether answers of a worker may have been lost on their way in a stretch of time.
-func (f *facts) harmedIn(worker string, from, to time.Time) bool {
-	return overlapsAnySpan(f.harmed[worker], from, to)
+// lossyDuring reports whether responses of a worker may have been lost in transit in an interval.
+func (f *facts) lossyDuring(worker string, from, to time.Time) bool {
+	return overlapsAny(f.lossy[worker], from, to)
 }
 
-func overlapsAnySpan(spans []span, from, to time.Time) bool {
-	for _, s := range spans {
+func overlapsAny(intervals []interval, from, to time.Time) bool {
+	for _, s := range intervals {
 		if s.overlaps(from, to) {
 			return true
 		}
@@ -144,10 +150,11 @@
 	return false
 }
 
-// harm notes that answers of a worker may be lost on their way from a moment until effectTime from now.
-func (r *run) harm(p *pooled, from time.Time) {
+// recordLoss records that responses of a worker may be lost in transit from a time until
+// recoveryTime from now.
+func (r *run) recordLoss(p *proxiedWorker, from time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := p.worker.ID
-	r.facts.harmed[id] = append(r.facts.harmed[id], span{from, time.Now().Add(effectTime)})
+	r.facts.lossy[id] = append(r.facts.lossy[id], interval{from, time.Now().Add(recoveryTime)})
 }
--- a/internal/soak/saidfaults.go
+++ b/internal/soak/saidfaults.go
@@ -7,49 +7,51 @@
 	"github.com/micarudder/micarudder/internal/standin/usersplatform"
 )
 
-// saidFaults befall workers of any kind, drawn apart from the others.
-var saidFaults = []fault{
-	{"a worker says that it leaves", true, leaveByAnswers},
-	{"a worker says that it leaves", true, leaveByAnswers},
-	{"a worker asks some gateways for rest", true, restOne(0.3)},
-	{"a worker asks all gateways for rest", true, restOne(1)},
-	{"all workers of a service ask for rest", true, restService},
+// statementFaults are the drains and backoff requests of workers of any kind; they have a random
+// sequence of their own.
+var statementFaults = []fault{
+	{"worker announces in responses that it drains", true, drainWorkerInResponses},
+	{"worker announces in responses that it drains", true, drainWorkerInResponses},
+	{"worker requests backoff of some gateways", true, backoffWorker(0.3)},
+	{"worker requests backoff of all gateways", true, backoffWorker(1)},
+	{"all workers of a service request backoff", true, backoffService},
 }
 
-// leaveByAnswers makes a worker say that it leaves, in its answers only; it ends later and another one comes.
-func leaveByAnswers(r *run, random *rand.Rand, _ time.Duration) {
-	old := r.replace(random)
-	old.worker.Leave()
-	time.Sleep(leaveTime)
+// drainWorkerInResponses makes a worker announce only in its responses that it drains. Another
+// worker replaces it, and it ends after drainPeriod.
+func drainWorkerInResponses(r *run, random *rand.Rand, _ time.Duration) {
+	old := r.replaceWorker(random)
+	old.worker.AnnounceDraining()
+	time.Sleep(drainPeriod)
 	r.store.Withdraw(old.worker)
 	now := time.Now()
 	r.mu.Lock()
-	r.facts.unplanned = append(r.facts.unplanned, span{now, now.Add(effectTime)}) // nobody may have asked it, so that nobody knows
+	r.facts.unplanned = append(r.facts.unplanned, interval{now, now.Add(recoveryTime)}) // if no request reached the worker, no gateway knows that it drains
 	r.mu.Unlock()
 	old.worker.Crash()
 	old.proxy.close()
 }
 
-// restTexts are the rests that workers ask for.
-var restTexts = []string{"0.3", "1", "2.5", "3", "0", "-1", "soon"}
+// backoffTexts are the backoff times that workers request.
+var backoffTexts = []string{"0.3", "1", "2.5", "3", "0", "-1", "soon"}
 
-// restOne makes a worker turn away a part of the requests and ask for rest.
-func restOne(part float64) func(*run, *rand.Rand, time.Duration) {
+// backoffWorker makes a worker reject a share of the requests and request backoff.
+func backoffWorker(share float64) func(*run, *rand.Rand, time.Duration) {
 	return func(r *run, random *rand.Rand, length time.Duration) {
-		w := r.anyWorker(random)
-		w.Rest(part, restTexts[random.IntN(len(restTexts))])
+		w := r.pickAnyWorker(random)
+		w.RequestBackoff(share, backoffTexts[random.IntN(len(backoffTexts))])
 		time.Sleep(length)
-		w.Rest(0, "")
+		w.RequestBackoff(0, "")
 	}
 }
 
-// restService does the same to all workers of one service.
-func restService(r *run, random *rand.Rand, length time.Duration) {
-	service, text := r.anyWorker(random).Service, restTexts[random.IntN(len(restTexts))]
-	set := func(part float64) {
+// backoffService does the same for all workers of one service.
+func backoffService(r *run, random *rand.Rand, length time.Duration) {
+	service, text := r.pickAnyWorker(random).Service, backoffTexts[random.IntN(len(backoffTexts))]
+	set := func(share float64) {
 		r.eachWorker(func(w *usersplatform.Worker) {
 			if w.Service == service {
-				w.Rest(part, text)
+				w.RequestBackoff(share, text)
 			}
 		})
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,7 +1,7 @@
-// Package soak runs real gateways as separate processes on loopback, injects
-// faults from outside them, in series and overlapping, and checks from what
-// clients and back ends saw that the promises held. A seed decides clients,
-// faults and their times; the machine's scheduling is not repeated with it.
+// Package soak runs real gateways as separate processes on loopback addresses, injects external
+// faults, one after another and overlapping, and checks from what clients and back ends observed
+// that the guarantees held. The seed determines the clients, the faults and their times; the
+// scheduling of the machine is not reproduced with it.
 package soak
 
 import (
@@ -20,97 +20,98 @@
 	"github.com/micarudder/micarudder/internal/standin/usersplatform"
 )
 
-// Config is one run.
+// Config describes one run.
 type Config struct {
-	Seed     uint64
-	Binary   string // rudder-relay, or the program in suspendable, which the fault of that name needs
-	Dir      string // for settings and logs
-	Network  byte   // second number of the loopback addresses 127.N.x.y
-	Gateways int
-	Workers  int // of each of the two services
-	Clients  int
-	Length   time.Duration // of the faults
-	Engines  int           // workers with memory; 0: no long prompts are sent
-	Restores bool          // whether the store comes back from an older copy once
+	Seed         uint64
+	Binary       string // rudder-relay, or the program in suspendable, which the host suspension fault needs
+	Dir          string // for settings and logs
+	Network      byte   // second number of the loopback addresses 127.N.x.y
+	Gateways     int
+	Workers      int // of each of the two services
+	Clients      int
+	Length       time.Duration // how long faults are injected
+	Engines      int           // workers with memory; 0: no long prompts are sent
+	RestoreStore bool          // whether the store is restored from an older snapshot once
 }
 
-// Report is what a run showed.
+// Report is the outcome of a run.
 type Report struct {
-	Asked, Answered, Refused, Broken int
-	Crashes                          int      // of workers, under the request that ends them
-	Limited                          int      // workers that named a limit for long enough to be judged
-	Rests                            int      // asks for rest that were judged
-	Left                             int      // workers whose leave some gateway passed on
-	Prompts, Used                    int      // long ones, and how often they used memory set aside
-	Faults                           []string // in the order of their times
-	Violations                       []string
+	Requests, Succeeded, Refused, Interrupted int
+	Crashes                                   int      // of workers, caused by the crashing request
+	LimitedWorkers                            int      // workers that advertised a limit for long enough to be checked
+	Backoffs                                  int      // backoff requests that were checked
+	DrainedWorkers                            int      // workers whose drain notice was forwarded by some gateway
+	LongPrompts, MemoryUses                   int      // long prompts, and how often they used reserved memory
+	Faults                                    []string // in the order of their times
+	Violations                                []string
 }
 
 const (
-	frontPort = 20801
-	readyPort = 20802
-	peerPort  = 20803
-	adminPort = 20804
-	drainTime = 4 * time.Second
-	// effectTime is how long an unplanned fault may still show after its end:
-	// a request's time, and the kernel's probes of silent connections.
-	effectTime = 2 * time.Second
-	startTime  = 20 * time.Second
+	servicePort = 20801
+	readyPort   = 20802
+	peerPort    = 20803
+	adminPort   = 20804
+	drainTime   = 4 * time.Second
+	// recoveryTime is how long a fault that is not graceful may still have effects after its end:
+	// the timeout of a request and the kernel's probes of silent connections.
+	recoveryTime = 2 * time.Second
+	startTime    = 20 * time.Second
 )
 
-// run is a running soak.
+// run is a soak in progress.
 type run struct {
-	c      Config
-	store  *usersplatform.Store
-	ledger *usersplatform.Ledger
-	group  *procs.Group
-	proxy  *proxy // before the store
-	server *http.Server
+	c           Config
+	store       *usersplatform.Store
+	ledger      *usersplatform.Ledger
+	group       *procs.Group
+	storeProxy  *proxy // in front of the store
+	storeServer *http.Server
 
-	mu      sync.Mutex
-	version uint64
-	keys    []string
-	facts   facts
-	all     []asked
-	ready   []string
-	workers []*pooled
-	born    int
-	engines []*pooled
-	memory  *usersplatform.Memory // of the engines
-	// bornEngines counts the engines that were started.
-	bornEngines int
-	faults      []string
+	mu             sync.Mutex
+	version        uint64
+	keys           []string
+	facts          facts
+	requests       []request
+	readyGateways  []string
+	workers        []*proxiedWorker
+	workersStarted int
+	engines        []*proxiedWorker
+	memory         *usersplatform.Memory // of the engines
+	// enginesStarted counts the engines that were started.
+	enginesStarted int
+	faults         []string
 
-	suspended map[int]time.Duration // by gateway: how long its host was suspended in all
+	suspended map[int]time.Duration // by gateway: total time for which its host was suspended
 }
 
-// pooled is a worker that is announced behind its proxy.
-type pooled struct {
+// proxiedWorker is a worker that is announced at the address of its proxy.
+type proxiedWorker struct {
 	worker *usersplatform.Worker
 	proxy  *proxy
 }
 
-// Play runs one seed. The error is a failure of the soak itself.
-func Play(ctx context.Context, c Config) (*Report, error) {
-	r, err := begin(ctx, c)
+// Run runs one seed. An error is a failure of the soak itself, not of the gateways.
+func Run(ctx context.Context, c Config) (*Report, error) {
+	r, err := startRun(ctx, c)
 	if err != nil {
 		return nil, err
 	}
 	defer r.close()
-	r.play(ctx)
-	r.end()
+	r.runWorkload(ctx)
+	r.killGateways()
 	return r.report(), nil
 }
 
-// begin starts the platform's stand-ins and the gateways, and waits until these are ready. The caller closes the run.
-func begin(ctx context.Context, c Config) (*run, error) {
+// startRun starts the simulated platform and the gateways, and waits until the gateways are ready.
+// The caller closes the run.
+func startRun(ctx context.Context, c Config) (*run, error) {
 	r := &run{c: c, store: usersplatform.NewStore(), ledger: usersplatform.NewLedger(), memory: usersplatform.NewMemory(), group: procs.NewGroup(c.Dir), suspended: make(map[int]time.Duration)}
-	r.facts = facts{ledger: r.ledger, revoked: make(map[string]time.Time), owners: make(map[string]string), troubled: make(map[string][]span), harmed: make(map[string][]span)}
-	if err := r.open(); err != nil {
+	r.facts = facts{ledger: r.ledger, revoked: make(map[string]time.Time), owners: make(map[string]string), disrupted: make(map[string][]interval), lossy: make(map[string][]interval)}
+	if err := r.startPlatform(); err != nil {
 		return nil, err
 	}
 	for i := range c.Gateways {
-		if _, err := r.group.Start(r.spec(i)); err != nil {
+		if _, err := r.group.Start(r.gatewaySpec(i)); err != nil {
 			r.close()
 			return nil, err
 		}
@@ -118,31 +119,31 @@
 	starting, cancel := context.WithTimeout(ctx, startTime)
 	defer cancel()
 	if err := r.group.WaitReady(starting); err != nil {
-		r.end()
+		r.killGateways()
 		r.close()
 		return nil, err
 	}
 	return r, nil
 }
 
-// end kills the gateways; what a stop does is checked while clients ask.
-func (r *run) end() {
+// killGateways kills the gateways. Graceful stops are checked earlier, while clients send requests.
+func (r *run) killGateways() {
 	for _, p := range r.group.All() {
 		if err := p.Kill(); err != nil {
-			r.faults = append(r.faults, "not killed at the end: "+err.Error())
+			r.faults = append(r.faults, "gateway not killed at the end of the run: "+err.Error())
 		}
 	}
 }
 
-// open starts the platform's stand-ins.
-func (r *run) open() error {
+// startPlatform starts the simulated platform.
+func (r *run) startPlatform() error {
 	l, err := net.Listen("tcp", r.host(250)+":0")
 	if err != nil {
 		return err
 	}
-	r.server = &http.Server{Handler: r.store}
-	go func() { _ = r.server.Serve(l) }()
-	if r.proxy, err = newProxy(r.host(251), l.Addr().String()); err != nil {
+	r.storeServer = &http.Server{Handler: r.store}
+	go func() { _ = r.storeServer.Serve(l) }()
+	if r.storeProxy, err = newProxy(r.host(251), l.Addr().String()); err != nil {
 		return err
 	}
 	for i := range 6 {
@@ -153,13 +154,13 @@
 	r.configure()
 	for range r.c.Workers {
 		for _, kind := range []string{"plain", "stream"} {
-			if err := r.bear(kind); err != nil {
+			if err := r.startWorker(kind); err != nil {
 				return err
 			}
 		}
 	}
 	for range r.c.Engines {
-		if err := r.bearEngine(); err != nil {
+		if err := r.startEngine(); err != nil {
 			return err
 		}
 	}
@@ -167,8 +168,8 @@
 }
 
 func (r *run) close() {
-	_ = r.server.Close()
-	r.proxy.close()
+	_ = r.storeServer.Close()
+	r.storeProxy.close()
 	for _, w := range append(r.workers, r.engines...) {
 		w.worker.Crash()
 		w.proxy.close()
@@ -177,12 +178,12 @@
 
 func (r *run) host(n int) string { return fmt.Sprintf("127.%d.0.%d", r.c.Network, n+1) }
 
-func (r *run) front(gateway int) string {
-	return netip.AddrPortFrom(netip.MustParseAddr(r.host(gateway)), frontPort).String()
+func (r *run) serviceAddress(gateway int) string {
+	return netip.AddrPortFrom(netip.MustParseAddr(r.host(gateway)), servicePort).String()
 }
 
-// spec describes a gateway's process.
-func (r *run) spec(i int) procs.Spec {
+// gatewaySpec describes the process of a gateway.
+func (r *run) gatewaySpec(i int) procs.Spec {
 	host := r.host(i)
 	ini := fmt.Sprintf(`[relay]
 name = gateway-%d
@@ -200,7 +201,7 @@
 [process]
 admin_listen = %s:%d
 drain_time = %s
-`, i, host, frontPort, host, readyPort, host, peerPort, r.host(0), r.proxy.address(), revokeAfter, unusedAllowed, host, adminPort, drainTime)
+`, i, host, servicePort, host, readyPort, host, peerPort, r.host(0), r.storeProxy.address(), revokeAfter, maxUnusedTime, host, adminPort, drainTime)
 	return procs.Spec{
 		Name: fmt.Sprintf("gateway-%d", i), Binary: r.c.Binary, Args: []string{"--config", procs.DirVar + "/relay.ini"},
 		Env:   []string{"SUSPENDED_FILE=" + r.suspendedFile(i)},
@@ -208,12 +209,12 @@
 	}
 }
 
-// configure writes a new version of the configuration, with the keys in force.
+// configure writes a new version of the configuration with the keys that are still valid.
 func (r *run) configure() {
 	r.version += 1 + r.version%3
 	route := func(name, kind, service string, resumable bool) usersplatform.Route {
 		return usersplatform.Route{Name: name, Kind: kind, Service: service, Resumable: resumable,
-			Timeout: requestTime, Objective: objective, Attempts: maxAttempts}
+			Timeout: requestTimeout, Objective: objective, Attempts: maxAttempts}
 	}
 	workspaces := make(map[string][]string)
 	for _, key := range r.keys {
@@ -227,26 +228,27 @@
 	}
 	if r.c.Engines > 0 {
 		long := route("long", "streaming", engineService, true)
-		long.Timeout, long.Objective = promptTime, promptObjective
-		c.Engines, c.Routes = engineService, append(c.Routes, long)
+		long.Timeout, long.Objective = promptTimeout, promptObjective
+		c.EngineService, c.Routes = engineService, append(c.Routes, long)
 	}
 	r.store.Configure(c)
 }
 
 const (
-	// soakHost is the host that the clients ask for.
+	// soakHost is the host that the clients request.
 	soakHost = "soak.example"
-	// objective is the latency objective of the routes; nothing is judged by it.
+	// objective is the latency objective of the routes; no check depends on it.
 	objective = 500 * time.Millisecond
-	// promptObjective is that of long prompts, a third of which they wait for workers at most.
+	// promptObjective is the latency objective of the long-prompt route; requests wait for workers
+	// for at most a third of it.
 	promptObjective = 3 * time.Second
 )
 
-// bear starts a worker behind a proxy and announces it.
-func (r *run) bear(kind string) error {
-	r.born++
-	id := fmt.Sprintf("i-%d", r.born)
-	w, err := usersplatform.NewWorker(id, kind, kind, r.host(100)+":0", r.ledger, r.c.Seed+uint64(r.born))
+// startWorker starts a worker behind a proxy and announces it.
+func (r *run) startWorker(kind string) error {
+	r.workersStarted++
+	id := fmt.Sprintf("i-%d", r.workersStarted)
+	w, err := usersplatform.NewWorker(id, kind, kind, r.host(100)+":0", r.ledger, r.c.Seed+uint64(r.workersStarted))
 	if err != nil {
 		return err
 	}
@@ -254,69 +256,69 @@
 	if err != nil {
 		return err
 	}
-	one := &pooled{w, p}
-	w.CrashOn(crashBody, func() { r.crashed(one) })
-	r.workers = append(r.workers, one)
+	started := &proxiedWorker{w, p}
+	w.CrashOn(crashBody, func() { r.replaceCrashed(started) })
+	r.workers = append(r.workers, started)
 	r.store.Announce(w, p.address(), usersplatform.Ready)
 	return nil
 }
 
-// play lets clients and faults run.
-func (r *run) play(ctx context.Context) {
+// runWorkload runs the clients and the faults.
+func (r *run) runWorkload(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	var tasks sync.WaitGroup
-	tasks.Go(func() { r.balance(ctx) })
+	tasks.Go(func() { r.pollReadiness(ctx) })
 	for i := range r.c.Clients {
-		c := &client{run: r, number: i, random: rand.New(rand.NewPCG(r.c.Seed, uint64(i))), http: make(map[string]*http.Transport)}
+		c := &client{run: r, number: i, random: rand.New(rand.NewPCG(r.c.Seed, uint64(i))), transports: make(map[string]*http.Transport)}
 		tasks.Go(func() { c.loop(ctx) })
 	}
-	tasks.Go(func() { r.crashWorkers(ctx) })
+	tasks.Go(func() { r.sendCrashRequests(ctx) })
 	if r.c.Engines > 0 {
 		for i := range promptClients {
-			tasks.Go(func() { r.prompts(ctx, i) })
+			tasks.Go(func() { r.sendLongPrompts(ctx, i) })
 		}
 		tasks.Go(func() { r.inject(ctx, engineFaults, 0xe9fa) })
 	}
 	tasks.Go(func() { r.inject(ctx, limitFaults, 0x11417) })
-	tasks.Go(func() { r.inject(ctx, saidFaults, 0x5a1d) })
-	if r.c.Restores {
+	tasks.Go(func() { r.inject(ctx, statementFaults, 0x5a1d) })
+	if r.c.RestoreStore {
 		tasks.Go(func() { r.restoreStore(ctx) })
 	}
 	r.inject(ctx, faults, 0xfa017)
-	time.Sleep(effectTime)
+	time.Sleep(recoveryTime)
 	stop()
 	tasks.Wait()
 }
 
-// balanceEvery is how often the balancer asks whether gateways are ready.
-const balanceEvery = 250 * time.Millisecond
+// readinessInterval is how often the balancer checks whether gateways are ready.
+const readinessInterval = 250 * time.Millisecond
 
-// balance keeps the list of ready gateways as the platform's balancer does. All are asked at once:
-// one after the other, 200 gateways of which some are busy were not asked once in a whole run, and no
-// client found any.
-func (r *run) balance(ctx context.Context) {
-	probe := &http.Client{Timeout: balanceEvery}
+// pollReadiness maintains the list of ready gateways as the platform's balancer does. It probes all
+// gateways concurrently: probed one after the other, 200 gateways of which some are busy were not
+// all probed once in a whole run, and no client found a ready one.
+func (r *run) pollReadiness(ctx context.Context) {
+	probe := &http.Client{Timeout: readinessInterval}
 	for ctx.Err() == nil {
-		answers := make([]bool, r.c.Gateways)
-		var asking sync.WaitGroup
-		for i := range answers {
-			asking.Go(func() { answers[i] = isReady(probe, r.spec(i).Ready) })
+		readiness := make([]bool, r.c.Gateways)
+		var probes sync.WaitGroup
+		for i := range readiness {
+			probes.Go(func() { readiness[i] = isReady(probe, r.gatewaySpec(i).Ready) })
 		}
-		asking.Wait()
+		probes.Wait()
 		var ready []string
-		for i, ok := range answers {
+		for i, ok := range readiness {
 			if ok {
-				ready = append(ready, r.front(i))
+				ready = append(ready, r.serviceAddress(i))
 			}
 		}
 		r.mu.Lock()
-		r.ready = ready
+		r.readyGateways = ready
 		r.mu.Unlock()
-		time.Sleep(balanceEvery)
+		time.Sleep(readinessInterval)
 	}
 }
 
-// isReady reports whether a gateway says that it is.
+// isReady reports whether a gateway reports that it is ready.
 func isReady(probe *http.Client, url string) bool {
 	res, err := probe.Get(url)
 	if err != nil {
@@ -326,46 +328,46 @@
 	return res.StatusCode == http.StatusOK
 }
 
-func (r *run) pickGateway(random *rand.Rand) string {
+func (r *run) pickReadyGateway(random *rand.Rand) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.ready) == 0 {
+	if len(r.readyGateways) == 0 {
 		return ""
 	}
-	return r.ready[random.IntN(len(r.ready))]
+	return r.readyGateways[random.IntN(len(r.readyGateways))]
 }
 
-// pickKey returns a key, now and then one that was withdrawn.
+// pickKey returns a random key, which may have been withdrawn.
 func (r *run) pickKey(random *rand.Rand) string {
 	return fmt.Sprintf("key-%d", random.IntN(6))
 }
 
-func (r *run) record(a asked) {
+func (r *run) record(a request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all = append(r.all, a)
+	r.requests = append(r.requests, a)
 }
 
 func (r *run) report() *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := &Report{Asked: len(r.all), Crashes: len(r.facts.crashes), Faults: r.faults, Violations: violations(r.all, &r.facts), Used: r.memory.Used()}
+	out := &Report{Requests: len(r.requests), Crashes: len(r.facts.crashes), Faults: r.faults, Violations: violations(r.requests, &r.facts), MemoryUses: r.memory.Uses()}
 	out.Violations = append(out.Violations, checkMemory(r.memory)...)
-	out.Violations = append(out.Violations, checkLimits(r.all, &r.facts)...)
-	out.Violations = append(out.Violations, checkLeaving(r.all, &r.facts)...)
-	out.Violations = append(out.Violations, checkRests(r.all, &r.facts)...)
-	out.Rests = len(restUses(r.all, &r.facts))
-	out.Left = len(toldLeaves(r.all, &r.facts))
-	out.Limited = len(limitUses(r.all, &r.facts))
-	for _, a := range r.all {
+	out.Violations = append(out.Violations, checkLimits(r.requests, &r.facts)...)
+	out.Violations = append(out.Violations, checkDraining(r.requests, &r.facts)...)
+	out.Violations = append(out.Violations, checkBackoffs(r.requests, &r.facts)...)
+	out.Backoffs = len(backoffUses(r.requests, &r.facts))
+	out.DrainedWorkers = len(drainNotices(r.requests, &r.facts))
+	out.LimitedWorkers = len(limitUses(r.requests, &r.facts))
+	for _, a := range r.requests {
 		if a.kind == "long" {
-			out.Prompts++
+			out.LongPrompts++
 		}
 		switch {
-		case a.broken != nil:
-			out.Broken++
+		case a.err != nil:
+			out.Interrupted++
 		case a.status/100 == 2:
-			out.Answered++
+			out.Succeeded++
 		default:
 			out.Refused++
 		}
@@ -373,8 +375,8 @@
 	return out
 }
 
-// KeepLogs copies the gateways' logs beside what a failed seed showed.
-func KeepLogs(dir, to string) error {
+// CopyLogs copies the gateways' logs from dir to the folder to, one file per gateway.
+func CopyLogs(dir, to string) error {
 	return filepath.WalkDir(dir, func(path string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() || filepath.Base(path) != "log" {
 			return err
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -14,51 +14,51 @@
 )
 
 var (
-	seeds    = flag.Int("seeds", 0, "number of fresh seeds to play by hand, beside those of CI")
-	first    = flag.Uint64("first", uint64(time.Now().Unix()), "first of these seeds")
-	length   = flag.Duration("length", 8*time.Second, "time for the faults of a seed played by hand")
-	gateways = flag.Int("gateways", 4, "number of gateways of a seed played by hand")
-	workers  = flag.Int("workers", 4, "number of workers of each service")
-	clients  = flag.Int("clients", 16, "number of clients")
-	engines  = flag.Int("engines", 4, "number of workers with memory")
-	keep     = flag.String("keep", "", "folder that takes the logs of seeds that failed")
+	seeds     = flag.Int("seeds", 0, "number of further seeds to run beside those of CI")
+	firstSeed = flag.Uint64("first", uint64(time.Now().Unix()), "first of the further seeds")
+	length    = flag.Duration("length", 8*time.Second, "time for the faults of each further seed")
+	gateways  = flag.Int("gateways", 4, "number of gateways of each further seed")
+	workers   = flag.Int("workers", 4, "number of workers of each service")
+	clients   = flag.Int("clients", 16, "number of clients")
+	engines   = flag.Int("engines", 4, "number of workers with memory")
+	logDir    = flag.String("keep", "", "folder for the logs of failed seeds")
 )
 
-// regressions are seeds that failed once, with their causes. They are played in
-// CI beside one that never did.
+// regressions are seeds that failed once, with the causes. They run in CI together with one that
+// never failed.
 var regressions = []struct {
 	seed  uint64
 	cause string
 }{
 	{1, "none: the seed of every CI run"},
-	{8000, "a worker that bore the request which ended the others answered it, and each answer made the gateways forget the crashes"},
+	{8000, "a worker that survived the crashing request answered it, and each response cleared the crashes from the gateways' records"},
 	{8007, "the same"},
 	{8010, "the same"},
 	{8013, "the same"},
 	{8031, "the same"},
 }
 
-// engineRegressions are played in CI with workers that have memory and hang, and with a store that comes
-// back from an older copy, at the size at which they failed.
+// engineRegressions run in CI with workers that have memory and hang, and with a store that is
+// restored from an older snapshot, at the size at which they failed.
 var engineRegressions = []struct {
 	seed  uint64
 	cause string
 }{
-	{100, "memory stayed unused for 9.9 s, of 5 allowed, without a proof that it is used"},
-	{130311, "an engine that was cut off on the way back named a limit in answers that nobody heard, and was asked 29 times in four seconds; " +
-		"allowed, as no gateway was told, but questions counted nowhere"},
-	{150040, "the check took an answer of another worker, after the one with a limit had hung, for one that names it"},
+	{100, "memory stayed unused for 9.9 s, 5 s allowed, without evidence that it was used"},
+	{130311, "the responses of an engine were held back, so no gateway received its limit, and it was queried 29 times in four seconds; " +
+		"allowed, since no gateway knew the limit, but queries were not counted at all"},
+	{150040, "the check took the response of another worker, after the one with a limit had hung, for a notice of that limit"},
 	{150020, "the same"},
-	{440003, "a worker that had just started again under its name asked for rest; the news of its new life ended that"},
-	{510031, "the same, with the store away when the worker started again"},
-	{610004, "a worker that had just started again under its name said that it leaves; the news of its new life ended that"},
-	{180045, "a worker lowered its limit from a million to none while nothing reached it; sixteen requests were granted at once by what it had told last"},
-	{140009, "the check took -1 for a limit"},
+	{440003, "a worker that had just restarted under its name requested backoff; the notice of its new incarnation ended the backoff"},
+	{510031, "the same, with the store unavailable when the worker restarted"},
+	{610004, "a worker that had just restarted under its name announced that it drains; the notice of its new incarnation ended the drain"},
+	{180045, "a worker lowered its limit from a million to none while it received nothing; sixteen requests were granted at once under the limit last announced"},
+	{140009, "the check accepted -1 as a limit"},
 	{140037, "the same"},
-	{140002, "not known: it failed once, what it showed is lost, and it passed in nine plays since; the gateways' logs show each limit kept"},
+	{140002, "unknown: it failed once, the violation was not kept, and it passed in nine runs since; the gateways' logs show each limit kept"},
 }
 
-func build(t *testing.T) string {
+func buildGateway(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "rudder-relay")
 	if out, err := exec.Command("go", "build", "-o", bin, "./suspendable").CombinedOutput(); err != nil {
@@ -67,34 +67,34 @@
 	return bin
 }
 
-// network gives each checkout and seed loopback addresses of its own.
+// network gives each test process and seed loopback addresses of their own.
 func network(n int) byte { return byte(2 + (os.Getpid()*7+n)%250) }
 
-// usual is the size of the runs in CI.
-func usual() Config { return Config{Gateways: 4, Workers: 4, Clients: 16, Length: 4 * time.Second} }
+// ciSize is the size of the runs in CI.
+func ciSize() Config { return Config{Gateways: 4, Workers: 4, Clients: 16, Length: 4 * time.Second} }
 
-// play plays one seed; c says how large and how long.
-func play(t *testing.T, bin string, seed uint64, n int, c Config) {
+// runSeed runs one seed; c gives the size and the duration.
+func runSeed(t *testing.T, bin string, seed uint64, n int, c Config) {
 	t.Helper()
 	dir := t.TempDir()
 	c.Seed, c.Binary, c.Dir, c.Network = seed, bin, dir, network(n)
-	report, err := Play(t.Context(), c)
+	report, err := Run(t.Context(), c)
 	if err != nil {
 		t.Fatalf("seed %d: %v", seed, err)
 	}
-	t.Logf("seed %d: %d asked, %d answered, %d refused, %d broken, %d workers ended by one request, %d faults, %d long prompts, memory used %d times, %d workers judged by their limits, %d by their leave, %d rests", seed, report.Asked, report.Answered,
-		report.Refused, report.Broken, report.Crashes, len(report.Faults), report.Prompts, report.Used, report.Limited, report.Left, report.Rests)
-	if report.Asked == 0 || report.Answered == 0 {
-		t.Errorf("seed %d: nothing was asked, or nothing answered, so that nothing was checked", seed)
+	t.Logf("seed %d: %d requests, %d succeeded, %d refused, %d interrupted, %d workers crashed by one request, %d faults, %d long prompts, memory used %d times, %d workers checked for limits, %d for drains, %d backoffs", seed, report.Requests, report.Succeeded,
+		report.Refused, report.Interrupted, report.Crashes, len(report.Faults), report.LongPrompts, report.MemoryUses, report.LimitedWorkers, report.DrainedWorkers, report.Backoffs)
+	if report.Requests == 0 || report.Succeeded == 0 {
+		t.Errorf("seed %d: no request was sent or none succeeded, so nothing was checked", seed)
 	}
 	if len(report.Violations) == 0 {
 		return
 	}
-	if *keep != "" {
-		to := filepath.Join(*keep, fmt.Sprint(seed))
+	if *logDir != "" {
+		to := filepath.Join(*logDir, fmt.Sprint(seed))
 		if err := os.MkdirAll(to, 0o755); err != nil {
 			t.Error(err)
-		} else if err := KeepLogs(dir, to); err != nil {
+		} else if err := CopyLogs(dir, to); err != nil {
 			t.Error(err)
 		}
 	}
@@ -106,123 +106,123 @@
 	}
 }
 
-// TestSeeds plays the seeds of CI, and fresh ones where they are asked for:
+// TestSeeds runs the seeds of CI, and further seeds on request:
 // go test ./internal/soak -run Seeds -seeds 50 -keep DIR
 func TestSeeds(t *testing.T) {
-	bin := build(t)
+	bin := buildGateway(t)
 	for i, r := range regressions {
 		t.Run(fmt.Sprintf("regression-%d", r.seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, bin, r.seed, i, usual())
+			runSeed(t, bin, r.seed, i, ciSize())
 		})
 	}
 	for i, r := range engineRegressions {
 		t.Run(fmt.Sprintf("engines-%d", r.seed), func(t *testing.T) {
 			t.Parallel()
-			c := usual()
-			c.Length, c.Engines, c.Restores = 8*time.Second, 4, true
-			play(t, bin, r.seed, len(regressions)+i, c)
+			c := ciSize()
+			c.Length, c.Engines, c.RestoreStore = 8*time.Second, 4, true
+			runSeed(t, bin, r.seed, len(regressions)+i, c)
 		})
 	}
 	for i := range *seeds {
-		seed := *first + uint64(i)
+		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, bin, seed, len(regressions)+len(engineRegressions)+i, Config{Gateways: *gateways, Workers: *workers, Clients: *clients, Length: *length, Engines: *engines, Restores: true})
+			runSeed(t, bin, seed, len(regressions)+len(engineRegressions)+i, Config{Gateways: *gateways, Workers: *workers, Clients: *clients, Length: *length, Engines: *engines, RestoreStore: true})
 		})
 	}
 }
 
 func newFacts() *facts {
-	return &facts{ledger: usersplatform.NewLedger(), revoked: make(map[string]time.Time), owners: map[string]string{"k": "w", "other": "x"}, troubled: make(map[string][]span), harmed: make(map[string][]span)}
+	return &facts{ledger: usersplatform.NewLedger(), revoked: make(map[string]time.Time), owners: map[string]string{"k": "w", "other": "x"}, disrupted: make(map[string][]interval), lossy: make(map[string][]interval)}
 }
 
-// runOnce writes a run into the ledger as a worker does.
-func runOnce(f *facts, id, key string, at time.Time) {
-	f.ledger.Add(id, usersplatform.Run{Worker: "i", Workspace: f.owners[key], At: at})
+// addRun records a run in the ledger as a worker does.
+func addRun(f *facts, id, key string, at time.Time) {
+	f.ledger.AddRun(id, usersplatform.Run{Worker: "i", Workspace: f.owners[key], At: at})
 }
 
-// TestCheckSeesFaults: each check finds what it is there for.
+// TestCheckSeesFaults: each check finds its kind of violation.
 func TestCheckSeesFaults(t *testing.T) {
 	now := time.Now()
 	cases := []struct {
-		name string
-		make func(f *facts) asked
+		name  string
+		setup func(f *facts) request
 	}{
-		{"another's answer", func(*facts) asked {
-			return asked{id: "a", kind: "safe", status: 200, seal: "seal-b", body: want("safe", "b")}
+		{"another request's response", func(*facts) request {
+			return request{id: "a", kind: "safe", status: 200, seal: "seal-b", body: expectedBody("safe", "b")}
 		}},
-		{"half an answer that looks whole", func(*facts) asked {
-			return asked{id: "a", kind: "stream", status: 200, seal: "seal-a", body: want("stream", "a")[:9]}
+		{"truncated response that looks complete", func(*facts) request {
+			return request{id: "a", kind: "stream", status: 200, seal: "seal-a", body: expectedBody("stream", "a")[:9]}
 		}},
-		{"an event twice", func(*facts) asked {
-			return asked{id: "a", kind: "stream", status: 200, seal: "seal-a", body: want("stream", "a") + want("stream", "a")}
+		{"repeated events", func(*facts) request {
+			return request{id: "a", kind: "stream", status: 200, seal: "seal-a", body: expectedBody("stream", "a") + expectedBody("stream", "a")}
 		}},
-		{"a failure with a seal", func(*facts) asked { return asked{id: "a", kind: "safe", status: 502, seal: "seal-a"} }},
-		{"two runs", func(f *facts) asked {
-			runOnce(f, "a", "k", now)
-			runOnce(f, "a", "k", now)
-			return asked{id: "a", kind: "once", key: "k", status: 502}
+		{"failure with a seal", func(*facts) request { return request{id: "a", kind: "safe", status: 502, seal: "seal-a"} }},
+		{"two runs", func(f *facts) request {
+			addRun(f, "a", "k", now)
+			addRun(f, "a", "k", now)
+			return request{id: "a", kind: "once", key: "k", status: 502}
 		}},
-		{"refused, but run", func(f *facts) asked {
-			runOnce(f, "a", "k", now)
-			return asked{id: "a", kind: "once", key: "k", status: 503}
+		{"refused but run", func(f *facts) request {
+			addRun(f, "a", "k", now)
+			return request{id: "a", kind: "once", key: "k", status: 503}
 		}},
-		{"a withdrawn key", func(f *facts) asked {
-			runOnce(f, "a", "k", now)
+		{"withdrawn key", func(f *facts) request {
+			addRun(f, "a", "k", now)
 			f.revoked["k"] = now.Add(-revokeAfter - time.Millisecond)
-			return asked{id: "a", kind: "safe", key: "k", status: 502, sent: now}
+			return request{id: "a", kind: "safe", key: "k", status: 502, sent: now}
 		}},
-		{"another's workspace", func(f *facts) asked {
-			runOnce(f, "a", "other", now)
-			return asked{id: "a", kind: "safe", key: "k", status: 502}
+		{"another workspace", func(f *facts) request {
+			addRun(f, "a", "other", now)
+			return request{id: "a", kind: "safe", key: "k", status: 502}
 		}},
-		{"cut off by a stop", func(f *facts) asked {
-			runOnce(f, "a", "k", now)
-			f.stops = append(f.stops, span{now, now})
-			return asked{id: "a", kind: "safe", key: "k", sent: now, ended: now, broken: os.ErrClosed}
+		{"interrupted by a stop", func(f *facts) request {
+			addRun(f, "a", "k", now)
+			f.stops = append(f.stops, interval{now, now})
+			return request{id: "a", kind: "safe", key: "k", sent: now, ended: now, err: os.ErrClosed}
 		}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFacts()
-			a := tc.make(f)
-			if got := violations([]asked{a}, f); len(got) != 1 {
+			a := tc.setup(f)
+			if got := violations([]request{a}, f); len(got) != 1 {
 				t.Errorf("violations %q, want one", got)
 			}
 		})
 	}
 }
 
-// TestCheckSeesCrashes: sends of a request that ends workers count when they come too late,
-// from gateways that were in touch.
+// TestCheckSeesCrashes: sends of a crashing request are found if they come too late and from
+// undisturbed gateways.
 func TestCheckSeesCrashes(t *testing.T) {
 	now := time.Now()
-	late := now.Add(contactTime + time.Millisecond)
+	late := now.Add(propagationTime + time.Millisecond)
 	cases := []struct {
-		name    string
-		crashes int
-		sends   int
-		at      time.Time
-		trouble []span
-		want    bool
+		name        string
+		crashes     int
+		sends       int
+		at          time.Time
+		disruptions []interval
+		want        bool
 	}{
-		{"too many", 3, sendsAllowed + 1, late, nil, true},
-		{"as many as are allowed", 3, sendsAllowed, late, nil, false},
+		{"too many sends", 3, maxLateSends + 1, late, nil, true},
+		{"as many sends as allowed", 3, maxLateSends, late, nil, false},
 		{"soon after the third", 3, 10, late.Add(-2 * time.Millisecond), nil, false},
-		{"before there were three", 2, 10, late, nil, false},
-		{"by a gateway that was killed", 3, 10, late, []span{{now, now.Add(time.Millisecond)}}, false},
-		{"by a gateway that was killed long before", 3, 10, late, []span{{now.Add(-time.Hour), now.Add(-time.Second)}}, true},
+		{"after fewer than three crashes", 2, 10, late, nil, false},
+		{"by a killed gateway", 3, 10, late, []interval{{now, now.Add(time.Millisecond)}}, false},
+		{"by a gateway killed long before", 3, 10, late, []interval{{now.Add(-time.Hour), now.Add(-time.Second)}}, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFacts()
 			f.crashes = slices.Repeat([]time.Time{now}, tc.crashes)
-			f.troubled["g"] = tc.trouble
-			var all []asked
+			f.disrupted["g"] = tc.disruptions
+			var all []request
 			for n := range tc.sends {
-				a := asked{id: fmt.Sprint(n), kind: "stream", key: "k", gateway: "g", status: 502, crashing: true}
-				runOnce(f, a.id, "k", tc.at)
+				a := request{id: fmt.Sprint(n), kind: "stream", key: "k", gateway: "g", status: 502, crashesWorker: true}
+				addRun(f, a.id, "k", tc.at)
 				all = append(all, a)
 			}
 			if got := violations(all, f); (len(got) == 1) != tc.want || len(got) > 1 {
@@ -232,26 +232,26 @@
 	}
 }
 
-// TestCheckSeesUnusedMemory: memory that is set aside and used by nobody is found when it lapses, also
-// while it goes on; what is used, or given back in time, is not.
+// TestCheckSeesUnusedMemory: memory that is reserved but unused for too long is found, also while
+// it is still reserved; memory that is used, or released in time, is not.
 func TestCheckSeesUnusedMemory(t *testing.T) {
-	long := time.Now().Add(-unusedAllowed - 2*unusedSlack)
+	long := time.Now().Add(-maxUnusedTime - 2*unusedSlack)
 	soon := time.Now().Add(-time.Second)
 	cases := []struct {
 		name string
-		play func(m *usersplatform.Memory)
+		use  func(m *usersplatform.Memory)
 		want int
 	}{
-		{"unused for long", func(m *usersplatform.Memory) { m.SetAside("a", long) }, 1},
-		{"unused and given back", func(m *usersplatform.Memory) { m.SetAside("a", long); m.Release("a") }, 1},
-		{"unused and used at last", func(m *usersplatform.Memory) { m.SetAside("a", long); m.Use([]string{"a"}, true) }, 1},
-		{"used for long", func(m *usersplatform.Memory) { m.SetAside("a", soon); m.Use([]string{"a"}, true) }, 0},
-		{"unused for a moment", func(m *usersplatform.Memory) { m.SetAside("a", soon); m.Release("a") }, 0},
+		{"unused for too long", func(m *usersplatform.Memory) { m.Reserve("a", long) }, 1},
+		{"unused, then released", func(m *usersplatform.Memory) { m.Reserve("a", long); m.Release("a") }, 1},
+		{"unused, then used", func(m *usersplatform.Memory) { m.Reserve("a", long); m.SetUsed([]string{"a"}, true) }, 1},
+		{"used", func(m *usersplatform.Memory) { m.Reserve("a", soon); m.SetUsed([]string{"a"}, true) }, 0},
+		{"unused for a short time", func(m *usersplatform.Memory) { m.Reserve("a", soon); m.Release("a") }, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			m := usersplatform.NewMemory()
-			tc.play(m)
+			tc.use(m)
 			if got := checkMemory(m); len(got) != tc.want {
 				t.Errorf("violations %q, want %d", got, tc.want)
 			}
--- a/internal/soak/suspendable/main.go
+++ b/internal/soak/suspendable/main.go
@@ -1,5 +1,5 @@
-// Command suspendable is rudder-relay on a host that is suspended when a file says so: the
-// fault soak cannot suspend the machine that it runs on.
+// Command suspendable is rudder-relay on a host whose suspensions are read from a file: the fault
+// soak cannot suspend the machine that it runs on.
 package main
 
 import (
@@ -12,28 +12,28 @@
 	"github.com/micarudder/micarudder/relay"
 )
 
-// fileVar names the environment variable with the file's path. The file holds how long the
-// host was suspended in all.
+// fileVar names the environment variable with the path of the file, which holds the total time for
+// which the host was suspended.
 const fileVar = "SUSPENDED_FILE"
 
 func main() {
 	s := new(relay.Settings)
-	before := read()
-	suspended := func() time.Duration { return read() - before }
+	initial := readSuspended()
+	suspended := func() time.Duration { return readSuspended() - initial }
 	os.Exit(daemon.Main("rudder-relay", s, &s.Process, func(env daemon.Env) (daemon.Service, error) {
 		return relay.Open(s, env, relay.Options{Adapt: platform.Adapt, Suspended: suspended})
 	}))
 }
 
-// read returns what the file says; before there is one, the host was never suspended.
-func read() time.Duration {
+// readSuspended returns the time in the file; without a file, the host was never suspended.
+func readSuspended() time.Duration {
 	p, err := os.ReadFile(os.Getenv(fileVar))
 	if err != nil {
 		return 0
 	}
 	d, err := time.ParseDuration(strings.TrimSpace(string(p)))
 	if err != nil {
-		return 0 // it is being written
+		return 0 // the file is being written
 	}
 	return d
 }
--- a/internal/standin/usersplatform/said.go
+++ b/internal/standin/usersplatform/said.go
@@ -2,22 +2,23 @@
 
 import "net/http"
 
-// Said is what an answer says of the worker that gives it, as the texts of its fields; empty: it says nothing.
-type Said struct {
-	Limit   string // requests a second that it takes from all gateways together
-	Leaving string
-	Rest    string // seconds for which it wants nothing from the gateway that it turns away
+// Statement is what the header of a response states about its worker, as the texts of the fields;
+// empty: not stated.
+type Statement struct {
+	Limit    string // requests per second that it accepts from all gateways together
+	Draining string
+	Backoff  string // seconds for which it accepts no requests from the gateway whose request it rejects
 }
 
-// Saying returns what an answer says.
-func Saying(h http.Header) Said {
-	return Said{Limit: h.Get("Server-Limit"), Leaving: h.Get("Server-Leaving"), Rest: h.Get("Retry-After")}
+// StatementIn returns the statement in the header of a response.
+func StatementIn(h http.Header) Statement {
+	return Statement{Limit: h.Get("Server-Limit"), Draining: h.Get("Server-Leaving"), Backoff: h.Get("Retry-After")}
 }
 
-// lines returns the lines for the head of an answer.
-func (s Said) lines() string {
+// headerLines returns the statement as lines of a response header.
+func (s Statement) headerLines() string {
 	out := ""
-	for _, field := range []struct{ name, value string }{{"Server-Limit", s.Limit}, {"Server-Leaving", s.Leaving}, {"Retry-After", s.Rest}} {
+	for _, field := range []struct{ name, value string }{{"Server-Limit", s.Limit}, {"Server-Leaving", s.Draining}, {"Retry-After", s.Backoff}} {
 		if field.value != "" {
 			out += field.name + ": " + field.value + "\r\n"
 		}
@@ -25,38 +26,42 @@
 	return out
 }
 
-// isQuestion reports whether a request is a gateway's own, about the worker or its memory.
-func isQuestion(r *http.Request) bool { return r.URL.Path == "/report" || r.URL.Path == "/order" }
+// isGatewayCall reports whether a request is the gateway's own, for a report or with an order, and
+// not a client's.
+func isGatewayCall(r *http.Request) bool { return r.URL.Path == "/report" || r.URL.Path == "/order" }
 
-// saying returns what the answer to a request says; one that asks for rest turns it away.
-func (w *Worker) saying(question bool) Said {
+// nextStatement returns the statement for the next response. A response that requests backoff
+// rejects its request.
+func (w *Worker) nextStatement(gatewayCall bool) Statement {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	said := w.says
-	if question || w.rests == 0 || w.random.Float64() >= w.rests {
-		said.Rest = ""
+	statement := w.statement
+	if gatewayCall || w.backoffShare == 0 || w.random.Float64() >= w.backoffShare {
+		statement.Backoff = ""
 	}
-	return said
+	return statement
 }
 
-// SetLimit sets what the worker's answers name as the requests a second that it takes from all gateways
-// together; empty: nothing. It answers whatever comes.
+// SetLimit sets the limit in the worker's responses, the requests per second that it accepts from
+// all gateways together; empty: none. The worker does not enforce it.
 func (w *Worker) SetLimit(text string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.says.Limit = text
+	w.statement.Limit = text
 }
 
-// Leave makes all answers of the worker say that it leaves. It answers whatever comes.
-func (w *Worker) Leave() {
+// AnnounceDraining makes all responses of the worker announce that it drains. It continues to serve
+// all requests.
+func (w *Worker) AnnounceDraining() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.says.Leaving = "1"
+	w.statement.Draining = "1"
 }
 
-// Rest makes the worker turn away a part of the requests, 0 to 1, and ask their gateways for so many seconds of rest.
-func (w *Worker) Rest(part float64, seconds string) {
+// RequestBackoff makes the worker reject a share of the requests, 0 to 1, and request backoff for
+// so many seconds from their gateways.
+func (w *Worker) RequestBackoff(share float64, seconds string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rests, w.says.Rest = part, seconds
+	w.backoffShare, w.statement.Backoff = share, seconds
 }
--- a/internal/standin/usersplatform/speech.go
+++ b/internal/standin/usersplatform/speech.go
@@ -9,16 +9,16 @@
 	"github.com/google/uuid"
 )
 
-// Ask is the head of a client's request, beside method and path.
-type Ask struct {
+// RequestHeader holds the header fields of a client's request.
+type RequestHeader struct {
 	ID       string
 	Key      string
 	Deadline time.Duration
-	Tokens   int // of the prompt; 0: it does not say
+	Tokens   int // of the prompt; 0: not stated
 }
 
-// Write puts the head into h.
-func (a Ask) Write(h http.Header) {
+// Write sets the fields in h.
+func (a RequestHeader) Write(h http.Header) {
 	h.Set("Request-Id", a.ID)
 	h.Set("Authorization", "Bearer "+a.Key)
 	h.Set("Deadline-Ms", strconv.FormatInt(a.Deadline.Milliseconds(), 10))
@@ -27,10 +27,10 @@
 	}
 }
 
-// SealIn returns the signature that an answer carries, empty for none.
+// SealIn returns the seal of a response, empty for none.
 func SealIn(h http.Header) string { return h.Get("Response-Seal") }
 
-// Route is a route of the operator's configuration on one host.
+// Route is a route for one host in the operator's configuration.
 type Route struct {
 	Name      string // also the path, between slashes
 	Kind      string // safe, unsafe or streaming
@@ -41,14 +41,14 @@
 	Attempts  int
 }
 
-// Configuration is what the operator declares.
+// Configuration is the configuration that the operator declares.
 type Configuration struct {
-	Version    uint64
-	Host       string
-	Routes     []Route
-	Services   []string
-	Engines    string              // the service of workers of kind engine
-	Workspaces map[string][]string // keys by workspace
+	Version       uint64
+	Host          string
+	Routes        []Route
+	Services      []string
+	EngineService string              // the service of workers of kind engine
+	Workspaces    map[string][]string // keys by workspace
 }
 
 // Configure writes the configuration as the operator does.
@@ -64,8 +64,8 @@
 	for _, name := range c.Services {
 		services = append(services, map[string]any{"name": name})
 	}
-	if c.Engines != "" {
-		services = append(services, map[string]any{"name": c.Engines, "engine": engineOf()})
+	if c.EngineService != "" {
+		services = append(services, map[string]any{"name": c.EngineService, "engine": engineDeclaration()})
 	}
 	for name, keys := range c.Workspaces {
 		tenants = append(tenants, map[string]any{"name": name, "apiKeys": keys})
@@ -73,42 +73,40 @@
 	s.Put("op/config", map[string]any{"version": c.Version, "routes": routes, "services": services, "tenants": tenants})
 }
 
-// The states that a worker announces.
+// States that a worker announces.
 const (
 	Ready    = "ready"
 	Draining = "draining"
 )
 
-// Announce writes the worker's entry as the worker does, with the address at
-// which it is reached.
+// Announce writes the worker's entry as the worker does, with the address at which it is reached.
 func (s *Store) Announce(w *Worker, address, state string) {
 	s.Put("servers/"+w.ID, map[string]any{
 		"service": w.Service, "address": address, "zone": "a", "version": "v1", "slots": 8, "state": state,
-		"coldRemainingMs": 0, "sequence": 1, "born": w.Born,
+		"coldRemainingMs": 0, "sequence": 1, "born": w.StartedMs,
 	})
 }
 
-// foreign are values that no worker writes of itself.
-var foreign = []any{
+// foreignValues are entries that no worker writes about itself.
+var foreignValues = []any{
 	"ready", nil, 7, []string{"ready"}, map[string]any{}, map[string]any{"state": "ready"},
 	map[string]any{"state": "resting", "service": "safe", "address": "127.0.0.1:1", "slots": 8},
 	map[string]any{"service": "safe", "address": "127.0.0.1:1", "zone": "a", "version": "v1", "slots": -1, "state": "ready", "coldRemainingMs": 0, "sequence": 1},
 	map[string]any{"service": "safe", "address": "127.0.0.1:1", "zone": "a", "version": "v1", "slots": 8, "state": "ready", "coldRemainingMs": 0, "sequence": 1, "born": "now"},
 }
 
-// PutForeign writes entries of another writer beside those of the workers; remove takes
-// them away.
+// PutForeign writes entries of another writer beside those of the workers; remove deletes them.
 func (s *Store) PutForeign() (remove func()) {
 	writer := uuid.NewString()
-	for n, value := range foreign {
+	for n, value := range foreignValues {
 		s.Put(fmt.Sprintf("servers/x-%d-%s", n, writer), value)
 	}
 	return func() {
-		for n := range foreign {
+		for n := range foreignValues {
 			s.Delete(fmt.Sprintf("servers/x-%d-%s", n, writer))
 		}
 	}
 }
 
-// Withdraw removes the worker's entry.
+// Withdraw deletes the worker's entry.
 func (s *Store) Withdraw(w *Worker) { s.Delete("servers/" + w.ID) }
--- a/internal/standin/usersplatform/store.go
+++ b/internal/standin/usersplatform/store.go
@@ -1,6 +1,6 @@
-// Package usersplatform stands in for the users' platform as the adapter speaks
-// to it: a store with leases and troubles, and workers that keep a ledger of
-// what they ran. It is for tests and the fault soak; it models no engine.
+// Package usersplatform simulates the users' platform as the adapter sees it: a store with leases
+// and injected failures, and workers that record in a ledger what they ran. It serves tests and the
+// fault soak; it does not model the speed of an engine.
 package usersplatform
 
 import (
@@ -14,19 +14,19 @@
 	"time"
 )
 
-// Trouble is what is wrong with the store.
+// Trouble is a failure mode of the store.
 type Trouble int
 
-// The troubles.
+// Failure modes.
 const (
 	Fine   Trouble = iota
 	Busy           // every call gets 503
 	Silent         // no call is answered
-	Slow           // every answer takes slowTime
+	Slow           // every response is delayed by slowDelay
 )
 
-// slowTime is how late a slow store answers.
-const slowTime = 400 * time.Millisecond
+// slowDelay is the delay of every response of a slow store.
+const slowDelay = 400 * time.Millisecond
 
 // Store is the platform's key-value store.
 type Store struct {
@@ -34,25 +34,25 @@
 	revision uint64
 	items    map[string]item
 	leases   map[uint64]time.Time
-	trouble  Trouble
+	failure  Trouble
 	calls    int
-	era      uint64 // rises when the store comes back from an older copy
-	// writes are what the operator and the workers wrote, the newest last.
+	era      uint64 // incremented when the store is restored from an older copy
+	// writes holds what the operator and the workers wrote, the newest last.
 	writes []write
 }
 
-// write is one key that was written or removed.
+// write is the write or deletion of one key.
 type write struct {
 	key   string
-	value []byte // nil: removed
+	value []byte // nil: deleted
 }
 
-// Copy is what a store held at some moment.
-type Copy struct {
+// Snapshot is the contents of a store at some time.
+type Snapshot struct {
 	revision uint64
 	items    map[string]item
 	leases   map[uint64]time.Time
-	writes   int // how many had been made
+	writes   int // number of writes until then
 }
 
 type item struct {
@@ -68,25 +68,25 @@
 	return &Store{items: make(map[string]item), leases: make(map[uint64]time.Time), era: 1}
 }
 
-// Copy returns what the store holds now.
-func (s *Store) Copy() Copy {
+// Copy returns a snapshot of the store.
+func (s *Store) Copy() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{s.revision, maps.Clone(s.items), maps.Clone(s.leases), len(s.writes)}
+	return Snapshot{s.revision, maps.Clone(s.items), maps.Clone(s.leases), len(s.writes)}
 }
 
-// Restore makes the store go on from an older copy: what was written since is gone, leases
-// too, and revisions are given out again.
-func (s *Store) Restore(c Copy) {
+// Restore resets the store to an older snapshot: later writes and leases are lost, and revisions
+// are assigned again.
+func (s *Store) Restore(c Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision, s.items, s.leases = c.revision, maps.Clone(c.items), maps.Clone(c.leases)
 	s.era++
 }
 
-// WriteAgain writes what the operator and the workers wrote since the copy was made, or removes
-// what they removed.
-func (s *Store) WriteAgain(since Copy, removed bool) {
+// Replay repeats what the operator and the workers wrote since the snapshot: the values, or with
+// removed the deletions. Only the newest write of each key counts.
+func (s *Store) Replay(since Snapshot, removed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newest := make(map[string][]byte)
@@ -104,21 +104,21 @@
 	}
 }
 
-// SetTrouble sets what is wrong with the store from now on.
+// SetTrouble sets the failure mode of the store.
 func (s *Store) SetTrouble(t Trouble) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble = t
+	s.failure = t
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Put writes a value as the operator or a worker does, whatever the trouble.
+// Put writes a value as the operator or a worker does, in any failure mode.
 func (s *Store) Put(key string, value any) {
 	p, err := json.Marshal(value)
 	if err != nil {
@@ -130,7 +130,7 @@
 	s.put(key, p, 0)
 }
 
-// Delete removes a key.
+// Delete deletes a key.
 func (s *Store) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,13 +148,13 @@
 	s.items[key] = item{key, value, s.revision, created, lease}
 }
 
-// ServeHTTP answers the store's calls.
+// ServeHTTP answers the calls to the store.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.calls++
-	trouble := s.trouble
+	failure := s.failure
 	s.mu.Unlock()
-	switch trouble {
+	switch failure {
 	case Busy:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -162,7 +162,7 @@
 		<-r.Context().Done()
 		return
 	case Slow:
-		time.Sleep(slowTime)
+		time.Sleep(slowDelay)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,14 +201,14 @@
 		if _, ok := s.leases[id]; !ok {
 			return http.StatusNotFound, nil
 		}
-		s.leases[id] = time.Now().Add(keepTime)
-		return http.StatusOK, map[string]any{"ttlMs": keepTime.Milliseconds()}
+		s.leases[id] = time.Now().Add(renewedTTL)
+		return http.StatusOK, map[string]any{"ttlMs": renewedTTL.Milliseconds()}
 	}
 	return http.StatusNotFound, nil
 }
 
-// keepTime is how long a renewed lease lasts.
-const keepTime = 12 * time.Second
+// renewedTTL is the lifetime of a renewed lease.
+const renewedTTL = 12 * time.Second
 
 func (s *Store) list(prefix string) []item {
 	out := []item{}
@@ -255,7 +255,7 @@
 	return http.StatusOK, map[string]any{"revision": s.revision}
 }
 
-// expire drops leases that ran out, with their keys.
+// expire removes expired leases with their keys.
 func (s *Store) expire(now time.Time) {
 	for id, end := range s.leases {
 		if now.Before(end) {
