--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -69,8 +69,8 @@
 func (r *run) recordDisruption(gateway int, from time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	front := r.serviceAddress(gateway)
-	r.facts.disrupted[front] = append(r.facts.disrupted[front], interval{from, time.Now()})
+	address := r.serviceAddress(gateway)
+	r.facts.disrupted[address] = append(r.facts.disrupted[address], interval{from, time.Now()})
 }
 
 // checkCrashes verifies that undisturbed gateways stop sending a request that has crashed three
--- a/internal/soak/limit_test.go
+++ b/internal/soak/limit_test.go
@@ -173,7 +173,7 @@
 		{"one of six", 0, false, limitScenario{gateways: 6, workers: 6, limited: 1, perSecond: 2, clients: 24, length: 6 * time.Second}},
 		{"all, 6 gateways", nearlyAll, true, limitScenario{gateways: 6, workers: 6, limited: 6, perSecond: 1.9, clients: 24, length: 8 * time.Second}},
 		{"all, 24 gateways", nearlyAll, true, limitScenario{gateways: 24, workers: 4, limited: 4, perSecond: 2, clients: 24, length: 8 * time.Second}},
-		{"all, 24 gateways, one asked", nearlyAll, true, limitScenario{gateways: 24, workers: 4, limited: 4, perSecond: 2, clients: 24, singleGateway: true, length: 8 * time.Second}},
+		{"all, 24 gateways, one used", nearlyAll, true, limitScenario{gateways: 24, workers: 4, limited: 4, perSecond: 2, clients: 24, singleGateway: true, length: 8 * time.Second}},
 		{"all, a request every few seconds at each of 24", 0, true, limitScenario{gateways: 24, workers: 4, limited: 4, perSecond: 2, clients: 24, gatewayPerClient: true, maxPause: 6 * time.Second, length: 12 * time.Second, minServed: nearlyAll}},
 		{"all, gateways killed", withFailovers, true, limitScenario{gateways: 6, workers: 4, limited: 4, perSecond: 2, clients: 24, length: 9 * time.Second, during: killGatewaysInTurn}},
 		{"all, gateways frozen", withFailovers, true, limitScenario{gateways: 6, workers: 4, limited: 4, perSecond: 2, clients: 24, length: 9 * time.Second, during: freezeGatewaysInTurn}},
@@ -284,7 +284,7 @@
 func TestCheckSeesLimits(t *testing.T) {
 	now := time.Now()
 	late := propagationTime + time.Second
-	const most = 1.5*2*4 + 5
+	const maxTolerated = 1.5*2*4 + 5
 	cases := []struct {
 		name        string
 		sends       int           // negative: reports and orders of a gateway
@@ -293,13 +293,13 @@
 		disruptions []interval
 		want        int
 	}{
-		{"too many requests", most + 1, late, true, nil, 1},
-		{"as many requests as tolerated", most, late, true, nil, 0},
-		{"before the notice has propagated", most + 1, propagationTime - 2*time.Second, true, nil, 0},
-		{"from a gateway without notice", most + 1, late, false, nil, 0},
-		{"reports and orders before any notice", -most - 1, late, false, nil, 0},
-		{"reports and orders after a notice", -most - 1, late, true, nil, 1},
-		{"from a frozen gateway", most + 1, late, true, []interval{{now.Add(late - time.Second), now.Add(late - time.Second/2)}}, 0},
+		{"too many requests", maxTolerated + 1, late, true, nil, 1},
+		{"as many requests as tolerated", maxTolerated, late, true, nil, 0},
+		{"before the notice has propagated", maxTolerated + 1, propagationTime - 2*time.Second, true, nil, 0},
+		{"from a gateway without notice", maxTolerated + 1, late, false, nil, 0},
+		{"reports and orders before any notice", -maxTolerated - 1, late, false, nil, 0},
+		{"reports and orders after a notice", -maxTolerated - 1, late, true, nil, 1},
+		{"from a frozen gateway", maxTolerated + 1, late, true, []interval{{now.Add(late - time.Second), now.Add(late - time.Second/2)}}, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/soak/memory.go
+++ b/internal/soak/memory.go
@@ -32,7 +32,7 @@
 var engineFaults = []fault{
 	{"engines hang", false, setEngineFaults(usersplatform.Faults{Hang: 0.6})},
 	{"engines hang", false, setEngineFaults(usersplatform.Faults{Hang: 0.6})},
-	{"engines lose responses", false, setEngineFaults(usersplatform.Faults{LoseAnswer: 0.6})},
+	{"engines lose responses", false, setEngineFaults(usersplatform.Faults{LoseResponse: 0.6})},
 	{"engine connections reset", false, func(r *run, random *rand.Rand, _ time.Duration) { r.reset(r.pickEngine(random)) }},
 	{"engine unreachable", false, func(r *run, random *rand.Rand, length time.Duration) {
 		engine, began := r.pickEngine(random), time.Now()
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -68,27 +68,27 @@
 	}
 }
 
-func (p *proxy) forward(client *net.TCPConn) {
+func (p *proxy) forward(downstream *net.TCPConn) {
 	c, err := net.Dial("tcp", p.target)
 	if err != nil {
-		_ = client.SetLinger(0)
-		_ = client.Close()
+		_ = downstream.SetLinger(0)
+		_ = downstream.Close()
 		return
 	}
-	server := c.(*net.TCPConn)
+	upstream := c.(*net.TCPConn)
 	p.mu.Lock()
-	p.conns[client], p.conns[server] = true, true
+	p.conns[downstream], p.conns[upstream] = true, true
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(server, client, true) })
-	both.Go(func() { p.copy(client, server, false) })
+	both.Go(func() { p.copy(upstream, downstream, true) })
+	both.Go(func() { p.copy(downstream, upstream, false) })
 	both.Wait()
 	p.mu.Lock()
-	delete(p.conns, client)
-	delete(p.conns, server)
+	delete(p.conns, downstream)
+	delete(p.conns, upstream)
 	p.mu.Unlock()
-	_ = client.Close()
-	_ = server.Close()
+	_ = downstream.Close()
+	_ = upstream.Close()
 }
 
 // holdPollInterval is how often a direction that is held back is checked again.
--- a/internal/soak/said_test.go
+++ b/internal/soak/said_test.go
@@ -212,12 +212,12 @@
 		{"one of four, 1 gateway", 1, statementScenario{gateways: 1, workers: 4, clients: 8, announce: announceDrain(1), settle: drainNoticeTime, length: 4 * time.Second}},
 		{"one of four, 6 gateways", 1, statementScenario{gateways: 6, workers: 4, clients: 24, announce: announceDrain(1), settle: drainNoticeTime, length: 4 * time.Second}},
 		{"one of four, 24 gateways", 1, statementScenario{gateways: 24, workers: 4, clients: 48, announce: announceDrain(1), settle: drainNoticeTime, length: 4 * time.Second}},
-		{"one of four, the store away", 1, statementScenario{gateways: 6, workers: 4, clients: 24, announce: announceDrain(1), settle: drainNoticeTime, length: 4 * time.Second, during: storeOutage}},
+		{"one of four, store outage", 1, statementScenario{gateways: 6, workers: 4, clients: 24, announce: announceDrain(1), settle: drainNoticeTime, length: 4 * time.Second, during: storeOutage}},
 		{"one of four, gateways killed", 0.95, statementScenario{gateways: 6, workers: 4, clients: 24, announce: announceDrain(1), settle: drainNoticeTime, length: 7 * time.Second, during: killGatewaysInTurn}},
 		{"one of four, gateways frozen", 0.95, statementScenario{gateways: 6, workers: 4, clients: 24, announce: announceDrain(1), settle: drainNoticeTime, length: 7 * time.Second, during: freezeGatewaysInTurn}},
-		{"all, others come", 0.95, statementScenario{gateways: 6, workers: 2, clients: 24, announce: announceDrain(2), settle: 4 * time.Second, length: 4 * time.Second, during: startMoreWorkers}},
-		{"all, nobody comes", 0, statementScenario{gateways: 6, workers: 2, clients: 24, announce: announceDrain(2), settle: drainNoticeTime, length: 4 * time.Second}},
-		{"all, new lives at their addresses", 0.95, statementScenario{gateways: 6, workers: 2, clients: 24, announce: announceDrain(2), settle: 5 * time.Second, length: 4 * time.Second, during: restartWorkers}},
+		{"all, replacements start", 0.95, statementScenario{gateways: 6, workers: 2, clients: 24, announce: announceDrain(2), settle: 4 * time.Second, length: 4 * time.Second, during: startMoreWorkers}},
+		{"all, no replacements", 0, statementScenario{gateways: 6, workers: 2, clients: 24, announce: announceDrain(2), settle: drainNoticeTime, length: 4 * time.Second}},
+		{"all, restarted at their addresses", 0.95, statementScenario{gateways: 6, workers: 2, clients: 24, announce: announceDrain(2), settle: 5 * time.Second, length: 4 * time.Second, during: restartWorkers}},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -246,14 +246,14 @@
 		{"one of four, 1 gateway", 1, usedAgain, statementScenario{gateways: 1, workers: 4, clients: 8, announce: requestBackoff(1, 1, "3", time.Second), settle: 4500 * time.Millisecond, length: 3 * time.Second}},
 		{"one of four, 6 gateways", 1, usedAgain, statementScenario{gateways: 6, workers: 4, clients: 24, announce: requestBackoff(1, 1, "3", time.Second), settle: 4500 * time.Millisecond, length: 3 * time.Second}},
 		{"one of four, 24 gateways", 1, usedAgain, statementScenario{gateways: 24, workers: 4, clients: 48, announce: requestBackoff(1, 1, "3", time.Second), settle: 4500 * time.Millisecond, length: 3 * time.Second}},
-		{"one of four, while it rests", 1, 0, statementScenario{gateways: 6, workers: 4, clients: 24, announce: requestBackoff(1, 1, "3", 9*time.Second), settle: time.Second, length: 6 * time.Second}},
-		{"one of four, some gateways asked", 1, 0, statementScenario{gateways: 6, workers: 4, clients: 24, announce: requestBackoff(1, 0.1, "3", 9*time.Second), settle: time.Second, length: 6 * time.Second}},
+		{"one of four, during its backoff", 1, 0, statementScenario{gateways: 6, workers: 4, clients: 24, announce: requestBackoff(1, 1, "3", 9*time.Second), settle: time.Second, length: 6 * time.Second}},
+		{"one of four, backoff requested of some gateways", 1, 0, statementScenario{gateways: 6, workers: 4, clients: 24, announce: requestBackoff(1, 0.1, "3", 9*time.Second), settle: time.Second, length: 6 * time.Second}},
 		{"one of four, gateways killed", 0.95, 0, statementScenario{gateways: 6, workers: 4, clients: 24, announce: requestBackoff(1, 1, "3", 9*time.Second), settle: time.Second, length: 7 * time.Second, during: killGatewaysInTurn}},
 		{"one of four, gateways frozen", 0.95, 0, statementScenario{gateways: 6, workers: 4, clients: 24, announce: requestBackoff(1, 1, "3", 9*time.Second), settle: time.Second, length: 7 * time.Second, during: freezeGatewaysInTurn}},
-		{"one of four, new lives at their addresses", 0.95, 0, statementScenario{gateways: 6, workers: 4, clients: 24, announce: requestBackoff(4, 1, "20", 2*time.Second), settle: 5 * time.Second, length: 3 * time.Second, during: restartWorkers}},
-		{"all, one gateway asked", 0, 0, statementScenario{gateways: 6, workers: 2, clients: 24, singleGateway: true, announce: requestBackoff(2, 1, "3", 6*time.Second), settle: time.Second, length: 4 * time.Second}},
+		{"one of four, restarted at their addresses", 0.95, 0, statementScenario{gateways: 6, workers: 4, clients: 24, announce: requestBackoff(4, 1, "20", 2*time.Second), settle: 5 * time.Second, length: 3 * time.Second, during: restartWorkers}},
+		{"all, one gateway used", 0, 0, statementScenario{gateways: 6, workers: 2, clients: 24, singleGateway: true, announce: requestBackoff(2, 1, "3", 6*time.Second), settle: time.Second, length: 4 * time.Second}},
 		{"all, 24 gateways", 0, 0, statementScenario{gateways: 24, workers: 2, clients: 48, announce: requestBackoff(2, 1, "3", 6*time.Second), settle: time.Second, length: 4 * time.Second}},
-		{"all, and their rest is over", 0.95, 0, statementScenario{gateways: 6, workers: 2, clients: 24, announce: requestBackoff(2, 1, "2", time.Second), settle: 4 * time.Second, length: 3 * time.Second}},
+		{"all, after their backoff", 0.95, 0, statementScenario{gateways: 6, workers: 2, clients: 24, announce: requestBackoff(2, 1, "2", time.Second), settle: 4 * time.Second, length: 3 * time.Second}},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -209,7 +209,7 @@
 	}{
 		{"too many sends", 3, maxLateSends + 1, late, nil, true},
 		{"as many sends as allowed", 3, maxLateSends, late, nil, false},
-		{"soon after the third", 3, 10, late.Add(-2 * time.Millisecond), nil, false},
+		{"shortly after the third crash", 3, 10, late.Add(-2 * time.Millisecond), nil, false},
 		{"after fewer than three crashes", 2, 10, late, nil, false},
 		{"by a killed gateway", 3, 10, late, []interval{{now, now.Add(time.Millisecond)}}, false},
 		{"by a gateway killed long before", 3, 10, late, []interval{{now.Add(-time.Hour), now.Add(-time.Second)}}, true},
@@ -235,18 +235,18 @@
 // TestCheckSeesUnusedMemory: memory that is reserved but unused for too long is found, also while
 // it is still reserved; memory that is used, or released in time, is not.
 func TestCheckSeesUnusedMemory(t *testing.T) {
-	long := time.Now().Add(-maxUnusedTime - 2*unusedSlack)
-	soon := time.Now().Add(-time.Second)
+	longAgo := time.Now().Add(-maxUnusedTime - 2*unusedSlack)
+	recent := time.Now().Add(-time.Second)
 	cases := []struct {
 		name string
 		use  func(m *usersplatform.Memory)
 		want int
 	}{
-		{"unused for too long", func(m *usersplatform.Memory) { m.Reserve("a", long) }, 1},
-		{"unused, then released", func(m *usersplatform.Memory) { m.Reserve("a", long); m.Release("a") }, 1},
-		{"unused, then used", func(m *usersplatform.Memory) { m.Reserve("a", long); m.SetUsed([]string{"a"}, true) }, 1},
-		{"used", func(m *usersplatform.Memory) { m.Reserve("a", soon); m.SetUsed([]string{"a"}, true) }, 0},
-		{"unused for a short time", func(m *usersplatform.Memory) { m.Reserve("a", soon); m.Release("a") }, 0},
+		{"unused for too long", func(m *usersplatform.Memory) { m.Reserve("a", longAgo) }, 1},
+		{"unused, then released", func(m *usersplatform.Memory) { m.Reserve("a", longAgo); m.Release("a") }, 1},
+		{"unused, then used", func(m *usersplatform.Memory) { m.Reserve("a", longAgo); m.SetUsed([]string{"a"}, true) }, 1},
+		{"used", func(m *usersplatform.Memory) { m.Reserve("a", recent); m.SetUsed([]string{"a"}, true) }, 0},
+		{"unused for a short time", func(m *usersplatform.Memory) { m.Reserve("a", recent); m.Release("a") }, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -1,6 +1,5 @@
-// Package answer defines what the stand-in engine answers to a prompt: a
-// deterministic text, so that a caller can check that an answer is its own
-// and whole without asking anyone.
+// Package answer defines the simulated engine's answer to a prompt: a deterministic text, from
+// which a caller can verify on its own that an answer is complete and belongs to its prompt.
 package answer
 
 import (
@@ -15,13 +14,13 @@
 const (
 	// TokenBytes is the length of every token of an answer.
 	TokenBytes = 4
-	// DefaultTokens is the length of an answer when the body names none.
+	// DefaultTokens is the length of an answer if the body does not state one.
 	DefaultTokens = 16
-	// letters has 32 entries, so that five bits choose one.
-	letters = "abcdefghijklmnopqrstuvwxyz234567"
+	// alphabet has 32 entries, so that five bits choose one.
+	alphabet = "abcdefghijklmnopqrstuvwxyz234567"
 )
 
-// Body is what matters of a completion request.
+// Body holds the relevant fields of a completion request.
 type Body struct {
 	Model     string
 	Prompt    string
@@ -29,11 +28,11 @@
 	Stream    bool
 }
 
-// ErrBadBody: the body is no JSON object.
+// ErrBadBody is returned for a body that is not a JSON object.
 var ErrBadBody = errors.New("answer: the body is no JSON object")
 
-// Parse reads a body of either completion path. It is made for prompts of
-// megabytes, which encoding/json would go over four times.
+// Parse parses a body for either completion path. It is optimised for prompts of megabytes, which
+// encoding/json would scan four times.
 func Parse(body []byte) (Body, error) {
 	doc := gjson.ParseBytes(body)
 	if !gjson.ValidBytes(body) || !doc.IsObject() {
@@ -54,7 +53,7 @@
 	case "prompt":
 		b.Prompt = v.Str
 	case "messages":
-		b.Prompt = join(v)
+		b.Prompt = joinContents(v)
 	case "stream":
 		b.Stream = v.Bool()
 	case "max_tokens", "max_completion_tokens":
@@ -64,8 +63,8 @@
 	}
 }
 
-// join returns the contents of messages one after the other.
-func join(messages gjson.Result) string {
+// joinContents returns the concatenated contents of messages.
+func joinContents(messages gjson.Result) string {
 	all := messages.Array()
 	if len(all) == 1 {
 		return contentOf(all[0])
@@ -77,7 +76,7 @@
 	return sb.String()
 }
 
-// contentOf returns the text of a message, which may be given in parts.
+// contentOf returns the text of a message, which may consist of parts.
 func contentOf(message gjson.Result) string {
 	content := message.Get("content")
 	if !content.IsArray() {
@@ -90,9 +89,8 @@
 	return sb.String()
 }
 
-// PromptOf returns the prompt text of a body: the prompt of a plain
-// completion, or the contents of a chat's messages one after the other. An
-// unreadable body has an empty prompt.
+// PromptOf returns the prompt text of a body: the prompt of a plain completion, or the concatenated
+// contents of a chat's messages. For an invalid body it is empty.
 func PromptOf(body []byte) []byte {
 	b, err := Parse(body)
 	if err != nil {
@@ -101,7 +99,7 @@
 	return []byte(b.Prompt)
 }
 
-// Key is the hash of a prompt from which its answer follows.
+// Key is the hash of a prompt, which determines the answer.
 type Key uint64
 
 // KeyOf returns the key of a prompt.
@@ -115,24 +113,24 @@
 	return Key(xxhash.Sum64(prompt)).Append(make([]byte, 0, n*TokenBytes), 0, n)
 }
 
-// Append appends the tokens from up to, not including, to.
+// Append appends the tokens from, inclusive, to to, exclusive.
 func (k Key) Append(dst []byte, from, to int) []byte {
 	for i := from; i < to; i++ {
-		x := mix(uint64(k) + uint64(i)*0x9e3779b97f4a7c15)
-		dst = append(dst, letters[x&31], letters[x>>5&31], letters[x>>10&31], ' ')
+		x := splitmix(uint64(k) + uint64(i)*0x9e3779b97f4a7c15)
+		dst = append(dst, alphabet[x&31], alphabet[x>>5&31], alphabet[x>>10&31], ' ')
 	}
 	return dst
 }
 
-// Matches reports whether text is the beginning of the answer.
+// Matches reports whether text is a prefix of the answer.
 func (k Key) Matches(text []byte) bool {
 	tokens := (len(text) + TokenBytes - 1) / TokenBytes
 	want := k.Append(make([]byte, 0, tokens*TokenBytes), 0, tokens)
 	return string(want[:len(text)]) == string(text)
 }
 
-// mix is the finaliser of splitmix64.
-func mix(x uint64) uint64 {
+// splitmix is the finaliser of splitmix64.
+func splitmix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
@@ -141,21 +139,20 @@
 const (
 	tagOpen  = "[tag:"
 	tagClose = "]"
-	// tagReach is how far into a prompt a tag is looked for.
-	tagReach = 512
+	// tagSearchBytes is how far from the start and the end of a prompt a tag is searched for.
+	tagSearchBytes = 512
 )
 
-// Tag returns the text that marks a prompt, so that its executions can be
-// counted whatever ids they ran under. It belongs at the prompt's start or,
-// to keep a common prefix cacheable, at its end.
+// Tag returns a text that marks a prompt, so that its executions can be counted regardless of their
+// ids. It belongs at the start of the prompt or, to keep a common prefix cacheable, at its end.
 func Tag(name string) string { return tagOpen + name + tagClose }
 
-// TagOf returns the name in a prompt's tag, or "".
+// TagOf returns the name in a prompt's tag, or "" without a tag.
 func TagOf(prompt string) string {
-	if t := tagIn(prompt[:min(len(prompt), tagReach)]); t != "" {
+	if t := tagIn(prompt[:min(len(prompt), tagSearchBytes)]); t != "" {
 		return t
 	}
-	return tagIn(prompt[max(0, len(prompt)-tagReach):])
+	return tagIn(prompt[max(0, len(prompt)-tagSearchBytes):])
 }
 
 func tagIn(s string) string {
--- a/internal/standin/answer/answer_test.go
+++ b/internal/standin/answer/answer_test.go
@@ -18,11 +18,11 @@
 	}{
 		{"text", `{"model":"m","prompt":"p\n\u00e9","max_tokens":3}`, answer.Body{Model: "m", Prompt: "p\né", MaxTokens: 3}, nil},
 		{"chat", `{"messages":[{"role":"system","content":"a"},{"content":"b"}],"stream":true}`, answer.Body{Prompt: "ab", Stream: true, MaxTokens: 16}, nil},
-		{"parts", `{"messages":[{"content":[{"type":"text","text":"a"},{"type":"text","text":"b"}]}]}`, answer.Body{Prompt: "ab", MaxTokens: 16}, nil},
-		{"newer name", `{"prompt":"","max_completion_tokens":5}`, answer.Body{MaxTokens: 5}, nil},
-		{"odd types", `{"model":1,"prompt":[],"max_tokens":"x","messages":7}`, answer.Body{MaxTokens: 16}, nil},
-		{"cut", `{"prompt":"p`, answer.Body{}, answer.ErrBadBody},
-		{"list", `[]`, answer.Body{}, answer.ErrBadBody},
+		{"content parts", `{"messages":[{"content":[{"type":"text","text":"a"},{"type":"text","text":"b"}]}]}`, answer.Body{Prompt: "ab", MaxTokens: 16}, nil},
+		{"newer field name", `{"prompt":"","max_completion_tokens":5}`, answer.Body{MaxTokens: 5}, nil},
+		{"wrong types", `{"model":1,"prompt":[],"max_tokens":"x","messages":7}`, answer.Body{MaxTokens: 16}, nil},
+		{"truncated", `{"prompt":"p`, answer.Body{}, answer.ErrBadBody},
+		{"array", `[]`, answer.Body{}, answer.ErrBadBody},
 		{"empty", ``, answer.Body{}, answer.ErrBadBody},
 	}
 	for _, c := range cases {
@@ -35,11 +35,11 @@
 	}
 }
 
-// enoughTokens carry 75 bits, so that two answers do not agree by chance.
+// enoughTokens is a length that carries 75 bits, so that two answers are not equal by chance.
 const enoughTokens = 5
 
-// TestPromptOfAnyText: whatever a caller writes arrives as it was meant, and
-// any cut of an answer is recognised as its beginning.
+// TestPromptOfAnyText: any prompt survives the encoding, and every prefix of an answer is
+// recognised as one.
 func TestPromptOfAnyText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prompt := rapid.String().Draw(t, "prompt")
--- a/internal/standin/engine/answering.go
+++ b/internal/standin/engine/answering.go
@@ -10,33 +10,33 @@
 	"github.com/micarudder/micarudder/internal/standin/answer"
 )
 
-// answering sends the answer of one run to its caller.
-type answering struct {
-	s    *Server
-	w    http.ResponseWriter
-	job  *job
-	run  *run
-	sent int    // bytes of the answer that the caller has
-	head []byte // beginning of each event
-	text []byte
-	buf  []byte
+// responder sends the response for one run to its caller.
+type responder struct {
+	s      *Server
+	w      http.ResponseWriter
+	req    *completion
+	run    *run
+	sent   int    // bytes of the answer that the caller has received
+	prefix []byte // start of every event
+	text   []byte
+	buf    []byte
 }
 
-// progress is a run's state at one moment.
+// progress is the state of a run at one time.
 type progress struct {
 	out    int
-	end    ending
+	state  runState
 	faults Faults
 }
 
-func (a *answering) look() progress {
+func (a *responder) progress() progress {
 	a.s.mu.Lock()
 	defer a.s.mu.Unlock()
-	return progress{a.run.out, a.run.end, a.s.faults}
+	return progress{a.run.out, a.run.state, a.s.faults}
 }
 
 // stream sends the answer as server-sent events.
-func (a *answering) stream(ctx context.Context) {
+func (a *responder) stream(ctx context.Context) {
 	h := a.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
@@ -49,43 +49,43 @@
 			a.s.cancel(a.run)
 			return
 		}
-		if a.emit(a.look()) {
+		if a.emit(a.progress()) {
 			return
 		}
 	}
 }
 
-// emit sends what is new and reports whether the stream is over.
-func (a *answering) emit(p progress) bool {
+// emit sends the new part of the answer and reports whether the stream has ended.
+func (a *responder) emit(p progress) bool {
 	limit := a.limit(p)
 	a.buf = a.buf[:0]
 	if limit > a.sent {
 		a.appendText(limit)
 	}
 	switch {
-	case p.end == finished && limit < p.out*answer.TokenBytes:
+	case p.state == finished && limit < p.out*answer.TokenBytes:
 		a.buf = append(a.buf, "data: {\"error\":{\"code\":\"failed\",\"message\":\"the engine failed\"}}\n\n"...)
-	case p.end == finished:
+	case p.state == finished:
 		a.appendEnd("length", p.out)
-	case p.end == canceled:
+	case p.state == canceled:
 		a.buf = append(a.buf, "data: {\"error\":{\"code\":\"failed\",\"message\":\"cancelled\"}}\n\n"...)
 	}
 	_, err := a.w.Write(a.buf)
 	a.flush()
-	if p.end == died || a.cut(p) {
+	if p.state == died || a.cutReached(p) {
 		abort()
 	}
 	if err != nil {
 		a.s.cancel(a.run)
 	}
-	return err != nil || p.end != running
+	return err != nil || p.state != running
 }
 
-// limit returns up to which byte the answer may be sent.
-func (a *answering) limit(p progress) int {
+// limit returns the length of the answer in bytes that may be sent so far.
+func (a *responder) limit(p progress) int {
 	out := p.out
 	if p.faults.FailStream {
-		out = min(out, a.job.max-1)
+		out = min(out, a.req.max-1)
 	}
 	if n := p.faults.CutAfterTokens; n > 0 {
 		out = min(out, a.run.record.Resumed+n)
@@ -93,18 +93,18 @@
 	return out * answer.TokenBytes
 }
 
-func (a *answering) cut(p progress) bool {
+func (a *responder) cutReached(p progress) bool {
 	n := p.faults.CutAfterTokens
 	return n > 0 && a.sent >= (a.run.record.Resumed+n)*answer.TokenBytes
 }
 
-// appendText adds an event with the answer's bytes up to limit.
-func (a *answering) appendText(limit int) {
+// appendText appends an event with the answer's bytes up to limit.
+func (a *responder) appendText(limit int) {
 	first := a.sent / answer.TokenBytes
-	a.text = a.job.key.Append(a.text[:0], first, limit/answer.TokenBytes)
+	a.text = a.req.key.Append(a.text[:0], first, limit/answer.TokenBytes)
 	text := a.text[a.sent-first*answer.TokenBytes:]
-	a.appendHead()
-	if a.job.chat {
+	a.appendPrefix()
+	if a.req.chat {
 		a.buf = append(a.buf, `"delta":{"content":"`...)
 		a.buf = append(a.buf, text...)
 		a.buf = append(a.buf, `"}`...)
@@ -119,21 +119,21 @@
 	a.sent = limit
 }
 
-// appendHead adds the part that all events of a stream begin with.
-func (a *answering) appendHead() {
-	if a.head == nil {
-		a.head = a.makeHead()
+// appendPrefix appends the part with which every event of a stream starts.
+func (a *responder) appendPrefix() {
+	if a.prefix == nil {
+		a.prefix = a.eventPrefix()
 	}
-	a.buf = append(a.buf, a.head...)
+	a.buf = append(a.buf, a.prefix...)
 }
 
-func (a *answering) makeHead() []byte {
+func (a *responder) eventPrefix() []byte {
 	object := "text_completion"
-	if a.job.chat {
+	if a.req.chat {
 		object = "chat.completion.chunk"
 	}
 	return fmt.Appendf(nil, `data: {"id":%s,"object":%q,"model":%s,"choices":[{"index":0,`,
-		quote(a.job.id), object, quote(a.job.model))
+		quote(a.req.id), object, quote(a.req.model))
 }
 
 // quote returns s as a JSON string.
@@ -142,10 +142,10 @@
 	return b
 }
 
-// appendEnd adds the finishing event and the closing mark.
-func (a *answering) appendEnd(reason string, out int) {
-	a.appendHead()
-	if a.job.chat {
+// appendEnd appends the final event and the end marker.
+func (a *responder) appendEnd(reason string, out int) {
+	a.appendPrefix()
+	if a.req.chat {
 		a.buf = append(a.buf, `"delta":{}`...)
 	} else {
 		a.buf = append(a.buf, `"text":""`...)
@@ -157,7 +157,7 @@
 	a.buf = append(a.buf, "}\n\ndata: [DONE]\n\n"...)
 }
 
-func (a *answering) appendUsage(out int) {
+func (a *responder) appendUsage(out int) {
 	prompt := a.run.target - uint64(a.run.record.Resumed)
 	a.buf = append(a.buf, `{"prompt_tokens":`...)
 	a.buf = strconv.AppendUint(a.buf, prompt, 10)
@@ -170,10 +170,10 @@
 	a.buf = append(a.buf, "}}"...)
 }
 
-func (a *answering) flush() { _ = http.NewResponseController(a.w).Flush() }
+func (a *responder) flush() { _ = http.NewResponseController(a.w).Flush() }
 
-// whole sends the answer as one JSON document once the run is over.
-func (a *answering) whole(ctx context.Context) {
+// sendComplete sends the answer as one JSON document once the run has ended.
+func (a *responder) sendComplete(ctx context.Context) {
 	for {
 		select {
 		case <-a.run.notify:
@@ -181,11 +181,11 @@
 			a.s.cancel(a.run)
 			return
 		}
-		p := a.look()
-		switch p.end {
+		p := a.progress()
+		switch p.state {
 		case running:
 		case finished:
-			a.writeWhole(p.out)
+			a.writeComplete(p.out)
 			return
 		case canceled:
 			writeError(a.w, http.StatusInternalServerError, "failed", "cancelled")
@@ -196,12 +196,12 @@
 	}
 }
 
-func (a *answering) writeWhole(out int) {
-	text := a.job.key.Append(nil, 0, out)
+func (a *responder) writeComplete(out int) {
+	text := a.req.key.Append(nil, 0, out)
 	a.buf = append(a.buf[:0], `{"id":`...)
-	a.buf = append(a.buf, quote(a.job.id)...)
+	a.buf = append(a.buf, quote(a.req.id)...)
 	a.buf = append(a.buf, `,"object":"`...)
-	if a.job.chat {
+	if a.req.chat {
 		a.buf = append(a.buf, `chat.completion","choices":[{"index":0,"message":{"role":"assistant","content":"`...)
 		a.buf = append(a.buf, text...)
 		a.buf = append(a.buf, `"},`...)
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// ending says how a run ended.
-type ending int
+// runState is the state of a run; all but running are final.
+type runState int
 
 const (
-	running ending = iota
+	running runState = iota
 	finished
 	canceled
 	died
 )
 
-// String returns the ending as it stands in the record of executions.
-func (e ending) String() string {
+// String returns the state as it appears in the record of executions.
+func (e runState) String() string {
 	return [...]string{"running", "finished", "canceled", "died"}[e]
 }
 
-// run is one completion or span in the batch. Its fields are guarded by the
-// server's lock; notify wakes the handler that streams it.
+// run is one completion or span in the batch. Its fields are guarded by the server's lock; notify
+// wakes the handler that sends its result.
 type run struct {
 	id       string
 	priority int
 	seq      uint64 // order of arrival
 
-	target uint64 // tokens to have computed before the first output token
+	target uint64 // tokens to compute before the first output token
 	done   uint64 // tokens computed, imported or cached
-	cached uint64 // of them found in the prefix cache
-	out    int    // output tokens, those resumed from included
-	max    int    // output tokens at the end; 0 for a span
+	cached uint64 // part of done that was found in the prefix cache or imported
+	out    int    // output tokens, including those before a resume
+	max    int    // output tokens when finished; 0 for a span
 
 	lease  *lease
-	reads  []*heldSpan // spans that cover the prompt's start
-	end    ending
+	spans  []*heldSpan // spans that cover the start of the prompt
+	state  runState
 	notify chan struct{}
-	uses   served     // what it needs loaded
-	record *Execution // nil for a span
-	span   *heldSpan  // what a span's prefill becomes; nil for a completion
+	model  loadedModel // model or adapter that must stay loaded
+	record *Execution  // nil for a span
+	span   *heldSpan   // span that the run computes; nil for a completion
 }
 
 func (r *run) wake() {
@@ -49,7 +49,7 @@
 	}
 }
 
-// prefilled reports whether the run is past its prefill.
+// prefilled reports whether the prefill of the run is complete.
 func (r *run) prefilled() bool { return r.done >= r.target }
 
 // batch orders the runs of the engine and plans steps.
@@ -81,7 +81,7 @@
 	b.decodes = slices.DeleteFunc(b.decodes, same)
 }
 
-// waiting counts the runs whose prefill has not begun.
+// waiting returns the number of runs whose prefill has not begun.
 func (b *batch) waiting() int {
 	n := 0
 	for _, r := range b.prefills {
@@ -92,70 +92,69 @@
 	return n
 }
 
-// part is the share of one run in a step's prefill.
-type part struct {
+// prefillChunk is the part of a step's prefill that belongs to one run.
+type prefillChunk struct {
 	run    *run
 	tokens uint64
 }
 
 // step is one planned step of the batch.
 type step struct {
-	parts []part
-	cost  time.Duration
+	chunks []prefillChunk
+	cost   time.Duration
 }
 
-// plan makes the next step: every decoding run emits a token, and the chunk
-// goes to the waiting prefills in strict order.
-func (b *batch) plan(c Config, parts []part) step {
-	s := step{parts: parts[:0], cost: c.Costs.Step}
+// plan returns the next step: every decoding run emits a token, and the prefill budget goes to the
+// waiting runs strictly in order.
+func (b *batch) plan(c Config, chunks []prefillChunk) step {
+	s := step{chunks: chunks[:0], cost: c.Costs.Step}
 	s.cost += time.Duration(len(b.decodes)) * c.Costs.DecodeToken
-	left := c.ChunkTokens
+	budget := c.ChunkTokens
 	slots := c.MaxRunning - len(b.decodes)
 	for _, r := range b.prefills {
-		if left == 0 || slots <= 0 {
+		if budget == 0 || slots <= 0 {
 			break
 		}
-		n := min(left, r.target-r.done)
-		s.parts = append(s.parts, part{r, n})
+		n := min(budget, r.target-r.done)
+		s.chunks = append(s.chunks, prefillChunk{r, n})
 		s.cost += c.Costs.prefill(r.done, n)
-		left -= n
+		budget -= n
 		slots--
 	}
 	return s
 }
 
-// prefill returns the cost of n tokens after done others.
+// prefill returns the cost of prefilling n tokens after done others.
 func (c Costs) prefill(done, n uint64) time.Duration {
 	linear := float64(n) * float64(c.PrefillToken)
 	context := (float64(done) + float64(n)/2) / 1000
 	return time.Duration(linear + float64(n)*context*float64(c.PrefillTokenPer1k))
 }
 
-// advance puts a finished step into effect and returns the runs that are
-// complete. A run that is past its prefill emits its first token in the same
-// step. settle is called for each run whose prefill moved on.
-func (b *batch) advance(s step, settle func(*run)) []*run {
+// advance applies a finished step and returns the completed runs. A run whose prefill completes
+// emits its first token in the same step. onPrefill is called for each run whose prefill advanced.
+func (b *batch) advance(s step, onPrefill func(*run)) []*run {
 	for _, r := range b.decodes {
 		r.out++
 	}
-	for _, p := range s.parts {
-		if p.run.end != running {
+	for _, p := range s.chunks {
+		if p.run.state != running {
 			continue
 		}
 		p.run.done += p.tokens
-		settle(p.run)
+		onPrefill(p.run)
 		if p.run.prefilled() {
 			b.promote(p.run)
 		}
 	}
 	var complete []*run
 	b.decodes = slices.DeleteFunc(b.decodes, func(r *run) bool {
-		whole := r.out >= r.max
-		if whole {
+		done := r.out >= r.max
+		if done {
 			complete = append(complete, r)
 		}
 		r.wake()
-		return whole
+		return done
 	})
 	return complete
 }
--- a/internal/standin/engine/completion.go
+++ b/internal/standin/engine/completion.go
@@ -10,8 +10,8 @@
 	"github.com/micarudder/micarudder/prefix"
 )
 
-// job is a completion request as read from the wire.
-type job struct {
+// completion is a parsed completion request.
+type completion struct {
 	id       string
 	chat     bool
 	stream   bool
@@ -24,8 +24,8 @@
 	imports  []string
 }
 
-// readJob reads a completion request.
-func readJob(r *http.Request) (*job, *refusal) {
+// parseCompletion parses a completion request.
+func parseCompletion(r *http.Request) (*completion, *refusal) {
 	raw, err := readBody(r)
 	if err != nil {
 		return nil, badRequest(err.Error())
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, badRequest(err.Error())
 	}
-	j := &job{
+	j := &completion{
 		id:     r.Header.Get(engine.HeaderRequestID),
 		chat:   strings.HasPrefix(r.URL.Path, "/v1/chat/"),
 		stream: body.Stream || r.Header.Get(engine.HeaderStream) == "1",
@@ -51,7 +51,7 @@
 	return j, j.readHeaders(r)
 }
 
-func (j *job) readHeaders(r *http.Request) *refusal {
+func (j *completion) readHeaders(r *http.Request) *refusal {
 	limit, err := headerUint(r, engine.HeaderMaxTokens)
 	if err != nil {
 		return badRequest("bad " + engine.HeaderMaxTokens)
@@ -64,7 +64,7 @@
 			return badRequest("bad " + engine.HeaderPriority)
 		}
 	}
-	j.imports = splitHandles(r.Header.Get(engine.HeaderImport))
+	j.imports = splitSpanIDs(r.Header.Get(engine.HeaderImport))
 	if !j.key.Matches(j.resume) {
 		return badRequest("the resume text is not the beginning of this answer")
 	}
@@ -74,22 +74,22 @@
 	return nil
 }
 
-func splitHandles(v string) []string {
+func splitSpanIDs(v string) []string {
 	if v == "" {
 		return nil
 	}
 	return strings.Split(v, ",")
 }
 
-// admit takes memory for the job and puts it into the batch.
-func (s *Server) admit(j *job) (*run, *refusal) {
+// admitCompletion checks a completion request and starts its run.
+func (s *Server) admitCompletion(j *completion) (*run, *refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Refuse || s.closed {
-		return nil, s.refusing()
+		return nil, s.refuse()
 	}
-	if !s.shop.serves(j.model) {
-		return nil, errNoSuch
+	if !s.control.serves(j.model) {
+		return nil, errNotFound
 	}
 	if j.id == "" {
 		j.id = "local-" + strconv.FormatUint(s.seq+1, 10)
@@ -97,15 +97,16 @@
 	if s.runs[j.id] != nil {
 		return nil, errDuplicate
 	}
-	spans, covered, refused := s.covered(j.imports, j.model, j.prompt)
+	spans, matched, refused := s.matchSpans(j.imports, j.model, j.prompt)
 	if refused != nil {
 		return nil, refused
 	}
-	return s.start(j, spans, covered)
+	return s.startCompletion(j, spans, matched)
 }
 
-// start begins a run whose first covered prompt tokens come from held spans.
-func (s *Server) start(j *job, spans []*heldSpan, covered uint64) (*run, *refusal) {
+// startCompletion allocates memory for a run and adds it to the batch; its first covered prompt
+// tokens come from held spans.
+func (s *Server) startCompletion(j *completion, spans []*heldSpan, covered uint64) (*run, *refusal) {
 	prompt := prefix.Tokens(len(j.prompt))
 	var chain []uint64
 	if covered == 0 {
@@ -125,20 +126,20 @@
 		out:      resumed,
 		max:      j.max,
 		lease:    l,
-		reads:    spans,
+		spans:    spans,
 		record: &Execution{
 			ID: j.id, Tag: answer.TagOf(j.prompt), Prompt: j.key.String(),
 			Resumed: resumed, Output: resumed,
 		},
 	}
 	r.done = r.cached
-	r.uses, _ = s.shop.resolve(j.model)
-	s.enter(r)
+	r.model, _ = s.control.resolve(j.model)
+	s.addRun(r)
 	return r, nil
 }
 
 func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request) {
-	j, refused := readJob(r)
+	j, refused := parseCompletion(r)
 	if refused != nil {
 		refused.write(w)
 		return
@@ -147,19 +148,19 @@
 		<-r.Context().Done()
 		abort()
 	}
-	rn, refused := s.admit(j)
+	rn, refused := s.admitCompletion(j)
 	if refused != nil {
 		refused.write(w)
 		return
 	}
-	j.prompt = "" // the run needs its key only
+	j.prompt = "" // the run needs only the key; this releases the prompt
 	if s.Faults().LoseStart {
 		abort()
 	}
-	a := &answering{s: s, w: w, job: j, run: rn, sent: len(j.resume)}
+	a := &responder{s: s, w: w, req: j, run: rn, sent: len(j.resume)}
 	if j.stream {
 		a.stream(r.Context())
 	} else {
-		a.whole(r.Context())
+		a.sendComplete(r.Context())
 	}
 }
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -1,9 +1,8 @@
-// Package engine is a stand-in for a model engine: it batches continuously in
-// steps of modelled cost, keeps a prefix cache in limited memory, honours
-// priorities, resumes and cancels, exports and imports cache spans, carries
-// out orders, and fails in ways that are switched over HTTP. Its answers
-// follow from the prompt, see package answer. It costs no processor time
-// while idle and runs under virtual time.
+// Package engine simulates a model engine: it batches continuously in steps of modelled cost, has a
+// prefix cache in limited memory, supports priorities, resumption and cancellation, exports and
+// imports cache spans, executes orders, and injects faults that are set over HTTP. Its answers are
+// derived from the prompt, see package answer. It uses no processor time while idle and runs under
+// virtual time.
 package engine
 
 import (
@@ -11,48 +10,48 @@
 	"time"
 )
 
-// Costs are the modelled costs of one step, before Speed divides them.
+// Costs are the modelled costs of one step, before division by Speed.
 type Costs struct {
-	Step         time.Duration // of every step
-	DecodeToken  time.Duration // of every run that decodes in a step
-	PrefillToken time.Duration // of every prefilled token
-	// PrefillTokenPer1k is added per prefilled token for each thousand tokens
-	// of context before it; prefill is quadratic by it.
+	Step         time.Duration // per step
+	DecodeToken  time.Duration // per decoding run in a step
+	PrefillToken time.Duration // per prefilled token
+	// PrefillTokenPer1k is added per prefilled token for every thousand tokens of context before
+	// it, which makes the cost of prefill quadratic.
 	PrefillTokenPer1k time.Duration
-	TransferToken     time.Duration // of every token exported or imported
+	TransferToken     time.Duration // per exported or imported token
 }
 
-// Config sets up a stand-in engine.
+// Config configures a simulated engine.
 type Config struct {
 	Name         string
-	Models       []string // NAME or NAME@VERSION, each may be followed by +ADAPTER; loaded from the start
+	Models       []string // NAME or NAME@VERSION, optionally followed by +ADAPTER several times; loaded from the start
 	Role         string
-	MemoryTokens uint64 // of cache memory
-	MaxRunning   int    // runs in the batch, prefilling or decoding
-	ChunkTokens  uint64 // most tokens prefilled in one step
+	MemoryTokens uint64 // size of the cache memory
+	MaxRunning   int    // maximum number of runs in the batch, prefilling or decoding
+	ChunkTokens  uint64 // maximum number of tokens prefilled in one step
 	Costs        Costs
-	Speed        float64 // modelled time over real time
-	// Coalesce lets steps that together take less than this real time be
-	// computed in one go, at the price of as much jitter.
+	Speed        float64 // modelled time divided by real time
+	// Coalesce is the real time up to which the engine may run ahead, so that short steps are
+	// computed together; it adds jitter of the same size.
 	Coalesce time.Duration
 
-	// ImportDivisor: an imported span occupies its tokens over this number,
-	// for it is kept in the compressed form in which it travelled.
+	// ImportDivisor divides the memory that an imported span occupies, since the span is kept in
+	// the compressed form in which it was transferred.
 	ImportDivisor uint64
 	// ExportTokenBytes is the length of an exported span per token.
 	ExportTokenBytes uint64
 
-	LoadLag       time.Duration // age that a load report may have
-	EventDelay    time.Duration // from a cache event to its being readable
-	EventGap      uint64        // every so many cache events one is lost; 0: none
+	LoadLag       time.Duration // maximum age of a load report
+	EventDelay    time.Duration // from a cache event until it can be read
+	EventGap      uint64        // one cache event of this many is lost; 0: none
 	ChecksFencing bool          // refuse orders with an old fencing number
-	Callers       []string      // whose orders are taken; empty: anyone's
+	Callers       []string      // callers whose orders are accepted; empty: any
 
-	WeightsURL string       // base URL of the weight store; empty: loads take no time
+	WeightsURL string       // base URL of the weight store; empty: loading takes no time
 	HTTPClient *http.Client // for the weight store; nil: http.DefaultClient
 }
 
-// Default returns the settings of a middling engine in real time.
+// Default returns the configuration of an engine of average speed in real time.
 func Default() Config {
 	return Config{
 		Name:         "engine",
@@ -77,7 +76,7 @@
 	}
 }
 
-// scaled returns the real time of a modelled duration.
+// scaled converts a modelled duration to real time.
 func (c Config) scaled(d time.Duration) time.Duration {
 	if c.Speed <= 0 {
 		return d
--- a/internal/standin/engine/control.go
+++ b/internal/standin/engine/control.go
@@ -10,7 +10,7 @@
 	"github.com/micarudder/micarudder/engine"
 )
 
-// cancel ends a run unless the engine is told to ignore that.
+// cancel ends a run, unless the fault IgnoreCancel is set.
 func (s *Server) cancel(r *run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,7 +29,7 @@
 	rn := s.runs[id]
 	s.mu.Unlock()
 	if rn == nil {
-		errNoSuch.write(w)
+		errNotFound.write(w)
 		return
 	}
 	s.cancel(rn)
@@ -44,12 +44,12 @@
 	return b.ID, nil
 }
 
-// serveLoad answers with a report that may be as old as LoadLag.
+// serveLoad sends a load report that may be as old as LoadLag.
 func (s *Server) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
 	s.mu.Lock()
 	if s.load.At.IsZero() || now.Sub(s.load.At) >= s.cfg.LoadLag {
-		s.load = s.exactLoad(now)
+		s.load = s.currentLoad(now)
 	}
 	l := s.load
 	if f := s.faults.FalseLoad; f != nil {
@@ -60,7 +60,7 @@
 	writeJSON(w, l)
 }
 
-func (s *Server) exactLoad(now time.Time) engine.Load {
+func (s *Server) currentLoad(now time.Time) engine.Load {
 	waiting := s.batch.waiting()
 	return engine.Load{
 		Running:      s.batch.len() - waiting,
@@ -71,20 +71,20 @@
 	}
 }
 
-// State returns what the engine holds.
+// State returns the incarnation, runs, load, held spans, models and order state of the engine.
 func (s *Server) State() engine.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := engine.State{
 		Incarnation: s.incarnation(),
 		Running:     slices.Sorted(maps.Keys(s.runs)),
-		Load:        s.exactLoad(time.Now()),
+		Load:        s.currentLoad(time.Now()),
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.held)) {
 		h := s.held[id]
 		st.Held = append(st.Held, engine.HeldMemory{ID: h.id, Owner: h.owner, Tokens: h.memory})
 	}
-	s.shop.describe(&st)
+	s.control.describe(&st)
 	return st
 }
 
@@ -100,7 +100,7 @@
 	Object string `json:"object"`
 }
 
-// serveModels answers with the usual model list.
+// serveModels sends the list of loaded models.
 func (s *Server) serveModels(w http.ResponseWriter, _ *http.Request) {
 	list := modelList{Object: "list", Data: []modelItem{}}
 	for _, m := range s.State().Models {
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// keptEvents bounds the log; older events are lost.
-	keptEvents = 8192
-	// eventsPerAnswer bounds one answer.
-	eventsPerAnswer = 1024
+	// maxEvents is the capacity of the log; older events are dropped.
+	maxEvents = 8192
+	// maxEventsPerResponse is the maximum number of events in one response.
+	maxEventsPerResponse = 1024
 )
 
-// eventLog keeps cache events until they are due. Its numbers start at the
-// time of its making, so that they never go back across a restart.
+// eventLog stores cache events until they are due. Sequence numbers start at the time of its
+// creation in microseconds, so that they never decrease across a restart.
 type eventLog struct {
 	delay time.Duration
 	gap   uint64
@@ -35,24 +35,24 @@
 	return &eventLog{delay: c.EventDelay, gap: c.EventGap, first: start, seq: start}
 }
 
-// add appends an event; a lost one leaves a gap in the numbers.
+// add appends an event; a lost event leaves a gap in the sequence numbers.
 func (l *eventLog) add(block uint64, evicted, lost bool, now time.Time) {
 	l.seq++
 	if lost || l.gap > 0 && (l.seq-l.first)%l.gap == 0 {
 		return
 	}
-	if len(l.list) >= keptEvents {
-		l.list = append(l.list[:0], l.list[keptEvents/2:]...)
+	if len(l.list) >= maxEvents {
+		l.list = append(l.list[:0], l.list[maxEvents/2:]...)
 	}
 	ev := engine.CacheEvent{Sequence: l.seq, Block: block, Evicted: evicted}
 	l.list = append(l.list, dueEvent{ev, now.Add(l.delay)})
 }
 
-// after returns the due events with a higher number.
+// after returns the due events with sequence numbers above seq.
 func (l *eventLog) after(seq uint64, now time.Time) []engine.CacheEvent {
 	out := []engine.CacheEvent{}
 	for _, e := range l.list {
-		if e.due.After(now) || len(out) == eventsPerAnswer {
+		if e.due.After(now) || len(out) == maxEventsPerResponse {
 			break
 		}
 		if e.Sequence > seq {
@@ -62,8 +62,8 @@
 	return out
 }
 
-// cacheEdge records that a block entered or left the cache.
-func (s *Server) cacheEdge(block uint64, evicted bool) {
+// recordCacheEvent records that a block entered or left the cache.
+func (s *Server) recordCacheEvent(block uint64, evicted bool) {
 	s.events.add(block, evicted, s.faults.DropCacheEvents, time.Now())
 }
 
--- a/internal/standin/engine/executions.go
+++ b/internal/standin/engine/executions.go
@@ -2,19 +2,19 @@
 
 import "sync"
 
-// Execution is the executor's own record of one run. A run is recorded when
-// it enters the batch, whatever becomes of it.
+// Execution is the engine's own record of one run. A run is recorded when it enters the batch,
+// however it ends.
 type Execution struct {
 	ID      string `json:"id"`
 	Tag     string `json:"tag,omitempty"` // see answer.Tag
 	Prompt  string `json:"prompt"`        // answer.Key of the prompt
 	Resumed int    `json:"resumed,omitempty"`
-	Output  int    `json:"output"` // last token emitted, counted from the answer's start
+	Output  int    `json:"output"` // index of the last token emitted, counted from the start of the answer
 	End     string `json:"end"`    // running, finished, canceled or died
 }
 
-// Counts are executions by what they can be told apart by. A resumed run
-// continues an execution and counts under Resumes only.
+// Counts holds the numbers of executions by several keys. A resumed run continues an execution and
+// is counted by its id and its end, and in Resumes.
 type Counts struct {
 	Total    int            `json:"total"`
 	Finished int            `json:"finished"`
@@ -26,8 +26,7 @@
 	ByPrompt map[string]int `json:"by_prompt"`
 }
 
-// ledger keeps the executions of the process; a modelled crash of the engine
-// does not clear it.
+// ledger records the executions of the process; a simulated crash of the engine does not clear it.
 type ledger struct {
 	mu   sync.Mutex
 	list []*Execution
@@ -40,10 +39,10 @@
 	l.list = append(l.list, e)
 }
 
-func (l *ledger) end(e *Execution, how ending, out int) {
+func (l *ledger) finish(e *Execution, state runState, out int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.End = how.String()
+	e.End = state.String()
 	e.Output = out
 }
 
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -10,35 +10,35 @@
 	"github.com/micarudder/micarudder/engine"
 )
 
-// maxBodyBytes bounds a request body: a prompt of sixteen million tokens.
+// maxBodyBytes limits a request body; it allows a prompt of sixteen million tokens.
 const maxBodyBytes = 64 << 20
 
-// Handler serves the engine's protocol, the faults under /fault and the
-// record under /executions. The last two answer a frozen engine too.
+// Handler serves the engine's protocol, the faults under /fault and the record of runs under
+// /executions. The last two also respond while the engine is frozen.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	live := func(pattern string, h http.HandlerFunc) { mux.Handle(pattern, s.unlessFrozen(h)) }
-	live("POST /v1/chat/completions", s.serveCompletion)
-	live("POST /v1/completions", s.serveCompletion)
-	live("GET /v1/models", s.serveModels)
-	live("POST "+engine.PathCancel, s.serveCancel)
-	live("GET "+engine.PathLoad, s.serveLoad)
-	live("GET "+engine.PathCacheEvents, s.serveCacheEvents)
-	live("GET "+engine.PathState, s.serveState)
-	live("POST "+engine.PathOrders, s.serveOrder)
-	live("POST "+engine.PathPrefill, s.servePrefill)
-	live("POST "+engine.PathExport, s.serveExport)
-	live("POST "+engine.PathImport, s.serveImport)
-	live("POST "+engine.PathFree, s.serveFree)
+	handle := func(pattern string, h http.HandlerFunc) { mux.Handle(pattern, s.waitWhileFrozen(h)) }
+	handle("POST /v1/chat/completions", s.serveCompletion)
+	handle("POST /v1/completions", s.serveCompletion)
+	handle("GET /v1/models", s.serveModels)
+	handle("POST "+engine.PathCancel, s.serveCancel)
+	handle("GET "+engine.PathLoad, s.serveLoad)
+	handle("GET "+engine.PathCacheEvents, s.serveCacheEvents)
+	handle("GET "+engine.PathState, s.serveState)
+	handle("POST "+engine.PathOrders, s.serveOrder)
+	handle("POST "+engine.PathPrefill, s.servePrefill)
+	handle("POST "+engine.PathExport, s.serveExport)
+	handle("POST "+engine.PathImport, s.serveImport)
+	handle("POST "+engine.PathFree, s.serveFree)
 	mux.HandleFunc("GET /fault", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Faults()) })
 	mux.HandleFunc("POST /fault", s.serveFault)
 	mux.HandleFunc("GET /executions", s.serveExecutions)
 	return mux
 }
 
-// unlessFrozen holds a request back while the engine is frozen. Afterwards it
-// is served, whether its caller has left or not: it had arrived.
-func (s *Server) unlessFrozen(h http.HandlerFunc) http.Handler {
+// waitWhileFrozen delays a request while the engine is frozen. Afterwards the request is served
+// even if its caller has disconnected, since the engine had received it.
+func (s *Server) waitWhileFrozen(h http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		thaw := s.thaw
@@ -60,8 +60,7 @@
 	writeJSON(w, f)
 }
 
-// serveExecutions answers with Counts, or with every Execution if the query
-// has list=1.
+// serveExecutions sends Counts, or every Execution if the query has list=1.
 func (s *Server) serveExecutions(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("list") == "1" {
 		writeJSON(w, s.Executions())
@@ -70,7 +69,7 @@
 	writeJSON(w, s.Counts())
 }
 
-// readBody reads a whole request body.
+// readBody reads a request body of at most maxBodyBytes.
 func readBody(r *http.Request) ([]byte, error) {
 	if r.ContentLength > maxBodyBytes {
 		return nil, errors.New("body too large")
@@ -83,7 +82,7 @@
 	return body, err
 }
 
-// headerUint reads a decimal header; a missing one is 0.
+// headerUint parses a decimal header; a missing one is 0.
 func headerUint(r *http.Request, name string) (uint64, error) {
 	v := r.Header.Get(name)
 	if v == "" {
@@ -103,28 +102,29 @@
 	_ = json.NewEncoder(w).Encode(engine.ErrorBody{Error: engine.ErrorDetail{Code: code, Message: message}})
 }
 
-// refusal is why a request was not taken.
+// refusal is the reason why a request was not accepted.
 type refusal struct {
-	status int
-	code   engine.ErrorCode
-	text   string
-	rest   int // seconds, as a time to come back; 0: none is told
+	status     int
+	code       engine.ErrorCode
+	text       string
+	retryAfter int // seconds, sent as Retry-After; 0: not sent
 }
 
 func (f *refusal) write(w http.ResponseWriter) {
-	if f.rest > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(f.rest))
+	if f.retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(f.retryAfter))
 	}
 	writeError(w, f.status, f.code, f.text)
 }
 
-// refusing returns the refusal of an engine that refuses work, and counts it. The caller holds the lock.
-func (s *Server) refusing() *refusal {
+// refuse returns the refusal of an engine with the fault Refuse, or of a closed one, and counts it.
+// The caller holds the lock.
+func (s *Server) refuse() *refusal {
 	s.refused++
 	return &refusal{http.StatusServiceUnavailable, engine.CodeRefused, "the engine refuses work", s.faults.RestSeconds}
 }
 
-// Refused returns how much work was refused since the start.
+// Refused returns the number of such refusals since the process started.
 func (s *Server) Refused() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,8 +138,8 @@
 var (
 	errNoMemory  = &refusal{http.StatusInsufficientStorage, engine.CodeNoMemory, "not enough cache memory", 0}
 	errDuplicate = &refusal{http.StatusConflict, engine.CodeRefused, "the id is in use", 0}
-	errNoSuch    = &refusal{http.StatusNotFound, engine.CodeNotFound, "no such run, span or model", 0}
+	errNotFound  = &refusal{http.StatusNotFound, engine.CodeNotFound, "no such run, span or model", 0}
 )
 
-// abort breaks the connection without an answer.
+// abort breaks the connection without a response.
 func abort() { panic(http.ErrAbortHandler) }
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -11,25 +11,25 @@
 	"github.com/micarudder/micarudder/prefix"
 )
 
-// spanJob is a prefill request as read from the wire.
-type spanJob struct {
+// prefillRequest is a parsed prefill request.
+type prefillRequest struct {
 	id, owner string
 	priority  int
 	start     uint64
-	tokens    uint64 // 0: to the prompt's end
+	tokens    uint64 // 0: to the end of the prompt
 	imports   []string
 	body      answer.Body
 }
 
-func readSpanJob(r *http.Request) (*spanJob, *refusal) {
+func parsePrefill(r *http.Request) (*prefillRequest, *refusal) {
 	raw, err := readBody(r)
 	if err != nil {
 		return nil, badRequest(err.Error())
 	}
-	j := &spanJob{
+	j := &prefillRequest{
 		id:      r.Header.Get(engine.HeaderSpanID),
 		owner:   r.Header.Get(engine.HeaderSpanOwner),
-		imports: splitHandles(r.Header.Get(engine.HeaderImport)),
+		imports: splitSpanIDs(r.Header.Get(engine.HeaderImport)),
 	}
 	if j.body, err = answer.Parse(raw); err != nil {
 		return nil, badRequest(err.Error())
@@ -48,34 +48,35 @@
 	return j, j.check()
 }
 
-// check bounds the span by the prompt.
-func (j *spanJob) check() *refusal {
-	whole := prefix.Tokens(len(j.body.Prompt))
-	if j.id == "" || j.start >= whole {
+// check verifies that the span lies within the prompt; without a length it extends to the end of
+// the prompt.
+func (j *prefillRequest) check() *refusal {
+	promptTokens := prefix.Tokens(len(j.body.Prompt))
+	if j.id == "" || j.start >= promptTokens {
 		return badRequest("the span has no id or begins after the prompt's end")
 	}
 	if j.tokens == 0 {
-		j.tokens = whole - j.start
+		j.tokens = promptTokens - j.start
 	}
-	if j.tokens > whole-j.start {
+	if j.tokens > promptTokens-j.start {
 		return badRequest("the span ends after the prompt's end")
 	}
 	return nil
 }
 
-// admitSpan takes memory for the span and puts its prefill into the batch.
-func (s *Server) admitSpan(j *spanJob) (*run, *refusal) {
+// admitPrefill allocates memory for the span and adds its prefill to the batch.
+func (s *Server) admitPrefill(j *prefillRequest) (*run, *refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.faults.Refuse || s.closed:
-		return nil, s.refusing()
-	case !s.shop.serves(j.body.Model):
-		return nil, errNoSuch
+		return nil, s.refuse()
+	case !s.control.serves(j.body.Model):
+		return nil, errNotFound
 	case s.held[j.id] != nil || s.runs[j.id] != nil:
 		return nil, errDuplicate
 	}
-	spans, at, refused := s.covered(j.imports, j.body.Model, j.body.Prompt)
+	spans, at, refused := s.matchSpans(j.imports, j.body.Model, j.body.Prompt)
 	if refused != nil {
 		return nil, refused
 	}
@@ -87,25 +88,25 @@
 		return nil, errNoMemory
 	}
 	rn := &run{
-		id: j.id, priority: j.priority, target: j.start + j.tokens, done: j.start, cached: j.start, lease: l, reads: spans,
+		id: j.id, priority: j.priority, target: j.start + j.tokens, done: j.start, cached: j.start, lease: l, spans: spans,
 		span: &heldSpan{
 			id: j.id, owner: j.owner, memory: j.tokens,
-			span: spanOf(j.body.Model, j.body.Prompt, j.start, j.tokens),
+			span: newSpanInfo(j.body.Model, j.body.Prompt, j.start, j.tokens),
 		},
 	}
-	rn.uses, _ = s.shop.resolve(j.body.Model)
-	s.enter(rn)
+	rn.model, _ = s.control.resolve(j.body.Model)
+	s.addRun(rn)
 	return rn, nil
 }
 
-// keep turns a finished prefill's memory into a held span.
-func (s *Server) keep(h *heldSpan) {
+// keepSpan keeps the memory of a finished prefill as a held span.
+func (s *Server) keepSpan(h *heldSpan) {
 	s.mem.hold(h.memory)
 	s.held[h.id] = h
 }
 
 func (s *Server) servePrefill(w http.ResponseWriter, r *http.Request) {
-	j, refused := readSpanJob(r)
+	j, refused := parsePrefill(r)
 	if refused != nil {
 		refused.write(w)
 		return
@@ -114,14 +115,14 @@
 		<-r.Context().Done()
 		abort()
 	}
-	rn, refused := s.admitSpan(j)
+	rn, refused := s.admitPrefill(j)
 	if refused != nil {
 		refused.write(w)
 		return
 	}
-	switch s.await(r.Context(), rn) {
+	switch s.awaitRun(r.Context(), rn) {
 	case finished:
-		s.answerSpan(w)
+		s.confirmSpan(w)
 	case canceled:
 		writeError(w, http.StatusInternalServerError, engine.CodeFailed, "cancelled")
 	default:
@@ -129,8 +130,8 @@
 	}
 }
 
-// await returns how the run ended; it cancels the run when the caller leaves.
-func (s *Server) await(ctx context.Context, r *run) ending {
+// awaitRun returns the final state of a run; it cancels the run when the caller disconnects.
+func (s *Server) awaitRun(ctx context.Context, r *run) runState {
 	for {
 		select {
 		case <-r.notify:
@@ -139,15 +140,15 @@
 			return canceled
 		}
 		s.mu.Lock()
-		end := r.end
+		state := r.state
 		s.mu.Unlock()
-		if end != running {
-			return end
+		if state != running {
+			return state
 		}
 	}
 }
 
-func (s *Server) answerSpan(w http.ResponseWriter) {
+func (s *Server) confirmSpan(w http.ResponseWriter) {
 	if s.Faults().LoseOrderAnswer {
 		abort()
 	}
@@ -164,10 +165,10 @@
 	h := s.held[id]
 	s.mu.Unlock()
 	if h == nil {
-		errNoSuch.write(w)
+		errNotFound.write(w)
 		return
 	}
-	if !s.transfer(r.Context(), h.span) {
+	if !s.awaitTransfer(r.Context(), h.span) {
 		return
 	}
 	data, err := encodeSpan(h.span, s.cfg.ExportTokenBytes)
@@ -194,14 +195,14 @@
 		refused.write(w)
 		return
 	}
-	// Who leaves during the transfer has the span held all the same.
-	s.transfer(r.Context(), in)
-	s.answerSpan(w)
+	// The span stays held if the caller disconnects during the transfer.
+	s.awaitTransfer(r.Context(), in)
+	s.confirmSpan(w)
 }
 
-// transfer takes the time that a span's cache needs to travel; it reports
-// false when the caller left first.
-func (s *Server) transfer(ctx context.Context, in spanInfo) bool {
+// awaitTransfer waits for the time that the transfer of a span takes; it reports false if the
+// caller disconnected first.
+func (s *Server) awaitTransfer(ctx context.Context, in spanInfo) bool {
 	t := time.NewTimer(s.cfg.scaled(time.Duration(in.Tokens) * s.cfg.Costs.TransferToken))
 	defer t.Stop()
 	select {
@@ -212,13 +213,12 @@
 	}
 }
 
-// admitImport holds an imported span. The same span under the same id is
-// there already.
+// admitImport holds an imported span. Repeating an import with the same id and span succeeds.
 func (s *Server) admitImport(id, owner string, in spanInfo) *refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Refuse || s.closed {
-		return s.refusing()
+		return s.refuse()
 	}
 	if h := s.held[id]; h != nil {
 		if h.span == in {
@@ -241,27 +241,27 @@
 func (s *Server) serveFree(w http.ResponseWriter, r *http.Request) {
 	id, refused := readID(r)
 	if refused == nil {
-		refused = s.free(id)
+		refused = s.freeSpan(id)
 	}
 	if refused != nil {
 		refused.write(w)
 		return
 	}
-	s.answerSpan(w)
+	s.confirmSpan(w)
 }
 
-// free releases a held span that no run reads.
-func (s *Server) free(id string) *refusal {
+// freeSpan releases a held span, unless a run reads it.
+func (s *Server) freeSpan(id string) *refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.held[id]
 	if h == nil {
-		return errNoSuch
+		return errNotFound
 	}
-	if h.uses > 0 {
+	if h.readers > 0 {
 		return &refusal{http.StatusConflict, engine.CodeRefused, "a run reads the span", 0}
 	}
-	s.mem.unhold(h.memory)
+	s.mem.releaseHeld(h.memory)
 	delete(s.held, id)
 	return nil
 }
--- a/internal/standin/engine/loop.go
+++ b/internal/standin/engine/loop.go
@@ -2,29 +2,28 @@
 
 import "time"
 
-// loop steps the batch until it is empty; then it ends, so that an idle
-// engine has no goroutine.
+// loop steps the batch until it is empty; then it returns, so that an idle engine has no goroutine.
 func (s *Server) loop() {
-	var parts []part
+	var chunks []prefillChunk
 	next := time.Now()
 	for {
 		s.awaitThaw()
-		st, ok := s.step(parts)
+		st, ok := s.step(chunks)
 		if !ok {
 			return
 		}
-		parts = st.parts
+		chunks = st.chunks
 		next = s.pace(next, st.cost)
 		s.awaitThaw()
 		s.apply(st)
 	}
 }
 
-// maxLag is how much time lost to a busy machine is made up for. A longer
-// pause, as of a stopped process, is not.
+// maxLag is the longest delay, as on a busy machine, for which the loop catches up. Longer pauses,
+// as of a stopped process, are not made up for.
 const maxLag = 50 * time.Millisecond
 
-// pace sleeps until the step that began at from is over and returns its end.
+// pace sleeps until the end of the step that began at from and returns that time.
 func (s *Server) pace(from time.Time, cost time.Duration) time.Time {
 	now := time.Now()
 	if now.Sub(from) > maxLag {
@@ -38,14 +37,14 @@
 }
 
 // step plans the next step; ok is false when the batch is empty.
-func (s *Server) step(parts []part) (st step, ok bool) {
+func (s *Server) step(chunks []prefillChunk) (st step, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.batch.len() == 0 {
-		s.stepping = false
+		s.looping = false
 		return step{}, false
 	}
-	st = s.batch.plan(s.cfg, parts)
+	st = s.batch.plan(s.cfg, chunks)
 	if s.faults.SlowFactor > 0 {
 		st.cost = time.Duration(float64(st.cost) * s.faults.SlowFactor)
 	}
@@ -53,24 +52,24 @@
 	return st, true
 }
 
-// apply puts a step into effect. If its incarnation has died meanwhile, its
-// runs have ended and those of the next have not begun to decode.
+// apply applies a step. If its incarnation has crashed meanwhile, the step's runs have ended, and
+// the runs of the new incarnation have not begun to decode.
 func (s *Server) apply(st step) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, r := range s.batch.advance(st, s.settle) {
+	for _, r := range s.batch.advance(st, s.cacheComputed) {
 		s.finish(r, finished)
 	}
-	if s.deathDue() {
+	if s.crashDue() {
 		s.faults.DieAfterTokens = 0
 		s.crash()
 	}
 }
 
-func (s *Server) settle(r *run) { s.mem.settle(r.lease, r.done) }
+func (s *Server) cacheComputed(r *run) { s.mem.cacheComputed(r.lease, r.done) }
 
-// deathDue reports whether a run has emitted the token at which to die.
-func (s *Server) deathDue() bool {
+// crashDue reports whether a run has emitted the number of tokens at which the engine is to crash.
+func (s *Server) crashDue() bool {
 	if s.faults.DieAfterTokens == 0 {
 		return false
 	}
--- a/internal/standin/engine/memory.go
+++ b/internal/standin/engine/memory.go
@@ -7,43 +7,43 @@
 	"github.com/micarudder/micarudder/prefix"
 )
 
-// block is one block of the prefix cache. A block in use is pinned; the
-// others wait in the list to be used again or evicted.
+// block is one block of the prefix cache. A block in use is pinned; the others are in the idle list
+// until they are reused or evicted.
 type block struct {
 	hash uint64
 	pins int
 	idle *list.Element // nil while pinned
 }
 
-// memory accounts for the engine's cache memory in tokens. Four things share
-// it: what runs hold of their own, pinned blocks, idle blocks, held spans.
+// memory accounts for the engine's cache memory in tokens. It is divided among private memory of
+// runs, pinned blocks, idle blocks and held spans.
 type memory struct {
-	total  uint64
-	own    uint64
-	held   uint64
-	blocks map[uint64]*block
-	idle   *list.List // least recently used first
-	onEdge func(hash uint64, evicted bool)
+	total    uint64
+	private  uint64
+	held     uint64
+	blocks   map[uint64]*block
+	idle     *list.List // least recently used first
+	onChange func(hash uint64, evicted bool)
 }
 
-// lease is the part of memory that one run holds.
+// lease is the memory that one run holds.
 type lease struct {
-	own    uint64
-	pinned []*block
-	chain  []uint64 // hashes of the prompt's whole blocks
+	private uint64
+	pinned  []*block
+	chain   []uint64 // hashes of the complete blocks of the prompt
 }
 
-func newMemory(total uint64, onEdge func(hash uint64, evicted bool)) *memory {
-	return &memory{total: total, blocks: map[uint64]*block{}, idle: list.New(), onEdge: onEdge}
+func newMemory(total uint64, onChange func(hash uint64, evicted bool)) *memory {
+	return &memory{total: total, blocks: map[uint64]*block{}, idle: list.New(), onChange: onChange}
 }
 
-// free returns the tokens that a new run could get, idle blocks included.
+// free returns the tokens available to a new run, including idle blocks.
 func (m *memory) free() uint64 {
 	pinned := uint64(len(m.blocks)-m.idle.Len()) * prefix.BlockTokens
-	return m.total - m.own - m.held - pinned
+	return m.total - m.private - m.held - pinned
 }
 
-// cached returns how many leading blocks of the chain are present.
+// cached returns the number of leading blocks of the chain in the cache.
 func (m *memory) cached(chain []uint64) int {
 	for i, h := range chain {
 		if m.blocks[h] == nil {
@@ -53,50 +53,49 @@
 	return len(chain)
 }
 
-// acquire takes memory for a run of need tokens in all, of which the first
-// covered tokens need none. It pins the cached blocks of the chain and
-// returns nil when the rest does not fit.
+// acquire allocates memory for a run of need tokens, of which the first covered tokens need none.
+// It pins the cached blocks of the chain and returns nil if the remainder does not fit.
 func (m *memory) acquire(chain []uint64, covered, need uint64) *lease {
 	l := &lease{chain: chain}
 	hits := m.cached(chain)
 	for _, h := range chain[:hits] {
 		m.pin(l, m.blocks[h])
 	}
-	own := need - max(covered, uint64(hits)*prefix.BlockTokens)
-	if own > m.free() {
+	private := need - max(covered, uint64(hits)*prefix.BlockTokens)
+	if private > m.free() {
 		m.release(l)
 		return nil
 	}
-	l.own = own
-	m.own += own
-	m.shrink()
+	l.private = private
+	m.private += private
+	m.evict()
 	return l
 }
 
-// settle turns the run's own memory into cached blocks as far as the prompt
-// has been computed.
-func (m *memory) settle(l *lease, done uint64) {
+// cacheComputed converts the run's private memory into cached blocks for the part of the prompt
+// that has been computed.
+func (m *memory) cacheComputed(l *lease, done uint64) {
 	for len(l.pinned) < len(l.chain) && uint64(len(l.pinned)+1)*prefix.BlockTokens <= done {
 		h := l.chain[len(l.pinned)]
 		b := m.blocks[h]
 		if b == nil {
 			b = &block{hash: h}
 			m.blocks[h] = b
-			m.onEdge(h, false)
+			m.onChange(h, false)
 		}
-		part := min(l.own, prefix.BlockTokens)
-		l.own -= part
-		m.own -= part
+		moved := min(l.private, prefix.BlockTokens)
+		l.private -= moved
+		m.private -= moved
 		m.pin(l, b)
 	}
-	m.shrink()
+	m.evict()
 }
 
-// release gives a run's memory back; its blocks stay until they are evicted.
+// release returns a run's memory; its blocks stay cached until they are evicted.
 func (m *memory) release(l *lease) {
-	m.own -= l.own
-	l.own = 0
-	// The deepest block becomes the oldest: a chain is used from its start.
+	m.private -= l.private
+	l.private = 0
+	// The deepest block becomes the least recently used, since a chain is used from its start.
 	for _, b := range slices.Backward(l.pinned) {
 		b.pins--
 		if b.pins == 0 {
@@ -106,17 +105,17 @@
 	l.pinned = nil
 }
 
-// hold takes memory for a span; it reports false when there is not enough.
+// hold allocates memory for a span; it reports false if there is not enough.
 func (m *memory) hold(tokens uint64) bool {
 	if tokens > m.free() {
 		return false
 	}
 	m.held += tokens
-	m.shrink()
+	m.evict()
 	return true
 }
 
-func (m *memory) unhold(tokens uint64) { m.held -= tokens }
+func (m *memory) releaseHeld(tokens uint64) { m.held -= tokens }
 
 func (m *memory) pin(l *lease, b *block) {
 	if b.idle != nil {
@@ -127,9 +126,9 @@
 	l.pinned = append(l.pinned, b)
 }
 
-// shrink evicts idle blocks until everything fits.
-func (m *memory) shrink() {
-	for m.own+m.held+uint64(len(m.blocks))*prefix.BlockTokens > m.total {
+// evict evicts idle blocks until the memory suffices.
+func (m *memory) evict() {
+	for m.private+m.held+uint64(len(m.blocks))*prefix.BlockTokens > m.total {
 		e := m.idle.Front()
 		if e == nil {
 			return
@@ -137,6 +136,6 @@
 		b := e.Value.(*block)
 		m.idle.Remove(e)
 		delete(m.blocks, b.hash)
-		m.onEdge(b.hash, true)
+		m.onChange(b.hash, true)
 	}
 }
--- a/internal/standin/engine/memory_test.go
+++ b/internal/standin/engine/memory_test.go
@@ -8,16 +8,16 @@
 	"github.com/micarudder/micarudder/prefix"
 )
 
-// TestMemoryNeverOverflowsOrLeaks: whatever runs and spans come and go, the
-// engine never uses more than it has, and has it all back in the end.
+// TestMemoryNeverOverflowsOrLeaks: for any sequence of runs and spans, the memory in use never
+// exceeds the total, and all of it is free in the end.
 func TestMemoryNeverOverflowsOrLeaks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const total = 40 * prefix.BlockTokens
 		m := newMemory(total, func(uint64, bool) {})
 		type item struct {
-			l    *lease
-			need uint64
-			done uint64
+			lease *lease
+			need  uint64
+			done  uint64
 		}
 		var items []*item
 		var spans []uint64
@@ -37,7 +37,7 @@
 			"advance": func(t *rapid.T) {
 				for _, it := range items {
 					it.done = min(it.need, it.done+rapid.Uint64Range(0, 5000).Draw(t, "tokens"))
-					m.settle(it.l, it.done)
+					m.cacheComputed(it.lease, it.done)
 				}
 			},
 			"end": func(t *rapid.T) {
@@ -45,7 +45,7 @@
 					return
 				}
 				i := rapid.IntRange(0, len(items)-1).Draw(t, "which")
-				m.release(items[i].l)
+				m.release(items[i].lease)
 				items = append(items[:i], items[i+1:]...)
 			},
 			"hold": func(t *rapid.T) {
@@ -56,22 +56,22 @@
 			},
 			"unhold": func(*rapid.T) {
 				if len(spans) > 0 {
-					m.unhold(spans[0])
+					m.releaseHeld(spans[0])
 					spans = spans[1:]
 				}
 			},
 			"": func(t *rapid.T) {
-				used := m.own + m.held + uint64(len(m.blocks))*prefix.BlockTokens
+				used := m.private + m.held + uint64(len(m.blocks))*prefix.BlockTokens
 				if used > total || m.free() > total {
 					t.Fatalf("used %d, free %d of %d", used, m.free(), total)
 				}
 			},
 		})
 		for _, it := range items {
-			m.release(it.l)
+			m.release(it.lease)
 		}
 		for _, n := range spans {
-			m.unhold(n)
+			m.releaseHeld(n)
 		}
 		if m.free() != total {
 			t.Fatalf("leak: %d of %d free", m.free(), total)
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -14,18 +14,18 @@
 	"github.com/micarudder/micarudder/engine"
 )
 
-// orderBook is what orders have made of the engine.
-type orderBook struct {
+// controlState is the state that orders change.
+type controlState struct {
 	models  []engine.Model
 	loading *engine.Model
 	role    string
-	fence   uint64 // highest seen, if the engine checks
+	fence   uint64 // highest seen, if the engine checks fencing numbers
 	lastID  string
 	busy    bool
 }
 
-func newOrderBook(c Config) *orderBook {
-	b := &orderBook{role: c.Role}
+func newControlState(c Config) *controlState {
+	b := &controlState{role: c.Role}
 	for _, m := range c.Models {
 		parts := strings.Split(m, "+")
 		name, version, _ := strings.Cut(parts[0], "@")
@@ -34,42 +34,42 @@
 	return b
 }
 
-func (b *orderBook) find(name, version string) int {
+func (b *controlState) find(name, version string) int {
 	return slices.IndexFunc(b.models, func(m engine.Model) bool { return m.Name == name && m.Version == version })
 }
 
-// served is what a run uses: a copy of a model, and maybe an adapter of it.
-type served struct{ model, version, adapter string }
+// loadedModel is what a run uses: a version of a model, and optionally an adapter of it.
+type loadedModel struct{ model, version, adapter string }
 
-// resolve finds what a request names: a model by its name or as NAME@VERSION,
-// or an adapter with or without its version; the one loaded last.
-func (b *orderBook) resolve(name string) (served, bool) {
-	named := func(id string) bool { return id == name || strings.HasPrefix(id, name+"@") }
+// resolve finds the most recently loaded match of a name in a request: a model by its name or as
+// NAME@VERSION, or an adapter with or without its version.
+func (b *controlState) resolve(name string) (loadedModel, bool) {
+	matches := func(id string) bool { return id == name || strings.HasPrefix(id, name+"@") }
 	for _, m := range slices.Backward(b.models) {
-		if m.Name == name || named(m.Name+"@"+m.Version) {
-			return served{m.Name, m.Version, ""}, true
+		if m.Name == name || matches(m.Name+"@"+m.Version) {
+			return loadedModel{m.Name, m.Version, ""}, true
 		}
 		for _, a := range slices.Backward(m.Adapters) {
-			if named(a) {
-				return served{m.Name, m.Version, a}, true
+			if matches(a) {
+				return loadedModel{m.Name, m.Version, a}, true
 			}
 		}
 	}
-	return served{}, false
+	return loadedModel{}, false
 }
 
-func (b *orderBook) serves(name string) bool {
+func (b *controlState) serves(name string) bool {
 	_, ok := b.resolve(name)
 	return ok
 }
 
-// holds tells whether what a run uses is still loaded.
-func (b *orderBook) holds(s served) bool {
+// isLoaded reports whether a model and its adapter are still loaded.
+func (b *controlState) isLoaded(s loadedModel) bool {
 	i := b.find(s.model, s.version)
 	return i >= 0 && (s.adapter == "" || slices.Contains(b.models[i].Adapters, s.adapter))
 }
 
-func (b *orderBook) describe(st *engine.State) {
+func (b *controlState) describe(st *engine.State) {
 	for _, m := range b.models {
 		m.Adapters = slices.Clone(m.Adapters)
 		st.Models = append(st.Models, m)
@@ -83,8 +83,8 @@
 	st.OrderBusy = b.busy
 }
 
-// carryOut applies an order whose weights are there.
-func (b *orderBook) carryOut(o engine.Order) error {
+// applyOrder applies an order after its weights have been read.
+func (b *controlState) applyOrder(o engine.Order) error {
 	i := b.find(o.Model, o.Version)
 	switch o.Kind {
 	case engine.OrderSetRole:
@@ -110,15 +110,15 @@
 	return nil
 }
 
-// takeOrder checks an order and marks the engine busy with it; done says that
-// the order is the last one, finished before.
-func (s *Server) takeOrder(o engine.Order) (done bool, refused *refusal) {
+// beginOrder checks an order and marks the engine busy with it; done reports that the order is the
+// last one that was executed.
+func (s *Server) beginOrder(o engine.Order) (done bool, refused *refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := s.shop
+	b := s.control
 	switch {
 	case s.faults.Refuse || s.closed:
-		return false, s.refusing()
+		return false, s.refuse()
 	case len(s.cfg.Callers) > 0 && !slices.Contains(s.cfg.Callers, o.From):
 		return false, &refusal{http.StatusForbidden, engine.CodeRefused, "not one of this engine's callers", 0}
 	case s.cfg.ChecksFencing && o.Fence < b.fence:
@@ -154,14 +154,14 @@
 		badRequest(err.Error()).write(w)
 		return
 	}
-	done, refused := s.takeOrder(o)
+	done, refused := s.beginOrder(o)
 	if refused != nil {
 		refused.write(w)
 		return
 	}
 	var err error
 	if !done {
-		err = s.workOff(r.Context(), o)
+		err = s.executeOrder(r.Context(), o)
 	}
 	if s.Faults().LoseOrderAnswer {
 		abort()
@@ -173,16 +173,16 @@
 	writeJSON(w, struct{}{})
 }
 
-// workOff does an order's work, which goes on when the caller leaves.
-func (s *Server) workOff(ctx context.Context, o engine.Order) error {
+// executeOrder does an order's work, which continues if the caller disconnects.
+func (s *Server) executeOrder(ctx context.Context, o engine.Order) error {
 	s.mu.Lock()
-	book, crashed := s.shop, s.crashed
+	control, crashed := s.control, s.crashed
 	s.mu.Unlock()
 	result := make(chan error, 1)
-	s.work.Go(func() {
+	s.tasks.Go(func() {
 		err := s.fetchWeights(o, crashed)
 		s.awaitThaw()
-		result <- s.closeOrder(book, o, err)
+		result <- s.finishOrder(control, o, err)
 	})
 	select {
 	case err := <-result:
@@ -194,8 +194,8 @@
 	return ctx.Err()
 }
 
-// closeOrder puts the order into effect and frees the book for the next.
-func (s *Server) closeOrder(b *orderBook, o engine.Order, err error) error {
+// finishOrder applies the order and clears the busy state.
+func (s *Server) finishOrder(b *controlState, o engine.Order, err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b.busy = false
@@ -204,26 +204,27 @@
 		err = errors.New("the engine fails its orders")
 	}
 	if err == nil {
-		err = b.carryOut(o)
+		err = b.applyOrder(o)
 	}
 	if err == nil {
 		b.lastID = o.ID
-		s.endUnserved(b)
+		s.endRunsWithoutModel(b)
 	}
 	return err
 }
 
-// endUnserved ends the runs whose model or adapter is gone, as an engine does
-// that frees their memory.
-func (s *Server) endUnserved(b *orderBook) {
+// endRunsWithoutModel ends the runs whose model or adapter was unloaded, as an engine does that
+// frees their memory.
+func (s *Server) endRunsWithoutModel(b *controlState) {
 	for _, r := range s.runs {
-		if b == s.shop && !b.holds(r.uses) {
+		if b == s.control && !b.isLoaded(r.model) {
 			s.finish(r, died)
 		}
 	}
 }
 
-// fetchWeights reads an order's weights from the store, which paces it.
+// fetchWeights reads an order's weights from the weight store, whose rate determines how long the
+// load takes.
 func (s *Server) fetchWeights(o engine.Order, crashed <-chan struct{}) error {
 	if o.Weights == "" || s.cfg.WeightsURL == "" {
 		return nil
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -7,55 +7,55 @@
 	"github.com/micarudder/micarudder/engine"
 )
 
-// Server is one stand-in engine.
+// Server is one simulated engine.
 type Server struct {
 	cfg Config
 
-	mu       sync.Mutex
-	faults   Faults
-	thaw     chan struct{} // closed when the engine is not frozen
-	life     int           // counts incarnations
-	crashed  chan struct{} // closed when this incarnation dies
-	closed   bool
-	seq      uint64
-	batch    batch
-	runs     map[string]*run
-	mem      *memory
-	held     map[string]*heldSpan
-	stepping bool
-	refused  int         // see Refused
-	load     engine.Load // last report
-	shop     *orderBook
-	events   *eventLog
+	mu      sync.Mutex
+	faults  Faults
+	thaw    chan struct{} // closed when the engine is not frozen
+	starts  int           // number of incarnations started
+	crashed chan struct{} // closed when this incarnation crashes
+	closed  bool
+	seq     uint64
+	batch   batch
+	runs    map[string]*run
+	mem     *memory
+	held    map[string]*heldSpan
+	looping bool
+	refused int         // see Refused
+	load    engine.Load // last report
+	control *controlState
+	events  *eventLog
 
 	ledger ledger
-	work   sync.WaitGroup // the loop and orders
+	tasks  sync.WaitGroup // the loop and orders
 }
 
-// NewServer returns an engine that holds cfg.Models from the start.
+// NewServer returns an engine with cfg.Models loaded.
 func NewServer(cfg Config) *Server {
 	s := &Server{cfg: cfg, thaw: make(chan struct{})}
 	close(s.thaw)
-	s.begin()
+	s.startIncarnation()
 	return s
 }
 
-// begin starts an incarnation with empty memory.
-func (s *Server) begin() {
-	s.life++
+// startIncarnation starts an incarnation with empty memory.
+func (s *Server) startIncarnation() {
+	s.starts++
 	s.crashed = make(chan struct{})
 	s.batch = batch{}
 	s.runs = map[string]*run{}
 	s.held = map[string]*heldSpan{}
 	s.events = newEventLog(s.cfg)
-	s.mem = newMemory(s.cfg.MemoryTokens, s.cacheEdge)
-	s.shop = newOrderBook(s.cfg)
+	s.mem = newMemory(s.cfg.MemoryTokens, s.recordCacheEvent)
+	s.control = newControlState(s.cfg)
 	s.load = engine.Load{}
 }
 
-// incarnation names this life of the engine.
+// incarnation returns the name of the current incarnation.
 func (s *Server) incarnation() string {
-	return s.cfg.Name + "-" + strconv.Itoa(s.life)
+	return s.cfg.Name + "-" + strconv.Itoa(s.starts)
 }
 
 // SetFaults replaces the faults.
@@ -71,14 +71,14 @@
 	s.faults = f
 }
 
-// Faults returns the faults now in force.
+// Faults returns the current faults.
 func (s *Server) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Crash ends this incarnation as a killed process would and begins another.
+// Crash ends this incarnation as if the process was killed, and starts another.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,16 +90,16 @@
 		s.finish(r, died)
 	}
 	close(s.crashed)
-	s.begin()
+	s.startIncarnation()
 }
 
-// Close ends all runs and waits for the engine's goroutines; it takes no more.
+// Close ends all runs and waits for the engine's goroutines; later requests are refused.
 func (s *Server) Close() {
-	s.shut()
-	s.work.Wait()
+	s.shutDown()
+	s.tasks.Wait()
 }
 
-func (s *Server) shut() {
+func (s *Server) shutDown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
@@ -110,48 +110,48 @@
 	}
 }
 
-// Executions returns the record of all runs since the process started.
+// Executions returns the records of all runs since the process started.
 func (s *Server) Executions() []Execution { return s.ledger.all() }
 
-// Counts returns the executions counted.
+// Counts returns the numbers of executions.
 func (s *Server) Counts() Counts { return s.ledger.counts() }
 
-// enter puts a run into the batch.
-func (s *Server) enter(r *run) {
+// addRun adds a run to the batch.
+func (s *Server) addRun(r *run) {
 	s.seq++
 	r.seq = s.seq
 	r.notify = make(chan struct{}, 1)
 	s.runs[r.id] = r
-	for _, h := range r.reads {
-		h.uses++
+	for _, h := range r.spans {
+		h.readers++
 	}
 	if r.record != nil {
 		s.ledger.add(r.record)
 	}
 	s.batch.add(r)
-	if !s.stepping {
-		s.stepping = true
-		s.work.Go(s.loop)
+	if !s.looping {
+		s.looping = true
+		s.tasks.Go(s.loop)
 	}
 }
 
-// finish takes a run out of the engine and gives its memory back.
-func (s *Server) finish(r *run, how ending) {
+// finish removes a run from the engine and releases its memory.
+func (s *Server) finish(r *run, state runState) {
 	if s.runs[r.id] != r {
 		return
 	}
-	r.end = how
+	r.state = state
 	delete(s.runs, r.id)
 	s.batch.remove(r)
 	s.mem.release(r.lease)
-	for _, h := range r.reads {
-		h.uses--
+	for _, h := range r.spans {
+		h.readers--
 	}
 	if r.record != nil {
-		s.ledger.end(r.record, how, r.out)
+		s.ledger.finish(r.record, state, r.out)
 	}
-	if r.span != nil && how == finished {
-		s.keep(r.span)
+	if r.span != nil && state == finished {
+		s.keepSpan(r.span)
 	}
 	r.wake()
 }
--- a/internal/standin/engine/spans.go
+++ b/internal/standin/engine/spans.go
@@ -11,16 +11,16 @@
 	"github.com/micarudder/micarudder/prefix"
 )
 
-// heldSpan is a piece of a prompt's cache that is kept outside any run.
+// heldSpan is a part of a prompt's cache that is kept independently of any run.
 type heldSpan struct {
-	id     string
-	owner  string
-	memory uint64 // tokens of cache memory that it occupies
-	span   spanInfo
-	uses   int // runs that read it
+	id      string
+	owner   string
+	memory  uint64 // tokens of cache memory that it occupies
+	span    spanInfo
+	readers int // number of runs that read it
 }
 
-// spanInfo says which piece of which prompt a span is.
+// spanInfo identifies a part of a prompt.
 type spanInfo struct {
 	Model  string `json:"model"`
 	Start  uint64 `json:"start"`
@@ -28,24 +28,24 @@
 	Hash   uint64 `json:"hash,string"` // of the prompt's bytes in the span
 }
 
-// spanOf describes n tokens of a prompt from start on.
-func spanOf(model, prompt string, start, n uint64) spanInfo {
+// newSpanInfo describes n tokens of a prompt from start on.
+func newSpanInfo(model, prompt string, start, n uint64) spanInfo {
 	from := min(start*prefix.BytesPerToken, uint64(len(prompt)))
 	to := min((start+n)*prefix.BytesPerToken, uint64(len(prompt)))
 	return spanInfo{model, start, n, xxhash.Sum64String(prompt[from:to])}
 }
 
-// covered checks that the handles cover the prompt from its start without a
-// gap, and returns them and how many tokens they cover.
-func (s *Server) covered(handles []string, model, prompt string) ([]*heldSpan, uint64, *refusal) {
+// matchSpans checks that the spans cover the prompt from its start without a gap, and returns them
+// with the number of tokens that they cover.
+func (s *Server) matchSpans(ids []string, model, prompt string) ([]*heldSpan, uint64, *refusal) {
 	var spans []*heldSpan
 	var at uint64
-	for _, id := range handles {
+	for _, id := range ids {
 		h := s.held[id]
 		if h == nil {
-			return nil, 0, errNoSuch
+			return nil, 0, errNotFound
 		}
-		if h.span != spanOf(model, prompt, at, h.span.Tokens) {
+		if h.span != newSpanInfo(model, prompt, at, h.span.Tokens) {
 			return nil, 0, badRequest("span " + id + " is not the next piece of this prompt")
 		}
 		spans = append(spans, h)
@@ -55,14 +55,14 @@
 }
 
 const (
-	exportMagic  = "KVS1"
-	exportSumLen = 8
+	exportMagic       = "KVS1"
+	exportChecksumLen = 8
 )
 
 var errBadExport = errors.New("damaged span")
 
-// encodeSpan returns the exported form: magic, length of the description, the
-// description, as many bytes as the cache has, checksum.
+// encodeSpan returns the exported form: magic, length of the description, description, as many zero
+// bytes as the cache would have, checksum.
 func encodeSpan(in spanInfo, tokenBytes uint64) ([]byte, error) {
 	info, err := json.Marshal(in)
 	if err != nil {
@@ -78,13 +78,13 @@
 	return b.Bytes(), nil
 }
 
-// decodeSpan reads the exported form.
+// decodeSpan parses the exported form.
 func decodeSpan(data []byte) (spanInfo, error) {
 	const head = len(exportMagic) + 4
-	if len(data) < head+exportSumLen || string(data[:len(exportMagic)]) != exportMagic {
+	if len(data) < head+exportChecksumLen || string(data[:len(exportMagic)]) != exportMagic {
 		return spanInfo{}, errBadExport
 	}
-	body, sum := data[:len(data)-exportSumLen], data[len(data)-exportSumLen:]
+	body, sum := data[:len(data)-exportChecksumLen], data[len(data)-exportChecksumLen:]
 	if xxhash.Sum64(body) != binary.LittleEndian.Uint64(sum) {
 		return spanInfo{}, errBadExport
 	}
--- a/internal/standin/pipe/pipe.go
+++ b/internal/standin/pipe/pipe.go
@@ -1,5 +1,5 @@
-// Package pipe serves HTTP over in-memory connections, so that whole sessions
-// of clients and servers run under virtual time without a socket.
+// Package pipe serves HTTP over in-memory connections, so that clients and servers run under
+// virtual time without sockets.
 package pipe
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// ErrRefused is the error of a dial that nobody accepts.
+// ErrRefused is returned by Dial on a closed listener.
 var ErrRefused = errors.New("pipe: connection refused")
 
 // Listener is a net.Listener whose connections are made by Dial.
@@ -28,10 +28,10 @@
 
 // Dial connects to the listener; it fails once the listener is closed.
 func (l *Listener) Dial(ctx context.Context) (net.Conn, error) {
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case l.conns <- far:
-		return near, nil
+	case l.conns <- server:
+		return client, nil
 	case <-l.done:
 		return nil, ErrRefused
 	case <-ctx.Done():
@@ -63,8 +63,7 @@
 func (addr) Network() string { return "pipe" }
 func (addr) String() string  { return "pipe" }
 
-// Server is an HTTP server behind a Listener together with a client that
-// reaches it under any host name.
+// Server is an HTTP server on a Listener, with a client that reaches it under any host name.
 type Server struct {
 	Listener *Listener
 	Client   *http.Client
--- a/internal/standin/platform/control.go
+++ b/internal/standin/platform/control.go
@@ -10,8 +10,8 @@
 	"github.com/micarudder/micarudder/metastore"
 )
 
-// control registers the calls that switch the service.
-func (s *Server) control() {
+// registerControl registers the calls that control the simulation.
+func (s *Server) registerControl() {
 	s.mux.HandleFunc("GET /fault", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Faults()) })
 	s.mux.HandleFunc("POST /fault", s.controlFault)
 	s.mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Counts()) })
@@ -21,14 +21,14 @@
 	s.mux.HandleFunc("POST /rates", s.controlRates)
 }
 
-// controlFault changes the faults named in the query or form and leaves the
-// others; clear=true first ends all.
+// controlFault changes the faults named in the query or form and keeps the others; clear=true first
+// clears all faults.
 func (s *Server) controlFault(w http.ResponseWriter, r *http.Request) {
 	if err := r.ParseForm(); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f, err := s.Faults().with(r.Form)
+	f, err := s.Faults().changedBy(r.Form)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -37,15 +37,15 @@
 	writeJSON(w, http.StatusOK, f)
 }
 
-// controlRestore restores; cluster=new gives the cluster a new name.
+// controlRestore restores the last snapshot; cluster=new gives the cluster a new id.
 func (s *Server) controlRestore(w http.ResponseWriter, r *http.Request) {
 	if !s.store.restore(r.FormValue("cluster") == "new") {
 		http.Error(w, "no snapshot was taken", http.StatusConflict)
 	}
 }
 
-// controlHost sets a host: parameters host, data_centre, state (live, leaving
-// or gone), address, and lag, which changes the lag of this and later calls.
+// controlHost sets a host: parameters host, data_centre, state (live, leaving or gone), address,
+// and lag, which changes the lag of this and later calls.
 func (s *Server) controlHost(w http.ResponseWriter, r *http.Request) {
 	if v := r.FormValue("lag"); v != "" {
 		lag, err := time.ParseDuration(v)
@@ -70,7 +70,7 @@
 	}
 }
 
-// controlRates sets both limits: parameters reads and writes.
+// controlRates sets both rate limits: parameters reads and writes.
 func (s *Server) controlRates(w http.ResponseWriter, r *http.Request) {
 	reads, err := strconv.ParseFloat(r.FormValue("reads"), 64)
 	if err != nil {
@@ -85,24 +85,24 @@
 	s.SetRates(reads, writes)
 }
 
-// heldAnswer keeps an answer back.
-type heldAnswer struct {
+// bufferedResponse buffers a response.
+type bufferedResponse struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
 // Header implements http.ResponseWriter.
-func (h *heldAnswer) Header() http.Header { return h.header }
+func (h *bufferedResponse) Header() http.Header { return h.header }
 
 // WriteHeader implements http.ResponseWriter.
-func (h *heldAnswer) WriteHeader(status int) { h.status = status }
+func (h *bufferedResponse) WriteHeader(status int) { h.status = status }
 
 // Write implements http.ResponseWriter.
-func (h *heldAnswer) Write(p []byte) (int, error) { return h.body.Write(p) }
+func (h *bufferedResponse) Write(p []byte) (int, error) { return h.body.Write(p) }
 
-// release writes the answer to w.
-func (h *heldAnswer) release(w http.ResponseWriter) {
+// sendTo writes the response to w.
+func (h *bufferedResponse) sendTo(w http.ResponseWriter) {
 	for name, values := range h.header {
 		w.Header()[name] = values
 	}
@@ -110,7 +110,7 @@
 	_, _ = w.Write(h.body.Bytes())
 }
 
-// withBody returns r with a body that has been read already.
+// withBody returns r with a body that was already read.
 func withBody(r *http.Request, body []byte) *http.Request {
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	return r
--- a/internal/standin/platform/counts.go
+++ b/internal/standin/platform/counts.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Counts are the calls received since the start, by kind. Limited calls are
-// counted under their kind as well.
+// Counts holds the numbers of calls received since the start, by kind. Calls refused by the rate
+// limits are also counted under their kind.
 type Counts struct {
 	Range     int64 `json:"range"`
 	Txn       int64 `json:"txn"`
@@ -34,13 +34,13 @@
 	return c.counts
 }
 
-func (c *counter) add(pick func(*Counts) *int64) {
+func (c *counter) add(field func(*Counts) *int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	*pick(&c.counts)++
+	*field(&c.counts)++
 }
 
-func (c *counter) watching(n int64) {
+func (c *counter) addWatching(n int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Watching += n
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// Outage is how the service is away.
+// Outage is how the service is unavailable.
 type Outage string
 
-// The kinds of outage.
+// Kinds of outage.
 const (
 	OutageNone   Outage = ""
-	OutageRefuse Outage = "refuse" // every call is answered "no leader"
-	OutageReset  Outage = "reset"  // every connection is closed without an answer
-	OutageHang   Outage = "hang"   // no call is answered; none takes effect
+	OutageRefuse Outage = "refuse" // every call gets the error "no leader"
+	OutageReset  Outage = "reset"  // every connection is closed without a response
+	OutageHang   Outage = "hang"   // no call gets a response; none takes effect
 )
 
-// Watch is how watches misbehave.
+// Watch is how watches fail.
 type Watch string
 
-// The kinds of misbehaving watches.
+// Kinds of watch faults.
 const (
-	WatchWhole  Watch = ""
-	WatchPaused Watch = "paused" // open, but nothing arrives until the fault ends
+	WatchNormal Watch = ""
+	WatchPaused Watch = "paused" // open, but no events are sent until the fault ends
 	WatchOld    Watch = "old"    // an old value follows each new one
 )
 
-// Faults are the faults now switched on; the zero value is none. The names in
-// brackets are the parameters of POST /fault.
+// Faults are the current faults; the zero value is none. The names in brackets are the parameters
+// of POST /fault.
 type Faults struct {
 	Outage        Outage        `json:"outage"`         // [outage]
-	Delay         time.Duration `json:"delay"`          // [delay] before a call takes effect; a write does so even if its caller has left
-	AnswerDelay   time.Duration `json:"answer_delay"`   // [answer_delay] after it took effect
-	LoseApplied   int           `json:"lose_applied"`   // [lose_applied] this many writes take effect and get no answer
-	LoseUnapplied int           `json:"lose_unapplied"` // [lose_unapplied] this many writes neither take effect nor get an answer
+	Delay         time.Duration `json:"delay"`          // [delay] before a call takes effect; a write takes effect even if its caller has disconnected
+	AnswerDelay   time.Duration `json:"answer_delay"`   // [answer_delay] after the call took effect
+	LoseApplied   int           `json:"lose_applied"`   // [lose_applied] this many writes take effect and get no response
+	LoseUnapplied int           `json:"lose_unapplied"` // [lose_unapplied] this many writes neither take effect nor get a response
 	Watch         Watch         `json:"watch"`          // [watch]
 	OldReads      bool          `json:"old_reads"`      // [old_reads] reads come from the last snapshot
 }
 
-// set changes one fault by its parameter.
+// set changes the fault with the given parameter name.
 func (f *Faults) set(name, value string) error {
 	var err error
 	switch name {
@@ -55,7 +55,7 @@
 	case "lose_unapplied":
 		f.LoseUnapplied, err = strconv.Atoi(value)
 	case "watch":
-		f.Watch, err = oneOf(value, WatchWhole, WatchPaused, WatchOld)
+		f.Watch, err = oneOf(value, WatchNormal, WatchPaused, WatchOld)
 	case "old_reads":
 		f.OldReads, err = strconv.ParseBool(value)
 	default:
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// oneOf returns value as one of the allowed.
+// oneOf returns value if it is among the allowed ones.
 func oneOf[T ~string](value string, allowed ...T) (T, error) {
 	for _, a := range allowed {
 		if string(a) == value {
@@ -77,8 +77,8 @@
 	return "", fmt.Errorf("want one of %q", allowed)
 }
 
-// with returns the faults changed by form; clear=true starts from none.
-func (f Faults) with(form url.Values) (Faults, error) {
+// changedBy returns the faults as changed by form; with clear=true all others are cleared.
+func (f Faults) changedBy(form url.Values) (Faults, error) {
 	if form.Get("clear") == "true" {
 		f = Faults{}
 	}
@@ -93,7 +93,7 @@
 	return f, nil
 }
 
-// Faults returns the faults now switched on.
+// Faults returns the current faults.
 func (s *Server) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,26 +108,26 @@
 	s.store.notify()
 }
 
-// fate is what happens to one write.
-type fate struct {
+// callOutcome is how one call ends.
+type callOutcome struct {
 	applied  bool
 	answered bool
 }
 
-// fateOf uses up one lost answer if any is due.
-func (s *Server) fateOf(write bool) fate {
+// nextOutcome returns the outcome of a call; each lost write decrements its fault.
+func (s *Server) nextOutcome(write bool) callOutcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !write {
-		return fate{applied: true, answered: true}
+		return callOutcome{applied: true, answered: true}
 	}
 	if s.faults.LoseApplied > 0 {
 		s.faults.LoseApplied--
-		return fate{applied: true}
+		return callOutcome{applied: true}
 	}
 	if s.faults.LoseUnapplied > 0 {
 		s.faults.LoseUnapplied--
-		return fate{}
+		return callOutcome{}
 	}
-	return fate{applied: true, answered: true}
+	return callOutcome{applied: true, answered: true}
 }
--- a/internal/standin/platform/hosts.go
+++ b/internal/standin/platform/hosts.go
@@ -10,42 +10,42 @@
 	"github.com/micarudder/micarudder/metastore"
 )
 
-// HostGone takes a host off the list.
+// HostGone removes a host from the list.
 const HostGone metastore.HostState = "gone"
 
-// hostList is the truth about the hosts, and what the list shows of it.
+// hostList holds the actual hosts and the hosts as listed, which lag behind.
 type hostList struct {
-	mu    sync.Mutex
-	lag   time.Duration
-	truth map[string]metastore.Host
-	shown map[string]metastore.Host
+	mu     sync.Mutex
+	lag    time.Duration
+	actual map[string]metastore.Host
+	listed map[string]metastore.Host
 }
 
 func newHostList(lag time.Duration, hosts []metastore.Host) *hostList {
-	l := &hostList{lag: lag, truth: map[string]metastore.Host{}, shown: map[string]metastore.Host{}}
+	l := &hostList{lag: lag, actual: map[string]metastore.Host{}, listed: map[string]metastore.Host{}}
 	for _, h := range hosts {
-		l.truth[h.Name] = h
-		l.shown[h.Name] = h
+		l.actual[h.Name] = h
+		l.listed[h.Name] = h
 	}
 	return l
 }
 
-// set changes one host; the list shows it after the lag.
+// set changes one host; the list shows the change after the lag.
 func (l *hostList) set(h metastore.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if old, ok := l.truth[h.Name]; ok {
+	if old, ok := l.actual[h.Name]; ok {
 		h = merge(old, h)
 	}
-	l.truth[h.Name] = h
+	l.actual[h.Name] = h
 	if l.lag == 0 {
-		l.show(h)
+		l.publish(h)
 		return
 	}
 	time.AfterFunc(l.lag, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.show(h)
+		l.publish(h)
 	})
 }
 
@@ -63,28 +63,28 @@
 	return h
 }
 
-func (l *hostList) show(h metastore.Host) {
+func (l *hostList) publish(h metastore.Host) {
 	if h.State == HostGone {
-		delete(l.shown, h.Name)
+		delete(l.listed, h.Name)
 		return
 	}
-	l.shown[h.Name] = h
+	l.listed[h.Name] = h
 }
 
-// setLag changes the lag of later changes.
+// setLag sets the lag of later changes.
 func (l *hostList) setLag(lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lag = lag
 }
 
-// list returns the hosts shown, ordered by name.
+// list returns the listed hosts, ordered by name.
 func (l *hostList) list() []metastore.Host {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	hosts := make([]metastore.Host, 0, len(l.shown))
-	for _, name := range slices.Sorted(maps.Keys(l.shown)) {
-		hosts = append(hosts, l.shown[name])
+	hosts := make([]metastore.Host, 0, len(l.listed))
+	for _, name := range slices.Sorted(maps.Keys(l.listed)) {
+		hosts = append(hosts, l.listed[name])
 	}
 	return hosts
 }
@@ -95,7 +95,7 @@
 	Labels  map[string]string `json:"labels"`
 }
 
-// serveHosts answers with the lagging list.
+// serveHosts sends the listed hosts.
 func (s *Server) serveHosts(w http.ResponseWriter, _ *http.Request) {
 	groups := []targetGroup{}
 	for _, h := range s.hosts.list() {
--- a/internal/standin/platform/lease.go
+++ b/internal/standin/platform/lease.go
@@ -15,7 +15,7 @@
 	s.nextLease++
 	ttl := time.Duration(max(1, req.TTL)) * time.Second
 	s.state.leases[s.nextLease] = ttl
-	s.start(s.nextLease, ttl)
+	s.startTimer(s.nextLease, ttl)
 	return etcdjson.GrantResponse{
 		Header: s.state.header(),
 		ID:     etcdjson.Int64(s.nextLease),
@@ -23,7 +23,7 @@
 	}
 }
 
-// keepAlive renews a lease; an unknown one is answered with a TTL of zero.
+// keepAlive renews a lease; for an unknown lease the TTL in the response is zero.
 func (s *store) keepAlive(req etcdjson.KeepAliveRequest) etcdjson.KeepAliveResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,7 +32,7 @@
 	if !ok {
 		return res
 	}
-	s.start(int64(req.ID), ttl)
+	s.startTimer(int64(req.ID), ttl)
 	res.TTL = etcdjson.Int64(ttl / time.Second)
 	return res
 }
@@ -44,41 +44,41 @@
 	if _, ok := s.state.leases[int64(req.ID)]; !ok {
 		return etcdjson.RevokeResponse{}, errLeaseNotFound
 	}
-	s.end(int64(req.ID))
+	s.deleteLease(int64(req.ID))
 	return etcdjson.RevokeResponse{Header: s.state.header()}, nil
 }
 
-// start sets the end of a lease to ttl from now.
-func (s *store) start(id int64, ttl time.Duration) {
-	s.stop(id)
-	s.ends[id] = time.Now().Add(ttl)
-	s.timers[id] = time.AfterFunc(ttl, func() { s.lapse(id) })
+// startTimer sets the expiry of a lease to ttl from now.
+func (s *store) startTimer(id int64, ttl time.Duration) {
+	s.stopTimer(id)
+	s.expiries[id] = time.Now().Add(ttl)
+	s.timers[id] = time.AfterFunc(ttl, func() { s.expire(id) })
 }
 
-// stop takes a lease's timer away.
-func (s *store) stop(id int64) {
+// stopTimer removes a lease's timer.
+func (s *store) stopTimer(id int64) {
 	if t := s.timers[id]; t != nil {
 		t.Stop()
 	}
 	delete(s.timers, id)
-	delete(s.ends, id)
+	delete(s.expiries, id)
 }
 
-// lapse ends a lease whose time is over; a timer that lost against a renewal
-// finds a later end.
-func (s *store) lapse(id int64) {
+// expire ends an expired lease. A timer that fired concurrently with a renewal finds a later expiry
+// and does nothing.
+func (s *store) expire(id int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	end, ok := s.ends[id]
+	end, ok := s.expiries[id]
 	if !ok || time.Now().Before(end) {
 		return
 	}
-	s.end(id)
+	s.deleteLease(id)
 }
 
-// end deletes a lease and the keys attached to it.
-func (s *store) end(id int64) {
-	s.stop(id)
+// deleteLease deletes a lease and the keys attached to it.
+func (s *store) deleteLease(id int64) {
+	s.stopTimer(id)
 	delete(s.state.leases, id)
 	for _, key := range slices.Sorted(maps.Keys(s.state.kvs)) {
 		if int64(s.state.kvs[key].Lease) == id {
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -1,7 +1,6 @@
-// Package platform is a small stand-in for the platform's key-value service
-// and host list, for tests, the demo and benchmarks: everything is in memory,
-// and its faults are switched over HTTP or by methods. It runs on real sockets
-// and, since it uses the time package only, in a synctest bubble.
+// Package platform simulates the platform's key-value service and host list in memory, for tests,
+// the demo and benchmarks. Faults are set over HTTP or by methods. It runs on real sockets and,
+// since it depends on no clock but that of package time, in a synctest bubble.
 package platform
 
 import (
@@ -18,25 +17,24 @@
 	"golang.org/x/time/rate"
 )
 
-// maxBody bounds the bytes of a request, which carries its value as base64.
+// maxBody limits the size of a request in bytes; the request contains its value as base64.
 const maxBody = 4 << 20
 
-// Config sets the service up; its zero value is a service without limits on
-// its rates and without hosts.
+// Config configures the service; the zero value is a service without rate limits and without hosts.
 type Config struct {
-	// ReadRate and WriteRate are the calls a second that are served, with a
-	// burst of one second's calls; zero means no limit.
+	// ReadRate and WriteRate are the rate limits in calls per second, with a burst of one second's
+	// calls; zero means no limit.
 	ReadRate  float64
 	WriteRate float64
-	// MaxValue is the largest value in bytes; zero means metastore.MaxValue.
+	// MaxValue is the size of the largest value in bytes; zero means metastore.MaxValue.
 	MaxValue int
-	// Hosts is the list at the start.
+	// Hosts is the initial list of hosts.
 	Hosts []metastore.Host
-	// HostLag is how long a change of a host takes to show in the list.
+	// HostLag is the time until a change of a host appears in the list.
 	HostLag time.Duration
 }
 
-// Server is the service. Its methods may be called at any time.
+// Server is the simulated service. Its methods are safe for concurrent use.
 type Server struct {
 	store    *store
 	hosts    *hostList
@@ -50,7 +48,7 @@
 	faults Faults
 }
 
-// NewServer returns a service in which no key exists.
+// NewServer returns a service without keys.
 func NewServer(c Config) *Server {
 	s := &Server{
 		store:    newStore(),
@@ -63,36 +61,34 @@
 	if s.maxValue == 0 {
 		s.maxValue = metastore.MaxValue
 	}
-	s.routes()
+	s.registerCalls()
 	return s
 }
 
-// Handler returns the service's face: the calls of the key-value service and
-// GET /hosts, and besides them the control calls GET and POST /fault, GET
-// /counts, POST /snapshot, /restore, /host and /rates, which no fault touches.
+// Handler serves the calls of the key-value service and GET /hosts, and the control calls GET and
+// POST /fault, GET /counts, POST /snapshot, /restore, /host and /rates, which faults do not affect.
 func (s *Server) Handler() http.Handler { return s.mux }
 
-// Counts returns the calls received so far.
+// Counts returns the numbers of calls received so far.
 func (s *Server) Counts() Counts { return s.counts.get() }
 
-// Snapshot copies the store's state aside.
-func (s *Server) Snapshot() { s.store.take() }
+// Snapshot saves a copy of the store's state.
+func (s *Server) Snapshot() { s.store.takeSnapshot() }
 
-// Restore puts the last snapshot back, as a disk's older state does, and
+// Restore resets the store to the last snapshot, as when an older state of a disk is restored, and
 // reports whether there was one.
 func (s *Server) Restore() bool { return s.store.restore(false) }
 
-// RestoreCluster is Restore into a cluster with a new name, as etcd's own tool
-// does it.
+// RestoreCluster is Restore into a cluster with a new id, as etcd's own tool does it.
 func (s *Server) RestoreCluster() bool { return s.store.restore(true) }
 
-// SetHost adds or changes a host; empty fields keep what they were.
+// SetHost adds or changes a host; empty fields keep their values.
 func (s *Server) SetHost(h metastore.Host) { s.hosts.set(h) }
 
-// SetHostLag changes the lag of later changes of hosts.
+// SetHostLag sets the lag of later changes of hosts.
 func (s *Server) SetHostLag(lag time.Duration) { s.hosts.setLag(lag) }
 
-// SetRates changes the limits, in calls a second; zero means none.
+// SetRates sets the rate limits in calls per second; zero means none.
 func (s *Server) SetRates(reads, writes float64) {
 	setRate(s.reads, reads)
 	setRate(s.writes, writes)
@@ -115,34 +111,34 @@
 	l.SetBurst(max(1, int(perSecond)))
 }
 
-// call is one kind of call: how it is counted and what it does.
+// call is one kind of call: how it is counted and served.
 type call struct {
 	write  bool
-	stream bool // its answer has no end
+	stream bool // the response does not end
 	count  func(*Counts) *int64
 	serve  http.HandlerFunc
 }
 
-func (s *Server) routes() {
-	s.serve("POST "+etcdjson.PathRange, call{count: func(c *Counts) *int64 { return &c.Range }, serve: s.serveRange})
-	s.serve("POST "+etcdjson.PathTxn, call{write: true, count: func(c *Counts) *int64 { return &c.Txn }, serve: s.serveTxn})
-	s.serve("POST "+etcdjson.PathGrant, call{write: true, count: func(c *Counts) *int64 { return &c.Grant }, serve: s.serveGrant})
-	s.serve("POST "+etcdjson.PathKeepAlive, call{write: true, count: func(c *Counts) *int64 { return &c.KeepAlive }, serve: s.serveKeepAlive})
-	s.serve("POST "+etcdjson.PathRevoke, call{write: true, count: func(c *Counts) *int64 { return &c.Revoke }, serve: s.serveRevoke})
-	s.serve("POST "+etcdjson.PathWatch, call{stream: true, count: func(c *Counts) *int64 { return &c.Watch }, serve: s.serveWatch})
-	s.serve("GET "+metastore.DefaultHostsPath, call{count: func(c *Counts) *int64 { return &c.Hosts }, serve: s.serveHosts})
-	s.control()
+func (s *Server) registerCalls() {
+	s.register("POST "+etcdjson.PathRange, call{count: func(c *Counts) *int64 { return &c.Range }, serve: s.serveRange})
+	s.register("POST "+etcdjson.PathTxn, call{write: true, count: func(c *Counts) *int64 { return &c.Txn }, serve: s.serveTxn})
+	s.register("POST "+etcdjson.PathGrant, call{write: true, count: func(c *Counts) *int64 { return &c.Grant }, serve: s.serveGrant})
+	s.register("POST "+etcdjson.PathKeepAlive, call{write: true, count: func(c *Counts) *int64 { return &c.KeepAlive }, serve: s.serveKeepAlive})
+	s.register("POST "+etcdjson.PathRevoke, call{write: true, count: func(c *Counts) *int64 { return &c.Revoke }, serve: s.serveRevoke})
+	s.register("POST "+etcdjson.PathWatch, call{stream: true, count: func(c *Counts) *int64 { return &c.Watch }, serve: s.serveWatch})
+	s.register("GET "+metastore.DefaultHostsPath, call{count: func(c *Counts) *int64 { return &c.Hosts }, serve: s.serveHosts})
+	s.registerControl()
 }
 
-// serve registers a call behind the faults and the limits.
-func (s *Server) serve(pattern string, c call) {
+// register registers a call subject to faults and rate limits.
+func (s *Server) register(pattern string, c call) {
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		s.counts.add(c.count)
-		if !s.pass(w, r, c.write) {
+		if !s.admit(w, r, c.write) {
 			return
 		}
-		f := s.fateOf(c.write)
-		if !f.applied {
+		outcome := s.nextOutcome(c.write)
+		if !outcome.applied {
 			panic(http.ErrAbortHandler)
 		}
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
@@ -152,16 +148,16 @@
 		}
 		faults := s.Faults()
 		pause(context.WithoutCancel(r.Context()), faults.Delay)
-		if c.stream || faults.AnswerDelay == 0 && f.answered {
+		if c.stream || faults.AnswerDelay == 0 && outcome.answered {
 			c.serve(w, withBody(r, body))
 			return
 		}
-		s.serveLate(w, withBody(r, body), c, f, faults.AnswerDelay)
+		s.serveDelayed(w, withBody(r, body), c, outcome, faults.AnswerDelay)
 	})
 }
 
-// pass reports whether the call gets past outage and limits.
-func (s *Server) pass(w http.ResponseWriter, r *http.Request, write bool) bool {
+// admit applies outages and rate limits; it reports whether the call is to be served.
+func (s *Server) admit(w http.ResponseWriter, r *http.Request, write bool) bool {
 	switch s.Faults().Outage {
 	case OutageRefuse:
 		writeError(w, http.StatusServiceUnavailable, etcdjson.CodeUnavailable, etcdjson.MessageNoLeader)
@@ -185,15 +181,15 @@
 	return true
 }
 
-// serveLate lets the call take effect and delays or drops its answer.
-func (s *Server) serveLate(w http.ResponseWriter, r *http.Request, c call, f fate, delay time.Duration) {
-	held := &heldAnswer{header: http.Header{}, status: http.StatusOK}
-	c.serve(held, r)
-	if !f.answered {
+// serveDelayed applies the call and delays or drops its response.
+func (s *Server) serveDelayed(w http.ResponseWriter, r *http.Request, c call, outcome callOutcome, delay time.Duration) {
+	buffered := &bufferedResponse{header: http.Header{}, status: http.StatusOK}
+	c.serve(buffered, r)
+	if !outcome.answered {
 		panic(http.ErrAbortHandler)
 	}
 	pause(r.Context(), delay)
-	held.release(w)
+	buffered.sendTo(w)
 }
 
 func (s *Server) serveRange(w http.ResponseWriter, r *http.Request) {
@@ -215,7 +211,7 @@
 		}
 	}
 	res, err := s.store.txn(req)
-	answer(w, res, err)
+	writeResult(w, res, err)
 }
 
 func (s *Server) serveGrant(w http.ResponseWriter, r *http.Request) {
@@ -237,12 +233,12 @@
 	var req etcdjson.RevokeRequest
 	if readBody(w, r, &req) {
 		res, err := s.store.revoke(req)
-		answer(w, res, err)
+		writeResult(w, res, err)
 	}
 }
 
-// answer writes a result or the error instead of it.
-func answer(w http.ResponseWriter, res any, err error) {
+// writeResult writes a result, or the error in its place.
+func writeResult(w http.ResponseWriter, res any, err error) {
 	if errors.Is(err, errLeaseNotFound) {
 		writeError(w, http.StatusNotFound, etcdjson.CodeNotFound, err.Error())
 		return
@@ -250,7 +246,7 @@
 	writeJSON(w, http.StatusOK, res)
 }
 
-// readBody decodes the request or answers that it cannot be read.
+// readBody decodes the request, or responds with an error and reports false.
 func readBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := json.NewDecoder(r.Body).Decode(into); err != nil {
 		writeError(w, http.StatusBadRequest, etcdjson.CodeInvalidArgument, err.Error())
--- a/internal/standin/platform/server_test.go
+++ b/internal/standin/platform/server_test.go
@@ -12,8 +12,8 @@
 	"github.com/micarudder/micarudder/metastore"
 )
 
-// ask makes one call of the handler and returns its status and body.
-func ask(s *standin.Server, method, target, body string) (int, string) {
+// send makes one call to the handler and returns its status and body.
+func send(s *standin.Server, method, target, body string) (int, string) {
 	w := httptest.NewRecorder()
 	s.Handler().ServeHTTP(w, httptest.NewRequest(method, target, strings.NewReader(body)))
 	return w.Code, w.Body.String()
@@ -37,30 +37,29 @@
 	is := is.New(t)
 	s := standin.NewServer(standin.Config{})
 	for _, c := range cases {
-		status, _ := ask(s, http.MethodPost, "/fault?"+c.query, "")
+		status, _ := send(s, http.MethodPost, "/fault?"+c.query, "")
 		is.Equal(status, c.status)
 		is.Equal(s.Faults(), c.want)
 	}
 }
 
-// TestControlInOutage: the control calls are out of every fault's reach and
-// are not counted.
+// TestControlInOutage: faults do not affect the control calls, and these are not counted.
 func TestControlInOutage(t *testing.T) {
 	is := is.New(t)
 	s := standin.NewServer(standin.Config{})
 	s.SetFaults(standin.Faults{Outage: standin.OutageRefuse})
-	status, _ := ask(s, http.MethodGet, "/hosts", "")
+	status, _ := send(s, http.MethodGet, "/hosts", "")
 	is.Equal(status, http.StatusServiceUnavailable)
 	for _, call := range []string{"POST /snapshot", "POST /restore", "POST /host?host=h1&state=live&address=a:1&lag=0s", "POST /rates?reads=1&writes=1", "GET /fault", "GET /counts", "POST /fault?clear=true"} {
 		method, target, _ := strings.Cut(call, " ")
-		status, _ := ask(s, method, target, "")
+		status, _ := send(s, method, target, "")
 		is.Equal(status, http.StatusOK)
 	}
 	is.Equal(s.Counts(), standin.Counts{Hosts: 1})
-	_, body := ask(s, http.MethodGet, "/hosts", "")
+	_, body := send(s, http.MethodGet, "/hosts", "")
 	is.Equal(body, `[{"targets":["a:1"],"labels":{"data_centre":"","host":"h1","state":"live"}}]`+"\n")
-	status, _ = ask(s, http.MethodGet, "/hosts", "")
-	is.Equal(status, http.StatusTooManyRequests) // over the rate set above
+	status, _ = send(s, http.MethodGet, "/hosts", "")
+	is.Equal(status, http.StatusTooManyRequests) // over the rate limit set above
 	is.Equal(s.Counts(), standin.Counts{Hosts: 3, Limited: 1})
 }
 
@@ -75,21 +74,20 @@
 		"/rates?writes=1":        http.StatusBadRequest,
 		"/v3/kv/txn":             http.StatusBadRequest, // no body
 	} {
-		status, _ := ask(s, http.MethodPost, target, "")
+		status, _ := send(s, http.MethodPost, target, "")
 		is.Equal(status, want)
 	}
 }
 
-// TestCompactedWatch: a watch from a revision that is no longer known is
-// canceled and says so.
+// TestCompactedWatch: a watch from a compacted revision is canceled with the compact revision.
 func TestCompactedWatch(t *testing.T) {
 	is := is.New(t)
 	s := standin.NewServer(standin.Config{})
 	for range 10_010 {
-		status, _ := ask(s, http.MethodPost, "/v3/kv/txn", `{"success":[{"request_put":{"key":"aw==","value":"MQ=="}}]}`)
+		status, _ := send(s, http.MethodPost, "/v3/kv/txn", `{"success":[{"request_put":{"key":"aw==","value":"MQ=="}}]}`)
 		is.Equal(status, http.StatusOK)
 	}
-	status, body := ask(s, http.MethodPost, "/v3/watch", `{"create_request":{"key":"aw==","start_revision":"5"}}`)
+	status, body := send(s, http.MethodPost, "/v3/watch", `{"create_request":{"key":"aw==","start_revision":"5"}}`)
 	is.Equal(status, http.StatusOK)
 	is.True(strings.Contains(body, `"canceled":true,"compact_revision":"11"`))
 	is.Equal(strings.Count(body, "\n"), 2)
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -12,12 +12,12 @@
 	"github.com/micarudder/micarudder/internal/etcdjson"
 )
 
-// maxLog is the number of changes kept for watches that start in the past.
-const maxLog = 10_000
+// maxHistory is the number of changes kept for watches that start in the past.
+const maxHistory = 10_000
 
 var errLeaseNotFound = errors.New(etcdjson.MessageLeaseNotFound)
 
-// state is what a snapshot holds.
+// state is the content of a snapshot.
 type state struct {
 	cluster  int64
 	revision int64
@@ -25,24 +25,24 @@
 	leases   map[int64]time.Duration // TTL
 }
 
-// clone returns an independent copy; values are never changed in place.
+// clone returns an independent copy; values are never modified in place.
 func (s state) clone() state {
 	s.kvs = maps.Clone(s.kvs)
 	s.leases = maps.Clone(s.leases)
 	return s
 }
 
-// store is the key-value service without its edge.
+// store is the key-value service without its HTTP interface.
 type store struct {
 	mu        sync.Mutex
 	state     state
 	timers    map[int64]*time.Timer
-	ends      map[int64]time.Time
+	expiries  map[int64]time.Time
 	nextLease int64
-	log       []etcdjson.Event
-	compacted int64                    // revisions up to here are no longer in log
+	history   []etcdjson.Event
+	compacted int64                    // revisions up to this one are no longer in history
 	changed   map[string]chan struct{} // by watched key; closed at its next change
-	epoch     int                      // grows with each restore; ends the watches
+	epoch     int                      // incremented by each restore, which ends the watches
 	snapshot  *state
 }
 
@@ -50,15 +50,15 @@
 	return &store{
 		state:     state{cluster: 1, revision: 1, kvs: map[string]etcdjson.KeyValue{}, leases: map[int64]time.Duration{}},
 		timers:    map[int64]*time.Timer{},
-		ends:      map[int64]time.Time{},
+		expiries:  map[int64]time.Time{},
 		nextLease: 1000,
 		compacted: 1,
 		changed:   map[string]chan struct{}{},
 	}
 }
 
-// read answers a range request from the state, or from the last snapshot when
-// stale is set and there is one.
+// read answers a range request from the current state, or from the last snapshot if stale is set
+// and there is one.
 func (s *store) read(req etcdjson.RangeRequest, stale bool) etcdjson.RangeResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,8 +85,8 @@
 	return res
 }
 
-// keys returns the keys asked for, in order. The single key, which is asked
-// for most, is not searched for.
+// keys returns the requested keys in order. Requests for a single key, the most frequent ones, need
+// no search.
 func (s state) keys(req etcdjson.RangeRequest) []string {
 	if len(req.RangeEnd) == 0 {
 		if _, ok := s.kvs[string(req.Key)]; !ok {
@@ -111,8 +111,7 @@
 	}
 }
 
-// inRange reports whether key is in [start, end); an end of one zero byte has
-// no upper bound.
+// inRange reports whether key is in [start, end); an end of one zero byte means no upper bound.
 func inRange(key, start, end []byte) bool {
 	if bytes.Compare(key, start) < 0 {
 		return false
@@ -120,11 +119,11 @@
 	return bytes.Equal(end, []byte{0}) || bytes.Compare(key, end) < 0
 }
 
-// txn runs a transaction as a whole; an error means that nothing was written.
+// txn runs a transaction atomically; after an error nothing was written.
 func (s *store) txn(req etcdjson.TxnRequest) (etcdjson.TxnResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	succeeded := s.holds(req.Compare)
+	succeeded := s.compareAll(req.Compare)
 	ops := req.Failure
 	if succeeded {
 		ops = req.Success
@@ -140,8 +139,8 @@
 	return res, nil
 }
 
-// holds reports whether every comparison holds.
-func (s *store) holds(compares []etcdjson.Compare) bool {
+// compareAll reports whether all comparisons succeed.
+func (s *store) compareAll(compares []etcdjson.Compare) bool {
 	for _, c := range compares {
 		if s.state.kvs[string(c.Key)].ModRevision != c.ModRevision {
 			return false
@@ -150,7 +149,7 @@
 	return true
 }
 
-// checkLeases refuses a put with an unknown lease before anything is written.
+// checkLeases returns an error for a put with an unknown lease, before anything is written.
 func (s *store) checkLeases(ops []etcdjson.RequestOp) error {
 	for _, op := range ops {
 		if op.Put == nil || op.Put.Lease == 0 {
@@ -163,7 +162,7 @@
 	return nil
 }
 
-// apply runs one operation.
+// apply executes one operation.
 func (s *store) apply(op etcdjson.RequestOp) etcdjson.ResponseOp {
 	switch {
 	case op.Put != nil:
@@ -195,7 +194,7 @@
 	s.append(etcdjson.Event{Kv: kv})
 }
 
-// remove deletes a key and returns how many were deleted.
+// remove deletes a key and returns the number of deleted keys.
 func (s *store) remove(key string) etcdjson.Int64 {
 	if _, ok := s.state.kvs[key]; !ok {
 		return 0
@@ -207,17 +206,17 @@
 	return 1
 }
 
-// append adds a change to the log and wakes the watches.
+// append adds a change to the history and wakes the watches.
 func (s *store) append(e etcdjson.Event) {
-	s.log = append(s.log, e)
-	if len(s.log) > maxLog {
-		s.compacted = int64(s.log[0].Kv.ModRevision)
-		s.log = s.log[1:]
+	s.history = append(s.history, e)
+	if len(s.history) > maxHistory {
+		s.compacted = int64(s.history[0].Kv.ModRevision)
+		s.history = s.history[1:]
 	}
 	s.wake(string(e.Kv.Key))
 }
 
-// wake lets the watches of a key look again.
+// wake wakes the watches of a key.
 func (s *store) wake(key string) {
 	if c, ok := s.changed[key]; ok {
 		close(c)
@@ -225,32 +224,32 @@
 	}
 }
 
-// wakeAll lets every watch look again.
+// wakeAll wakes all watches.
 func (s *store) wakeAll() {
 	for key := range s.changed {
 		s.wake(key)
 	}
 }
 
-// notify is wakeAll for callers outside the store.
+// notify is wakeAll with locking.
 func (s *store) notify() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wakeAll()
 }
 
-// take copies the state aside.
-func (s *store) take() {
+// takeSnapshot saves a copy of the state.
+func (s *store) takeSnapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.state.clone()
 	s.snapshot = &c
 }
 
-// restore puts the last snapshot back, as after a loss: watches end, and
-// leases begin anew with their whole TTL. The cluster gets a new name if
-// renamed is set. It reports whether there was a snapshot.
-func (s *store) restore(renamed bool) bool {
+// restore resets the state to the last snapshot, as after a loss: watches end, and leases restart
+// with their full TTL. With newCluster the cluster gets a new id. It reports whether there was a
+// snapshot.
+func (s *store) restore(newCluster bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.snapshot == nil {
@@ -259,17 +258,17 @@
 	cluster := s.state.cluster
 	s.state = s.snapshot.clone()
 	s.state.cluster = cluster
-	if renamed {
+	if newCluster {
 		s.state.cluster++
 	}
-	s.log = nil
+	s.history = nil
 	s.compacted = s.state.revision
 	s.epoch++
 	for id := range s.timers {
-		s.stop(id)
+		s.stopTimer(id)
 	}
 	for id, ttl := range s.state.leases {
-		s.start(id, ttl)
+		s.startTimer(id, ttl)
 	}
 	s.wakeAll()
 	return true
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a stand-in for a plain service: it echoes what it is
-// asked, counts executions, and fails in ways that are switched over HTTP.
+// Package service simulates a plain service: it echoes requests, counts executions, and injects
+// faults that are set over HTTP.
 package service
 
 import (
@@ -15,29 +15,29 @@
 
 const maxBodyBytes = 8 << 20
 
-// Config sets up a stand-in service.
+// Config configures a simulated service.
 type Config struct {
 	Name string
-	Work time.Duration // that each call takes
+	Work time.Duration // duration of each call
 }
 
-// Faults are the switchable failures; the zero value is a healthy service.
-// POST /fault replaces them all.
+// Faults are the injected faults; the zero value is a healthy service. POST /fault replaces all of
+// them.
 type Faults struct {
-	// LoseAnswer runs the call and breaks the connection instead of answering.
+	// LoseAnswer runs the call and breaks the connection instead of responding.
 	LoseAnswer bool `json:"lose_answer,omitempty"`
-	// CutAnswer runs the call and breaks the connection halfway through the answer.
+	// CutAnswer runs the call and breaks the connection halfway through the response.
 	CutAnswer bool `json:"cut_answer,omitempty"`
-	// Refuse answers 503 without running the call.
+	// Refuse responds with 503 without running the call.
 	Refuse bool `json:"refuse,omitempty"`
-	// Hang holds every call back before it runs. Afterwards it does run, whether
-	// its caller has left or not.
+	// Hang delays every call before it runs. Afterwards it runs even if its caller has
+	// disconnected.
 	Hang bool `json:"hang,omitempty"`
 	// SlowFactor multiplies Work; 0 counts as 1.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
 }
 
-// Echo is the answer to a call.
+// Echo is the response to a call.
 type Echo struct {
 	Service string `json:"service"`
 	ID      string `json:"id"`
@@ -48,7 +48,7 @@
 	Run     int    `json:"run"` // executions of this id so far
 }
 
-// Counts are the executions since the process started.
+// Counts holds the numbers of executions since the process started.
 type Counts struct {
 	Total  int            `json:"total"`
 	ByID   map[string]int `json:"by_id"`
@@ -56,7 +56,7 @@
 	ByCall map[string]int `json:"by_call"` // method, path with query, and body
 }
 
-// Server is one stand-in service.
+// Server is one simulated service.
 type Server struct {
 	cfg Config
 
@@ -66,7 +66,7 @@
 	counts Counts
 }
 
-// NewServer returns a service.
+// NewServer returns a service without faults.
 func NewServer(cfg Config) *Server {
 	s := &Server{cfg: cfg, thaw: make(chan struct{})}
 	s.counts = Counts{ByID: map[string]int{}, ByKey: map[string]int{}, ByCall: map[string]int{}}
@@ -74,7 +74,7 @@
 	return s
 }
 
-// Handler serves every path but /fault and /executions as a call.
+// Handler serves every path except /fault and /executions as a call.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serveCall)
@@ -96,7 +96,7 @@
 	s.faults = f
 }
 
-// Counts returns a copy of the executions counted.
+// Counts returns a copy of the numbers of executions.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +111,7 @@
 	return out
 }
 
-func (s *Server) state() (Faults, chan struct{}) {
+func (s *Server) faultState() (Faults, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults, s.thaw
@@ -122,27 +122,27 @@
 	if err != nil {
 		return
 	}
-	_, thaw := s.state()
+	_, thaw := s.faultState()
 	<-thaw
-	f, _ := s.state()
+	f, _ := s.faultState()
 	if f.Refuse {
 		http.Error(w, "the service refuses work", http.StatusServiceUnavailable)
 		return
 	}
-	e := s.run(r, string(raw))
-	time.Sleep(f.work(s.cfg.Work))
-	s.answer(w, f, e)
+	e := s.recordRun(r, string(raw))
+	time.Sleep(f.scaledWork(s.cfg.Work))
+	s.respond(w, f, e)
 }
 
-func (f Faults) work(d time.Duration) time.Duration {
+func (f Faults) scaledWork(d time.Duration) time.Duration {
 	if f.SlowFactor <= 0 {
 		return d
 	}
 	return time.Duration(float64(d) * f.SlowFactor)
 }
 
-// run counts the execution.
-func (s *Server) run(r *http.Request, body string) Echo {
+// recordRun counts the execution and returns its echo.
+func (s *Server) recordRun(r *http.Request, body string) Echo {
 	e := Echo{
 		Service: s.cfg.Name,
 		ID:      r.Header.Get(service.HeaderRequestID),
@@ -163,7 +163,7 @@
 	return e
 }
 
-func (s *Server) answer(w http.ResponseWriter, f Faults, e Echo) {
+func (s *Server) respond(w http.ResponseWriter, f Faults, e Echo) {
 	if f.LoseAnswer {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/standin/usersplatform/memory.go
+++ b/internal/standin/usersplatform/memory.go
@@ -231,7 +231,7 @@
 	w.memory.SetUsed(names, true)
 	defer w.memory.SetUsed(names, false)
 	time.Sleep(prefillTime)
-	if chance < f.Hang+f.LoseAnswer {
+	if chance < f.Hang+f.LoseResponse {
 		w.markHung(id)
 		w.memory.SetUsed(names, false)
 		_, _ = br.ReadByte()
--- a/internal/standin/usersplatform/worker.go
+++ b/internal/standin/usersplatform/worker.go
@@ -78,8 +78,8 @@
 	Truncate      float64 // closes the connection inside the response
 	ExtraResponse float64 // sends a response to another request first
 	// Of workers of kind engine:
-	Hang       float64 // does not run and never responds
-	LoseAnswer float64 // reads the prompt and never responds
+	Hang         float64 // does not run and never responds
+	LoseResponse float64 // reads the prompt and never responds
 }
 
 // Worker is one incarnation of a back end.
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,5 +1,5 @@
-// Package weights is a stand-in for the weight store: GET /weights/NAME sends
-// as many bytes as the weights have, at a rate that all readers share.
+// Package weights simulates the weight store: GET /weights/NAME sends as many bytes as the weights
+// have, at a rate shared by all readers.
 package weights
 
 import (
@@ -12,51 +12,50 @@
 	"golang.org/x/time/rate"
 )
 
-// chunkBytes is sent at a time.
+// chunkBytes is the number of bytes sent at a time.
 const chunkBytes = 64 << 10
 
-// Config sets up a weight store.
+// Config configures a weight store.
 type Config struct {
 	BytesPerSecond float64          // shared by all readers
 	DefaultBytes   int64            // length of weights not in Sizes
-	Sizes          map[string]int64 // bytes by name; 0 means missing
+	Sizes          map[string]int64 // bytes by name; 0 means not found
 }
 
-// Faults are the switchable failures. POST /fault replaces them all.
+// Faults are the injected faults. POST /fault replaces all of them.
 type Faults struct {
-	// Refuse answers 503.
+	// Refuse responds with 503.
 	Refuse bool `json:"refuse,omitempty"`
-	// CutAfterBytes breaks each download after so many bytes.
+	// CutAfterBytes breaks each download after this many bytes.
 	CutAfterBytes int64 `json:"cut_after_bytes,omitempty"`
 }
 
-// Reads counts downloads begun and bytes sent.
+// Reads counts started downloads and bytes sent.
 type Reads struct {
 	ByName map[string]int `json:"by_name"`
 	Bytes  int64          `json:"bytes"`
 }
 
-// Server is one weight store.
+// Server is one simulated weight store.
 type Server struct {
-	cfg   Config
-	limit *rate.Limiter
+	cfg     Config
+	limiter *rate.Limiter
 
 	mu     sync.Mutex
 	faults Faults
 	reads  Reads
 }
 
-// NewServer returns a store.
+// NewServer returns a weight store without faults.
 func NewServer(cfg Config) *Server {
 	return &Server{
-		cfg:   cfg,
-		limit: rate.NewLimiter(rate.Limit(cfg.BytesPerSecond), chunkBytes),
-		reads: Reads{ByName: map[string]int{}},
+		cfg:     cfg,
+		limiter: rate.NewLimiter(rate.Limit(cfg.BytesPerSecond), chunkBytes),
+		reads:   Reads{ByName: map[string]int{}},
 	}
 }
 
-// Handler serves the weights, the faults under /fault and the count of reads
-// under /executions.
+// Handler serves the weights, the faults under /fault and the counts of reads under /executions.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /weights/{name}", s.serveWeights)
@@ -99,7 +98,7 @@
 		http.Error(w, "no such weights", http.StatusNotFound)
 		return
 	}
-	f := s.begin(name)
+	f := s.beginRead(name)
 	if f.Refuse {
 		http.Error(w, "the store refuses reads", http.StatusServiceUnavailable)
 		return
@@ -115,7 +114,7 @@
 	}
 }
 
-func (s *Server) begin(name string) Faults {
+func (s *Server) beginRead(name string) Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.faults.Refuse {
@@ -129,7 +128,7 @@
 	chunk := make([]byte, chunkBytes)
 	for n > 0 {
 		part := min(n, chunkBytes)
-		if s.limit.WaitN(ctx, int(part)) != nil {
+		if s.limiter.WaitN(ctx, int(part)) != nil {
 			return
 		}
 		if _, err := w.Write(chunk[:part]); err != nil {
