--- a/admission/admission.go
+++ b/admission/admission.go
@@ -48,7 +48,7 @@
 // Queue schedules the waiting items of one endpoint. It is not safe for concurrent use.
 //
 // The caller calls Next until it returns false, after each Offer, Prefilled, Done, Remove
-// and Expire, and every PollEvery while items wait. Each item returned by Next ends with
+// and Expire, and every PollInterval while items wait. Each item returned by Next ends with
 // Done, or with Remove if its run did not complete.
 type Queue interface {
 	// Offer admits the item or refuses it immediately.
--- a/balance/policy.go
+++ b/balance/policy.go
@@ -56,32 +56,31 @@
 	PackedShare float64
 }
 
-// Default returns the policy that gateways use. The comments give the reason for each
-// value and the effect of others on the served value: the share of the value of all
-// requests that callers receive, less the cost of processors. The figures hold for 18
-// engines with faults. "No effect" means a difference below two standard errors, which
-// are 0.003 to 0.009.
+// Default returns the policy that gateways use. The comments give the reason for a value
+// and the effect of others on the served value: the share of the value of all requests
+// that callers receive, less the cost of processors. The figures hold for 18 engines with
+// faults.
 func Default() Policy {
 	return Policy{
 		ShortPrefillMs:      60,   // an iteration that prefills two such prompts takes less than 250 ms
 		MaxHelpers:          15,   // 16 parts with the decoding endpoint; engines accept 16 helpers
 		GapMargin:           30,   // covers a short request that is admitted meanwhile
-		FirstEventShare:     0.75, // the rest covers what the estimate leaves out; 0.57 and 0.9 have no effect
+		FirstEventShare:     0.75, // the rest covers what the estimate leaves out
 		SlotWaitMs:          150,  // a stream takes 2.3 s, divided by 12 to 16 slots
-		SaturatedShare:      1,    // 0.9 has no effect
-		PackedShare:         0.75, // at 0.9 a delayed load update fills an endpoint and served value drops by 0.007; 0.5 has no effect
-		LongPartMs:          250,  // the shortest gap that routes allow; 450 has no effect
-		PartCost:            0.03, // decides between equal splits; 0.15 has no effect
+		SaturatedShare:      1,
+		PackedShare:         0.75, // at 0.9 a delayed load update fills an endpoint and served value drops by 0.007
+		LongPartMs:          250,  // the shortest gap that routes allow
+		PartCost:            0.03, // decides between equal splits
 		BaseInterference:    0.5,  // less than one late short request
-		ArrivalInterference: 0.3,  // 0.1 lowers served value by 0.012, and that of long prompts from 0.76 to 0.70; 0.15 and 0.5 have no effect
+		ArrivalInterference: 0.3,  // 0.1 lowers served value by 0.012, and that of long prompts from 0.76 to 0.70
 		WaitedInterference:  0.4,  // with ArrivalInterference slightly below LateValueLoss
-		LateInterference:    0.05, // 0.125 has no effect; without a limit the served value of short requests drops from 0.86 to 0.78
-		MaxQueuedMs:         60,   // two short prompts; 120, 200 and 400 have no effect
+		LateInterference:    0.05, // without a limit the served value of short requests drops from 0.86 to 0.78
+		MaxQueuedMs:         60,   // two short prompts
 		IdleReserve:         0.15, // 0 lowers served value by 0.01 to 0.08, together with other changes
 		LateValueLoss:       0.75, // a late answer has a quarter of the value of one in time
-		LongGapCost:         2,    // half of the loss of a medium prompt; 3.4 lowers served value by about 0.01; 1 has no effect
-		TolerantGapCost:     13,   // the loss of a gap-tolerant prompt; 6 has no effect
-		PartDelayCost:       0.2,  // 0.5 has no effect
-		PrefillMargin:       1.2,  // covers the iteration in progress; 1 and 1.5 have no effect
+		LongGapCost:         2,    // half of the loss of a medium prompt; 3.4 lowers served value by about 0.01
+		TolerantGapCost:     13,   // the loss of a gap-tolerant prompt
+		PartDelayCost:       0.2,
+		PrefillMargin:       1.2, // covers the iteration in progress
 	}
 }
--- a/balance/value.go
+++ b/balance/value.go
@@ -18,8 +18,7 @@
 
 // value returns the value of a long prompt that is served in time, in short requests.
 // Length alone, at one short request per defaultTokensPerUnit, overrates prompts of
-// medium length two and a half times and lowers the served value by 0.017 (standard
-// error 0.003, 60 engines).
+// medium length two and a half times and lowers the served value by 0.017 on 60 engines.
 func (req Request) value() float64 {
 	tokens := float64(req.InputTokens)
 	switch {
--- a/document/delta.go
+++ b/document/delta.go
@@ -52,7 +52,7 @@
 
 // Apply returns the document that results from applying the delta to base, which
 // it does not modify. The lists of the result are ordered by name. It returns
-// ErrBase when the delta was made from another base or the checksum of the result
+// ErrBaseMismatch when the delta was made from another base or the checksum of the result
 // differs from the one in the delta.
 func Apply(base *rudderv1.Document, d *rudderv1.DocumentDelta) (*rudderv1.Document, error) {
 	if base.GetGeneration() != d.GetBaseGeneration() || base.GetPlanId() != d.GetBasePlanId() || d.GetChanged() == nil {
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -62,13 +62,13 @@
 	if c.Restored {
 		g.platform.restored.Add(1)
 		g.platform.generation.Store(0) // until the restored store has been read
-		g.deps.Log.Error("The platform's store was restored to an older state; keeping the current configuration.",
+		g.deps.Log.Error("The platform's store went back to an older state; the configuration in force stays.",
 			"generation", g.deps.Tracker.Generation(), "revision", c.Seen)
 		return
 	}
 	if c.Entry.Value == nil {
 		g.platform.generation.Store(0)
-		g.deps.Log.Error("The configuration document was deleted from the platform; keeping the last one.")
+		g.deps.Log.Error("The document was deleted from the platform; the last one stays in force.")
 		return
 	}
 	doc, err := generation.Decode(c.Entry.Value)
@@ -80,7 +80,7 @@
 	_ = g.learn(&rudderv1.OfferRequest{Document: doc}, fromPlatform)
 }
 
-// learn applies a document or a delta. It returns document.ErrBase if the delta
+// learn applies a document or a delta. It returns document.ErrBaseMismatch if the delta
 // cannot be applied to the current document and the complete document is
 // needed.
 func (g *Gateway) learn(offer *rudderv1.OfferRequest, from source) error {
@@ -95,11 +95,11 @@
 		g.meter.recordLearned(from)
 	case generation.Older:
 		if from == fromPlatform {
-			g.deps.Log.Error("The platform has an older configuration than this gateway.", "generation", offered)
+			g.deps.Log.Error("The platform holds an older configuration than the one in force.", "generation", offered)
 			g.meter.recordOlderGeneration()
 		}
 	case generation.Diverged:
-		g.deps.Log.Error("Received a different document with the current generation.", "generation", offered, "from", from)
+		g.deps.Log.Error("Two documents of one generation.", "generation", offered, "from", from)
 	}
 	return nil
 }
--- a/generation/gauges.go
+++ b/generation/gauges.go
@@ -6,7 +6,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// RegisterMetrics registers the metrics of a keeper; process is "gateway" or "agent".
+// RegisterMetrics registers the metrics of a tracker; process is "gateway" or "agent".
 func RegisterMetrics(set *metrics.Set, process string, k *Tracker) {
 	gauge := func(name string, f func() float64) {
 		set.NewGauge(fmt.Sprintf("rudder_%s_generation%s", process, name), f)
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -24,7 +24,7 @@
 	cache deltaCache
 }
 
-// NewTracker returns a keeper with an empty document of generation 0.
+// NewTracker returns a tracker with an empty document of generation 0.
 func NewTracker() *Tracker {
 	return &Tracker{doc: &rudderv1.Document{}, changed: make(chan struct{})}
 }
--- a/generation/update.go
+++ b/generation/update.go
@@ -9,7 +9,7 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// MaxDeltaBases is the number of previous documents from which a keeper can
+// MaxDeltaBases is the number of previous documents from which a tracker can
 // compute a delta to the current one.
 const MaxDeltaBases = 4
 
@@ -29,7 +29,7 @@
 }
 
 // ApplyOffer applies an offer of another process, be it a document or a delta. The error
-// is document.ErrBase if the delta leads to a newer document but cannot be applied to
+// is document.ErrBaseMismatch if the delta leads to a newer document but cannot be applied to
 // the current one; the sender must then offer the complete document.
 func (k *Tracker) ApplyOffer(o *rudderv1.OfferRequest) (OfferResult, error) {
 	if o.GetDelta() == nil {
--- a/health/shared.go
+++ b/health/shared.go
@@ -7,9 +7,7 @@
 type Observation struct {
 	// Failure is the outcome of the gateway's newest failed exchange with the endpoint,
 	// FailureAgeMs ago; Success if none failed recently. BadResponse is not shared, because every
-	// gateway would then avoid endpoints that lose one response in twenty. Sharing it changes
-	// worth by between -0.010 and +0.005 on three fleets of 18 engines, which is within the
-	// noise.
+	// gateway would then avoid endpoints that lose one response in twenty.
 	Failure      Outcome
 	FailureAgeMs int64
 	// Slowdown is how many times as long as usual the endpoint takes, as it reported
--- a/membership/heirs.go
+++ b/membership/heirs.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// maxOwners limits the number of entries in Heirs; beyond it the least recently
+// maxOwners limits the number of entries in RecordOwners; beyond it the least recently
 // updated one is dropped.
 const maxOwners = 4096
 
--- a/memory/book.go
+++ b/memory/book.go
@@ -20,7 +20,7 @@
 	QueuedTokens uint64
 }
 
-// Verdict is the answer to a Request. Code is the reason for a refusal: result.MemoryHeld
+// Verdict is the response to a Request. Code is the reason for a refusal: result.MemoryHeld
 // if memory may be granted later, result.LeaseLost if this attempt has ended.
 type Verdict struct {
 	Granted     bool
@@ -80,7 +80,7 @@
 	waiters []waiter
 }
 
-// NewLeaseTable returns an empty book for an endpoint with total tokens of memory, of which at
+// NewLeaseTable returns an empty table for an endpoint with total tokens of memory, of which at
 // most limit may be reserved.
 func NewLeaseTable(total, limit uint64) *LeaseTable {
 	return &LeaseTable{total: total, limit: limit, leases: make(map[string]*Lease), fences: make(map[string]fence)}
@@ -135,7 +135,7 @@
 // clampLease bounds the duration of a lease.
 func clampLease(d time.Duration) time.Duration { return min(max(d, 0), MaxLease) }
 
-// reserveAgain answers a repeated request: it extends the lease if it is still live.
+// reserveAgain handles a retried request: it extends the lease if it is still live.
 func (b *LeaseTable) reserveAgain(l *Lease, r Request, now time.Time) Verdict {
 	if !l.live(now) || l.Tokens != r.Tokens {
 		return refused(result.LeaseLost, "this attempt of the group has ended")
--- a/memory/group.go
+++ b/memory/group.go
@@ -30,8 +30,8 @@
 type Action struct {
 	Kind    ActionKind
 	Member  int
-	Backoff time.Duration // before jitter; set for DoBackoff
-	Code    result.Code   // set for DoFail
+	Backoff time.Duration // before jitter; set for ActionBackoff
+	Code    result.Code   // set for ActionFail
 }
 
 const (
@@ -174,7 +174,7 @@
 }
 
 // RecordFailure records that this attempt failed with the given code, and decides whether there
-// is another attempt. All members of Held(false) must be released before that.
+// is another attempt. All members of Holders(false) must be released before that.
 func (g *Group) RecordFailure(code result.Code) {
 	formed := g.reserved == len(g.plan)
 	switch {
--- a/memory/memory.go
+++ b/memory/memory.go
@@ -1,5 +1,5 @@
 // Package memory manages the cache memory of model engines for prompts that no single
-// engine can hold. Book is an agent's record of the leases on its own endpoint's memory.
+// engine can hold. LeaseTable is an agent's record of the leases on its own endpoint's memory.
 // Plan and Group are the coordinator's side: the choice of endpoints, and the steps from
 // the first reservation to the last release. The package does no I/O, and time is an
 // argument.
--- a/metastore/client.go
+++ b/metastore/client.go
@@ -76,7 +76,7 @@
 	c.lastContact.Store(&now)
 }
 
-// LastContact implements Contact.
+// LastContact implements ContactReporter.
 func (c *Client) LastContact() time.Time {
 	if at := c.lastContact.Load(); at != nil {
 		return *at
@@ -210,7 +210,7 @@
 	}
 }
 
-// exchange sends the request and reads and decodes the whole response.
+// exchange sends the request and reads and decodes the complete response.
 func (c *Client) exchange(ctx context.Context, r request, base string, decode func([]byte) error) attemptResult {
 	res, sent, err := c.send(ctx, r, base)
 	if err != nil {
--- a/metastore/lease.go
+++ b/metastore/lease.go
@@ -79,7 +79,7 @@
 	return l.deadline.remaining(now)
 }
 
-// Renew renews the lease with one call. ErrLeaseGone means that it has finally
+// Renew renews the lease with one call. ErrLeaseExpired means that it has finally
 // expired; after any other error its deadline is unchanged.
 func (l *Lease) Renew(ctx context.Context) error {
 	sent := time.Now()
@@ -116,7 +116,7 @@
 	return sent.Add(min(remaining, l.ttl) - l.ttl/leaseMarginDivisor)
 }
 
-// KeepAlive renews the lease until it has expired (ErrLeaseGone) or ctx ends.
+// KeepAlive renews the lease until it has expired (ErrLeaseExpired) or ctx ends.
 func (l *Lease) KeepAlive(ctx context.Context) error {
 	for {
 		if err := sleep(ctx, l.renewInterval()); err != nil {
--- a/metastore/platform.go
+++ b/metastore/platform.go
@@ -72,7 +72,7 @@
 }
 
 // ContactReporter reports the time of the last successful response to any call or of
-// the last watch frame. Heard returns the zero time before the first one.
+// the last watch frame. LastContact returns the zero time before the first one.
 type ContactReporter interface{ LastContact() time.Time }
 
 // HostState is the state of a host as the platform reports it. The report lags
@@ -105,7 +105,7 @@
 	// PrefixClaims holds claims of bare idempotency keys: PrefixClaims +
 	// workspace + "/" + digest.
 	PrefixClaims = "micarudder/claims/"
-	// PrefixPlans holds the ids of accepted plans, so that a repeated confirm
+	// PrefixPlans holds the ids of accepted plans, so that a retried confirm
 	// of the same id can be answered.
 	PrefixPlans = "micarudder/plans/"
 	// PrefixPlacers holds the leases of the placers, one per data centre.
--- a/metastore/settle.go
+++ b/metastore/settle.go
@@ -9,7 +9,7 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Backoff between the attempts of Settle to determine the outcome of a write.
+// Backoff between the attempts of SwapAndResolve to determine the outcome of a write.
 const (
 	settleInitialInterval = 50 * time.Millisecond
 	settleMaxInterval     = 2 * time.Second
@@ -25,7 +25,7 @@
 // whether it replaced this one. Any other error means that the write was not
 // applied.
 //
-// While the outcome is unknown the same write is repeated. All attempts carry
+// While the outcome is unknown the same write is retried. All attempts carry
 // the same expected revision, so at most one takes effect and any late one
 // fails.
 func SwapAndResolve(ctx context.Context, store Store, key string, expect int64, value []byte, lease LeaseID, isOwn func(Entry) bool) (Entry, error) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// settleBackOff returns the backoff of one Settle call.
+// resolveBackOff returns the backoff of one SwapAndResolve call.
 func settleBackOff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = settleInitialInterval
@@ -65,7 +65,7 @@
 	isOwn  func(Entry) bool
 }
 
-// resolve reads the key and, if nothing has changed, repeats the write. known
+// resolve reads the key and, if nothing has changed, retries the write. known
 // reports whether the result is final.
 func (s *unresolvedWrite) resolve(ctx context.Context) (e Entry, err error, known bool) {
 	e, err = s.store.Get(ctx, s.key)
--- a/orders/names.go
+++ b/orders/names.go
@@ -38,7 +38,7 @@
 	return out
 }
 
-// VariantName returns the exact name of the variant, as returned by Copies, on which a
+// VariantName returns the exact name of the variant, as returned by VariantNames, on which a
 // request for the name runs, or "" if there is none. If several match, it is
 // the one loaded last.
 func VariantName(models []engine.Model, name string) string {
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -68,7 +68,7 @@
 	failures    map[string]*failure
 }
 
-// NewTracker returns the book of a new incarnation. It starts in the phase Found,
+// NewTracker returns the tracker of a new incarnation. It starts in the phase Found,
 // because the endpoint may still execute an order of an earlier incarnation.
 func NewTracker() *Tracker {
 	return &Tracker{phase: rudderv1.OrderPhase_ORDER_PHASE_FOUND, holds: 1, failures: make(map[string]*failure)}
@@ -140,7 +140,7 @@
 const (
 	Wait Action = iota
 	Drop
-	QueryState // query the state of the endpoint, then call Give
+	QueryState // query the state of the endpoint, then call PrepareSend
 )
 
 // CheckWaiting returns the next action for a waiting order. runs is the number of runs
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// idleBook returns a book without an order in progress.
+// idleTracker returns a tracker without an order in progress.
 func idleBook() *Tracker {
 	b := NewTracker()
 	b.Close(false)
--- a/orders/retry.go
+++ b/orders/retry.go
@@ -8,7 +8,7 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// The back-off before a failed order may be permitted again.
+// The backoff before a failed order may be permitted again.
 const (
 	initialBackoff = time.Second
 	maxBackoff     = 2 * time.Minute
@@ -49,7 +49,7 @@
 	f.retryAt = now.Add(backoff/2 + time.Duration(jitter*float64(backoff/2)))
 }
 
-// dropExpiredFailures removes old failures to bound the size of the book.
+// dropExpiredFailures removes old failures to bound the memory use of the tracker.
 func (b *Tracker) dropExpiredFailures(now time.Time) {
 	for k, f := range b.failures {
 		if now.Sub(f.retryAt) > failureRetention {
--- a/placement/presence.go
+++ b/placement/presence.go
@@ -28,7 +28,7 @@
 	losses  int
 }
 
-// NewFlapDamper returns a Presence without endpoints.
+// NewFlapDamper returns a FlapDamper without endpoints.
 func NewFlapDamper() *FlapDamper { return &FlapDamper{make(map[string]*presence)} }
 
 // Observe records whether an endpoint is present at the time now and returns
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -68,11 +68,11 @@
 	// this request, below Options.IdlePerHost; zero: Options.IdlePerHost.
 	MaxIdleConns int
 	// PreSendCheck is called once a connection is available, right before the first byte is written.
-	// If it returns false, the request is not sent and Do fails with ErrWithdrawn. Nil: no check.
+	// If it returns false, the request is not sent and Do fails with ErrCheckFailed. Nil: no check.
 	PreSendCheck func() bool
 }
 
-// ErrCheckFailed is the cause of an exchange that Request.Check canceled.
+// ErrCheckFailed is the cause of an exchange that Request.PreSendCheck canceled.
 var ErrCheckFailed = errors.New("request canceled by its check before it was sent")
 
 // Options configures a Client.
@@ -213,7 +213,7 @@
 	stopWatch    func() bool
 	idleSince    time.Time
 	idleTimeout  time.Duration // advertised by the endpoint; 0: none
-	maxIdleConns int           // Request.KeepIdle of the last request
+	maxIdleConns int           // Request.MaxIdleConns of the last request
 }
 
 func newConn(nc net.Conn, key, address string) *conn {
