--- a/admission/admission.go
+++ b/admission/admission.go
@@ -22,7 +22,7 @@
 	// ContextTokens are the prompt tokens that precede PromptTokens. They are held under a
 	// memory reservation and not counted in MemoryTokens.
 	ContextTokens uint64
-	MemoryTokens  uint64 // memory for prompt and answer, held while running
+	MemoryTokens  uint64 // memory for prompt and response, held while running
 	OutputTokens  uint64
 	Arrived       time.Time
 	Deadline      time.Time
--- a/admission/lines.go
+++ b/admission/lines.go
@@ -15,7 +15,7 @@
 	charge  time.Duration // endpoint time charged to its workspace
 }
 
-// runTime returns the predicted time from the start of prefill to the end of the answer.
+// runTime returns the predicted time from the start of prefill to the end of the response.
 func (e *entry) runTime() time.Duration { return e.prefill + e.decode }
 
 // before orders entries by deadline, then by arrival.
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -38,7 +38,7 @@
 	refused    int
 	late       int                                 // admitted, but not finished in time
 	firstToken [routing.NumClasses][]time.Duration // time to first token, by class
-	latency    [routing.NumClasses][]time.Duration // time to the end of the answer, by class
+	latency    [routing.NumClasses][]time.Duration // time to the end of the response, by class
 	retryAfter []time.Duration
 	resubmit   bool   // refused callers retry when told to
 	items      []Item // still to arrive, in order
--- a/admission/predict.go
+++ b/admission/predict.go
@@ -143,7 +143,7 @@
 	return w.share / sum
 }
 
-// predictDecode predicts the decode time of an answer: as recently learned or, if that is
+// predictDecode predicts the decode time of a response: as recently learned or, if that is
 // longer, as on an idle endpoint with chunks of prefill in its steps. The chunks are those
 // of the current backlog or of the usual utilisation.
 func (q *queue) predictDecode(tokens uint64) time.Duration {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -171,7 +171,7 @@
 	q.model.Observe(totalPromptTokens(it), cached, it.OutputTokens, prefill, decode, ended)
 }
 
-// totalPromptTokens returns the tokens of the whole prompt, including those already held.
+// totalPromptTokens returns the tokens of the complete prompt, including those already held.
 func totalPromptTokens(it Item) uint64 {
 	if it.ContextTokens > 0 {
 		return it.ContextTokens + it.PromptTokens
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -12,12 +12,12 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// prior assumes 1 ms per 1,000 prompt tokens and 1 ms per answer token.
+// prior assumes 1 ms per 1,000 prompt tokens and 1 ms per response token.
 var prior = routing.Cost{PrefillPerToken: time.Microsecond, DecodePerToken: time.Millisecond}
 
 func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-// item returns an item with the given prompt and answer lengths; arrived and deadline are
+// item returns an item with the given prompt and response lengths; arrived and deadline are
 // in ms after epoch.
 func item(id, workspace string, prompt, output uint64, arrived, deadline int) Item {
 	return Item{
--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -115,7 +115,7 @@
 
 // RecordRun records the report of a finished run: expectedBlocks is what Cached returned when
 // the run was sent, cached the number of prompt tokens that the endpoint found in its
-// cache. The endpoint now holds the whole chain.
+// cache. The endpoint now holds the complete chain.
 func (s *Set) RecordRun(chain []uint64, expectedBlocks int, cached uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/agent/admit.go
+++ b/agent/admit.go
@@ -52,7 +52,7 @@
 	return a.attachExisting(old, req)
 }
 
-// attachExisting returns the existing run for a repeated order if both ask for the same.
+// attachExisting returns the existing run for a retried order if both ask for the same.
 func (a *Agent) attachExisting(old *run, req *rudderv1.RunRequest) (*run, bool, *rudderv1.End) {
 	if old.digest != requestDigest(req) {
 		return nil, false, refusalEnd(result.New(result.KeyReused, ""), true)
@@ -77,14 +77,14 @@
 	return 0
 }
 
-// honorsLeases reports whether the agent is leaving but still accepts runs under leases that
+// honorsLeases reports whether the agent is draining but still accepts runs under leases that
 // it granted before; the caller holds mu.
 func (a *Agent) honorsLeases() bool {
-	return a.effectiveState() == rudderv1.AgentState_AGENT_STATE_LEAVING && !a.leaving.admissionClosed
+	return a.effectiveState() == rudderv1.AgentState_AGENT_STATE_LEAVING && !a.draining.admissionClosed
 }
 
 // checkAdmissible checks all conditions that do not depend on the queue. A run whose group
-// holds a lease is accepted even if the agent or the model has begun to leave.
+// holds a lease is accepted even if the agent is draining or no longer serves the model.
 func (a *Agent) checkAdmissible(req *rudderv1.RunRequest) *result.Err {
 	group := req.GetCompletion().GetGroup()
 	leased := a.mem.leases.Live(group, time.Now())
@@ -266,12 +266,12 @@
 	}
 	a.notify()
 	a.wakeDispatch()
-	time.AfterFunc(a.cfg.AnswerKeep, func() { a.expireAnswer(r) })
+	time.AfterFunc(a.cfg.AnswerKeep, func() { a.expireResponse(r) })
 }
 
-// expireAnswer drops an answer whose retention period is over. For a repeatable run it also
+// expireResponse drops a response whose retention period is over. For a repeatable run it also
 // removes the record: the request may run again, and "not run" is never reported for its ID.
-func (a *Agent) expireAnswer(r *run) {
+func (a *Agent) expireResponse(r *run) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r.req.Repeatable {
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,6 +1,6 @@
 // Package agent implements the process that runs beside each endpoint and is its only
 // controller: it admits and queues work, keeps a record of every run of its incarnation,
-// buffers answers so that any gateway can read them again, and sends orders to the endpoint.
+// buffers responses so that any gateway can read them again, and sends orders to the endpoint.
 // Packages admission and lifecycle make the decisions; this package contains the goroutines,
 // timers and sockets.
 package agent
@@ -35,8 +35,8 @@
 	MemoryTokens   uint64        // cache memory of the endpoint, in tokens
 	MaxRunning     int           // maximum number of concurrent runs at the endpoint
 	ReattachWindow time.Duration // how long a repeatable run continues without a reader
-	AnswerKeep     time.Duration // how long a finished answer stays readable
-	BufferBytes    int64         // maximum size of all buffered answers together
+	AnswerKeep     time.Duration // how long a finished response stays readable
+	BufferBytes    int64         // maximum size of all buffered responses together
 	MaxRecords     int           // maximum number of run records, and of tombstones
 	ReportInterval time.Duration // minimum time between two reports
 	Heartbeat      time.Duration // maximum time between two reports
@@ -64,8 +64,8 @@
 
 	mu                  sync.Mutex
 	backoffUntil        time.Time           // the engine accepts no new work before this time
-	state               rudderv1.AgentState // state of the endpoint; effectiveState adds leaving
-	leaving             leaveState
+	state               rudderv1.AgentState // state of the endpoint; effectiveState adds draining
+	draining            drainState
 	records             *records
 	queue               admission.Queue
 	waiting             map[string]*run // admitted and not started, by run key
@@ -74,7 +74,7 @@
 	mem                 *memoryState   // reservations of the endpoint's memory
 	sweeping            chan struct{}  // semaphore of one sweep
 	models              []engine.Model // as last reported by the endpoint
-	modelsAsOf          time.Time      // when the query for models was sent; older answers are ignored
+	modelsAsOf          time.Time      // when the query for models was sent; older responses are ignored
 	cache               *affinity.Set  // blocks that the endpoint is assumed to hold
 	role                string
 	orders              *orders.Tracker
@@ -86,7 +86,7 @@
 	inherited     map[string]*inheritedRecords // records of stopped agents, by incarnation
 	successor     string                       // address of the agent that took over the records of this one
 	subscriptions map[*subscription]struct{}
-	readers       int // number of answer streams to gateways
+	readers       int // number of response streams to gateways
 
 	wake      chan struct{}
 	orderWake chan struct{}
--- a/agent/call.go
+++ b/agent/call.go
@@ -31,18 +31,18 @@
 		r.apply(lifecycle.Event{Kind: lifecycle.EvEnd, Code: result.EndpointFailed}, "status outside 200 to 999")
 		return
 	}
-	r.apply(lifecycle.Event{Kind: lifecycle.EvAnswer}, "")
+	r.apply(lifecycle.Event{Kind: lifecycle.EvResponse}, "")
 	r.setHead(&rudderv1.ServiceHead{Status: uint32(reply.Status), Headers: fromHeader(reply.Header)})
 	a.readBody(r, reply.Body, started)
 }
 
-// readBody copies the body of the service's answer into the buffer.
+// readBody copies the body of the service's response into the buffer.
 func (a *Agent) readBody(r *run, body io.Reader, started time.Time) {
 	first := time.Now()
 	buf := make([]byte, readChunkBytes)
 	for {
 		n, err := body.Read(buf)
-		if n > 0 && !a.bufferAnswer(r, buf[:n]) {
+		if n > 0 && !a.bufferResponse(r, buf[:n]) {
 			return
 		}
 		if errors.Is(err, io.EOF) {
--- a/agent/configuration.go
+++ b/agent/configuration.go
@@ -12,7 +12,7 @@
 )
 
 // Offer applies a configuration and returns a newer one if there is one. If the generation in
-// the answer is below the offered one, the agent does not have the base of the offered delta.
+// the response is below the offered one, the agent does not have the base of the offered delta.
 func (s *server) Offer(_ context.Context, req *connect.Request[rudderv1.OfferRequest]) (*connect.Response[rudderv1.OfferResponse], error) {
 	k := s.a.deps.Tracker
 	verdict, err := k.ApplyOffer(req.Msg)
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -89,7 +89,7 @@
 	})
 }
 
-// execute sends the order to the endpoint and reads the answer to its end.
+// execute sends the order to the endpoint and reads the response to its end.
 func (a *Agent) execute(r *run) {
 	if r.ctx.Err() != nil {
 		r.apply(a.interruptionEvent(r), "before the order")
@@ -164,9 +164,9 @@
 			if first.IsZero() {
 				first = time.Now()
 				a.recordPrefilled(r, first)
-				r.apply(lifecycle.Event{Kind: lifecycle.EvAnswer}, "")
+				r.apply(lifecycle.Event{Kind: lifecycle.EvResponse}, "")
 			}
-			if !a.bufferAnswer(r, ev.Text) {
+			if !a.bufferResponse(r, ev.Text) {
 				return nil
 			}
 		}
@@ -183,11 +183,11 @@
 	a.queue.Prefilled(r.item.ID, now)
 }
 
-// bufferAnswer appends text to the buffered answer. If the answer exceeds the space available
-// for all answers, it ends the run and returns false.
-func (a *Agent) bufferAnswer(r *run, text []byte) bool {
-	r.answerSize += int64(len(text))
-	if r.answerSize > r.answerLimit && !a.growAnswer(r) {
+// bufferResponse appends text to the buffered response. If the response exceeds the space available
+// for all responses, it ends the run and returns false.
+func (a *Agent) bufferResponse(r *run, text []byte) bool {
+	r.responseSize += int64(len(text))
+	if r.responseSize > r.responseLimit && !a.growResponse(r) {
 		r.apply(lifecycle.Event{Kind: lifecycle.EvEnd, Code: result.AnswerTooLong}, "")
 		a.cancelAtEngine(attemptID(r.req))
 		return false
@@ -196,15 +196,15 @@
 	return true
 }
 
-// growAnswer reserves more space for the run's answer.
-func (a *Agent) growAnswer(r *run) bool {
+// growResponse reserves more space for the run's response.
+func (a *Agent) growResponse(r *run) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	more := r.answerSize - r.answerLimit + answerGrowth
+	more := r.responseSize - r.responseLimit + responseGrowth
 	if !a.records.grow(r, more) {
 		return false
 	}
-	r.answerLimit += more
+	r.responseLimit += more
 	return true
 }
 
@@ -269,7 +269,7 @@
 func (r *run) finishOK(finish string, u *rudderv1.Usage, t *rudderv1.RunTimes, load *rudderv1.Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.life.Apply(lifecycle.Event{Kind: lifecycle.EvEnd, Code: result.OK}) == lifecycle.ActIgnore {
+	if r.lifecycle.Apply(lifecycle.Event{Kind: lifecycle.EvEnd, Code: result.OK}) == lifecycle.ActIgnore {
 		return
 	}
 	r.finish("")
--- a/agent/endpoint.go
+++ b/agent/endpoint.go
@@ -24,17 +24,17 @@
 // lost or back.
 func (a *Agent) watchEndpoint() {
 	probeBackoff := newProbeBackoff()
-	lastAnswer := time.Now()
+	lastResponse := time.Now()
 	for a.ctx.Err() == nil {
 		pause := probeInterval
 		if err := a.probe(); err != nil {
 			a.endpointLost()
-			if time.Since(lastAnswer) > spanGracePeriod {
+			if time.Since(lastResponse) > spanGracePeriod {
 				a.stopSpans(result.New(result.EndpointLost, err.Error()))
 			}
 			pause = probeBackoff.NextBackOff()
 		} else {
-			lastAnswer = time.Now()
+			lastResponse = time.Now()
 			probeBackoff.Reset()
 		}
 		select {
@@ -63,7 +63,7 @@
 }
 
 // recordModels records the models and the role that the endpoint reported. asked is the time
-// of the query; an answer that a later one has overtaken is ignored.
+// of the query; a response that a later one has overtaken is ignored.
 func (a *Agent) recordModels(asked time.Time, models []engine.Model, role string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/handover.go
+++ b/agent/handover.go
@@ -24,12 +24,12 @@
 	// partBytes and partRecords limit the size of one part.
 	partBytes   = 1 << 20
 	partRecords = 1000
-	// maxAnswerBytes is the size of the longest answer that is handed over. For a longer one
+	// maxResponseBytes is the size of the longest response that is handed over. For a longer one
 	// only the end is.
-	maxAnswerBytes = inner.MaxMessage - partBytes - 1<<16
+	maxResponseBytes = inner.MaxMessage - partBytes - 1<<16
 	// maxSuccessors is the maximum number of peers that are tried.
 	maxSuccessors = 8
-	// successorNoticeTimeout is how long a leaving agent waits until its gateways have
+	// successorNoticeTimeout is how long a draining agent waits until its gateways have
 	// received its successor's address.
 	successorNoticeTimeout = time.Second
 	// cancelWait is how long canceled runs may take to end.
@@ -83,7 +83,7 @@
 func (a *Agent) cancelRemaining() {
 	close(a.drainEnded)
 	a.mu.Lock()
-	a.leaving.stopping, a.leaving.admissionClosed = true, true
+	a.draining.stopping, a.draining.admissionClosed = true, true
 	for _, r := range a.records.runs {
 		if _, final := r.final(); !final {
 			defer a.cancelRun(r)
@@ -137,7 +137,7 @@
 	var peers []membership.Peer
 	for _, e := range doc.Endpoints {
 		peers = append(peers, membership.Peer{
-			Endpoint: e.Name, Host: e.Host, DataCentre: e.DataCentre, Address: e.AgentAddress, Leaving: documentLeaving(doc, e.Name, e.Host),
+			Endpoint: e.Name, Host: e.Host, DataCentre: e.DataCentre, Address: e.AgentAddress, Draining: documentDraining(doc, e.Name, e.Host),
 		})
 	}
 	list := membership.Successors(self, a.incarnation, peers)
@@ -212,7 +212,7 @@
 		RequestId: r.req.RequestId, Attempt: r.req.Attempt, Workspace: r.req.Workspace, Repeatable: r.req.Repeatable,
 		Incarnation: e.from, ExpiresInMs: r.expires.Sub(e.at).Milliseconds(), Digest: r.digest, Head: r.head, End: r.end,
 	}
-	if len(r.buf) <= maxAnswerBytes && r.end != nil {
+	if len(r.buf) <= maxResponseBytes && r.end != nil {
 		rec.Answer = r.buf
 	}
 	return rec
--- a/agent/inherit.go
+++ b/agent/inherit.go
@@ -152,7 +152,7 @@
 	a.notify()
 }
 
-// inheritRecord adds one record; it returns false if the limit is reached. An answer that does
+// inheritRecord adds one record; it returns false if the limit is reached. A response that does
 // not fit is dropped, and its end is kept.
 func (a *Agent) inheritRecord(h *inheritedRecords, rec *rudderv1.RunRecord, now time.Time) bool {
 	if _, ok := h.runs[rec.RequestId]; ok || rec.RequestId == "" {
@@ -206,7 +206,7 @@
 		r.end = refusalEnd(result.New(result.AgentLost, "the agent stopped before the run ended"), false)
 	}
 	r.dropped = uint64(len(rec.Answer)) < r.end.Length
-	r.life = lifecycle.Run{State: finalState(r.end), Code: result.Code(r.end.Code), Outcome: result.Outcome(r.end.Outcome)}
+	r.lifecycle = lifecycle.Run{State: finalState(r.end), Code: result.Code(r.end.Code), Outcome: result.Outcome(r.end.Outcome)}
 	return r
 }
 
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -115,7 +115,7 @@
 }
 
 // sendOrder sends the order and returns its result. It also polls the endpoint, because the
-// answer may be lost without an error.
+// response may be lost without an error.
 func (a *Agent) sendOrder(o engine.Order) error {
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
@@ -136,7 +136,7 @@
 }
 
 // recordOrderResult records the result of an order. What the endpoint holds is taken from its
-// state, not from the answer.
+// state, not from the response.
 func (a *Agent) recordOrderResult(err error) {
 	if err == nil {
 		_, _ = a.queryState()
@@ -148,7 +148,7 @@
 		a.closeOrder(true)
 	case errors.Is(err, engine.ErrLost):
 		a.deps.Log.Warn("The answer to an order was lost.", "err", err)
-		a.orders.AnswerLost(err.Error())
+		a.orders.ResponseLost(err.Error())
 		a.notify()
 	default:
 		a.failOrder(err.Error())
--- a/agent/records.go
+++ b/agent/records.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// answerBytesPerToken is the buffer size reserved for each answer token.
-	answerBytesPerToken = 8
-	// callAnswerBytes is the buffer size reserved for the answer of a plain service.
-	callAnswerBytes = 64 << 10
-	// answerGrowth is the additional size reserved for an answer that exceeds its reservation.
-	answerGrowth = 64 << 10
+	// responseBytesPerToken is the buffer size reserved for each response token.
+	responseBytesPerToken = 8
+	// callResponseBytes is the buffer size reserved for the response of a plain service.
+	callResponseBytes = 64 << 10
+	// responseGrowth is the additional size reserved for a response that exceeds its reservation.
+	responseGrowth = 64 << 10
 )
 
 // records is the table of runs and tombstones of this incarnation, by request ID. Its size is
@@ -24,7 +24,7 @@
 	maxBytes   int64
 	runs       map[string]*run
 	tombstones map[string]time.Time // expiry of each tombstone
-	bytes      int64                // reserved for request bodies and answers
+	bytes      int64                // reserved for request bodies and responses
 	unfinished int
 }
 
@@ -50,7 +50,7 @@
 	r.reservedBytes = bytes
 }
 
-// grow reserves more space for an answer; it returns false if the limit would be exceeded.
+// grow reserves more space for a response; it returns false if the limit would be exceeded.
 func (t *records) grow(r *run, more int64) bool {
 	if t.bytes+more > t.maxBytes {
 		return false
@@ -59,13 +59,13 @@
 	return true
 }
 
-// ended reduces a run's reservation to the size of its answer.
+// ended reduces a run's reservation to the size of its response.
 func (t *records) ended(r *run) {
 	t.unfinished--
 	t.setReserved(r, r.releaseInputs())
 }
 
-// drop drops the answer of a run and keeps its record.
+// drop drops the response of a run and keeps its record.
 func (t *records) drop(r *run) {
 	r.drop()
 	t.setReserved(r, 0)
@@ -99,19 +99,19 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.life.State == lifecycle.Refused
+	return r.lifecycle.State == lifecycle.Refused
 }
 
 // unfinishedRuns returns the number of runs that have not ended.
 func (t *records) unfinishedRuns() int { return t.unfinished }
 
 // orderBytes returns the space that an order needs: its body, which is kept until the run
-// has ended, and its answer.
-func orderBytes(req *rudderv1.RunRequest) int64 { return int64(len(req.Body)) + answerBytes(req) }
+// has ended, and its response.
+func orderBytes(req *rudderv1.RunRequest) int64 { return int64(len(req.Body)) + responseBytes(req) }
 
-func answerBytes(req *rudderv1.RunRequest) int64 {
+func responseBytes(req *rudderv1.RunRequest) int64 {
 	if req.Call != nil {
-		return callAnswerBytes
+		return callResponseBytes
 	}
-	return int64(req.GetCompletion().GetMaxTokens())*answerBytesPerToken + int64(len(req.GetCompletion().GetResumeText()))
+	return int64(req.GetCompletion().GetMaxTokens())*responseBytesPerToken + int64(len(req.GetCompletion().GetResumeText()))
 }
--- a/agent/records_test.go
+++ b/agent/records_test.go
@@ -38,8 +38,8 @@
 	is.True(!table.sealed("z"))
 }
 
-// TestRecordsReleaseSpace checks that an ended run uses space for its answer only, and a run
-// whose answer was dropped uses none.
+// TestRecordsReleaseSpace checks that an ended run uses space for its response only, and a run
+// whose response was dropped uses none.
 func TestRecordsReleaseSpace(t *testing.T) {
 	is := is.New(t)
 	table := newRecords(2, 1000)
--- a/agent/reports.go
+++ b/agent/reports.go
@@ -74,7 +74,7 @@
 }
 
 // wait waits until the next report is due: at once for a new generation or if the agent begins
-// to leave or has a successor, after the minimum interval for any other change, later if only
+// to drain or has a successor, after the minimum interval for any other change, later if only
 // the load has changed, and at the latest after the heartbeat interval. It returns false when
 // the subscriber or the agent is gone.
 func (s *reportStream) wait(ctx context.Context) bool {
--- a/agent/run.go
+++ b/agent/run.go
@@ -16,7 +16,7 @@
 // maxChunk is the maximum size of the text in one data frame, in bytes.
 const maxChunk = 32 << 10
 
-// run is one execution with its buffered answer. Its mutex guards all fields declared after
+// run is one execution with its buffered response. Its mutex guards all fields declared after
 // it; when both locks are needed, the agent's is taken first.
 type run struct {
 	req          *rudderv1.RunRequest
@@ -30,17 +30,17 @@
 
 	digest        uint64 // digest of the request, see requestDigest
 	reservedBytes int64  // bytes reserved in the records; guarded by the agent's lock
-	answerSize    int64  // answer bytes so far; used only by the worker
-	answerLimit   int64  // answer bytes that are reserved; used only by the worker
-
-	mu       sync.Mutex
-	life     lifecycle.Run
-	buf      []byte // the answer, from offset 0
-	checksum *xxhash.Digest
-	head     *rudderv1.ServiceHead
-	end      *rudderv1.End
-	dropped  bool // the answer is no longer kept
-	changed  chan struct{}
+	responseSize  int64  // response bytes so far; used only by the worker
+	responseLimit int64  // response bytes that are reserved; used only by the worker
+
+	mu        sync.Mutex
+	lifecycle lifecycle.Run
+	buf       []byte // the response, from offset 0
+	checksum  *xxhash.Digest
+	head      *rudderv1.ServiceHead
+	end       *rudderv1.End
+	dropped   bool // the response is no longer kept
+	changed   chan struct{}
 	// retryAfter is the retry delay that the endpoint returned when it refused the run; 0 if
 	// it returned none.
 	retryAfter  time.Duration
@@ -53,10 +53,10 @@
 	r := &run{req: req, deadline: deadline, admitted: now, changed: make(chan struct{}), checksum: xxhash.New()}
 	r.ctx, r.cancel = context.WithDeadline(parent, deadline)
 	r.digest = requestDigest(req)
-	r.answerLimit = answerBytes(req)
+	r.responseLimit = responseBytes(req)
 	if resume := req.GetCompletion().GetResumeText(); len(resume) > 0 {
 		r.buf = append(r.buf, resume...)
-		r.answerSize = int64(len(resume))
+		r.responseSize = int64(len(resume))
 		_, _ = r.checksum.Write(resume)
 	}
 	return r
@@ -76,8 +76,8 @@
 func (r *run) apply(ev lifecycle.Event, detail string) lifecycle.Action {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	action := r.life.Apply(ev)
-	if action != lifecycle.ActIgnore && r.life.State.Final() {
+	action := r.lifecycle.Apply(ev)
+	if action != lifecycle.ActIgnore && r.lifecycle.State.Final() {
 		r.finish(detail)
 	}
 	return action
@@ -86,19 +86,19 @@
 // finish sets the end; the caller holds the lock.
 func (r *run) finish(detail string) {
 	r.end = &rudderv1.End{
-		Code:     uint32(r.life.Code),
-		Outcome:  rudderv1.Outcome(r.life.Outcome),
+		Code:     uint32(r.lifecycle.Code),
+		Outcome:  rudderv1.Outcome(r.lifecycle.Outcome),
 		Length:   uint64(len(r.buf)),
 		Checksum: r.checksum.Sum64(),
 		Detail:   detail,
-		Sealed:   r.life.State == lifecycle.Refused,
+		Sealed:   r.lifecycle.State == lifecycle.Refused,
 
 		RetryAfterMs: r.retryAfter.Milliseconds(),
 	}
 	r.broadcast()
 }
 
-// append appends text to the answer.
+// append appends text to the response.
 func (r *run) append(text []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,22 +124,22 @@
 	r.changed = make(chan struct{})
 }
 
-// answerView is a snapshot of the answer for a reader.
-type answerView struct {
+// responseView is a snapshot of the response for a reader.
+type responseView struct {
 	state   lifecycle.State
 	head    *rudderv1.ServiceHead
-	text    []byte // part of the answer from the requested offset
+	text    []byte // part of the response from the requested offset
 	end     *rudderv1.End
 	dropped bool
 	changed <-chan struct{}
 }
 
-// read returns the answer from the offset, the end once everything before it was read, and a
+// read returns the response from the offset, the end once everything before it was read, and a
 // channel that is closed at the next change.
-func (r *run) read(offset uint64) answerView {
+func (r *run) read(offset uint64) responseView {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := answerView{state: r.life.State, head: r.head, dropped: r.dropped, changed: r.changed}
+	v := responseView{state: r.lifecycle.State, head: r.head, dropped: r.dropped, changed: r.changed}
 	total := uint64(len(r.buf))
 	if offset < total {
 		v.text = r.buf[offset:]
@@ -183,7 +183,7 @@
 	return r.readers == 0
 }
 
-// drop drops the answer and keeps the record and its end.
+// drop drops the response and keeps the record and its end.
 func (r *run) drop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -191,7 +191,7 @@
 }
 
 // releaseInputs releases the inputs that an ended run no longer needs and returns the size of
-// its answer.
+// its response.
 func (r *run) releaseInputs() (kept int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -206,5 +206,5 @@
 func (r *run) final() (result.Code, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.life.Code, r.life.State.Final()
+	return r.lifecycle.Code, r.lifecycle.State.Final()
 }
--- a/agent/server.go
+++ b/agent/server.go
@@ -26,7 +26,7 @@
 		append(inner.HandlerOptions(), connect.WithReadMaxBytes(inner.MaxMessage), connect.WithSendMaxBytes(inner.MaxMessage))...)
 }
 
-// Run admits an order and streams its answer.
+// Run admits an order and streams its response.
 func (s *server) Run(ctx context.Context, req *connect.Request[rudderv1.RunRequest], stream *connect.ServerStream[rudderv1.Frame]) error {
 	m := req.Msg
 	r, attached, refusal := s.a.admit(m)
@@ -35,10 +35,10 @@
 		return stream.Send(&rudderv1.Frame{RequestId: m.RequestId, Attempt: m.Attempt, Body: &rudderv1.Frame_End{End: refusal}})
 	}
 	s.a.meter.admitted(attached)
-	return s.a.streamAnswer(ctx, r, attached, uint64(len(m.GetCompletion().GetResumeText())), stream)
+	return s.a.streamResponse(ctx, r, attached, uint64(len(m.GetCompletion().GetResumeText())), stream)
 }
 
-// Attach streams the answer of an existing run from an offset.
+// Attach streams the response of an existing run from an offset.
 func (s *server) Attach(ctx context.Context, req *connect.Request[rudderv1.AttachRequest], stream *connect.ServerStream[rudderv1.Frame]) error {
 	claims, end := s.a.checkTicket(req.Msg.Ticket, "")
 	if end != nil {
@@ -48,7 +48,7 @@
 	if end != nil {
 		return stream.Send(&rudderv1.Frame{RequestId: claims.RequestId, Body: &rudderv1.Frame_End{End: end}})
 	}
-	return s.a.streamAnswer(ctx, r, true, req.Msg.Offset, stream)
+	return s.a.streamResponse(ctx, r, true, req.Msg.Offset, stream)
 }
 
 // missingRunEnd returns the end frame for a ticket that has no run.
@@ -63,8 +63,8 @@
 	}
 }
 
-// streamAnswer streams the answer of a run to one reader.
-func (a *Agent) streamAnswer(ctx context.Context, r *run, attached bool, offset uint64, stream *connect.ServerStream[rudderv1.Frame]) error {
+// streamResponse streams the response of a run to one reader.
+func (a *Agent) streamResponse(ctx context.Context, r *run, attached bool, offset uint64, stream *connect.ServerStream[rudderv1.Frame]) error {
 	r.attach()
 	defer r.detach(a.cfg.ReattachWindow, func() { a.cancelIfUnread(r) })
 	a.addReaders(1)
@@ -125,12 +125,12 @@
 	}
 }
 
-// addReaders adds n to the number of answer streams.
+// addReaders adds n to the number of response streams.
 func (a *Agent) addReaders(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.readers += n
-	if a.leaving.stopping {
+	if a.draining.stopping {
 		a.notify()
 	}
 }
@@ -245,12 +245,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case r.life.State == lifecycle.Refused:
+	case r.lifecycle.State == lifecycle.Refused:
 		return voidedResponse(true)
 	case r.end == nil:
 		return &rudderv1.VoidResponse{Outcome: rudderv1.Outcome_OUTCOME_MAY_HAVE_RUN, Code: uint32(result.OrderUnanswered)}
 	default:
-		return &rudderv1.VoidResponse{Outcome: r.end.Outcome, Code: r.end.Code, Finished: r.life.State == lifecycle.Finished}
+		return &rudderv1.VoidResponse{Outcome: r.end.Outcome, Code: r.end.Code, Finished: r.lifecycle.State == lifecycle.Finished}
 	}
 }
 
--- a/agent/span.go
+++ b/agent/span.go
@@ -51,7 +51,7 @@
 	return fmt.Sprintf("%s/%d", m.Reservation, m.StartToken)
 }
 
-// Prefill computes a span under a lease and keeps it in memory. Repeating the order joins the
+// Prefill computes a span under a lease and keeps it in memory. Retrying the order joins the
 // job or returns its result.
 func (s *server) Prefill(ctx context.Context, req *connect.Request[rudderv1.PrefillRequest]) (*connect.Response[rudderv1.PrefillResponse], error) {
 	j, err := s.a.spanJob(req.Msg)
@@ -227,7 +227,7 @@
 	}
 }
 
-// confirmedPrefill sends the prefill order and, if its answer is lost, queries the engine to
+// confirmedPrefill sends the prefill order and, if its response is lost, queries the engine to
 // find out whether it holds the span.
 func (a *Agent) confirmedPrefill(j *spanJob) error {
 	err := a.watchedPrefill(j)
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -23,7 +23,7 @@
 	return err
 }
 
-// awaitReaders waits for answer streams that began after the drain.
+// awaitReaders waits for response streams that began after the drain.
 func (a *Agent) awaitReaders() {
 	timeout := time.NewTimer(closeTimeout)
 	defer timeout.Stop()
@@ -42,11 +42,11 @@
 	}
 }
 
-// Drain refuses new work and returns when every run has ended, its answer was read to the end
+// Drain refuses new work and returns when every run has ended, its response was read to the end
 // and no group uses the endpoint, or when ctx ends.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.beginStop()
-	a.deps.Log.Info("Draining.")
+	a.deps.Log.Info("Shutting down.")
 	for {
 		a.mu.Lock()
 		busy, grouped, ch := a.records.unfinishedRuns()+a.readers, a.mem.inUse(), a.changed
--- a/agent/sweep.go
+++ b/agent/sweep.go
@@ -14,7 +14,7 @@
 const freeTimeout = 2 * time.Second
 
 // sweep queries what the engine holds and frees every span whose lease has ended or that does
-// not belong to a lease of this agent. Spans are freed nowhere else, so a lost answer, a lost
+// not belong to a lease of this agent. Spans are freed nowhere else, so a lost response, a lost
 // order or a restart of the agent leaks none.
 func (a *Agent) sweep() (engine.State, error) {
 	select {
--- a/agent/watch.go
+++ b/agent/watch.go
@@ -10,13 +10,13 @@
 	"github.com/micarudder/micarudder/internal/sleep"
 )
 
-// A pending answer does not show that the engine is working on the order. Slots, memory and
-// callers wait for that answer, so the agent queries the engine meanwhile.
+// A pending response does not show that the engine is working on the order. Slots, memory and
+// callers wait for that response, so the agent queries the engine meanwhile.
 
 const (
 	// watchInterval is the time between two queries whether the engine works on an order.
 	watchInterval = 2 * time.Second
-	// maxWatchMisses is the number of consecutive answers without the order after which it
+	// maxWatchMisses is the number of consecutive responses without the order after which it
 	// counts as lost. A group's memory is reserved and unused meanwhile: with probeTimeout for
 	// each query that takes at most eight seconds, and users accept nine.
 	maxWatchMisses = 2
@@ -25,11 +25,11 @@
 // errOrderLost ends an order that the engine has neither finished nor is working on.
 var errOrderLost = fmt.Errorf("%w: it was ordered, and the engine does not work on it", engine.ErrLost)
 
-// pendingOrder is an order to the engine that has not been answered yet.
+// pendingOrder is an order to the engine that has no response yet.
 type pendingOrder struct {
 	id         string      // the ID at the engine
 	noProgress func() bool // reports whether there was no result since the last query
-	// countErrors is set if a query without an answer counts as a miss. It is not set for
+	// countErrors is set if a query without a response counts as a miss. It is not set for
 	// runs: an engine that does not answer at all may recover after a while and still execute
 	// the run.
 	countErrors bool
--- a/balance/policy.go
+++ b/balance/policy.go
@@ -77,7 +77,7 @@
 		LateInterference:    0.05, // without a limit the served value of short requests drops from 0.86 to 0.78
 		MaxQueuedMs:         60,   // two short prompts
 		IdleReserve:         0.15, // 0 lowers served value by 0.01 to 0.08, together with other changes
-		LateValueLoss:       0.75, // a late answer has a quarter of the value of one in time
+		LateValueLoss:       0.75, // a late response has a quarter of the value of one in time
 		LongGapCost:         2,    // half of the loss of a medium prompt; 3.4 lowers served value by about 0.01
 		TolerantGapCost:     13,   // the loss of a gap-tolerant prompt
 		PartDelayCost:       0.2,
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -34,14 +34,14 @@
 	Kind       Kind
 	// Timeout limits the time that a request may take, as set by the operators.
 	Timeout time.Duration
-	// Objective is the latency objective: the time to the complete answer, or
+	// Objective is the latency objective: the time to the complete response, or
 	// to the first event of a stream, within which a request counts as in time.
 	Objective time.Duration
 	// GapObjective is the longest gap between two events of a stream that
 	// counts as in time; zero if the route has no such objective.
 	GapObjective time.Duration
 	// Patience is the time after which callers abandon a request if no part of
-	// an answer has arrived; zero means that they wait until the deadline.
+	// a response has arrived; zero means that they wait until the deadline.
 	Patience time.Duration
 	Priority int // 0 is the most urgent
 	Targets  []Target
--- a/ctl/quarantine.go
+++ b/ctl/quarantine.go
@@ -78,7 +78,7 @@
 // relayTimeout limits the call to one gateway, so that the next one can be tried.
 const relayTimeout = 2 * time.Second
 
-// maxListBytes limits a gateway's answer, which lists up to 4,096 requests of about 120 bytes each.
+// maxListBytes limits a gateway's response, which lists up to 4,096 requests of about 120 bytes each.
 const maxListBytes = 1 << 20
 
 func (c *quarantineCommand) call(method, url string) (body []byte, status int, err error) {
--- a/engine/contract_test.go
+++ b/engine/contract_test.go
@@ -125,7 +125,7 @@
 	return readStream(s)
 }
 
-func TestStartStreamsTheWholeAnswer(t *testing.T) {
+func TestStartStreamsTheCompleteResponse(t *testing.T) {
 	p := prompt("a", 2000)
 	cases := []struct {
 		name string
--- a/engine/stream_test.go
+++ b/engine/stream_test.go
@@ -56,9 +56,9 @@
 	})
 }
 
-// FuzzErrorAnswer checks that only a response with an explicit code, or a
+// FuzzErrorResponse checks that only a response with an explicit code, or a
 // client error, proves that nothing ran.
-func FuzzErrorAnswer(f *testing.F) {
+func FuzzErrorResponse(f *testing.F) {
 	f.Add(500, `{"error":{"code":"refused"}}`)
 	f.Add(503, `{"error":{"code":503,"message":"x"}}`)
 	f.Add(429, ``)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -11,7 +11,7 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// sendAttempt sends the next order to the agent of l and relays the answer to
+// sendAttempt sends the next order to the agent of l and relays the response to
 // the caller.
 func (s *session) sendAttempt(ctx context.Context, l *link) (end *rudderv1.End) {
 	s.attempt++
@@ -52,7 +52,7 @@
 	return s.brokenEnd(ctx, stream.Err(), received)
 }
 
-// handleAccepted handles the first frame of the answer. An accepted frame means
+// handleAccepted handles the first frame of the response. An accepted frame means
 // that the agent received the order.
 func (s *session) handleAccepted(l *link, f *rudderv1.Frame) {
 	a := f.GetAccepted()
@@ -73,9 +73,9 @@
 	s.dispatch.HasName = s.dispatch.HasName || s.out.TicketSent()
 }
 
-// restartForCaller handles a caller that holds the beginning of an answer of a
-// run that no longer exists. The answer of a new run cannot be appended to
-// that, so the answer is sent from its start.
+// restartForCaller handles a caller that holds the beginning of a response of a
+// run that no longer exists. The response of a new run cannot be appended to
+// that, so the response is sent from its start.
 func (s *session) restartForCaller() {
 	if s.callerErr = s.out.Restart(); s.callerErr != nil {
 		return
@@ -139,9 +139,9 @@
 	return s.out.Text(fresh, end)
 }
 
-// handleEnd verifies the length and checksum of a complete answer; other ends
-// are returned unchanged. If the caller holds more bytes than the answer has,
-// those bytes are not from this answer.
+// handleEnd verifies the length and checksum of a complete response; other ends
+// are returned unchanged. If the caller holds more bytes than the response has,
+// those bytes are not from this response.
 func (s *session) handleEnd(attempt uint32, e *rudderv1.End) *rudderv1.End {
 	if result.Code(e.Code) != result.OK {
 		return e
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -9,8 +9,8 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// maxHeldBack is how many bytes of a service's answer are buffered until its
-// end is known. A shorter answer is delivered complete or replaced by a
+// maxHeldBack is how many bytes of a service's response are buffered until its
+// end is known. A shorter response is delivered complete or replaced by a
 // problem, never truncated.
 const maxHeldBack = 256 << 10
 
@@ -86,7 +86,7 @@
 	return out
 }
 
-// serviceWriter writes the answer of a plain service to the caller.
+// serviceWriter writes the response of a plain service to the caller.
 type serviceWriter struct {
 	g          *Gateway
 	x          *exchange
@@ -131,11 +131,11 @@
 	return c.flush()
 }
 
-// errHeadSent is returned by Restart once the head of the answer has been sent.
+// errHeadSent is returned by Restart once the head of the response has been sent.
 var errHeadSent = errors.New("answer cannot restart: part of it was already sent")
 
 // Restart implements sink. It drops what was not sent yet. It fails once part
-// of the answer was sent, because the answer of a plain service, unlike an
+// of the response was sent, because the response of a plain service, unlike an
 // event stream, has no means to invalidate that part.
 func (c *serviceWriter) Restart() error {
 	if c.headSent {
@@ -162,8 +162,8 @@
 	return err
 }
 
-// finish sends the end of the call. If the answer breaks off after its head was
-// sent, it aborts the connection, so that the caller does not take the answer
+// finish sends the end of the call. If the response breaks off after its head was
+// sent, it aborts the connection, so that the caller does not take the response
 // for complete.
 func (c *serviceWriter) finish(end *rudderv1.End) {
 	switch {
--- a/gateway/completion.go
+++ b/gateway/completion.go
@@ -30,9 +30,9 @@
 	created     int64
 	headersSent bool   // the response's headers were sent
 	ticketSent  bool   // the caller may have received its ticket
-	text        []byte // the answer so far, when not streaming
+	text        []byte // the response so far, when not streaming
 	partialRune []byte // first bytes of a character that has not fully arrived
-	offset      uint64 // answer bytes written as events
+	offset      uint64 // response bytes written as events
 }
 
 func newCompletionWriter(g *Gateway, x *exchange, cr *callerRequest, model string, stream bool, path string) *completionWriter {
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -38,11 +38,11 @@
 	if p.contact == nil {
 		return -1
 	}
-	heard := p.contact.LastContact()
-	if heard.IsZero() {
+	lastContact := p.contact.LastContact()
+	if lastContact.IsZero() {
 		return -1
 	}
-	return time.Since(heard)
+	return time.Since(lastContact)
 }
 
 // reachable reports whether a message from the platform arrived within
@@ -106,12 +106,12 @@
 
 // learnOrFetch applies a document or a delta. If the delta is based on another
 // document, it calls fetchWhole for the complete document and applies that.
-func (g *Gateway) learnOrFetch(offer *rudderv1.OfferRequest, from source, fetchWhole func() (*rudderv1.Document, error)) error {
+func (g *Gateway) learnOrFetch(offer *rudderv1.OfferRequest, from source, fetchComplete func() (*rudderv1.Document, error)) error {
 	err := g.learn(offer, from)
 	if !errors.Is(err, document.ErrBaseMismatch) {
 		return err
 	}
-	doc, err := fetchWhole()
+	doc, err := fetchComplete()
 	if err != nil {
 		return err
 	}
--- a/gateway/faces.go
+++ b/gateway/faces.go
@@ -48,12 +48,12 @@
 }
 
 // callerRoute wraps a handler with what all requests of callers have in common:
-// it counts the request as in flight, refuses it while the gateway is draining,
+// it counts the request as in flight, refuses it if the gateway takes no new ones,
 // and authenticates the caller.
 func (g *Gateway) callerRoute(h func(*exchange)) iris.Handler {
 	return func(ctx iris.Context) {
 		w := ctx.ResponseWriter()
-		if g.leaving.Load() {
+		if g.shuttingDown.Load() {
 			w.Header().Set("Connection", "close") // so that the next request goes to another gateway
 		}
 		if !g.beginRequest() {
@@ -142,7 +142,7 @@
 		return
 	}
 	if !c.Stream {
-		cr.resumeOffset = 0 // without streaming, the answer is always sent complete
+		cr.resumeOffset = 0 // without streaming, the response is always sent complete
 	}
 	out := newCompletionWriter(g, x, cr, c.Model, c.Stream, x.r.URL.Path)
 	out.finish(g.serve(x.r.Context(), cr, out))
--- a/gateway/form.go
+++ b/gateway/form.go
@@ -15,7 +15,7 @@
 const (
 	reserveTimeout = time.Second
 	// maxPrefillAttempts bounds how often one span is ordered. The agent joins
-	// repeated orders for a span, so retrying after a lost answer costs
+	// retried orders for a span, so retrying after a lost response costs
 	// nothing.
 	maxPrefillAttempts = 3
 	prefillRetryDelay  = 200 * time.Millisecond
@@ -97,7 +97,7 @@
 	return gr.state.Plan()[i]
 }
 
-// lostCallCode returns the code for a call that got no answer.
+// lostCallCode returns the code for a call that got no response.
 func (gr *group) lostCallCode(err error) result.Code {
 	if expired := (*leaseExpiredError)(nil); errors.As(context.Cause(gr.ctx), &expired) {
 		return result.LeaseLost
@@ -143,7 +143,7 @@
 	}
 }
 
-// callPrefill orders a span and retries if the answer is lost.
+// callPrefill orders a span and retries if the response is lost.
 func (gr *group) callPrefill(l *link, req *rudderv1.PrefillRequest) (*rudderv1.PrefillResponse, error) {
 	for attempt := 1; ; attempt++ {
 		req.RemainingMs = time.Until(gr.s.cr.deadline).Milliseconds()
@@ -183,7 +183,7 @@
 }
 
 // preload has the members after the next one import the span while the next one
-// computes. Nothing waits for the result: an import that fails is repeated when
+// computes. Nothing waits for the result: an import that fails is retried when
 // the member's step comes.
 func (gr *group) preload(from int, h *rudderv1.KVHandle) {
 	req := &rudderv1.PrefillRequest{
--- a/gateway/fuzz_test.go
+++ b/gateway/fuzz_test.go
@@ -66,11 +66,11 @@
 	f.Add([]byte("\xe2\x82"))
 	f.Add([]byte{0xff, 0xf0})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		whole, rest := splitText(text)
-		if string(whole)+string(rest) != string(text) || len(rest) >= utf8.UTFMax {
-			t.Fatalf("%q: %q and %q", text, whole, rest)
+		complete, rest := splitText(text)
+		if string(complete)+string(rest) != string(text) || len(rest) >= utf8.UTFMax {
+			t.Fatalf("%q: %q and %q", text, complete, rest)
 		}
-		if utf8.Valid(text) && (len(rest) > 0 || !utf8.Valid(whole)) {
+		if utf8.Valid(text) && (len(rest) > 0 || !utf8.Valid(complete)) {
 			t.Fatalf("%q was cut", text)
 		}
 	})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,7 +1,7 @@
 // Package gateway implements the process on the entry hosts. It terminates
 // callers' HTTP, finds the workspace by its key, selects an endpoint, orders
 // the run from that endpoint's agent and makes sure that the caller gets the
-// complete answer. It has no state that another gateway would need: whatever
+// complete response. It has no state that another gateway would need: whatever
 // must be found again is found at the agent through the ticket, or in the
 // platform's service.
 package gateway
@@ -31,11 +31,11 @@
 
 	MaxBody         int64         // maximum size of a request body in bytes
 	BodyTime        time.Duration // time limit for receiving a body
-	WriteTime       time.Duration // time limit for a caller to read one part of its answer
+	WriteTime       time.Duration // time limit for a caller to read one part of its response
 	DefaultDeadline time.Duration
 	MaxDeadline     time.Duration
 	TicketLife      time.Duration
-	DefaultTokens   uint64 // maximum answer tokens of a request that names no limit
+	DefaultTokens   uint64 // maximum response tokens of a request that names no limit
 	FirstTokenGoal  time.Duration
 	LeaveTime       time.Duration // from not ready to refusing requests: the load balancer's time to notice
 }
@@ -70,14 +70,14 @@
 	leases       *claimLeases
 	peers        *peers
 
-	started    time.Time
-	ctx        context.Context
-	stop       context.CancelFunc
-	background sync.WaitGroup
-	leaving    atomic.Bool // not ready, but still serving
-	draining   atomic.Bool // refusing new requests
-	inFlight   sync.WaitGroup
-	active     atomic.Int64
+	started      time.Time
+	ctx          context.Context
+	stop         context.CancelFunc
+	background   sync.WaitGroup
+	shuttingDown atomic.Bool // not ready, but still serving
+	refusing     atomic.Bool // refusing new requests
+	inFlight     sync.WaitGroup
+	active       atomic.Int64
 }
 
 // New returns a gateway without background work; Start begins that.
@@ -116,9 +116,9 @@
 }
 
 // Ready reports whether the gateway has a configuration, has queried its peers
-// for a newer one, is not leaving and is not cut off from all others.
+// for a newer one, is not shutting down and is not cut off from all others.
 func (g *Gateway) Ready() bool {
-	return g.deps.Tracker.Generation() > 0 && g.peers.allQueried.Load() && !g.leaving.Load() && !g.members.cutOff()
+	return g.deps.Tracker.Generation() > 0 && g.peers.allQueried.Load() && !g.shuttingDown.Load() && !g.members.cutOff()
 }
 
 // Close stops the background work and waits for it to end.
@@ -129,10 +129,10 @@
 }
 
 // beginRequest counts a request as in flight. It returns false if the gateway
-// is draining.
+// refuses new requests.
 func (g *Gateway) beginRequest() bool {
 	g.inFlight.Add(1)
-	if g.draining.Load() {
+	if g.refusing.Load() {
 		g.inFlight.Done()
 		return false
 	}
--- a/gateway/group.go
+++ b/gateway/group.go
@@ -65,7 +65,7 @@
 	return gr
 }
 
-// needsGroup reports whether the prompt and its answer exceed the memory of
+// needsGroup reports whether the prompt and its response exceed the memory of
 // every endpoint that serves the model, even when idle. An endpoint that has
 // not been heard from, or whose memory is unknown, is assumed to be large
 // enough.
@@ -235,7 +235,7 @@
 	view, byIndex := gr.s.g.links.candidates(now)
 	for i, c := range view {
 		l := byIndex[i]
-		if !c.Connected || c.Leaving || !c.Models[gr.s.cr.completion.Model] {
+		if !c.Connected || c.Draining || !c.Models[gr.s.cr.completion.Model] {
 			continue
 		}
 		failed, ok := gr.failedAt[c.Endpoint]
--- a/gateway/grouped.go
+++ b/gateway/grouped.go
@@ -57,7 +57,7 @@
 
 // runAttempt makes one attempt at l and then releases the group's memory. The
 // group is kept if the order was planned under an old configuration, because
-// that order is repeated with the same group.
+// that order is retried with the same group.
 func (s *session) runAttempt(ctx context.Context, l *link) *rudderv1.End {
 	end := s.sendAttempt(ctx, l)
 	if result.Code(end.Code) == result.LeaseLost {
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -45,7 +45,7 @@
 	lastReportAt    time.Time // when the last report was received
 	connected       bool
 	models          map[string]bool
-	pending         time.Duration // predicted work of the orders sent whose answer has not begun
+	pending         time.Duration // predicted work of the orders sent whose response has not begun
 	pendingLong     time.Duration // the part of pending that is long work
 	pendingRequests int
 	backOffUntil    time.Time // the endpoint has asked for no new work until then
@@ -226,7 +226,7 @@
 	c := routing.Candidate{
 		Endpoint: l.declared.Name, Host: l.declared.Host, DataCentre: l.declared.DataCentre, Service: l.declared.Service,
 		MemoryTokens: l.declared.MemoryTokens, Models: l.models, Pending: l.pending, PendingLong: l.pendingLong, PendingRequests: l.pendingRequests,
-		Connected: v.Usable(), Leaving: v.State == membership.Leaving,
+		Connected: v.Usable(), Draining: v.State == membership.Draining,
 		BackingOff: now.Before(l.backOffUntil), BreakerOpen: l.breaker.Blocks(now), InLongLane: l.g.lanes.contains(l.declared.Name),
 		SlowdownFactor: l.slowness.Factor(now), Cached: l.cache.Cached,
 	}
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -20,11 +20,11 @@
 	// list of hosts. Each interval is randomized by up to half of it either
 	// way.
 	hostListInterval = time.Second
-	// leaveNoticeTTL is how long an agent acts on one leave notice.
-	leaveNoticeTTL = 10 * time.Second
-	// leaveNoticeInterval is how often a leave notice is repeated.
-	leaveNoticeInterval = 3 * time.Second
-	leaveNoticeTimeout  = 2 * time.Second
+	// drainNoticeTTL is how long an agent acts on one drain notice.
+	drainNoticeTTL = 10 * time.Second
+	// drainNoticeInterval is how often a drain notice is repeated.
+	drainNoticeInterval = 3 * time.Second
+	drainNoticeTimeout  = 2 * time.Second
 )
 
 // members is the gateway's view of the endpoints' membership, safe for
@@ -63,14 +63,14 @@
 
 // applyDeclaration passes the document's endpoints to membership.
 func (m *members) applyDeclaration(doc *rudderv1.Document) {
-	leaving := make(map[string]bool, len(doc.Hosts))
+	draining := make(map[string]bool, len(doc.Hosts))
 	for _, h := range doc.Hosts {
-		leaving[h.Name] = h.Leaving
+		draining[h.Name] = h.Leaving
 	}
 	var ev membership.EndpointsDeclared
 	for _, e := range doc.Endpoints {
 		ev.Endpoints = append(ev.Endpoints, membership.Declaration{
-			Endpoint: e.Name, Host: e.Host, Service: e.Service, Leaving: e.Leaving || leaving[e.Host],
+			Endpoint: e.Name, Host: e.Host, Service: e.Service, Draining: e.Leaving || draining[e.Host],
 		})
 	}
 	m.apply(ev)
@@ -111,7 +111,7 @@
 	m.apply(ev)
 }
 
-// recordRefusal evaluates an end that shows that the agent is leaving, or that
+// recordRefusal evaluates an end that shows that the agent is draining, or that
 // its endpoint accepts no new work for a while.
 func (l *link) recordRefusal(e *rudderv1.End) {
 	switch result.Code(e.Code) {
@@ -149,18 +149,18 @@
 }
 
 // followHosts reads the platform's list of hosts until the gateway stops, and
-// notifies the agents whose hosts are leaving according to that list.
+// notifies the agents whose hosts are draining according to that list.
 func (g *Gateway) followHosts() {
 	lastNotified := make(map[string]time.Time)
 	for g.ctx.Err() == nil {
 		if hosts, err := g.deps.Hosts.Hosts(g.ctx); err == nil {
 			var ev membership.HostsListed
 			for _, h := range hosts {
-				ev.Hosts = append(ev.Hosts, membership.ListedHost{Name: h.Name, Leaving: h.State != metastore.HostLive})
+				ev.Hosts = append(ev.Hosts, membership.ListedHost{Name: h.Name, Draining: h.State != metastore.HostLive})
 			}
 			g.members.apply(ev)
 		}
-		g.notifyLeaving(lastNotified)
+		g.notifyDraining(lastNotified)
 		select {
 		case <-time.After(hostListInterval/2 + rand.N(hostListInterval)):
 		case <-g.ctx.Done():
@@ -168,34 +168,34 @@
 	}
 }
 
-// notifyLeaving sends a leave notice to each agent whose host is leaving
+// notifyDraining sends a drain notice to each agent whose host is draining
 // according to the list. lastNotified holds the time of the last notice by
 // endpoint name.
-func (g *Gateway) notifyLeaving(lastNotified map[string]time.Time) {
+func (g *Gateway) notifyDraining(lastNotified map[string]time.Time) {
 	now := time.Now()
 	names, byIndex := g.links.namesAndLinks()
 	for i, v := range g.members.verdicts(names, now) {
-		if v.Evidence != membership.ByList || v.State != membership.Leaving {
+		if v.Evidence != membership.ByList || v.State != membership.Draining {
 			continue
 		}
-		if now.Sub(lastNotified[names[i]]) < leaveNoticeInterval {
+		if now.Sub(lastNotified[names[i]]) < drainNoticeInterval {
 			continue
 		}
 		lastNotified[names[i]] = now
-		g.background.Go(byIndex[i].notifyLeaving)
+		g.background.Go(byIndex[i].notifyDraining)
 	}
 }
 
-// notifyLeaving tells the agent that its host is leaving. The agent checks the
+// notifyDraining tells the agent that its host is draining. The agent checks the
 // incarnation and the time by its own clock, so a late notice has no effect.
-func (l *link) notifyLeaving() {
-	ctx, cancel := context.WithTimeout(l.g.ctx, leaveNoticeTimeout)
+func (l *link) notifyDraining() {
+	ctx, cancel := context.WithTimeout(l.g.ctx, drainNoticeTimeout)
 	defer cancel()
 	incarnation, clock := l.incarnation()
 	_, err := l.client.Leave(ctx, connect.NewRequest(&rudderv1.LeaveRequest{
-		Gateway: l.g.cfg.Name, Incarnation: incarnation, DecidedAgentMs: clock, LeaseMs: leaveNoticeTTL.Milliseconds(),
+		Gateway: l.g.cfg.Name, Incarnation: incarnation, DecidedAgentMs: clock, LeaseMs: drainNoticeTTL.Milliseconds(),
 	}))
 	if err != nil {
-		l.g.deps.Log.Warn("Failed to tell an agent that its host is leaving.", "endpoint", l.declared.Name, "err", err)
+		l.g.deps.Log.Warn("Failed to notify an agent that its host is draining.", "endpoint", l.declared.Name, "err", err)
 	}
 }
--- a/gateway/offer.go
+++ b/gateway/offer.go
@@ -175,7 +175,7 @@
 	l.report.Generation = gen
 }
 
-// learnNewer learns the newer document in an agent's answer.
+// learnNewer learns the newer document in an agent's response.
 func (l *link) learnNewer(ctx context.Context, resp *rudderv1.OfferResponse) error {
 	offer := &rudderv1.OfferRequest{Document: resp.Newer, Delta: resp.NewerDelta}
 	return l.learnFromAgent(ctx, offer)
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -206,7 +206,7 @@
 	return connect.NewResponse(s.g.fetchResponse(req.Msg.Have)), nil
 }
 
-// fetchResponse returns the answer to a peer that has generation have.
+// fetchResponse returns the response to a peer that has generation have.
 func (g *Gateway) fetchResponse(have uint64) *rudderv1.FetchResponse {
 	resp := &rudderv1.FetchResponse{Generation: g.deps.Tracker.Generation()}
 	if u := g.deps.Tracker.Update(have); u != nil {
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -42,7 +42,7 @@
 	grants    placement.Grants
 	leaseID   metastore.LeaseID    // held in the latest round; 0: none
 	decidedOn map[string]reportID  // the reports on which the latest round was based
-	confirmed map[string]reportID  // the agents' answers to the query under the current lease
+	confirmed map[string]reportID  // the agents' responses to the query under the current lease
 	notBefore map[string]time.Time // when the endpoint may get a permit again
 }
 
@@ -80,7 +80,7 @@
 	now := time.Now()
 	doc := p.g.deps.Tracker.Document()
 	links := p.ownLinks()
-	if p.g.draining.Load() {
+	if p.g.refusing.Load() {
 		p.elector.release()
 		return
 	}
@@ -152,7 +152,7 @@
 }
 
 // isCurrent reports whether a report may be used. Under a lease, it must not be
-// older than the agent's answer to this holder, because an earlier holder may
+// older than the agent's response to this holder, because an earlier holder may
 // have given permits after the report.
 func (p *placer) isCurrent(name string, id reportID) bool {
 	if p.leaseID == 0 || p.confirmed == nil {
@@ -207,7 +207,7 @@
 
 // confirm queries the reachable agents that have not yet answered under the
 // current lease for their reports. It returns true if earlier calls already had
-// all answers; otherwise the orders must be planned again.
+// all responses; otherwise the orders must be planned again.
 func (p *placer) confirm(links map[string]*link) bool {
 	p.mu.Lock()
 	first := p.confirmed == nil
@@ -275,7 +275,7 @@
 	}
 }
 
-// permit sends one permit. If the answer is lost, the permit counts as accepted
+// permit sends one permit. If the response is lost, the permit counts as accepted
 // until a report shows the result.
 func (p *placer) permit(ctx context.Context, l *link, req *rudderv1.PlaceRequest) {
 	resp, err := l.client.Place(ctx, connect.NewRequest(req))
--- a/gateway/problem.go
+++ b/gateway/problem.go
@@ -55,7 +55,7 @@
 	Ticket       string `json:"ticket,omitempty"`
 }
 
-// problemOf returns the problem for an end other than a complete answer.
+// problemOf returns the problem for an end other than a complete response.
 func problemOf(end *rudderv1.End, id, ticket string) problem {
 	info := result.Lookup(result.Code(end.Code))
 	p := problem{
--- a/gateway/read.go
+++ b/gateway/read.go
@@ -199,7 +199,7 @@
 	}
 }
 
-// readOffset returns the number of answer bytes that the caller already has.
+// readOffset returns the number of response bytes that the caller already has.
 func readOffset(r *http.Request) (uint64, *result.Err) {
 	text := r.Header.Get(headerLastEvent)
 	if text == "" {
--- a/gateway/reattach.go
+++ b/gateway/reattach.go
@@ -4,13 +4,13 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// reattachedModel is the model name in the answer of a run that is attached to
+// reattachedModel is the model name in the response of a run that is attached to
 // by its ticket. The original request, which names the model, is not available
 // then.
 const reattachedModel = ""
 
-// reattachWriter writes the answer of a run that may be a completion or a call
-// to a plain service. The kind is not known until the answer begins: only that
+// reattachWriter writes the response of a run that may be a completion or a call
+// to a plain service. The kind is not known until the response begins: only that
 // of a service has a head.
 type reattachWriter struct {
 	g      *Gateway
@@ -43,7 +43,7 @@
 func (a *reattachWriter) Head(h *rudderv1.ServiceHead) error {
 	if a.out == nil {
 		a.out = newServiceWriter(a.g, a.x, a.cr)
-		a.cr.resumeOffset = 0 // the answer of a service is sent complete or not at all
+		a.cr.resumeOffset = 0 // the response of a service is sent complete or not at all
 	}
 	return a.out.Head(h)
 }
--- a/gateway/renew.go
+++ b/gateway/renew.go
@@ -35,7 +35,7 @@
 }
 
 // renewAll starts the renewal of every held lease without waiting for the
-// answers.
+// responses.
 func (gr *group) renewAll(ctx context.Context, cancel context.CancelCauseFunc) {
 	gr.mu.Lock()
 	held, reservation := gr.state.Holders(true), gr.state.Reservation()
--- a/gateway/runs.go
+++ b/gateway/runs.go
@@ -78,7 +78,7 @@
 	return out, nil
 }
 
-// serveAttach sends the answer of an existing run again, from the offset in
+// serveAttach sends the response of an existing run again, from the offset in
 // Last-Event-ID.
 func (g *Gateway) serveAttach(x *exchange) {
 	claims, err := g.readTicket(x.param("ticket"), x.workspace)
@@ -107,7 +107,7 @@
 	out.finish(g.relayRun(x, o, out))
 }
 
-// relayRun relays the answer of an existing run. It never starts one.
+// relayRun relays the response of an existing run. It never starts one.
 func (g *Gateway) relayRun(x *exchange, cr *callerRequest, out sink) *rudderv1.End {
 	s := &session{g: g, cr: cr, out: out, ticket: cr.ticket, start: time.Now()}
 	s.dispatch = lifecycle.Dispatch{Repeatable: cr.repeatable, HasName: true}
--- a/gateway/session.go
+++ b/gateway/session.go
@@ -35,21 +35,21 @@
 	deadline     time.Time
 	ticket       string                 // presented by the caller or read from a claim; else empty
 	claims       *rudderv1.TicketClaims // of the ticket
-	resumeOffset uint64                 // number of answer bytes that the caller already has
+	resumeOffset uint64                 // number of response bytes that the caller already has
 }
 
-// sink is the destination of an answer. An error of a method means that the
+// sink is the destination of a response. An error of a method means that the
 // caller can no longer be reached, except for Restart.
 type sink interface {
-	// SetTicket passes the caller's ticket on before the answer.
+	// SetTicket passes the caller's ticket on before the response.
 	SetTicket(ticket string)
 	// TicketSent reports whether the caller may have received a ticket.
 	TicketSent() bool
-	// Head writes the status and headers of a plain service's answer.
+	// Head writes the status and headers of a plain service's response.
 	Head(h *rudderv1.ServiceHead) error
-	// Text writes answer text; end is the offset of its end in the answer.
+	// Text writes response text; end is the offset of its end in the response.
 	Text(text []byte, end uint64) error
-	// Restart tells the caller that the answer begins again. It returns an
+	// Restart tells the caller that the response begins again. It returns an
 	// error if that is not possible.
 	Restart() error
 }
@@ -63,8 +63,8 @@
 	asm             lifecycle.Assembler
 	attempt         uint32
 	attached        bool   // the current attempt is attached to an existing run
-	delivered       []byte // the answer so far, if another attempt can continue it
-	servedVariant   string // variant that produces the answer, see link.servedVariant
+	delivered       []byte // the response so far, if another attempt can continue it
+	servedVariant   string // variant that produces the response, see link.servedVariant
 	excluded        map[string]bool
 	ticket          string // of the current attempt
 	group           *group // set while several endpoints prefill the prompt
@@ -86,7 +86,7 @@
 }
 
 // resumable reports whether another endpoint can continue a partly delivered
-// answer.
+// response.
 func (cr *callerRequest) resumable() bool { return cr.repeatable && cr.completion != nil }
 
 func (s *session) run(ctx context.Context) *rudderv1.End {
@@ -109,7 +109,7 @@
 			continue
 		}
 		switch step := s.dispatch.Next(s.attemptResult(last), s.allowRetry); step {
-		case lifecycle.StepAnswer:
+		case lifecycle.StepRespond:
 			return last
 		case lifecycle.StepVoid:
 			return s.void(ctx, l, last)
@@ -118,7 +118,7 @@
 		case lifecycle.StepResend:
 			l.learnFromRefusal(ctx, last)
 		default:
-			if step == lifecycle.StepRestart && s.restartAnswer() != nil {
+			if step == lifecycle.StepRestart && s.restartResponse() != nil {
 				return last
 			}
 			s.retryElsewhere(l, last)
@@ -189,8 +189,8 @@
 	s.excluded[l.declared.Name] = true
 }
 
-// restartAnswer restarts the answer at offset 0 and tells the caller.
-func (s *session) restartAnswer() error {
+// restartResponse restarts the response at offset 0 and tells the caller.
+func (s *session) restartResponse() error {
 	if err := s.out.Restart(); err != nil {
 		return err
 	}
@@ -243,11 +243,11 @@
 	if l != nil || s.servedVariant == "" || len(s.delivered) == 0 {
 		return l, d
 	}
-	// No endpoint serves the version that produced the beginning of the answer
+	// No endpoint serves the version that produced the beginning of the response
 	// any more.
 	s.servedVariant = ""
 	if l, d = s.applyPolicy(s.routingRequest()); l != nil {
-		s.callerErr = s.restartAnswer()
+		s.callerErr = s.restartResponse()
 	}
 	return l, d
 }
@@ -266,7 +266,7 @@
 }
 
 // routingRequest returns the request as input of routing. A partly delivered
-// answer continues with the version that it began with.
+// response continues with the version that it began with.
 func (s *session) routingRequest() routing.Request {
 	c := s.cr.completion
 	model := c.GetModel()
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -29,14 +29,14 @@
 // after the leave time. Drain returns when the requests in flight have ended or
 // ctx ends.
 func (g *Gateway) Drain(ctx context.Context) error {
-	g.leaving.Store(true)
+	g.shuttingDown.Store(true)
 	g.deps.Log.Info("Not ready any more; waiting for the load balancer to notice.", "requests", g.active.Load())
 	select {
 	case <-time.After(g.cfg.LeaveTime):
 	case <-ctx.Done():
 	}
-	g.draining.Store(true)
-	g.deps.Log.Info("Draining.", "requests", g.active.Load())
+	g.refusing.Store(true)
+	g.deps.Log.Info("Shutting down; refusing new requests.", "requests", g.active.Load())
 	done := make(chan struct{})
 	go func() {
 		g.inFlight.Wait()
--- a/gateway/tenure.go
+++ b/gateway/tenure.go
@@ -39,7 +39,7 @@
 // holds it.
 type elector struct {
 	g  *Gateway
-	id string // unique, to recognize an own write whose answer was lost
+	id string // unique, to recognize an own write whose response was lost
 
 	mu          sync.Mutex
 	lease       *metastore.Lease
--- a/lifecycle/assembler.go
+++ b/lifecycle/assembler.go
@@ -6,7 +6,7 @@
 	"github.com/micarudder/micarudder/result"
 )
 
-// Assembler joins the frames of one answer in order of their offset. It drops
+// Assembler joins the frames of one response in order of their offset. It drops
 // frames of other attempts and duplicate bytes; a gap, or a length or checksum
 // that does not match at the end, is an error. The zero value expects attempt 0
 // at offset 0.
@@ -27,7 +27,7 @@
 	}
 }
 
-// Restart sets the attempt and discards the delivered bytes: the answer begins
+// Restart sets the attempt and discards the delivered bytes: the response begins
 // again at offset 0.
 func (a *Assembler) Restart(attempt uint32) {
 	a.attempt = attempt
@@ -36,7 +36,7 @@
 	a.started = true
 }
 
-// Offset returns the number of answer bytes delivered so far.
+// Offset returns the number of response bytes delivered so far.
 func (a *Assembler) Offset() uint64 { return a.offset }
 
 // Data accepts a data frame and returns its bytes that were not delivered
@@ -58,7 +58,7 @@
 	return fresh, nil
 }
 
-// End checks the length and checksum of the answer. It returns false for the end
+// End checks the length and checksum of the response. It returns false for the end
 // frame of another attempt, which the caller must ignore.
 func (a *Assembler) End(attempt uint32, length, checksum uint64) (bool, error) {
 	if attempt != a.attempt {
--- a/lifecycle/assembler_test.go
+++ b/lifecycle/assembler_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestAssemblerDeliversPrefix checks that, for any sequence of late, duplicate
-// and other attempts' frames, the delivered bytes are a prefix of the answer and
-// the end is accepted only when the answer is complete.
+// and other attempts' frames, the delivered bytes are a prefix of the response and
+// the end is accepted only when the response is complete.
 func TestAssemblerDeliversPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		answer := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "answer")
--- a/lifecycle/dispatch.go
+++ b/lifecycle/dispatch.go
@@ -6,7 +6,7 @@
 const MaxAttempts = 4
 
 // Dispatch decides after each attempt of a request whether to send another
-// order, to resume after the delivered part of the answer, or to answer the
+// order, to resume after the delivered part of the response, or to answer the
 // caller. It records the outcomes of all attempts, so that a final refusal does
 // not hide an earlier attempt that may have run.
 type Dispatch struct {
@@ -14,8 +14,8 @@
 	// HasName is set if the caller has a name for the request, a ticket or an
 	// idempotency key, and may present it to other gateways too.
 	HasName   bool
-	Resumable bool   // another endpoint can continue a partly delivered answer
-	Delivered uint64 // answer bytes delivered to the caller
+	Resumable bool   // another endpoint can continue a partly delivered response
+	Delivered uint64 // response bytes delivered to the caller
 	Attempts  int    // orders sent so far
 
 	// earlier is the strongest claim of execution among the attempts that were
@@ -40,7 +40,7 @@
 
 // The steps after an attempt has ended.
 const (
-	StepAnswer    Step = iota // answer the caller with the ending
+	StepRespond   Step = iota // answer the caller with the ending
 	StepResend                // send the order again with the configuration learned meanwhile
 	StepReattach              // send the same order to the same agent, which runs it at most once
 	StepElsewhere             // send the order to another endpoint, from offset 0
@@ -55,7 +55,7 @@
 }
 
 // sendsOrder reports whether the step sends another order.
-func (s Step) sendsOrder() bool { return s != StepAnswer && s != StepVoid }
+func (s Step) sendsOrder() bool { return s != StepRespond && s != StepVoid }
 
 // Next returns the step that follows an attempt. budget reports whether the
 // retry budget of the workspace permits another retry.
@@ -146,20 +146,20 @@
 	if d.attemptsLeft() && (e.Code == result.AgentLost || e.Code == result.OrderUnanswered) {
 		return StepReattach
 	}
-	return StepAnswer
+	return StepRespond
 }
 
 // unlimitedBudget is the retry budget of requests that must not be dropped.
 func unlimitedBudget() bool { return true }
 
 // afterRun returns the step after an attempt that ran to its end. A repeatable
-// request is retried if its answer is damaged, or if the run belongs to an
+// request is retried if its response is damaged, or if the run belongs to an
 // earlier request with the same name and was abandoned.
 func (d *Dispatch) afterRun(e AttemptResult, budget func() bool) Step {
 	if e.Code == result.AnswerDamaged || e.Attached && abandoned(e.Code) {
 		return d.retryRepeatable(e, budget)
 	}
-	return StepAnswer
+	return StepRespond
 }
 
 // afterRefusal returns the step after an attempt that did not run.
@@ -170,20 +170,20 @@
 	case d.pinned() && !e.Sealed:
 		return StepVoid
 	case d.pinned(), !d.Repeatable && d.EarlierMayHaveRun():
-		return StepAnswer
+		return StepRespond
 	case e.Code == result.Draining:
 		return d.switchEndpoint(e, unlimitedBudget) // a planned shutdown must not drop requests
 	case retryableElsewhere(e.Code), e.Attached && abandoned(e.Code):
 		return d.switchEndpoint(e, budget)
 	default:
-		return StepAnswer
+		return StepRespond
 	}
 }
 
 // retryRepeatable retries a repeatable request on another endpoint.
 func (d *Dispatch) retryRepeatable(e AttemptResult, budget func() bool) Step {
 	if !d.Repeatable {
-		return StepAnswer
+		return StepRespond
 	}
 	return d.switchEndpoint(e, budget)
 }
@@ -193,7 +193,7 @@
 func (d *Dispatch) switchEndpoint(e AttemptResult, budget func() bool) Step {
 	switch {
 	case !d.attemptsLeft() || !budget():
-		return StepAnswer
+		return StepRespond
 	case d.Delivered == 0:
 		return StepElsewhere
 	case !d.Resumable || e.Code == result.AnswerDamaged:
--- a/lifecycle/dispatch_test.go
+++ b/lifecycle/dispatch_test.go
@@ -70,22 +70,22 @@
 		e    AttemptResult
 		want Step
 	}{
-		{"complete answer", repeatable, AttemptResult{Code: result.OK, Outcome: result.Ran}, StepAnswer},
+		{"complete answer", repeatable, AttemptResult{Code: result.OK, Outcome: result.Ran}, StepRespond},
 		{"overloaded", repeatable, AttemptResult{Code: result.Overloaded, Outcome: result.NotRun}, StepElsewhere},
 		{"overloaded, unrepeatable", unrepeatable, AttemptResult{Code: result.Overloaded, Outcome: result.NotRun}, StepElsewhere},
 		{"overloaded, named", named, AttemptResult{Code: result.Overloaded, Outcome: result.NotRun}, StepVoid},
-		{"overloaded, sealed", named, AttemptResult{Code: result.Overloaded, Outcome: result.NotRun, Sealed: true}, StepAnswer},
-		{"voided", repeatable, AttemptResult{Code: result.TicketVoided, Outcome: result.NotRun, Sealed: true}, StepAnswer},
+		{"overloaded, sealed", named, AttemptResult{Code: result.Overloaded, Outcome: result.NotRun, Sealed: true}, StepRespond},
+		{"voided", repeatable, AttemptResult{Code: result.TicketVoided, Outcome: result.NotRun, Sealed: true}, StepRespond},
 		{"agent lost", repeatable, AttemptResult{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepElsewhere},
 		{"agent lost, unrepeatable", unrepeatable, AttemptResult{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepReattach},
-		{"endpoint lost, unrepeatable", unrepeatable, AttemptResult{Code: result.EndpointLost, Outcome: result.MayHaveRun}, StepAnswer},
+		{"endpoint lost, unrepeatable", unrepeatable, AttemptResult{Code: result.EndpointLost, Outcome: result.MayHaveRun}, StepRespond},
 		{"agent lost during the answer", partlyDelivered, AttemptResult{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepContinue},
 		{"agent lost during the answer of a service call", serviceCall, AttemptResult{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepRestart},
 		{"damaged answer", partlyDelivered, AttemptResult{Code: result.AnswerDamaged, Outcome: result.Ran}, StepRestart},
 		{"canceled by an earlier caller", repeatable, AttemptResult{Code: result.Canceled, Outcome: result.Ran, Attached: true}, StepElsewhere},
 		{"old configuration", named, AttemptResult{Code: result.OldGeneration, Outcome: result.NotRun}, StepResend},
 		{"stale ID known to this gateway only", unrepeatable, AttemptResult{Code: result.IncarnationGone, Outcome: result.MayHaveRun}, StepElsewhere},
-		{"stale ticket", named, AttemptResult{Code: result.IncarnationGone, Outcome: result.MayHaveRun}, StepAnswer},
+		{"stale ticket", named, AttemptResult{Code: result.IncarnationGone, Outcome: result.MayHaveRun}, StepRespond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -115,8 +115,8 @@
 	}{
 		{result.Draining, true, 1, StepElsewhere},
 		{result.Draining, false, 1, StepElsewhere}, // only this gateway knows its ID
-		{result.Draining, true, MaxAttempts, StepAnswer},
-		{result.Overloaded, true, 1, StepAnswer},
+		{result.Draining, true, MaxAttempts, StepRespond},
+		{result.Overloaded, true, 1, StepRespond},
 	}
 	for _, c := range cases {
 		d := Dispatch{Repeatable: c.repeatable, Attempts: c.attempts}
--- a/lifecycle/run.go
+++ b/lifecycle/run.go
@@ -1,6 +1,6 @@
 // Package lifecycle contains the state machines of a request: Run is the agent's
 // record of one execution, Dispatch the gateway's record of a request over all
-// its attempts, and Assembler reassembles an answer from frames. They have no
+// its attempts, and Assembler reassembles a response from frames. They have no
 // side effects and read no clock; the caller supplies the events.
 package lifecycle
 
@@ -16,11 +16,11 @@
 // The states of a run. Finished, Refused and Unknown are final.
 const (
 	Queued    State = iota // admitted, not sent to the endpoint yet
-	Ordered                // sent to the endpoint, no answer yet
+	Ordered                // sent to the endpoint, no response yet
 	Streaming              // the endpoint has started to answer
-	Finished               // the run ended after an answer began, successfully or not
+	Finished               // the run ended after a response began, successfully or not
 	Refused                // did not run and will not run under this ID
-	Unknown                // may have run: endpoint lost, or expired or canceled before an answer
+	Unknown                // may have run: endpoint lost, or expired or canceled before a response
 )
 
 // String returns the name of the state.
@@ -38,8 +38,8 @@
 const (
 	EvDispatch EventKind = iota // the agent is about to send the order
 	EvRefused                   // the endpoint or the agent refused it; it did not run
-	EvAnswer                    // the first part of the answer was received
-	EvEnd                       // the endpoint ended the answer
+	EvResponse                  // the first part of the response was received
+	EvEnd                       // the endpoint ended the response
 	EvLost                      // the endpoint was lost
 	EvExpire                    // the deadline passed
 	EvVoid                      // the ID was voided: the run must never start
@@ -93,12 +93,12 @@
 		EvCancel:   {next: Refused, code: result.Canceled, outcome: result.NotRun},
 	},
 	Ordered: {
-		EvRefused: {next: Refused, outcome: result.NotRun},
-		EvAnswer:  {next: Streaming},
-		EvEnd:     {next: Finished, outcome: result.Ran},
-		EvLost:    {next: Unknown, code: result.EndpointLost, outcome: result.MayHaveRun, action: ActStop},
-		EvExpire:  {next: Unknown, code: result.DeadlinePassed, outcome: result.MayHaveRun, action: ActStop},
-		EvCancel:  {next: Unknown, code: result.Canceled, outcome: result.MayHaveRun, action: ActStop},
+		EvRefused:  {next: Refused, outcome: result.NotRun},
+		EvResponse: {next: Streaming},
+		EvEnd:      {next: Finished, outcome: result.Ran},
+		EvLost:     {next: Unknown, code: result.EndpointLost, outcome: result.MayHaveRun, action: ActStop},
+		EvExpire:   {next: Unknown, code: result.DeadlinePassed, outcome: result.MayHaveRun, action: ActStop},
+		EvCancel:   {next: Unknown, code: result.Canceled, outcome: result.MayHaveRun, action: ActStop},
 	},
 	Streaming: {
 		EvEnd:    {next: Finished, outcome: result.Ran},
--- a/lifecycle/run_test.go
+++ b/lifecycle/run_test.go
@@ -8,7 +8,7 @@
 	"github.com/micarudder/micarudder/result"
 )
 
-var events = []EventKind{EvDispatch, EvRefused, EvAnswer, EvEnd, EvLost, EvExpire, EvVoid, EvCancel}
+var events = []EventKind{EvDispatch, EvRefused, EvResponse, EvEnd, EvLost, EvExpire, EvVoid, EvCancel}
 
 // TestRunInvariants checks that, in any sequence of events, at most one order is
 // sent to the endpoint, a final state does not change, and the outcome is
@@ -28,7 +28,7 @@
 				t.Fatalf("%v was ignored and changed the state", k)
 			}
 			if action != ActIgnore {
-				answered = answered || k == EvAnswer || k == EvEnd
+				answered = answered || k == EvResponse || k == EvEnd
 				refused = refused || k == EvRefused
 			}
 			if before.Final() && r != final {
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -13,7 +13,7 @@
 // Limit is what a workspace may use in a whole installation; 0 means no limit.
 type Limit struct {
 	RequestsPerSecond float64
-	TokensPerSecond   float64 // prompt and answer
+	TokensPerSecond   float64 // prompt and response
 	MaxInFlight       int
 }
 
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -328,7 +328,7 @@
 	}
 	b.RecordSend(at(1_000))
 	is.True(b.Blocks(at(1_001)))   // one probe at a time
-	is.True(!b.Blocks(at(11_000))) // a probe without an answer times out
+	is.True(!b.Blocks(at(11_000))) // a probe without a response times out
 	is.True(b.RecordFailure(at(1_100)))
 	is.True(b.Blocks(at(3_099))) // twice the open time
 	is.True(!b.Blocks(at(3_100)))
--- a/limits/window.go
+++ b/limits/window.go
@@ -6,8 +6,7 @@
 )
 
 // RetryWindowConfig is the bound on the retries to a service: in every window of length Window
-// at most Ratio times the number of requests, plus Slack. Requests are first sends,
-// retries are second sends.
+// at most Ratio times the number of requests, plus Slack. A retry does not count as a request.
 type RetryWindowConfig struct {
 	Ratio  float64
 	Slack  float64
--- a/membership/event.go
+++ b/membership/event.go
@@ -14,7 +14,7 @@
 	Endpoint string
 	Host     string
 	Service  string // empty for a model engine
-	Leaving  bool   // the endpoint or its host is declared as leaving
+	Draining bool   // the endpoint or its host is declared as draining
 }
 
 // EndpointsDeclared replaces the set of endpoints by the declared one.
@@ -31,7 +31,7 @@
 	Models      []string // models that are ready to serve
 }
 
-// OrderRefused reports that an agent refused an order because it is leaving.
+// OrderRefused reports that an agent refused an order because it is draining.
 type OrderRefused struct{ Endpoint string }
 
 // ConnectionLost reports that the connection to an agent broke or could not be opened.
@@ -39,8 +39,8 @@
 
 // ListedHost is one entry of the platform's list of hosts.
 type ListedHost struct {
-	Name    string
-	Leaving bool
+	Name     string
+	Draining bool
 }
 
 // HostsListed is a complete list of hosts as read from the platform. An empty list is
@@ -101,13 +101,13 @@
 // noteRestart records a new incarnation. A restart that the agent did not
 // announce counts as a loss, unless the lost connection was counted already.
 func (m *member) noteRestart(ev AgentReported, cfg FlapConfig, now time.Time) {
-	if m.incarnation != "" && m.connected && !m.reportedLeaving() {
+	if m.incarnation != "" && m.connected && !m.reportedDraining() {
 		m.flap.addPenalty(cfg, now)
 	}
 	m.previous, m.incarnation, m.firstReport = m.incarnation, ev.Incarnation, now
 }
 
-func (m *member) reportedLeaving() bool { return m.state == rudderv1.AgentState_AGENT_STATE_LEAVING }
+func (m *member) reportedDraining() bool { return m.state == rudderv1.AgentState_AGENT_STATE_LEAVING }
 
 func (ev ConnectionLost) apply(v *View, now time.Time) {
 	m, ok := v.members[ev.Endpoint]
@@ -115,7 +115,7 @@
 		return
 	}
 	m.connected, m.disconnectedAt = false, now
-	if !m.reportedLeaving() {
+	if !m.reportedDraining() {
 		m.flap.addPenalty(v.cfg.Flap, now)
 	}
 	v.updateNoAgentSince(now)
@@ -148,8 +148,8 @@
 	}
 	hosts := make(map[string]listing, len(ev.Hosts))
 	for _, h := range ev.Hosts {
-		l := listing{leaving: h.Leaving, since: now}
-		if old, ok := v.hosts[h.Name]; ok && old.leaving == h.Leaving {
+		l := listing{draining: h.Draining, since: now}
+		if old, ok := v.hosts[h.Name]; ok && old.draining == h.Draining {
 			l.since = old.since
 		}
 		hosts[h.Name] = l
--- a/membership/evidence_test.go
+++ b/membership/evidence_test.go
@@ -12,7 +12,7 @@
 
 const (
 	serving      = rudderv1.AgentState_AGENT_STATE_SERVING
-	leaving      = rudderv1.AgentState_AGENT_STATE_LEAVING
+	draining     = rudderv1.AgentState_AGENT_STATE_LEAVING
 	starting     = rudderv1.AgentState_AGENT_STATE_STARTING
 	endpointLost = rudderv1.AgentState_AGENT_STATE_ENDPOINT_LOST
 )
@@ -32,12 +32,12 @@
 	return AgentReported{Endpoint: "b", Incarnation: "b1", AgentMS: ms, State: serving, Models: []string{"m"}}
 }
 
-func declared(aLeaving bool) EndpointsDeclared {
-	return EndpointsDeclared{[]Declaration{{Endpoint: "a", Host: "ha", Leaving: aLeaving}, {Endpoint: "b", Host: "hb"}}}
+func declared(aDraining bool) EndpointsDeclared {
+	return EndpointsDeclared{[]Declaration{{Endpoint: "a", Host: "ha", Draining: aDraining}, {Endpoint: "b", Host: "hb"}}}
 }
 
-func listed(aLeaving bool) HostsListed {
-	return HostsListed{[]ListedHost{{Name: "ha", Leaving: aLeaving}, {Name: "hb"}}}
+func listed(aDraining bool) HostsListed {
+	return HostsListed{[]ListedHost{{Name: "ha", Draining: aDraining}, {Name: "hb"}}}
 }
 
 var evidence = []struct {
@@ -50,12 +50,12 @@
 	{"serving", []step{{0, report("1", 1, serving)}}, 1, "serving normal agent"},
 	{"starting", []step{{0, report("1", 1, starting)}}, 1, "starting never agent"},
 	{"endpoint lost", []step{{0, report("1", 1, endpointLost)}}, 1, "endpoint-lost never agent"},
-	{"agent leaves", []step{{0, report("1", 1, serving)}, {1, report("1", 2, leaving)}}, 0, "leaving never agent"},
-	{"agent no longer leaving", []step{{0, report("1", 1, leaving)}, {1, report("1", 2, serving)}}, 0, "serving normal agent"},
-	{"late report of the same incarnation", []step{{0, report("1", 9, leaving)}, {1, report("1", 2, serving)}}, 0, "leaving never agent"},
-	{"late report of the previous incarnation", []step{{0, report("1", 1, serving)}, {1, report("2", 1, leaving)}, {1, report("1", 50, serving)}}, 0, "leaving never agent"},
-	{"leaving, then disconnected", []step{{0, report("1", 1, leaving)}, {1, ConnectionLost{"a"}}}, 0, "leaving never agent"},
-	{"leaving, then a new incarnation", []step{{0, report("1", 1, leaving)}, {1, ConnectionLost{"a"}}, {1, report("2", 1, serving)}}, 0, "serving normal agent"},
+	{"agent drains", []step{{0, report("1", 1, serving)}, {1, report("1", 2, draining)}}, 0, "leaving never agent"},
+	{"agent no longer draining", []step{{0, report("1", 1, draining)}, {1, report("1", 2, serving)}}, 0, "serving normal agent"},
+	{"late report of the same incarnation", []step{{0, report("1", 9, draining)}, {1, report("1", 2, serving)}}, 0, "leaving never agent"},
+	{"late report of the previous incarnation", []step{{0, report("1", 1, serving)}, {1, report("2", 1, draining)}, {1, report("1", 50, serving)}}, 0, "leaving never agent"},
+	{"draining, then disconnected", []step{{0, report("1", 1, draining)}, {1, ConnectionLost{"a"}}}, 0, "leaving never agent"},
+	{"draining, then a new incarnation", []step{{0, report("1", 1, draining)}, {1, ConnectionLost{"a"}}, {1, report("2", 1, serving)}}, 0, "serving normal agent"},
 	{"refused an order", []step{{0, report("1", 1, serving)}, {1, OrderRefused{"a"}}}, 0, "leaving never agent"},
 	{"disconnected within the grace period", []step{{0, report("1", 1, serving)}, {1, ConnectionLost{"a"}}}, 1, "silent last-resort connection"},
 	{"disconnected beyond the grace period", []step{{0, report("1", 1, serving)}, {1, ConnectionLost{"a"}}, {2, reportOther(2)}}, 1, "gone never connection"},
@@ -63,19 +63,19 @@
 	{"connected without reports", []step{{0, report("1", 1, serving)}, {14, reportOther(9)}}, 2, "silent last-resort connection"},
 	{"heartbeat without changes", []step{{0, report("1", 1, serving)}, {14, AgentReported{Endpoint: "a", AgentMS: 14}}}, 2, "serving normal agent"},
 	{"heartbeat before the first report", []step{{0, AgentReported{Endpoint: "a", AgentMS: 14}}}, 0, "unheard never nothing"},
-	{"declared as leaving", []step{{0, report("1", 1, serving)}, {0, declared(true)}}, 0, "leaving never declaration"},
-	{"no longer declared as leaving", []step{{0, report("1", 1, serving)}, {0, declared(true)}, {0, declared(false)}}, 0, "serving normal agent"},
-	{"declared as leaving before the first report", []step{{0, declared(true)}}, 0, "leaving never declaration"},
-	{"listed as leaving", []step{{0, report("1", 1, serving)}, {1, listed(true)}}, 0, "leaving never list"},
+	{"declared as draining", []step{{0, report("1", 1, serving)}, {0, declared(true)}}, 0, "leaving never declaration"},
+	{"no longer declared as draining", []step{{0, report("1", 1, serving)}, {0, declared(true)}, {0, declared(false)}}, 0, "serving normal agent"},
+	{"declared as draining before the first report", []step{{0, declared(true)}}, 0, "leaving never declaration"},
+	{"listed as draining", []step{{0, report("1", 1, serving)}, {1, listed(true)}}, 0, "leaving never list"},
 	{"listed as live again", []step{{0, report("1", 1, serving)}, {1, listed(true)}, {1, listed(false)}}, 0, "serving normal agent"},
-	{"listed as live does not outrank the agent's report", []step{{0, report("1", 1, leaving)}, {1, listed(false)}}, 0, "leaving never agent"},
+	{"listed as live does not outrank the agent's report", []step{{0, report("1", 1, draining)}, {1, listed(false)}}, 0, "leaving never agent"},
 	{"first report after the list", []step{{0, listed(true)}, {1, report("1", 1, serving)}}, 0, "leaving never list"},
 	{"restarted after the list", []step{{0, report("1", 1, serving)}, {1, listed(true)}, {1, ConnectionLost{"a"}}, {1, report("2", 1, serving)}}, 1, "serving normal agent"},
-	{"restarted, but still listed as leaving after the lag", []step{{0, report("1", 1, serving)}, {1, listed(true)}, {1, ConnectionLost{"a"}}, {1, report("2", 1, serving)}, {55, report("2", 9, serving)}}, 6, "leaving never list"},
+	{"restarted, but still listed as draining after the lag", []step{{0, report("1", 1, serving)}, {1, listed(true)}, {1, ConnectionLost{"a"}}, {1, report("2", 1, serving)}, {55, report("2", 9, serving)}}, 6, "leaving never list"},
 	{"not listed, but connected", []step{{0, report("1", 1, serving)}, {1, HostsListed{[]ListedHost{{Name: "hb"}}}}}, 0, "serving normal agent"},
 	{"not listed and disconnected", []step{{0, report("1", 1, serving)}, {1, HostsListed{[]ListedHost{{Name: "hb"}}}}, {1, ConnectionLost{"a"}}}, 0, "gone never list"},
 	{"an empty list is ignored", []step{{0, report("1", 1, serving)}, {1, HostsListed{}}, {1, ConnectionLost{"a"}}}, 0, "silent last-resort connection"},
-	{"listed as leaving, then not listed, agent still connected", []step{{0, report("1", 1, serving)}, {1, listed(true)}, {1, HostsListed{[]ListedHost{{Name: "hb"}}}}}, 0, "serving normal agent"},
+	{"listed as draining, then not listed, agent still connected", []step{{0, report("1", 1, serving)}, {1, listed(true)}, {1, HostsListed{[]ListedHost{{Name: "hb"}}}}}, 0, "serving normal agent"},
 }
 
 func TestEvidence(t *testing.T) {
@@ -124,7 +124,7 @@
 }
 
 // TestPlannedRestartsAreNotDamped checks that the loss of an agent that reported
-// leaving adds no penalty.
+// draining adds no penalty.
 func TestPlannedRestartsAreNotDamped(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
@@ -133,7 +133,7 @@
 	for i := range 10 {
 		now = now.Add(time.Second)
 		v.Apply(report(fmt.Sprint(i), 1, serving), now)
-		v.Apply(report(fmt.Sprint(i), 2, leaving), now)
+		v.Apply(report(fmt.Sprint(i), 2, draining), now)
 		v.Apply(ConnectionLost{"a"}, now)
 	}
 	v.Apply(report("x", 1, serving), now)
--- a/membership/heirs.go
+++ b/membership/heirs.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// HandOver records that the leaving agent at from reports having handed the records
+// HandOver records that the draining agent at from reports having handed the records
 // of the incarnations to the agent at to. Entries that a third agent has
 // confirmed take precedence, because the reports of agents that stop together may
 // arrive in any order.
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -4,7 +4,7 @@
 //
 // A verdict rests on these kinds of evidence, the strongest first:
 //
-//  1. The accepted declaration: an endpoint or host declared as leaving gets
+//  1. The accepted declaration: an endpoint or host declared as draining gets
 //     no new work, whatever else is known.
 //  2. The last report of the agent's current incarnation.
 //  3. The connection to the agent: a disconnected agent is assumed to be alive
@@ -62,12 +62,12 @@
 	Damped                    // it accepts work, but was lost too often recently
 	Silent                    // its agent lost its connection recently, or is frozen
 	EndpointLost              // its agent is running, but the endpoint does not answer
-	Leaving                   // it gets no new work
+	Draining                  // it gets no new work
 	Gone                      // its agent is disconnected and no longer tried
 )
 
 // States lists all states.
-var States = [...]State{Unheard, Starting, Serving, Damped, Silent, EndpointLost, Leaving, Gone}
+var States = [...]State{Unheard, Starting, Serving, Damped, Silent, EndpointLost, Draining, Gone}
 
 // String returns the state's name.
 func (s State) String() string {
@@ -145,8 +145,8 @@
 
 // listing is the platform's list entry for one host.
 type listing struct {
-	leaving bool
-	since   time.Time // when the list first had this value of leaving
+	draining bool
+	since    time.Time // when the list first had this value of draining
 }
 
 // View is one gateway's view of its endpoints. It is not safe for concurrent use.
--- a/membership/successor.go
+++ b/membership/successor.go
@@ -13,17 +13,17 @@
 	Host       string
 	DataCentre string
 	Address    string
-	Leaving    bool
+	Draining   bool
 }
 
-// Successors returns the agents that can take over the run records of a leaving
+// Successors returns the agents that can take over the run records of a draining
 // agent, in order of preference: its own data centre before others, other hosts
 // before its own, and then by a hash that spreads the incarnations of a stopped
 // rack over the fleet. The result does not depend on the order of peers.
 func Successors(self Peer, incarnation string, peers []Peer) []Peer {
 	out := make([]Peer, 0, len(peers))
 	for _, p := range peers {
-		if !p.Leaving && p.Address != self.Address && p.Endpoint != self.Endpoint {
+		if !p.Draining && p.Address != self.Address && p.Endpoint != self.Endpoint {
 			out = append(out, p)
 		}
 	}
--- a/membership/successor_test.go
+++ b/membership/successor_test.go
@@ -25,21 +25,21 @@
 		{Endpoint: "far", Host: "h9", DataCentre: "d2", Address: "2"},
 		{Endpoint: "same-host", Host: "h1", DataCentre: "d1", Address: "3"},
 		{Endpoint: "near", Host: "h2", DataCentre: "d1", Address: "4"},
-		{Endpoint: "leaving", Host: "h3", DataCentre: "d1", Address: "5", Leaving: true},
+		{Endpoint: "leaving", Host: "h3", DataCentre: "d1", Address: "5", Draining: true},
 	}
 	is.Equal(endpointNames(Successors(self, "i", peers)), "near same-host far ")
 	is.Equal(len(Successors(self, "i", peers[:1])), 0)
 }
 
 // TestSuccessorsProperties checks that the order of the input does not matter and
-// that neither the agent itself nor a leaving peer is a successor.
+// that neither the agent itself nor a draining peer is a successor.
 func TestSuccessorsProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var peers []Peer
 		for i := range rapid.IntRange(0, 12).Draw(t, "n") {
 			peers = append(peers, Peer{
 				Endpoint: fmt.Sprint("e", i), Address: fmt.Sprint(i), Host: fmt.Sprint("h", i/2),
-				DataCentre: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "dc"), Leaving: rapid.Bool().Draw(t, "leaving"),
+				DataCentre: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "dc"), Draining: rapid.Bool().Draw(t, "leaving"),
 			})
 		}
 		self := Peer{Endpoint: "e0", Host: "h0", DataCentre: "x", Address: "0"}
@@ -48,7 +48,7 @@
 			t.Fatal("the result depends on the order of the peers")
 		}
 		for _, p := range got {
-			if p.Leaving || p.Endpoint == self.Endpoint {
+			if p.Draining || p.Endpoint == self.Endpoint {
 				t.Fatal(p)
 			}
 		}
--- a/membership/verdict.go
+++ b/membership/verdict.go
@@ -54,14 +54,14 @@
 // evaluate returns the verdict on one endpoint, by its strongest evidence.
 func (v *View) evaluate(m *member, now time.Time) Verdict {
 	switch {
-	case m.decl.Leaving:
-		return Verdict{State: Leaving, Evidence: ByDeclaration}
+	case m.decl.Draining:
+		return Verdict{State: Draining, Evidence: ByDeclaration}
 	case m.incarnation == "":
 		return Verdict{State: Unheard}
-	case m.reportedLeaving():
-		return Verdict{State: Leaving, Evidence: ByAgent}
-	case v.listedLeaving(m, now):
-		return Verdict{State: Leaving, Evidence: ByList}
+	case m.reportedDraining():
+		return Verdict{State: Draining, Evidence: ByAgent}
+	case v.listedDraining(m, now):
+		return Verdict{State: Draining, Evidence: ByList}
 	case !m.connected:
 		return v.evaluateDisconnected(m, now)
 	case now.Sub(m.lastReport) > v.cfg.StaleAfter:
@@ -107,12 +107,12 @@
 	return Verdict{State: Silent, Use: LastResort, Evidence: ByConnection}
 }
 
-// listedLeaving reports whether the platform lists the endpoint's host as leaving.
+// listedDraining reports whether the platform lists the endpoint's host as draining.
 // If the agent restarted after the host was first listed so, the host may have come
 // back, so the list is disregarded for ListLag.
-func (v *View) listedLeaving(m *member, now time.Time) bool {
+func (v *View) listedDraining(m *member, now time.Time) bool {
 	l, ok := v.hosts[m.decl.Host]
-	if !ok || !l.leaving {
+	if !ok || !l.draining {
 		return false
 	}
 	if m.firstReport.After(l.since) && m.previous != "" {
--- a/memory/book.go
+++ b/memory/book.go
@@ -100,7 +100,7 @@
 }
 
 // Reserve grants or refuses a lease. It never waits and never grants a part of the
-// requested amount. Repeating a granted request extends the lease, and a later attempt of
+// requested amount. Retrying a granted request extends the lease, and a later attempt of
 // a group ends the earlier ones.
 func (b *LeaseTable) Reserve(r Request, now time.Time) Verdict {
 	b.dropExpired(now)
--- a/memory/book_test.go
+++ b/memory/book_test.go
@@ -34,7 +34,7 @@
 			is.Equal(b.Reserve(request("a", 1, 101), at(0)).Code, result.MemoryHeld)
 			is.True(b.Reserve(request("b", 1, 100), at(0)).Granted) // a is not kept as a waiting group
 		}},
-		{"a repeated request extends the lease", func(is *is.I, b *LeaseTable) {
+		{"a retried request extends the lease", func(is *is.I, b *LeaseTable) {
 			first := b.Reserve(request("a", 1, 60), at(0))
 			is.Equal(b.Reserve(request("a", 1, 60), at(500)), first)
 			is.True(b.Live("a.1", at(1400)))
--- a/memory/group_test.go
+++ b/memory/group_test.go
@@ -19,7 +19,7 @@
 // sim drives groups and books without a network: one step of one group at a time, in an
 // order that the test chooses.
 type sim struct {
-	books   map[string]*LeaseTable
+	tables  map[string]*LeaseTable
 	now     time.Time
 	groups  []*simGroup
 	runTime time.Duration // how long each group keeps its memory; less than a lease
@@ -37,9 +37,9 @@
 }
 
 func newSim(endpoints ...string) *sim {
-	s := &sim{books: map[string]*LeaseTable{}, now: start}
+	s := &sim{tables: map[string]*LeaseTable{}, now: start}
 	for _, e := range endpoints {
-		s.books[e] = NewLeaseTable(simLimit, simLimit)
+		s.tables[e] = NewLeaseTable(simLimit, simLimit)
 	}
 	return s
 }
@@ -90,7 +90,7 @@
 
 func (s *sim) reserve(sg *simGroup, m int) {
 	sg.g.RecordRequested(m)
-	v := s.books[sg.plan[m].Endpoint].Reserve(Request{
+	v := s.tables[sg.plan[m].Endpoint].Reserve(Request{
 		Group: sg.g.id, Epoch: sg.g.Epoch(), Tokens: sg.plan[m].ReserveTokens, Lease: simLease, StartUnixMs: sg.since,
 	}, s.now)
 	if v.Granted {
@@ -107,7 +107,7 @@
 }
 
 func (s *sim) free(sg *simGroup, m int) {
-	b := s.books[sg.plan[m].Endpoint]
+	b := s.tables[sg.plan[m].Endpoint]
 	b.Release(sg.g.Reservation(), s.now)
 	b.RecordFreed(sg.g.Reservation())
 }
@@ -166,7 +166,7 @@
 				t.Fatalf("%s failed: %v", sg.g.id, sg.failed)
 			}
 		}
-		for e, b := range s.books {
+		for e, b := range s.tables {
 			if b.Reserved() != 0 {
 				t.Fatalf("%s: %d tokens still reserved in the end", e, b.Reserved())
 			}
@@ -245,13 +245,13 @@
 			g := formed()
 			g.RecordRenewed(0, at(500), time.Second)
 			g.RecordRenewed(2, at(500), time.Second)
-			m, lapsed := g.ExpiredMember(at(1000))
-			is.True(lapsed)
+			m, expired := g.ExpiredMember(at(1000))
+			is.True(expired)
 			is.Equal(m, 1)
-			_, lapsed = g.ExpiredMember(at(999))
-			is.True(!lapsed)
+			_, expired = g.ExpiredMember(at(999))
+			is.True(!expired)
 		}},
-		{"a request without an answer counts as held", func(is *is.I) {
+		{"a request without a response counts as held", func(is *is.I) {
 			g := NewGroup("g", false)
 			g.Begin(plan)
 			g.RecordRequested(2)
--- a/memory/memory.go
+++ b/memory/memory.go
@@ -26,7 +26,7 @@
 
 // ReservationID returns the ID of the reservation of one attempt of a group, which is the
 // same at every member. It is known before the reservation is made, so that a reservation
-// whose answer was lost can be released.
+// whose response was lost can be released.
 func ReservationID(group string, epoch uint64) string {
 	return group + "." + strconv.FormatUint(epoch, 10)
 }
--- a/memory/plan.go
+++ b/memory/plan.go
@@ -68,7 +68,7 @@
 }
 
 // Plan is a group's members in the order of their spans. The last member computes its span
-// as part of the run and generates the answer.
+// as part of the run and generates the response.
 type Plan []Member
 
 // Plan chooses the fewest endpoints that can hold the prompt together, in order of
--- a/metastore/address_test.go
+++ b/metastore/address_test.go
@@ -53,7 +53,7 @@
 				}
 				got, err := writer.Get(t.Context(), "k")
 				b.NoErr(err)
-				b.Equal(string(got.Value), "old") // the write was not repeated
+				b.Equal(string(got.Value), "old") // the write was not retried
 				start := time.Now()
 				_, err = writer.Get(t.Context(), "k")
 				b.NoErr(err)
--- a/metastore/linear_test.go
+++ b/metastore/linear_test.go
@@ -16,11 +16,11 @@
 
 // writeAttempt is one write and the result that its writer received.
 type writeAttempt struct {
-	value      string
-	expect     int64
-	usedSettle bool
-	revision   int64
-	err        error
+	value       string
+	expect      int64
+	usedResolve bool
+	revision    int64
+	err         error
 }
 
 // writerRace runs several writers on one key while faults come and go.
@@ -31,13 +31,13 @@
 }
 
 // write reads the key and swaps its value, as an operator does.
-func (r *writerRace) write(ctx context.Context, c *metastore.Client, value string, settle bool) {
+func (r *writerRace) write(ctx context.Context, c *metastore.Client, value string, resolve bool) {
 	e, err := c.Get(ctx, "k")
 	if err != nil && !errors.Is(err, metastore.ErrNotFound) {
 		return
 	}
-	a := writeAttempt{value: value, expect: e.Revision, usedSettle: settle}
-	if settle {
+	a := writeAttempt{value: value, expect: e.Revision, usedResolve: resolve}
+	if resolve {
 		same := func(e metastore.Entry) bool { return string(e.Value) == value }
 		e, a.err = metastore.SwapAndResolve(ctx, c, "k", a.expect, []byte(value), 0, same)
 	} else {
@@ -50,11 +50,11 @@
 }
 
 // writer makes one write after each of the given pauses, in milliseconds.
-func (r *writerRace) writer(ctx context.Context, name int, pauses []int, settle bool) {
+func (r *writerRace) writer(ctx context.Context, name int, pauses []int, resolve bool) {
 	c := r.b.newClient()
 	for i, ms := range pauses {
 		time.Sleep(time.Duration(ms) * time.Millisecond)
-		r.write(ctx, c, fmt.Sprintf("writer %d, write %d", name, i), settle)
+		r.write(ctx, c, fmt.Sprintf("writer %d, write %d", name, i), resolve)
 	}
 }
 
@@ -113,8 +113,8 @@
 			var done sync.WaitGroup
 			for name := range rapid.IntRange(2, 4).Draw(rt, "writers") {
 				pauses := rapid.SliceOfN(rapid.IntRange(0, 500), 1, 5).Draw(rt, "pauses")
-				settle := rapid.Bool().Draw(rt, "settle")
-				done.Go(func() { r.writer(ctx, name, pauses, settle) })
+				resolve := rapid.Bool().Draw(rt, "settle")
+				done.Go(func() { r.writer(ctx, name, pauses, resolve) })
 			}
 			faults := drawFaults(rt)
 			done.Go(func() { r.injectFaults(faults) })
--- a/metastore/settle.go
+++ b/metastore/settle.go
@@ -11,8 +11,8 @@
 
 // Backoff between the attempts of SwapAndResolve to determine the outcome of a write.
 const (
-	settleInitialInterval = 50 * time.Millisecond
-	settleMaxInterval     = 2 * time.Second
+	resolveInitialInterval = 50 * time.Millisecond
+	resolveMaxInterval     = 2 * time.Second
 )
 
 // SwapAndResolve writes like CompareAndSwap and, if the outcome is unknown, determines
@@ -34,7 +34,7 @@
 		return e, err
 	}
 	s := unresolvedWrite{store: store, key: key, expect: expect, value: value, lease: lease, isOwn: isOwn}
-	wait := settleBackOff()
+	wait := resolveBackOff()
 	for {
 		e, err, known := s.resolve(ctx)
 		if known {
@@ -47,10 +47,10 @@
 }
 
 // resolveBackOff returns the backoff of one SwapAndResolve call.
-func settleBackOff() *backoff.ExponentialBackOff {
+func resolveBackOff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = settleInitialInterval
-	b.MaxInterval = settleMaxInterval
+	b.InitialInterval = resolveInitialInterval
+	b.MaxInterval = resolveMaxInterval
 	b.RandomizationFactor = 0.5
 	return b
 }
--- a/metastore/settle_test.go
+++ b/metastore/settle_test.go
@@ -11,9 +11,9 @@
 	"github.com/micarudder/micarudder/metastore"
 )
 
-// settleCases swap "old" for "mine" under a fault, some while another writer
+// resolveCases swap "old" for "mine" under a fault, some while another writer
 // writes.
-var settleCases = []struct {
+var resolveCases = []struct {
 	name  string
 	begin func(b *fixture, e metastore.Entry)
 	err   error
@@ -65,8 +65,8 @@
 	}()
 }
 
-func TestSettle(t *testing.T) {
-	for _, c := range settleCases {
+func TestSwapAndResolve(t *testing.T) {
+	for _, c := range resolveCases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newFixture(t, standin.Config{}, nil)
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestSettleLapsedLease: a key that was written and then deleted because its
+// TestSwapAndResolveExpiredLease: a key that was written and then deleted because its
 // lease expired must not be reported as not written.
-func TestSettleLapsedLease(t *testing.T) {
+func TestSwapAndResolveExpiredLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, standin.Config{}, nil)
 		id, err := b.client.Grant(t.Context(), 2*time.Second)
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -177,8 +177,8 @@
 	return b.order, true
 }
 
-// AnswerLost records that no answer to the order was received.
-func (b *Tracker) AnswerLost(detail string) {
+// ResponseLost records that no response to the order was received.
+func (b *Tracker) ResponseLost(detail string) {
 	b.setPhase(rudderv1.OrderPhase_ORDER_PHASE_UNKNOWN)
 	b.idleSince, b.detail = time.Time{}, detail
 }
@@ -193,7 +193,7 @@
 	NotExecuted
 )
 
-// Resolve determines the result of an order whose answer was lost, or that was
+// Resolve determines the result of an order whose response was lost, or that was
 // found when the agent started, from the endpoint's state at the time now.
 func (b *Tracker) Resolve(st engine.State, now time.Time) Resolution {
 	switch {
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -34,7 +34,7 @@
 }
 
 // idleTracker returns a tracker without an order in progress.
-func idleBook() *Tracker {
+func idleTracker() *Tracker {
 	b := NewTracker()
 	b.Close(false)
 	return b
@@ -63,7 +63,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			b, s := idleBook(), situation(5)
+			b, s := idleTracker(), situation(5)
 			is.True(b.Accept(b.permit(unload, 5), s, start) == nil)
 			c.change(&s)
 			is.Equal(b.CheckWaiting(s, c.runs, start.Add(c.after)), c.want)
@@ -89,7 +89,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			b, s := idleBook(), situation(5)
+			b, s := idleTracker(), situation(5)
 			is.True(b.Accept(b.permit(unload, 5), s, start) == nil)
 			o, ok := b.PrepareSend("id", "e", c.st, s, c.runs, start.Add(c.askedOffset), start)
 			is.Equal(ok, c.ok)
@@ -100,14 +100,14 @@
 	}
 }
 
-func TestSettle(t *testing.T) {
+func TestResolve(t *testing.T) {
 	is := is.New(t)
-	b, s := idleBook(), situation(1)
+	b, s := idleTracker(), situation(1)
 	is.True(b.Accept(b.permit(load, 1), s, start) == nil)
 	o, ok := b.PrepareSend("id", "e", engine.State{Models: s.Models}, s, 0, start, start)
 	is.True(ok)
 	is.Equal(o.Weights, "m-2")
-	b.AnswerLost("")
+	b.ResponseLost("")
 	is.Equal(b.Resolve(engine.State{}, start), Unresolved)
 	is.Equal(b.Resolve(engine.State{OrderBusy: true}, start.Add(time.Second)), Unresolved) // it was still unread in the socket
 	is.Equal(b.Resolve(engine.State{}, start.Add(2*time.Second)), Unresolved)
@@ -117,7 +117,7 @@
 
 func TestFailuresBackOff(t *testing.T) {
 	is := is.New(t)
-	b, s, now := idleBook(), situation(1), start
+	b, s, now := idleTracker(), situation(1), start
 	for n, least := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second} {
 		is.True(b.Accept(b.permit(load, 1), s, now) == nil)
 		b.Fail("no weights", 0, now)
@@ -138,7 +138,7 @@
 // fencing numbers and never belong to a generation below the agent's.
 func TestOldOrderNeverAfterNewOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now := idleBook(), start
+		b, now := idleTracker(), start
 		current, last := uint64(1), uint64(0)
 		var permits []Permit
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
--- a/placement/assign.go
+++ b/placement/assign.go
@@ -55,9 +55,9 @@
 
 func newAllocation(doc *rudderv1.Document, dc string, live map[string]bool) *allocation {
 	a := &allocation{free: make(map[string]int), holds: make(map[string][]*demand)}
-	leaving := leavingHosts(doc)
+	draining := drainingHosts(doc)
 	for _, e := range doc.GetEndpoints() {
-		if e.DataCentre == dc && live[e.Name] && isPlaceable(e, leaving) {
+		if e.DataCentre == dc && live[e.Name] && isPlaceable(e, draining) {
 			a.engines = append(a.engines, e)
 			a.free[e.Name] = Slots(e)
 		}
--- a/placement/next.go
+++ b/placement/next.go
@@ -60,10 +60,10 @@
 		serving: make(map[string]int), wanted: make(map[string]int),
 		changing: make(map[string]bool), hasOrder: make(map[string]bool),
 	}
-	leaving := leavingHosts(doc)
+	draining := drainingHosts(doc)
 	declared := 0
 	for _, e := range doc.GetEndpoints() {
-		if e.DataCentre != dc || !isPlaceable(e, leaving) {
+		if e.DataCentre != dc || !isPlaceable(e, draining) {
 			continue
 		}
 		declared++
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -44,7 +44,7 @@
 type EndpointState struct {
 	Models  []engine.Model
 	Role    string
-	Serving bool // connected and not leaving, so that its models can be used
+	Serving bool // connected and not draining, so that its models can be used
 	Busy    bool // an order is in progress
 	// Fetching is set while the order in progress reads the weights of an
 	// adapter. For the weights of a model, see engine.Model.Loading.
@@ -122,12 +122,12 @@
 func Slots(e *rudderv1.Endpoint) int { return int(max(e.GetMaxModels(), 1)) }
 
 // isPlaceable reports whether models may be assigned to the endpoint: it is a
-// model engine, and neither it nor its host is leaving.
-func isPlaceable(e *rudderv1.Endpoint, leaving map[string]bool) bool {
-	return e.Service == "" && !e.Leaving && !leaving[e.Host]
+// model engine, and neither it nor its host is draining.
+func isPlaceable(e *rudderv1.Endpoint, draining map[string]bool) bool {
+	return e.Service == "" && !e.Leaving && !draining[e.Host]
 }
 
-func leavingHosts(doc *rudderv1.Document) map[string]bool {
+func drainingHosts(doc *rudderv1.Document) map[string]bool {
 	out := make(map[string]bool)
 	for _, h := range doc.GetHosts() {
 		if h.Leaving {
--- a/plan/breaks.go
+++ b/plan/breaks.go
@@ -140,10 +140,10 @@
 			users[s] = w.Name
 		}
 	}
-	leaving := leavingHosts(c.next)
+	draining := drainingHosts(c.next)
 	for service, user := range users {
 		if !slices.ContainsFunc(c.next.GetEndpoints(), func(e *rudderv1.Endpoint) bool {
-			return e.Service == service && !e.Leaving && !leaving[e.Host] && c.view[e.Name].Serving
+			return e.Service == service && !e.Leaving && !draining[e.Host] && c.view[e.Name].Serving
 		}) {
 			c.add(violationServiceUnserved+service, "workspace %s uses it and no live endpoint would offer it", user)
 		}
--- a/plan/confirm.go
+++ b/plan/confirm.go
@@ -38,12 +38,12 @@
 func (e *StaleError) Unwrap() error { return e.Err }
 
 // Confirm accepts the plan with at most one compare-and-swap. It is idempotent: it
-// may be repeated with the same plan at any time, and a plan takes effect at most
+// may be retried with the same plan at any time, and a plan takes effect at most
 // once. A plan that took effect is recognised by its id, also after later plans,
 // as long as the accepted document's history records it.
 //
 // Errors: *StaleError (not accepted and never will be, or too old for the history
-// to tell), and *result.Err with code PlanUnknown (repeat with the same plan),
+// to tell), and *result.Err with code PlanUnknown (retry with the same plan),
 // PlatformAway (this call changed nothing), GenerationBack (the store holds an
 // older document than the plan's base) or DocumentTooBig.
 func Confirm(ctx context.Context, store metastore.Store, p *Plan, now time.Time) (*Receipt, error) {
--- a/plan/race_test.go
+++ b/plan/race_test.go
@@ -98,7 +98,7 @@
 	return s.operator.CompareAndSwap(ctx, key, expect, value, l)
 }
 
-// run confirms the plan, and repeats up to attempts times while the result tells it to.
+// run confirms the plan, and retries up to attempts times while the result tells it to.
 func (o *operator) run(attempts int) {
 	for range attempts {
 		_, err := Confirm(context.Background(), operatorStore{operator: o}, o.plan, time.Unix(0, 0))
--- a/plan/restore.go
+++ b/plan/restore.go
@@ -13,11 +13,11 @@
 
 // Restore writes doc, the highest document that the gateways hold, back unchanged
 // into a store that fell behind it, with at most one compare-and-swap. It may be
-// repeated at any time. If the store holds a plan that is not an ancestor of doc,
+// retried at any time. If the store holds a plan that is not an ancestor of doc,
 // Restore does not overwrite it unless discard is that plan's id.
 //
 // Errors are *result.Err with code PlatformAway (this call changed nothing),
-// PlanUnknown (repeat the call), PlanStale (the store is not behind doc, changed
+// PlanUnknown (retry the call), PlanStale (the store is not behind doc, changed
 // concurrently or holds another history) or DocumentTooBig.
 func Restore(ctx context.Context, store metastore.Store, doc *rudderv1.Document, discard string) (*Receipt, error) {
 	cur, revision, err := Accepted(ctx, store)
--- a/plan/simulate.go
+++ b/plan/simulate.go
@@ -99,9 +99,9 @@
 // data centre after the other.
 func simulate(base, next *rudderv1.Document, view placement.View) simulation {
 	var out simulation
-	leaving := leavingHosts(next)
+	draining := drainingHosts(next)
 	before := countServing(base, view)
-	cur := startingView(next, view, leaving)
+	cur := startingView(next, view, draining)
 	lowest := countServing(next, cur)
 	assigned := placement.Assign(next, cur.Live())
 	for _, dc := range placement.DataCentres(next) {
@@ -116,9 +116,9 @@
 }
 
 // startingView returns a copy of the view as of the moment when next takes effect:
-// endpoints that are leaving do not serve, endpoints that are no longer declared
+// endpoints that are draining do not serve, endpoints that are no longer declared
 // are left out, and orders in progress have finished.
-func startingView(next *rudderv1.Document, view placement.View, leaving map[string]bool) placement.View {
+func startingView(next *rudderv1.Document, view placement.View, draining map[string]bool) placement.View {
 	out := make(placement.View, len(view))
 	for _, e := range next.GetEndpoints() {
 		h, ok := view[e.Name]
@@ -130,14 +130,14 @@
 		for i := range h.Models {
 			h.Models[i].Loading = false
 		}
-		h.Serving = h.Serving && !e.Leaving && !leaving[e.Host]
+		h.Serving = h.Serving && !e.Leaving && !draining[e.Host]
 		out[e.Name] = h
 	}
 	return out
 }
 
-// leavingHosts returns the names of the hosts that the document declares as leaving.
-func leavingHosts(d *rudderv1.Document) map[string]bool {
+// drainingHosts returns the names of the hosts that the document declares as draining.
+func drainingHosts(d *rudderv1.Document) map[string]bool {
 	out := make(map[string]bool)
 	for _, h := range d.GetHosts() {
 		if h.Leaving {
--- a/routing/cost.go
+++ b/routing/cost.go
@@ -39,7 +39,7 @@
 	return time.Duration(linear + quadratic)
 }
 
-// Decode predicts the time to decode an answer of n tokens.
+// Decode predicts the time to decode a response of n tokens.
 func (c Cost) Decode(n uint64) time.Duration {
 	return time.Duration(float64(c.DecodePerToken) * float64(n))
 }
--- a/routing/filter.go
+++ b/routing/filter.go
@@ -14,7 +14,7 @@
 	FilterNone      = "no endpoints"
 	FilterServes    = "does not serve"
 	FilterConnected = "not connected"
-	FilterLeaving   = "leaving"
+	FilterDraining  = "leaving"
 	FilterMemory    = "memory too small"
 	FilterBackoff   = "resting"
 	FilterBreaker   = "breaker open"
@@ -39,7 +39,7 @@
 	passed filterID = iota
 	byServes
 	byConnected
-	byLeaving
+	byDraining
 	byMemory
 	byResting
 	byBreaker
@@ -48,7 +48,7 @@
 
 // String returns the name of the filter.
 func (f filterID) String() string {
-	return [...]string{FilterNone, FilterServes, FilterConnected, FilterLeaving, FilterMemory, FilterBackoff, FilterBreaker, FilterExcluded}[f]
+	return [...]string{FilterNone, FilterServes, FilterConnected, FilterDraining, FilterMemory, FilterBackoff, FilterBreaker, FilterExcluded}[f]
 }
 
 // rejectedBy returns the first filter that rejects the evaluation's candidate.
@@ -58,8 +58,8 @@
 		return byServes
 	case notConnected(e, maxSilence):
 		return byConnected
-	case leaving(e):
-		return byLeaving
+	case draining(e):
+		return byDraining
 	case memoryTooSmall(e):
 		return byMemory
 	case e.cand.BackingOff:
--- a/routing/filter_alive.go
+++ b/routing/filter_alive.go
@@ -11,5 +11,5 @@
 	return e.cand.Silence <= 0 || e.cand.Silence > maxSilence
 }
 
-// leaving rejects endpoints that take no new work because they are leaving.
-func leaving(e *evaluation) bool { return e.cand.Leaving }
+// draining rejects endpoints that take no new work because they are draining.
+func draining(e *evaluation) bool { return e.cand.Draining }
--- a/routing/filter_test.go
+++ b/routing/filter_test.go
@@ -36,7 +36,7 @@
 		{"never connected", short, func(c *Candidate) { c.Connected = false }, FilterConnected},
 		{"disconnected, recent message", short, func(c *Candidate) { c.Connected, c.Silence = false, time.Second }, ""},
 		{"disconnected, silent", short, func(c *Candidate) { c.Connected, c.Silence = false, 2*time.Second }, FilterConnected},
-		{"leaving", short, func(c *Candidate) { c.Leaving = true }, FilterLeaving},
+		{"leaving", short, func(c *Candidate) { c.Draining = true }, FilterDraining},
 		{"breaker", short, func(c *Candidate) { c.BreakerOpen = true }, FilterBreaker},
 		{"failed this request", withExcluded(short, "e"), func(c *Candidate) {}, FilterExcluded},
 		{"failed another", withExcluded(short, "f"), func(c *Candidate) {}, ""},
--- a/routing/lanes.go
+++ b/routing/lanes.go
@@ -28,7 +28,7 @@
 	groups := make(map[groupKey][]string)
 	for i := range view {
 		c := &view[i]
-		if c.Leaving || !c.Connected && c.Silence <= 0 {
+		if c.Draining || !c.Connected && c.Silence <= 0 {
 			continue
 		}
 		for model, serves := range c.Models {
--- a/routing/lanes_test.go
+++ b/routing/lanes_test.go
@@ -37,8 +37,8 @@
 		}
 		lane := Lanes(view, share)
 		is.True(len(lane) >= 1 && len(lane) < n)
-		leaving := rapid.IntRange(0, n-1).Draw(t, "leaving")
-		view[leaving].Leaving = true
+		draining := rapid.IntRange(0, n-1).Draw(t, "leaving")
+		view[draining].Draining = true
 		slices.Reverse(view)
 		after := Lanes(view, share)
 		moved := 0
@@ -48,7 +48,7 @@
 			}
 		}
 		is.True(moved <= 1)
-		is.True(!after[fmt.Sprint("engine-", leaving)])
+		is.True(!after[fmt.Sprint("engine-", draining)])
 	})
 }
 
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -28,7 +28,7 @@
 	SpillFactor float64
 	// BatchSlowdown is the fraction by which each running request slows decode.
 	BatchSlowdown float64
-	// DecodeHorizon bounds the number of answer tokens that count in the score.
+	// DecodeHorizon bounds the number of response tokens that count in the score.
 	DecodeHorizon uint64
 	// NoisePrefillShare and NoiseAgeShare set the scale of the noise added to
 	// scores, the difference within which scores count as about equal: a
--- a/routing/policy_test.go
+++ b/routing/policy_test.go
@@ -35,8 +35,8 @@
 func TestScores(t *testing.T) {
 	short := Request{Model: "caption", PromptTokens: 2_000, MaxTokens: 100, DataCentre: "cdf-a", Remaining: time.Minute}
 	long := Request{Model: "caption", PromptTokens: 100_000, MaxTokens: 100, DataCentre: "cdf-a", Remaining: time.Minute}
-	prefixed, tiny, shortAnswer := short, short, short
-	shortAnswer.MaxTokens = 1
+	prefixed, tiny, shortResponse := short, short, short
+	shortResponse.MaxTokens = 1
 	tiny.PromptTokens = 50
 	prefixed.Prefix = []uint64{1}
 	cases := []struct {
@@ -48,7 +48,7 @@
 		{"wait of its own class", long, func(a, b *Candidate) { a.Wait[ClassLong], b.Wait[ClassShort] = time.Second, time.Minute }},
 		{"older report, queue partly processed since", short, func(a, b *Candidate) { setWait(a, 200*ms); setWait(b, 300*ms); b.LoadAge = 250 * ms }},
 		{"work sent since the last report", short, func(a, b *Candidate) { a.Pending = 500 * ms; setWait(b, 100*ms) }},
-		{"short answer overtakes pending long work", shortAnswer, func(a, b *Candidate) { a.Pending = 100 * ms; b.Pending, b.PendingLong = time.Second, time.Second }},
+		{"short answer overtakes pending long work", shortResponse, func(a, b *Candidate) { a.Pending = 100 * ms; b.Pending, b.PendingLong = time.Second, time.Second }},
 		{"prefix not cached", prefixed, func(a, b *Candidate) { b.Cached = func([]uint64) int { return 1 } }},
 		{"prefix cached but far busier", prefixed, func(a, b *Candidate) { a.Cached = func([]uint64) int { return 1 }; setWait(a, time.Second) }},
 		{"higher quadratic cost", long, func(a, b *Candidate) { a.Cost.PrefillPerTokenSquared = 0.0005 }},
@@ -94,7 +94,7 @@
 		{"lane later than the spill factor allows", func(a, b *Candidate) { b.InLongLane = false; setWait(a, 27*time.Second) }, "b", ReasonLaneLate},
 		{"lane past the deadline", func(a, b *Candidate) { b.InLongLane = false; setWait(a, 40*time.Second); setWait(b, 20*time.Second) }, "b", ReasonLaneLate},
 		{"all past the deadline", func(a, b *Candidate) { b.InLongLane = false; setWait(a, time.Minute); setWait(b, time.Minute) }, "a", ReasonBest},
-		{"no endpoint in the lane", func(a, b *Candidate) { b.InLongLane = false; a.Leaving = true }, "b", ReasonNoLane},
+		{"no endpoint in the lane", func(a, b *Candidate) { b.InLongLane = false; a.Draining = true }, "b", ReasonNoLane},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -122,7 +122,7 @@
 func TestBaselines(t *testing.T) {
 	is := is.New(t)
 	view := fleet(5, 0)
-	view[2].Leaving = true
+	view[2].Draining = true
 	rr := RoundRobin()
 	var got []int
 	for range 6 {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -66,7 +66,7 @@
 	Service     string
 	Models      map[string]bool
 	Connected   bool
-	Leaving     bool
+	Draining    bool
 	BreakerOpen bool
 	// BackingOff is set during the back-off period that the endpoint's agent has
 	// requested, in which the endpoint accepts no new work.
--- a/routing/score_beside.go
+++ b/routing/score_beside.go
@@ -53,7 +53,7 @@
 	return weight * perRun * float64(running) * e.slowdown
 }
 
-// chunkDelay returns the delay of the request's answer, up to the horizon, if
+// chunkDelay returns the delay of the request's response, up to the horizon, if
 // every decode step also carries a prefill chunk of other work.
 func (e *evaluation) chunkDelay(horizon uint64) float64 {
 	return float64(min(e.req.MaxTokens, horizon)) * e.chunk
--- a/routing/score_work.go
+++ b/routing/score_work.go
@@ -5,7 +5,7 @@
 	return float64(e.prefill) * e.slowdown
 }
 
-// decodeScore returns the predicted decode time of the answer's first tokens,
+// decodeScore returns the predicted decode time of the response's first tokens,
 // up to the horizon. Each request in the running batch slows it by the fraction
 // perRunning.
 func decodeScore(e *evaluation, perRunning float64, horizon uint64) float64 {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -68,7 +68,7 @@
 	return &Request{Method: "GET", Target: "/a/b?c=%2f", Host: "h.example", Header: http.Header{"Request-Id": {id}}, EchoHeader: "Request-Id"}
 }
 
-// exchange sends r to e and returns the whole response body.
+// exchange sends r to e and returns the complete response body.
 func exchange(c *Client, e *scriptedEndpoint, r *Request) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -288,7 +288,7 @@
 	}
 }
 
-// TestEarlyResponse: a response that arrives before the endpoint has read the whole request
+// TestEarlyResponse: a response that arrives before the endpoint has read the complete request
 // body is returned, and its connection is not reused.
 func TestEarlyResponse(t *testing.T) {
 	is := is.New(t)
