--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -21,10 +21,10 @@
 	// lowBits and highBits have the lowest and the highest bit of each slot set.
 	lowBits  = 0x0001_0001_0001_0001
 	highBits = 0x8000_8000_8000_8000
-	// trustWeight is the weight of a new report in the trust.
-	trustWeight = 0.1
-	// fullTrust is full trust in fixed point.
-	fullTrust = 1 << 16
+	// confidenceWeight is the weight of a new report in the confidence.
+	confidenceWeight = 0.1
+	// fullConfidence is full confidence in fixed point.
+	fullConfidence = 1 << 16
 	// minBuckets is the smallest number of buckets.
 	minBuckets = 16
 )
@@ -37,8 +37,8 @@
 // whole data centre fit into the processor's cache. About one lookup in eight thousand
 // is a false positive, which is acceptable for a hint.
 type Set struct {
-	buckets []atomic.Uint64
-	trust   atomic.Uint32 // fixed point, see fullTrust
+	buckets    []atomic.Uint64
+	confidence atomic.Uint32 // fixed point, see fullTrust
 
 	mu       sync.Mutex
 	lastUsed [][ways]uint32 // tick of the last write to a slot
@@ -53,15 +53,15 @@
 	wantBuckets := min(2*memoryTokens/prefix.BlockTokens/ways, math.MaxInt32)
 	n := max(minBuckets, 1<<bits.Len64(wantBuckets))
 	s := &Set{buckets: make([]atomic.Uint64, n), lastUsed: make([][ways]uint32, n)}
-	s.trust.Store(fullTrust)
+	s.confidence.Store(fullConfidence)
 	return s
 }
 
 // Cached returns how many leading blocks of the chain the endpoint is expected to hold,
-// discounted by the trust.
+// discounted by the confidence.
 func (s *Set) Cached(chain []uint64) int {
 	held := s.heldBlocks(chain)
-	return int(uint64(held) * uint64(s.trust.Load()) / fullTrust)
+	return int(uint64(held) * uint64(s.confidence.Load()) / fullConfidence)
 }
 
 // heldBlocks finds the end of the held prefix by exponential search: a block of a chain
@@ -119,12 +119,12 @@
 func (s *Set) RecordRun(chain []uint64, expectedBlocks int, cached uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.updateTrust(expectedBlocks, cached)
+	s.updateConfidence(expectedBlocks, cached)
 	s.insertChain(chain)
 }
 
-// Trust returns the share of the expected blocks that recent runs found.
-func (s *Set) Trust() float64 { return float64(s.trust.Load()) / fullTrust }
+// Confidence returns the share of the expected blocks that recent runs found.
+func (s *Set) Confidence() float64 { return float64(s.confidence.Load()) / fullConfidence }
 
 // Len returns the number of blocks in the set.
 func (s *Set) Len() int {
@@ -133,19 +133,19 @@
 	return s.count
 }
 
-// updateTrust moves the trust towards the hit rate of a run, relative to the
+// updateConfidence moves the confidence towards the hit rate of a run, relative to the
 // undiscounted expectation. If no blocks were expected, only a hit counts. The caller
 // holds mu.
-func (s *Set) updateTrust(expectedBlocks int, cached uint64) {
+func (s *Set) updateConfidence(expectedBlocks int, cached uint64) {
 	if expectedBlocks <= 0 && cached == 0 {
 		return
 	}
 	hitRate := 1.0
 	if expected := uint64(max(0, expectedBlocks)) * prefix.BlockTokens; cached < expected {
-		hitRate = s.Trust() * float64(cached) / float64(expected) // expected is already discounted by the trust
+		hitRate = s.Confidence() * float64(cached) / float64(expected) // expected is already discounted by the confidence
 	}
-	trust := s.Trust() + trustWeight*(hitRate-s.Trust())
-	s.trust.Store(uint32(trust * fullTrust))
+	confidence := s.Confidence() + confidenceWeight*(hitRate-s.Confidence())
+	s.confidence.Store(uint32(confidence * fullConfidence))
 }
 
 // bucket returns the index of a block's bucket.
@@ -224,5 +224,5 @@
 		s.buckets[i].Store(0)
 	}
 	s.count = 0
-	s.trust.Store(fullTrust)
+	s.confidence.Store(fullConfidence)
 }
--- a/affinity/affinity_test.go
+++ b/affinity/affinity_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestTrust loses all eviction events: runs hit less than expected, so the set expects
-// less. When runs hit again, the trust recovers.
-func TestTrust(t *testing.T) {
+// TestConfidence loses all eviction events: runs hit less than expected, so the set expects
+// less. When runs hit again, the confidence recovers.
+func TestConfidence(t *testing.T) {
 	is := is.New(t)
 	s := New(100_000)
 	c := chain(1, 20)
@@ -87,7 +87,7 @@
 			}
 			is.True(s.Len() >= 0 && s.Len() <= ways*len(s.buckets))
 			is.True(s.Cached(c) <= len(c))
-			is.True(s.Trust() >= 0 && s.Trust() <= 1)
+			is.True(s.Confidence() >= 0 && s.Confidence() <= 1)
 		}
 	})
 }
--- a/agent/endpoint.go
+++ b/agent/endpoint.go
@@ -62,15 +62,15 @@
 	return err
 }
 
-// recordModels records the models and the role that the endpoint reported. asked is the time
+// recordModels records the models and the role that the endpoint reported. queriedAt is the time
 // of the query; a response that a later one has overtaken is ignored.
-func (a *Agent) recordModels(asked time.Time, models []engine.Model, role string) {
+func (a *Agent) recordModels(queriedAt time.Time, models []engine.Model, role string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if asked.Before(a.modelsAsOf) {
+	if queriedAt.Before(a.modelsAsOf) {
 		return
 	}
-	a.modelsAsOf = asked
+	a.modelsAsOf = queriedAt
 	if !sameModels(a.models, models) || a.role != role {
 		a.models, a.role = models, role
 		a.orders.ModelsChanged()
--- a/agent/memory.go
+++ b/agent/memory.go
@@ -78,7 +78,7 @@
 		return &rudderv1.ReserveResponse{Code: uint32(result.EndpointRefused), Load: a.load()}
 	}
 	now := time.Now()
-	a.stopLapsedJobs(now)
+	a.stopExpiredJobs(now)
 	v := a.mem.leases.Reserve(memory.Request{
 		Group: m.Group, Epoch: m.Epoch, Holder: m.Holder, Tokens: m.Tokens,
 		Lease: time.Duration(m.LeaseMs) * time.Millisecond, StartUnixMs: m.SinceUnixMs, QueuedTokens: a.queuedMemory(),
@@ -133,7 +133,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	a.stopLapsedJobs(now)
+	a.stopExpiredJobs(now)
 	held := a.mem.leases.Renew(req.Msg.Reservation, time.Duration(req.Msg.LeaseMs)*time.Millisecond, now)
 	return connect.NewResponse(&rudderv1.RenewResponse{Held: held}), nil
 }
@@ -145,12 +145,12 @@
 	defer a.mu.Unlock()
 	now := time.Now()
 	released := a.mem.leases.Release(req.Msg.Reservation, now)
-	a.stopLapsedJobs(now)
+	a.stopExpiredJobs(now)
 	return connect.NewResponse(&rudderv1.ReleaseResponse{Released: released}), nil
 }
 
-// stopLapsedJobs stops the jobs of leases that have ended; the caller holds mu.
-func (a *Agent) stopLapsedJobs(now time.Time) {
+// stopExpiredJobs stops the jobs of leases that have ended; the caller holds mu.
+func (a *Agent) stopExpiredJobs(now time.Time) {
 	closing := a.mem.leases.Expire(now)
 	for _, l := range closing {
 		for _, j := range a.mem.jobs {
@@ -194,7 +194,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	a.stopLapsedJobs(now)
+	a.stopExpiredJobs(now)
 	if len(a.mem.leases.Expire(now)) > 0 {
 		a.clearWake()
 		return sweepRetryInterval
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -91,7 +91,7 @@
 
 // executeOrder queries the endpoint's state, makes the final decision and sends the order.
 func (a *Agent) executeOrder() {
-	asked := time.Now()
+	queriedAt := time.Now()
 	st, err := a.queryState()
 	a.mu.Lock()
 	if err != nil {
@@ -100,7 +100,7 @@
 		a.endpointLost()
 		return
 	}
-	o, ok := a.orders.PrepareSend(uuid.NewString(), a.cfg.Endpoint, st, a.snapshot(), a.blockers(), asked, time.Now())
+	o, ok := a.orders.PrepareSend(uuid.NewString(), a.cfg.Endpoint, st, a.snapshot(), a.blockers(), queriedAt, time.Now())
 	if !ok {
 		a.closeOrder(false)
 		a.mu.Unlock()
@@ -197,12 +197,12 @@
 func (a *Agent) queryState() (engine.State, error) {
 	ctx, cancel := context.WithTimeout(a.ctx, probeTimeout)
 	defer cancel()
-	asked := time.Now()
+	queriedAt := time.Now()
 	st, err := a.deps.Engine.State(ctx)
 	if err != nil {
 		return st, err
 	}
-	a.recordModels(asked, st.Models, st.Role)
+	a.recordModels(queriedAt, st.Models, st.Role)
 	return st, nil
 }
 
--- a/agent/span.go
+++ b/agent/span.go
@@ -77,7 +77,7 @@
 		return nil, result.New(result.EndpointRefused, "wrong kind of endpoint")
 	}
 	now := time.Now()
-	a.stopLapsedJobs(now)
+	a.stopExpiredJobs(now)
 	if !a.mem.leases.Live(m.Reservation, now) {
 		return nil, result.New(result.LeaseLost, "")
 	}
--- a/balance/turns.go
+++ b/balance/turns.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// settleDelay is the minimum time that a prompt waits for its turn. The message of
+	// minQueueWait is the minimum time that a prompt waits for its turn. The message of
 	// a gateway that placed another prompt at the same moment is sent after up to ten
 	// milliseconds and takes a few more to arrive.
-	settleDelay = 25 * time.Millisecond
+	minQueueWait = 25 * time.Millisecond
 	// headTTL is how long a peer's last report of its waiting prompts remains valid.
 	// It is a little longer than the interval between two messages of an inactive peer,
 	// so that a silent peer does not block others for long.
@@ -79,7 +79,7 @@
 // First sets a prompt's current urgency and reports whether it is the prompt's turn.
 func (q *PromptQueue) First(entry *QueueEntry, urgency Urgency, now time.Time) bool {
 	entry.urgency = urgency
-	if len(q.peers) > 0 && now.Sub(entry.joined) < settleDelay {
+	if len(q.peers) > 0 && now.Sub(entry.joined) < minQueueWait {
 		return false
 	}
 	for other := range q.local {
--- a/balance/turns_test.go
+++ b/balance/turns_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// settled is the earliest time at which a prompt that joined at start may have its
+// afterMinWait is the earliest time at which a prompt that joined at start may have its
 // turn.
-var settled = start.Add(settleDelay)
+var afterMinWait = start.Add(minQueueWait)
 
 func TestPromptQueueByDueTime(t *testing.T) {
 	is := is.New(t)
@@ -17,11 +17,11 @@
 	later := queue.Join("s", InTime, start.Add(3*time.Second), start)
 	sooner := queue.Join("s", InTime, start.Add(time.Second), start)
 	other := queue.Join("t", InTime, start.Add(9*time.Second), start)
-	is.True(!queue.First(later, InTime, settled))
-	is.True(queue.First(sooner, InTime, settled))
-	is.True(queue.First(other, InTime, settled)) // another service
+	is.True(!queue.First(later, InTime, afterMinWait))
+	is.True(queue.First(sooner, InTime, afterMinWait))
+	is.True(queue.First(other, InTime, afterMinWait)) // another service
 	queue.Leave(sooner)
-	is.True(queue.First(later, InTime, settled))
+	is.True(queue.First(later, InTime, afterMinWait))
 	is.Equal(queue.Waiting(), 2)
 }
 
@@ -33,14 +33,14 @@
 	late := queue.Join("s", Late, start.Add(-time.Second), start)
 	oversize := queue.Join("s", Oversize, start.Add(time.Second), start)
 	inTime := queue.Join("s", InTime, start.Add(2*time.Second), start)
-	is.True(queue.First(inTime, InTime, settled))
-	is.True(!queue.First(oversize, Oversize, settled))
+	is.True(queue.First(inTime, InTime, afterMinWait))
+	is.True(!queue.First(oversize, Oversize, afterMinWait))
 	queue.Leave(inTime)
-	is.True(queue.First(oversize, Oversize, settled))
-	is.True(!queue.First(late, Late, settled))
+	is.True(queue.First(oversize, Oversize, afterMinWait))
+	is.True(!queue.First(late, Late, afterMinWait))
 	// The oversize prompt is late too now, and due later.
-	is.True(!queue.First(oversize, Late, settled))
-	is.True(queue.First(late, Late, settled))
+	is.True(!queue.First(oversize, Late, afterMinWait))
+	is.True(queue.First(late, Late, afterMinWait))
 }
 
 // TestPromptQueueWithPeers: two gateways with one prompt each never place them at the
@@ -52,11 +52,11 @@
 	second := b.Join("s", InTime, start.Add(2*time.Second), start)
 	a.SetPeerHeads("b", b.LocalHeads(start), start.Add(time.Millisecond))
 	b.SetPeerHeads("a", a.LocalHeads(start), start.Add(time.Millisecond))
-	is.True(a.First(first, InTime, settled))
-	is.True(!b.First(second, InTime, settled))
+	is.True(a.First(first, InTime, afterMinWait))
+	is.True(!b.First(second, InTime, afterMinWait))
 	a.Leave(first)
-	b.SetPeerHeads("a", a.LocalHeads(settled), settled.Add(time.Millisecond))
-	is.True(b.First(second, InTime, settled.Add(time.Millisecond)))
+	b.SetPeerHeads("a", a.LocalHeads(afterMinWait), afterMinWait.Add(time.Millisecond))
+	is.True(b.First(second, InTime, afterMinWait.Add(time.Millisecond)))
 }
 
 // TestPromptQueueWaitsForMessages: a new prompt waits until a message about a placement
@@ -67,8 +67,8 @@
 	entry := queue.Join("s", InTime, start, start)
 	is.True(queue.First(entry, InTime, start)) // no peers
 	queue.SetPeerHeads("p", nil, start)
-	is.True(!queue.First(entry, InTime, settled.Add(-time.Millisecond)))
-	is.True(queue.First(entry, InTime, settled))
+	is.True(!queue.First(entry, InTime, afterMinWait.Add(-time.Millisecond)))
+	is.True(queue.First(entry, InTime, afterMinWait))
 }
 
 // TestPromptQueueIgnoresSilentPeers: a peer that has fallen silent blocks no prompts.
--- a/cost/cost_test.go
+++ b/cost/cost_test.go
@@ -75,9 +75,9 @@
 	is.Equal(m.Cost().DecodePerToken, truth.DecodePerToken) // not observed
 }
 
-func TestSlowness(t *testing.T) {
+func TestSlowdown(t *testing.T) {
 	is := is.New(t)
-	var s Slowness
+	var s Slowdown
 	is.Equal(s.Factor(time.Unix(0, 0)), 1.0)
 	for i := range int64(10) {
 		s.Observe(time.Second, 10*time.Second, time.Unix(i, 0))
@@ -88,7 +88,7 @@
 	s.Observe(time.Microsecond, time.Hour, time.Unix(10, 0))
 	is.Equal(s.Factor(time.Unix(10, 0)), f) // too short to be meaningful
 	s.Observe(time.Second, time.Hour, time.Unix(10, 0))
-	is.True(s.Factor(time.Unix(10, 0)) < maxSlowness)
+	is.True(s.Factor(time.Unix(10, 0)) < maxSlowdown)
 }
 
 func TestDecodeFloor(t *testing.T) {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -25,8 +25,8 @@
 		s.unloadedPrefill = work
 	}
 	s.g.lanes.recordRouted(class, work)
-	settled := l.recordSend(class, work)
-	defer settled()
+	done := l.recordSend(class, work)
+	defer done()
 	defer func() { l.recordOutcome(result.Code(end.Code)) }()
 	if s.group == nil {
 		l.cache.RecordSent(s.cr.completion.GetPrefix())
@@ -41,7 +41,7 @@
 		f := stream.Msg()
 		if !received {
 			received = true
-			settled()
+			done()
 			s.handleAccepted(l, f)
 		}
 		if end := s.handleFrame(l, f); end != nil {
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -105,7 +105,7 @@
 }
 
 // learnOrFetch applies a document or a delta. If the delta is based on another
-// document, it calls fetchWhole for the complete document and applies that.
+// document, it calls fetchComplete for the complete document and applies that.
 func (g *Gateway) learnOrFetch(offer *rudderv1.OfferRequest, from source, fetchComplete func() (*rudderv1.Document, error)) error {
 	err := g.learn(offer, from)
 	if !errors.Is(err, document.ErrBaseMismatch) {
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -50,7 +50,7 @@
 	pendingRequests int
 	backOffUntil    time.Time // the endpoint has asked for no new work until then
 	breaker         limits.Breaker
-	slowness        cost.Slowness
+	slowdown        cost.Slowdown
 	cache           *affinity.Set // blocks that the endpoint is assumed to have cached
 }
 
@@ -162,9 +162,9 @@
 	}
 }
 
-// recordSend counts predicted work as pending at the agent until settled is
+// recordSend counts predicted work as pending at the agent until done is
 // called.
-func (l *link) recordSend(class routing.Class, work time.Duration) (settled func()) {
+func (l *link) recordSend(class routing.Class, work time.Duration) (done func()) {
 	long := time.Duration(0)
 	if class >= routing.ClassLong {
 		long = work
@@ -205,7 +205,7 @@
 func (l *link) recordPrefill(predicted, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.slowness.Observe(predicted, took, time.Now())
+	l.slowdown.Observe(predicted, took, time.Now())
 }
 
 // incarnation returns the agent's incarnation and an estimate of its current
@@ -228,7 +228,7 @@
 		MemoryTokens: l.declared.MemoryTokens, Models: l.models, Pending: l.pending, PendingLong: l.pendingLong, PendingRequests: l.pendingRequests,
 		Connected: v.Usable(), Draining: v.State == membership.Draining,
 		BackingOff: now.Before(l.backOffUntil), BreakerOpen: l.breaker.Blocks(now), InLongLane: l.g.lanes.contains(l.declared.Name),
-		SlowdownFactor: l.slowness.Factor(now), Cached: l.cache.Cached,
+		SlowdownFactor: l.slowdown.Factor(now), Cached: l.cache.Cached,
 	}
 	if l.report == nil {
 		return c
--- a/limits/budget.go
+++ b/limits/budget.go
@@ -47,7 +47,7 @@
 }
 
 // decay moves the credit towards its baseline: below it, credit returns at a constant
-// rate; above it, credit earned by requests decays exponentially. One whole retry does not
+// rate; above it, credit earned by requests decays exponentially. One complete retry does not
 // decay, even if it was earned by many requests long ago: with many gateways, each has few
 // requests.
 func (b *RetryBudget) decay(now time.Time) {
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Limit is what a workspace may use in a whole installation; 0 means no limit.
+// Limit is what a workspace may use in the installation; 0 means no limit.
 type Limit struct {
 	RequestsPerSecond float64
 	TokensPerSecond   float64 // prompt and response
@@ -28,7 +28,7 @@
 	// MaxRetryAfter is the upper bound of Verdict.RetryAfter.
 	MaxRetryAfter = time.Minute
 	minRetryAfter = 50 * time.Millisecond
-	// inFlightRetryAfter is the retry time when too many requests are in flight: how long a
+	// inFlightRetryAfter is the retry delay when too many requests are in flight: how long a
 	// run takes is not known here.
 	inFlightRetryAfter = time.Second
 )
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -173,7 +173,7 @@
 }
 
 // TestGatewaysThatStartTogether: gateways that had not heard from each other yet each gave
-// out a workspace's whole limit, 24 times the limit together, until they exchanged reports
+// out a workspace's complete limit, 24 times the limit together, until they exchanged reports
 // ten seconds later. Together they must admit no more than the limit, one second's burst
 // and one request each.
 func TestGatewaysThatStartTogether(t *testing.T) {
@@ -231,7 +231,7 @@
 	is.Equal(last, MaxRetryAfter)
 }
 
-func TestBudget(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	cases := []struct {
 		name     string
 		requests int // sent before the failures begin
@@ -262,10 +262,10 @@
 	}
 }
 
-// TestBudgetOfManyGateways: the minimum retry rate was available at each gateway, so that
+// TestRetryBudgetOfManyGateways: the minimum retry rate was available at each gateway, so that
 // with 24 gateways a workspace with ten requests per second had every request retried.
 // Together they must grant the minimum rate only once, plus a tenth of the requests.
-func TestBudgetOfManyGateways(t *testing.T) {
+func TestRetryBudgetOfManyGateways(t *testing.T) {
 	for _, gateways := range []int{1, 6, 24, 400} {
 		budgets := make([]*RetryBudget, gateways)
 		for i := range budgets {
--- a/limits/split.go
+++ b/limits/split.go
@@ -80,7 +80,7 @@
 	t.splitLimits(now)
 }
 
-// RemovePeer removes a peer that has announced that it is leaving.
+// RemovePeer removes a peer that has announced that it is shutting down.
 func (t *Table) RemovePeer(name string, now time.Time) {
 	delete(t.peers, name)
 	t.splitLimits(now)
@@ -121,7 +121,7 @@
 // shares returns this gateway's share of a workspace's requests and tokens: an even part,
 // and the rest by recent use. The shares of gateways with the same view sum to one. Peers
 // that have not been heard from yet count with the same use as this gateway: otherwise
-// gateways that start together would each give out the whole limit.
+// gateways that start together would each give out the complete limit.
 func (t *Table) shares(workspace string, a *account, now time.Time) (requests, tokens float64) {
 	missing := float64(t.missingPeers(now))
 	sum := Demand{RequestsPerSecond: missing * a.demand.requests, TokensPerSecond: missing * a.demand.tokens}
--- a/limits/window.go
+++ b/limits/window.go
@@ -34,13 +34,13 @@
 // NewRetryWindow returns an empty window.
 func NewRetryWindow(c RetryWindowConfig) *RetryWindow { return &RetryWindow{config: c} }
 
-// RecordRequest records a first send.
+// RecordRequest records a request, retries excluded.
 func (w *RetryWindow) RecordRequest(now time.Time) {
 	w.advance(now)
 	w.requests[w.index()]++
 }
 
-// UnknownGateways is the number of gateways to pass to Retry while it is not known how
+// UnknownGateways is the number of gateways to pass to AllowRetry while it is not known how
 // many gateways share the slack.
 const UnknownGateways = math.MaxInt
 
--- a/limits/window_test.go
+++ b/limits/window_test.go
@@ -22,7 +22,7 @@
 }
 
 // TestWindowOfGatewaysThatStartTogether: 24 gateways whose processes started at the same
-// moment each used the whole slack before they had heard from each other: 1,440 retries
+// moment each used the complete slack before they had heard from each other: 1,440 retries
 // where 100 are allowed. A gateway that does not know how many share the slack must use
 // none of it, but still the ratio of its own requests.
 func TestWindowOfGatewaysThatStartTogether(t *testing.T) {
@@ -43,7 +43,7 @@
 	is.True(w.AllowRetry(now, UnknownGateways))
 }
 
-func TestWindowForgets(t *testing.T) {
+func TestWindowExpires(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	w := NewRetryWindow(windowBounds)
--- a/membership/event.go
+++ b/membership/event.go
@@ -72,11 +72,11 @@
 	if ok && ev.Incarnation == "" {
 		ev.Incarnation, ev.State, ev.Models = m.incarnation, m.state, m.pools
 	}
-	if !ok || ev.Incarnation == "" || m.outdated(ev) {
+	if !ok || ev.Incarnation == "" || m.isStale(ev) {
 		return
 	}
 	if ev.Incarnation != m.incarnation {
-		m.noteRestart(ev, v.cfg.Flap, now)
+		m.recordRestart(ev, v.cfg.Flap, now)
 	}
 	if m.state == rudderv1.AgentState_AGENT_STATE_SERVING && ev.State == rudderv1.AgentState_AGENT_STATE_ENDPOINT_LOST {
 		m.flap.addPenalty(v.cfg.Flap, now)
@@ -89,18 +89,18 @@
 	v.noAgentSince = time.Time{}
 }
 
-// outdated reports whether a report comes from the previous incarnation, or is
+// isStale reports whether a report comes from the previous incarnation, or is
 // older than the last report of the current one.
-func (m *member) outdated(ev AgentReported) bool {
+func (m *member) isStale(ev AgentReported) bool {
 	if ev.Incarnation != m.incarnation {
 		return ev.Incarnation == m.previous
 	}
 	return ev.AgentMS < m.agentClockMS
 }
 
-// noteRestart records a new incarnation. A restart that the agent did not
+// recordRestart records a new incarnation. A restart that the agent did not
 // announce counts as a loss, unless the lost connection was counted already.
-func (m *member) noteRestart(ev AgentReported, cfg FlapConfig, now time.Time) {
+func (m *member) recordRestart(ev AgentReported, cfg FlapConfig, now time.Time) {
 	if m.incarnation != "" && m.connected && !m.reportedDraining() {
 		m.flap.addPenalty(cfg, now)
 	}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -56,18 +56,18 @@
 
 // The states of an endpoint.
 const (
-	Unheard      State = iota // its agent has never reported
-	Starting                  // its agent does not accept work yet
-	Serving                   // it accepts work
-	Damped                    // it accepts work, but was lost too often recently
-	Silent                    // its agent lost its connection recently, or is frozen
-	EndpointLost              // its agent is running, but the endpoint does not answer
-	Draining                  // it gets no new work
-	Gone                      // its agent is disconnected and no longer tried
+	NeverReported State = iota // its agent has never reported
+	Starting                   // its agent does not accept work yet
+	Serving                    // it accepts work
+	Damped                     // it accepts work, but was lost too often recently
+	Silent                     // its agent lost its connection recently, or is frozen
+	EndpointLost               // its agent is running, but the endpoint does not answer
+	Draining                   // it gets no new work
+	Gone                       // its agent is disconnected and no longer tried
 )
 
 // States lists all states.
-var States = [...]State{Unheard, Starting, Serving, Damped, Silent, EndpointLost, Draining, Gone}
+var States = [...]State{NeverReported, Starting, Serving, Damped, Silent, EndpointLost, Draining, Gone}
 
 // String returns the state's name.
 func (s State) String() string {
--- a/membership/verdict.go
+++ b/membership/verdict.go
@@ -57,7 +57,7 @@
 	case m.decl.Draining:
 		return Verdict{State: Draining, Evidence: ByDeclaration}
 	case m.incarnation == "":
-		return Verdict{State: Unheard}
+		return Verdict{State: NeverReported}
 	case m.reportedDraining():
 		return Verdict{State: Draining, Evidence: ByAgent}
 	case v.listedDraining(m, now):
--- a/memory/book_test.go
+++ b/memory/book_test.go
@@ -18,7 +18,7 @@
 	return Request{Group: group, Epoch: epoch, Tokens: tokens, Lease: time.Second}
 }
 
-func TestBook(t *testing.T) {
+func TestLeaseTable(t *testing.T) {
 	const limit = 100
 	cases := []struct {
 		name string
@@ -116,10 +116,10 @@
 	}
 }
 
-// TestBookNeverOvercommitsOrLeaks checks for messages that arrive in any order, late,
+// TestLeaseTableNeverOvercommitsOrLeaks checks for messages that arrive in any order, late,
 // twice or not at all that the leases never exceed the limit, that an attempt that is over
 // is never granted again, and that all memory is free in the end.
-func TestBookNeverOvercommitsOrLeaks(t *testing.T) {
+func TestLeaseTableNeverOvercommitsOrLeaks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 100
 		b, now := NewLeaseTable(limit, limit), start
--- a/memory/group.go
+++ b/memory/group.go
@@ -35,7 +35,7 @@
 }
 
 const (
-	// InitialBackoff and MaxBackoff bound the pause after a failed attempt. It doubles from
+	// InitialBackoff and MaxBackoff bound the backoff after a failed attempt. It doubles from
 	// one attempt to the next.
 	InitialBackoff = 100 * time.Millisecond
 	MaxBackoff     = 2 * time.Second
@@ -163,7 +163,7 @@
 }
 
 // Holders returns the members that may hold a lease of this attempt: those that granted it
-// or, if granted is false, all that were asked.
+// or, if granted is false, all that were sent a request.
 func (g *Group) Holders(granted bool) (out []int) {
 	for i, s := range g.states {
 		if s.granted || s.requested && !granted {
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -162,10 +162,10 @@
 }
 
 // PrepareSend makes the final decision before the order is sent. st is the endpoint's
-// state, queried at the time asked. It returns the order to send, or false if
+// state, queried at queriedAt. It returns the order to send, or false if
 // the order has to be dropped.
-func (b *Tracker) PrepareSend(id, from string, st engine.State, s Snapshot, runs int, asked, now time.Time) (engine.Order, bool) {
-	if b.CheckWaiting(s, runs, now) != QueryState || elapsed(asked, now) > MaxStateAge || st.OrderBusy {
+func (b *Tracker) PrepareSend(id, from string, st engine.State, s Snapshot, runs int, queriedAt, now time.Time) (engine.Order, bool) {
+	if b.CheckWaiting(s, runs, now) != QueryState || elapsed(queriedAt, now) > MaxStateAge || st.OrderBusy {
 		return engine.Order{}, false
 	}
 	if _, err := Complete(b.order, s.Document, s.Endpoint, st.Models); err != nil {
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -21,7 +21,7 @@
 	unload = engine.Order{Kind: engine.OrderUnloadModel, Model: "m", Version: "1"}
 )
 
-func situation(generation uint64) Snapshot {
+func newSnapshot(generation uint64) Snapshot {
 	return Snapshot{
 		Incarnation: "i", State: rudderv1.AgentState_AGENT_STATE_SERVING, Endpoint: "e",
 		Models: []engine.Model{{Name: "m", Version: "1", Adapters: []string{"s@1"}}},
@@ -44,7 +44,7 @@
 	return Permit{Incarnation: "i", Generation: generation, Holds: b.holds, ExpiresMS: 1000, Order: o}
 }
 
-func TestLookDropsStaleOrders(t *testing.T) {
+func TestCheckWaitingDropsStaleOrders(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*Snapshot)
@@ -63,7 +63,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			b, s := idleTracker(), situation(5)
+			b, s := idleTracker(), newSnapshot(5)
 			is.True(b.Accept(b.permit(unload, 5), s, start) == nil)
 			c.change(&s)
 			is.Equal(b.CheckWaiting(s, c.runs, start.Add(c.after)), c.want)
@@ -71,12 +71,12 @@
 	}
 }
 
-func TestGiveChecksAgain(t *testing.T) {
-	idle := engine.State{Models: situation(5).Models, Fence: 9 << 20}
+func TestPrepareSendChecksAgain(t *testing.T) {
+	idle := engine.State{Models: newSnapshot(5).Models, Fence: 9 << 20}
 	cases := []struct {
 		name        string
 		st          engine.State
-		askedOffset time.Duration
+		queryOffset time.Duration
 		runs        int
 		ok          bool
 	}{
@@ -89,9 +89,9 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			b, s := idleTracker(), situation(5)
+			b, s := idleTracker(), newSnapshot(5)
 			is.True(b.Accept(b.permit(unload, 5), s, start) == nil)
-			o, ok := b.PrepareSend("id", "e", c.st, s, c.runs, start.Add(c.askedOffset), start)
+			o, ok := b.PrepareSend("id", "e", c.st, s, c.runs, start.Add(c.queryOffset), start)
 			is.Equal(ok, c.ok)
 			if ok {
 				is.Equal(o.Fence, uint64(9<<20+1))
@@ -102,7 +102,7 @@
 
 func TestResolve(t *testing.T) {
 	is := is.New(t)
-	b, s := idleTracker(), situation(1)
+	b, s := idleTracker(), newSnapshot(1)
 	is.True(b.Accept(b.permit(load, 1), s, start) == nil)
 	o, ok := b.PrepareSend("id", "e", engine.State{Models: s.Models}, s, 0, start, start)
 	is.True(ok)
@@ -117,7 +117,7 @@
 
 func TestFailuresBackOff(t *testing.T) {
 	is := is.New(t)
-	b, s, now := idleTracker(), situation(1), start
+	b, s, now := idleTracker(), newSnapshot(1), start
 	for n, least := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second} {
 		is.True(b.Accept(b.permit(load, 1), s, now) == nil)
 		b.Fail("no weights", 0, now)
@@ -147,14 +147,14 @@
 				permits = append(permits, b.permit(unload, rapid.Uint64Range(1, current).Draw(t, "generation")))
 			case 1:
 				if len(permits) > 0 {
-					_ = b.Accept(rapid.SampledFrom(permits).Draw(t, "permit"), situation(current), now)
+					_ = b.Accept(rapid.SampledFrom(permits).Draw(t, "permit"), newSnapshot(current), now)
 				}
 			case 2:
 				current++
 			case 3:
 				now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "pause")) * time.Millisecond)
 			case 4:
-				o, ok := b.PrepareSend("id", "e", engine.State{Models: situation(current).Models}, situation(current), 0, now, now)
+				o, ok := b.PrepareSend("id", "e", engine.State{Models: newSnapshot(current).Models}, newSnapshot(current), 0, now, now)
 				if !ok {
 					b.Close(false)
 					continue
--- a/orders/retry.go
+++ b/orders/retry.go
@@ -29,7 +29,7 @@
 	return strings.Join([]string{string(o.Kind), o.Model, o.Version, o.Adapter, o.Role}, "\x00")
 }
 
-// recordFailure records a failure of the order in progress. The back-off doubles
+// recordFailure records a failure of the order in progress. The backoff doubles
 // with each consecutive failure, up to maxBackoff. Jitter places the retry in its
 // upper half, so that endpoints that failed at the same time do not retry at the
 // same time.
@@ -58,7 +58,7 @@
 	}
 }
 
-// retryIn returns the remaining back-off of an order, or 0 if it may be permitted.
+// retryIn returns the remaining backoff of an order, or 0 if it may be permitted.
 func (b *Tracker) retryIn(o engine.Order, now time.Time) time.Duration {
 	f, ok := b.failures[orderKey(o)]
 	if !ok {
--- a/placement/grants_test.go
+++ b/placement/grants_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestUnderOrder(t *testing.T) {
+func TestDuringOrder(t *testing.T) {
 	is := is.New(t)
 	h := EndpointState{Models: []engine.Model{{Name: "m", Version: "1"}}}
 	is.Equal(len(h.DuringOrder(engine.Order{Kind: engine.OrderUnloadModel, Model: "m", Version: "1"}).Models), 0)
@@ -44,7 +44,7 @@
 	is.Equal(len(h.Models), 1) // the original is unchanged
 }
 
-func TestPresenceDampsFlapping(t *testing.T) {
+func TestFlapDamperDampsFlapping(t *testing.T) {
 	is := is.New(t)
 	p, now := NewFlapDamper(), time.Unix(1000, 0)
 	observe := func(present bool, lasting time.Duration) bool {
--- a/plan/confirm_test.go
+++ b/plan/confirm_test.go
@@ -69,9 +69,9 @@
 
 var acceptedAt = time.Unix(1_772_000_000, 0)
 
-// TestRepeatedConfirm: retrying Confirm recognises the first plan as superseded while the
+// TestRetriedConfirm: retrying Confirm recognises the first plan as superseded while the
 // history records it. Once it does not, a retry is harmless and reports an unknown outcome.
-func TestRepeatedConfirm(t *testing.T) {
+func TestRetriedConfirm(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	store := new(memoryStore)
--- a/routing/filter.go
+++ b/routing/filter.go
@@ -41,7 +41,7 @@
 	byConnected
 	byDraining
 	byMemory
-	byResting
+	byBackoff
 	byBreaker
 	byExcluded
 )
@@ -63,7 +63,7 @@
 	case memoryTooSmall(e):
 		return byMemory
 	case e.cand.BackingOff:
-		return byResting
+		return byBackoff
 	case breakerOpen(e):
 		return byBreaker
 	case excluded(e):
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -68,7 +68,7 @@
 	Connected   bool
 	Draining    bool
 	BreakerOpen bool
-	// BackingOff is set during the back-off period that the endpoint's agent has
+	// BackingOff is set during the backoff period that the endpoint's agent has
 	// requested, in which the endpoint accepts no new work.
 	BackingOff bool
 	InLongLane bool // the endpoint belongs to the lane, the endpoints that take long work
--- a/service/client.go
+++ b/service/client.go
@@ -36,8 +36,8 @@
 	return &Client{base: strings.TrimSuffix(o.BaseURL, "/"), http: localhttp.New(o.HTTPClient)}
 }
 
-// Do implements Service. The context also covers the body of the reply.
-func (c *Client) Do(ctx context.Context, call Call) (*Reply, error) {
+// Do implements Service. The context also covers the body of the response.
+func (c *Client) Do(ctx context.Context, call Call) (*Response, error) {
 	req, err := c.request(ctx, call)
 	if err != nil {
 		return nil, newError(ErrRefused, err)
@@ -51,7 +51,7 @@
 	switch {
 	case err == nil:
 		dropHopHeaders(resp.Header)
-		return &Reply{resp.StatusCode, resp.Header, &replyBody{resp.Body}}, nil
+		return &Response{resp.StatusCode, resp.Header, &responseBody{resp.Body}}, nil
 	case sent.Load():
 		return nil, newError(ErrLost, err)
 	case connRequested.Load():
@@ -137,12 +137,12 @@
 	return req.Header.Get("Idempotency-Key") != "" || req.Header.Get("X-Idempotency-Key") != ""
 }
 
-// replyBody is the body of a reply; it returns ErrLost if the connection breaks
+// responseBody is the body of a reply; it returns ErrLost if the connection breaks
 // off.
-type replyBody struct{ io.ReadCloser }
+type responseBody struct{ io.ReadCloser }
 
 // Read implements io.Reader.
-func (b *replyBody) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
 		err = newError(ErrLost, err)
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -99,7 +99,7 @@
 	return e, json.Unmarshal(raw, &e)
 }
 
-func TestDoForwardsCallAndReply(t *testing.T) {
+func TestDoForwardsCallAndResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var got *http.Request
--- a/service/service.go
+++ b/service/service.go
@@ -29,8 +29,8 @@
 	Body   []byte
 }
 
-// Reply is the response of the service; Body must be closed.
-type Reply struct {
+// Response is the response of the service; Body must be closed.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser // a read error other than io.EOF means ErrLost
@@ -38,5 +38,5 @@
 
 // Service is one plain HTTP service behind an agent.
 type Service interface {
-	Do(ctx context.Context, c Call) (*Reply, error)
+	Do(ctx context.Context, c Call) (*Response, error)
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -113,7 +113,7 @@
 	is.Equal(sent.ContentLength, int64(4))
 }
 
-func TestKeptConnection(t *testing.T) {
+func TestReusedConnection(t *testing.T) {
 	cases := []struct {
 		name     string
 		response string
@@ -176,9 +176,9 @@
 	_ = idle.SetReadDeadline(time.Time{})
 }
 
-// TestResetIsNotSentAgain: a request whose connection is reset before a response arrives
+// TestResetIsNotRetried: a request whose connection is reset before a response arrives
 // fails with Sent; the client never retries it by itself.
-func TestResetIsNotSentAgain(t *testing.T) {
+func TestResetIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	var requests atomic.Int32
 	e := listen(t, func(n int, c *net.TCPConn) {
@@ -372,9 +372,9 @@
 	is.Equal(e.accepted.Load(), int32(2))
 }
 
-// TestKeepIdle: of connections whose exchanges end together, only as many stay idle as the
+// TestMaxIdleConns: of connections whose exchanges end together, only as many stay idle as the
 // requests allow.
-func TestKeepIdle(t *testing.T) {
+func TestMaxIdleConns(t *testing.T) {
 	is := is.New(t)
 	e := listen(t, func(_ int, c *net.TCPConn) {
 		br := bufio.NewReader(c)
