--- a/agent/call.go
+++ b/agent/call.go
@@ -19,21 +19,21 @@
 func (a *Agent) runCall(r *run) {
 	started := time.Now()
 	c := r.req.Call
-	reply, err := a.deps.Service.Do(r.ctx, service.Call{
+	response, err := a.deps.Service.Do(r.ctx, service.Call{
 		ID: r.req.RequestId, Method: c.Method, Path: c.Path, Header: toHeader(c.Headers), Body: r.req.Body,
 	})
 	if err != nil {
 		a.recordFailure(r, err)
 		return
 	}
-	defer func() { _ = reply.Body.Close() }()
-	if reply.Status < http.StatusOK || reply.Status > maxStatus {
+	defer func() { _ = response.Body.Close() }()
+	if response.Status < http.StatusOK || response.Status > maxStatus {
 		r.apply(lifecycle.Event{Kind: lifecycle.EvEnd, Code: result.EndpointFailed}, "status outside 200 to 999")
 		return
 	}
 	r.apply(lifecycle.Event{Kind: lifecycle.EvResponse}, "")
-	r.setHead(&rudderv1.ServiceHead{Status: uint32(reply.Status), Headers: fromHeader(reply.Header)})
-	a.readBody(r, reply.Body, started)
+	r.setHead(&rudderv1.ServiceHead{Status: uint32(response.Status), Headers: fromHeader(response.Header)})
+	a.readBody(r, response.Body, started)
 }
 
 // readBody copies the body of the service's response into the buffer.
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -119,13 +119,13 @@
 func (a *Agent) sendOrder(o engine.Order) error {
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
-	answer := make(chan error, 1)
-	go func() { answer <- a.deps.Engine.Order(ctx, o) }()
+	orderErr := make(chan error, 1)
+	go func() { orderErr <- a.deps.Engine.Order(ctx, o) }()
 	poll := time.NewTicker(orderPollInterval)
 	defer poll.Stop()
 	for {
 		select {
-		case err := <-answer:
+		case err := <-orderErr:
 			return err
 		case <-poll.C:
 		}
@@ -147,7 +147,7 @@
 	case err == nil:
 		a.closeOrder(true)
 	case errors.Is(err, engine.ErrLost):
-		a.deps.Log.Warn("The answer to an order was lost.", "err", err)
+		a.deps.Log.Warn("The response to an order was lost.", "err", err)
 		a.orders.ResponseLost(err.Error())
 		a.notify()
 	default:
--- a/agent/span.go
+++ b/agent/span.go
@@ -106,7 +106,7 @@
 }
 
 // runSpan executes the job and records its result. A failed job is removed, so that the order
-// may be repeated.
+// may be retried.
 func (a *Agent) runSpan(j *spanJob) {
 	err := a.prepareSpan(j)
 	if err == nil && j.req.Tokens > 0 {
--- a/gateway/group.go
+++ b/gateway/group.go
@@ -205,7 +205,7 @@
 // plan selects the members, or returns the reason why there is no plan.
 func (gr *group) plan() (memory.Plan, result.Code) {
 	c := gr.s.cr.completion
-	req := memory.PlanRequest{Prompt: c.PromptTokens, Answer: c.MaxTokens}
+	req := memory.PlanRequest{Prompt: c.PromptTokens, Output: c.MaxTokens}
 	if gr.s.cr.claims != nil {
 		req.LastEndpoint = gr.s.cr.claims.Endpoint
 	}
--- a/gateway/grouped.go
+++ b/gateway/grouped.go
@@ -86,7 +86,7 @@
 // the group.
 func (s *session) chooseLastMember() (*link, routing.Decision) {
 	memories, links := newGroup(s).memories(time.Now())
-	p := memory.PlanRequest{Prompt: s.cr.completion.PromptTokens, Answer: s.cr.completion.MaxTokens}.Plan(memories)
+	p := memory.PlanRequest{Prompt: s.cr.completion.PromptTokens, Output: s.cr.completion.MaxTokens}.Plan(memories)
 	if p == nil {
 		return nil, routing.Decision{Index: -1, Reason: routing.FilterMemory}
 	}
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -119,7 +119,7 @@
 	l.lastReportAt, l.connected = time.Now(), true
 	if r.GenerationOnly && l.report != nil {
 		l.report = mergeReport(l.report, r)
-		l.setLoad(l.report.Load) // a reply may have set another load in the meantime
+		l.setLoad(l.report.Load) // a response may have set another load in the meantime
 		return l.report
 	}
 	l.report = r
@@ -148,7 +148,7 @@
 	return merged
 }
 
-// recordLoad records the load that came with a reply.
+// recordLoad records the load that came with a response.
 func (l *link) recordLoad(load *rudderv1.Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/link_test.go
+++ b/gateway/link_test.go
@@ -10,7 +10,7 @@
 
 // TestShortReports checks that a short report keeps what it does not contain.
 // If it contains no load, the last reported load replaces one that came with a
-// reply since then.
+// response since then.
 func TestShortReports(t *testing.T) {
 	is := is.New(t)
 	l := new(link)
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -22,7 +22,7 @@
 	hostListInterval = time.Second
 	// drainNoticeTTL is how long an agent acts on one drain notice.
 	drainNoticeTTL = 10 * time.Second
-	// drainNoticeInterval is how often a drain notice is repeated.
+	// drainNoticeInterval is how often a drain notice is sent again.
 	drainNoticeInterval = 3 * time.Second
 	drainNoticeTimeout  = 2 * time.Second
 )
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -23,10 +23,10 @@
 	// longPollTime is the duration of one long poll to a peer.
 	longPollTime  = 20 * time.Second
 	longPollSlack = 5 * time.Second
-	// longPollAnswerDelay is the minimum time for which a new document is
+	// longPollResponseDelay is the minimum time for which a new document is
 	// withheld from polling peers; the maximum is twice that. Peers that learn
 	// it from the platform in the meantime need not be sent it.
-	longPollAnswerDelay = 250 * time.Millisecond
+	longPollResponseDelay = 250 * time.Millisecond
 	// initialFetchTimeout limits the queries to all peers at start.
 	initialFetchTimeout = 2 * time.Second
 	// concurrentPolls is the number of peers that a gateway polls at the same
@@ -194,7 +194,7 @@
 	}
 	select {
 	case <-changed:
-		if !sleep.For(ctx, longPollAnswerDelay+rand.N(longPollAnswerDelay)) {
+		if !sleep.For(ctx, longPollResponseDelay+rand.N(longPollResponseDelay)) {
 			return nil, ctx.Err()
 		}
 	case <-timer.C:
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -281,7 +281,7 @@
 	resp, err := l.client.Place(ctx, connect.NewRequest(req))
 	p.g.meter.recordPermit(req.Kind, resp, err)
 	if err != nil {
-		p.g.deps.Log.Warn("No answer to a permit; assuming that it was accepted.", "endpoint", l.declared.Name, "err", err)
+		p.g.deps.Log.Warn("No response to a permit; assuming that it was accepted.", "endpoint", l.declared.Name, "err", err)
 		return
 	}
 	if resp.Msg.Accepted {
--- a/gateway/placer_test.go
+++ b/gateway/placer_test.go
@@ -70,7 +70,7 @@
 		{"silent", func(_ *Gateway, l *link) { l.lastReportAt = time.Now().Add(-maxReportAge) }, false},
 		{"leaving", func(_ *Gateway, l *link) { l.report.State = rudderv1.AgentState_AGENT_STATE_LEAVING }, false},
 		{"already unloading", func(_ *Gateway, l *link) { l.report.Models[0].Unloading = true; l.report.Order = unloadOrder() }, false},
-		{"older than the agent's answer", func(g *Gateway, l *link) {
+		{"older than the agent's response", func(g *Gateway, l *link) {
 			g.placer.leaseID = 1
 			g.placer.confirmed = map[string]reportID{l.declared.Name: {incarnation: "i", holds: 8}}
 		}, false},
--- a/lifecycle/assembler_test.go
+++ b/lifecycle/assembler_test.go
@@ -14,14 +14,14 @@
 // the end is accepted only when the response is complete.
 func TestAssemblerDeliversPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		answer := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "answer")
+		response := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "answer")
 		var a Assembler
 		a.Begin(1)
 		var got []byte
 		for range rapid.IntRange(0, 40).Draw(t, "frames") {
-			from := rapid.IntRange(0, len(answer)).Draw(t, "from")
-			to := rapid.IntRange(from, len(answer)).Draw(t, "to")
-			attempt, text := uint32(1), answer[from:to]
+			from := rapid.IntRange(0, len(response)).Draw(t, "from")
+			to := rapid.IntRange(from, len(response)).Draw(t, "to")
+			attempt, text := uint32(1), response[from:to]
 			if rapid.Bool().Draw(t, "other") {
 				attempt, text = 2, bytes.Repeat([]byte{'x'}, to-from)
 			}
@@ -31,13 +31,13 @@
 			if gap := attempt == 1 && from > before; (err != nil) != gap {
 				t.Fatalf("from %d after %d bytes: %v", from, before, err)
 			}
-			if !bytes.HasPrefix(answer, got) || uint64(len(got)) != a.Offset() {
-				t.Fatalf("delivered %q of %q", got, answer)
+			if !bytes.HasPrefix(response, got) || uint64(len(got)) != a.Offset() {
+				t.Fatalf("delivered %q of %q", got, response)
 			}
 		}
-		accepted, err := a.End(1, uint64(len(answer)), xxhash.Sum64(answer))
-		if !accepted || (err == nil) != (len(got) == len(answer)) {
-			t.Fatalf("end after %d of %d bytes: %v %v", len(got), len(answer), accepted, err)
+		accepted, err := a.End(1, uint64(len(response)), xxhash.Sum64(response))
+		if !accepted || (err == nil) != (len(got) == len(response)) {
+			t.Fatalf("end after %d of %d bytes: %v %v", len(got), len(response), accepted, err)
 		}
 		if mine, _ := a.End(2, 0, 0); mine {
 			t.Fatal("the end of another attempt was accepted")
@@ -49,16 +49,16 @@
 // changed byte.
 func TestAssemblerDetectsCorruption(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		answer := rapid.SliceOfN(rapid.Byte(), 1, 100).Draw(t, "answer")
-		bad := bytes.Clone(answer)
+		response := rapid.SliceOfN(rapid.Byte(), 1, 100).Draw(t, "answer")
+		bad := bytes.Clone(response)
 		bad[rapid.IntRange(0, len(bad)-1).Draw(t, "at")] ^= 1
 		var a Assembler
 		a.Begin(1)
 		if _, err := a.Data(1, 0, bad); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := a.End(1, uint64(len(answer)), xxhash.Sum64(answer)); err == nil {
-			t.Fatal("a corrupted answer was accepted")
+		if _, err := a.End(1, uint64(len(response)), xxhash.Sum64(response)); err == nil {
+			t.Fatal("a corrupted response was accepted")
 		}
 	})
 }
--- a/lifecycle/dispatch.go
+++ b/lifecycle/dispatch.go
@@ -40,13 +40,13 @@
 
 // The steps after an attempt has ended.
 const (
-	StepRespond   Step = iota // answer the caller with the ending
+	StepRespond   Step = iota // respond to the caller with the ending
 	StepResend                // send the order again with the configuration learned meanwhile
 	StepReattach              // send the same order to the same agent, which runs it at most once
 	StepElsewhere             // send the order to another endpoint, from offset 0
 	StepContinue              // send the order to another endpoint, resuming after the delivered text
 	StepRestart               // send the order to another endpoint; the delivered text is invalid
-	StepVoid                  // ask the agent to seal the ID, then answer
+	StepVoid                  // ask the agent to seal the ID, then respond
 )
 
 // String returns the name of the step.
--- a/lifecycle/dispatch_test.go
+++ b/lifecycle/dispatch_test.go
@@ -70,7 +70,7 @@
 		e    AttemptResult
 		want Step
 	}{
-		{"complete answer", repeatable, AttemptResult{Code: result.OK, Outcome: result.Ran}, StepRespond},
+		{"complete response", repeatable, AttemptResult{Code: result.OK, Outcome: result.Ran}, StepRespond},
 		{"overloaded", repeatable, AttemptResult{Code: result.Overloaded, Outcome: result.NotRun}, StepElsewhere},
 		{"overloaded, unrepeatable", unrepeatable, AttemptResult{Code: result.Overloaded, Outcome: result.NotRun}, StepElsewhere},
 		{"overloaded, named", named, AttemptResult{Code: result.Overloaded, Outcome: result.NotRun}, StepVoid},
@@ -79,9 +79,9 @@
 		{"agent lost", repeatable, AttemptResult{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepElsewhere},
 		{"agent lost, unrepeatable", unrepeatable, AttemptResult{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepReattach},
 		{"endpoint lost, unrepeatable", unrepeatable, AttemptResult{Code: result.EndpointLost, Outcome: result.MayHaveRun}, StepRespond},
-		{"agent lost during the answer", partlyDelivered, AttemptResult{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepContinue},
-		{"agent lost during the answer of a service call", serviceCall, AttemptResult{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepRestart},
-		{"damaged answer", partlyDelivered, AttemptResult{Code: result.AnswerDamaged, Outcome: result.Ran}, StepRestart},
+		{"agent lost during the response", partlyDelivered, AttemptResult{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepContinue},
+		{"agent lost during the response of a service call", serviceCall, AttemptResult{Code: result.AgentLost, Outcome: result.MayHaveRun}, StepRestart},
+		{"damaged response", partlyDelivered, AttemptResult{Code: result.AnswerDamaged, Outcome: result.Ran}, StepRestart},
 		{"canceled by an earlier caller", repeatable, AttemptResult{Code: result.Canceled, Outcome: result.Ran, Attached: true}, StepElsewhere},
 		{"old configuration", named, AttemptResult{Code: result.OldGeneration, Outcome: result.NotRun}, StepResend},
 		{"stale ID known to this gateway only", unrepeatable, AttemptResult{Code: result.IncarnationGone, Outcome: result.MayHaveRun}, StepElsewhere},
--- a/lifecycle/run.go
+++ b/lifecycle/run.go
@@ -17,7 +17,7 @@
 const (
 	Queued    State = iota // admitted, not sent to the endpoint yet
 	Ordered                // sent to the endpoint, no response yet
-	Streaming              // the endpoint has started to answer
+	Streaming              // the endpoint has started to respond
 	Finished               // the run ended after a response began, successfully or not
 	Refused                // did not run and will not run under this ID
 	Unknown                // may have run: endpoint lost, or expired or canceled before a response
--- a/lifecycle/run_test.go
+++ b/lifecycle/run_test.go
@@ -17,7 +17,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var r Run
 		var final Run
-		orders, answered, refused := 0, false, false
+		orders, responded, refused := 0, false, false
 		for _, k := range rapid.SliceOfN(rapid.SampledFrom(events), 1, 12).Draw(t, "events") {
 			before := r.State
 			action := r.Apply(Event{Kind: k, Code: result.EndpointRefused})
@@ -28,7 +28,7 @@
 				t.Fatalf("%v was ignored and changed the state", k)
 			}
 			if action != ActIgnore {
-				answered = answered || k == EvResponse || k == EvEnd
+				responded = responded || k == EvResponse || k == EvEnd
 				refused = refused || k == EvRefused
 			}
 			if before.Final() && r != final {
@@ -38,11 +38,11 @@
 				final = r
 			}
 		}
-		checkRun(t, r, orders, answered, refused)
+		checkRun(t, r, orders, responded, refused)
 	})
 }
 
-func checkRun(t *rapid.T, r Run, orders int, answered, refused bool) {
+func checkRun(t *rapid.T, r Run, orders int, responded, refused bool) {
 	if orders > 1 {
 		t.Fatalf("%d orders were sent", orders)
 	}
@@ -51,12 +51,12 @@
 	}
 	switch r.Outcome {
 	case result.NotRun:
-		if answered || orders > 0 && !refused {
+		if responded || orders > 0 && !refused {
 			t.Fatalf("not run after an order: %v", &r)
 		}
 	case result.Ran:
-		if !answered {
-			t.Fatalf("ran without an answer: %v", &r)
+		if !responded {
+			t.Fatalf("ran without a response: %v", &r)
 		}
 	case result.MayHaveRun:
 		if orders == 0 {
--- a/memory/plan.go
+++ b/memory/plan.go
@@ -51,7 +51,7 @@
 // PlanRequest describes the prompt that a group is planned for.
 type PlanRequest struct {
 	Prompt uint64
-	Answer uint64
+	Output uint64
 	// ImportDivisor is the divisor described at DefaultImportDivisor, which 0 selects.
 	ImportDivisor uint64
 	// LastEndpoint is the endpoint that has to answer; empty means any.
@@ -183,7 +183,7 @@
 		size := min(r.tokens, bound)
 		imported := (start + n.ImportDivisor - 1) / n.ImportDivisor
 		if i == len(candidates)-1 {
-			m := n.member(r.Endpoint, start, n.Prompt-start, imported+n.Answer)
+			m := n.member(r.Endpoint, start, n.Prompt-start, imported+n.Output)
 			if m.ReserveTokens > size {
 				return nil
 			}
--- a/memory/plan_test.go
+++ b/memory/plan_test.go
@@ -27,7 +27,7 @@
 
 func TestPlan(t *testing.T) {
 	const limit = 393_750 // seven eighths of 450,000
-	million := PlanRequest{Prompt: 1_000_000, Answer: 1000}
+	million := PlanRequest{Prompt: 1_000_000, Output: 1000}
 	with := func(view []EndpointMemory, change func([]EndpointMemory)) []EndpointMemory { change(view); return view }
 	cases := []struct {
 		name string
@@ -62,7 +62,7 @@
 func TestPlanCoversPrompt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := rapid.SliceOfN(rapid.Uint64Range(0, 500_000), 0, 6).Draw(t, "limits")
-		n := PlanRequest{Prompt: rapid.Uint64Range(1, 1_500_000).Draw(t, "prompt"), Answer: rapid.Uint64Range(0, 5000).Draw(t, "answer")}
+		n := PlanRequest{Prompt: rapid.Uint64Range(1, 1_500_000).Draw(t, "prompt"), Output: rapid.Uint64Range(0, 5000).Draw(t, "answer")}
 		p := n.Plan(idleRooms(limits...))
 		var at uint64
 		for i, m := range p {
@@ -75,7 +75,7 @@
 			}
 			held := m.Tokens + m.Start/DefaultImportDivisor
 			if i == len(p)-1 {
-				held += n.Answer
+				held += n.Output
 			}
 			if held > m.ReserveTokens {
 				t.Fatalf("%+v holds %d tokens, more than its reservation", m, held)
--- a/plan/race_test.go
+++ b/plan/race_test.go
@@ -48,7 +48,7 @@
 	write          bool
 	value          []byte
 	expectRevision int64 // of a write
-	reply          chan response
+	responses      chan response
 }
 
 // response is the result of a call.
@@ -77,9 +77,9 @@
 
 // do submits a call and waits for its response.
 func (o *operator) do(c call) (metastore.Entry, error) {
-	c.reply = make(chan response)
+	c.responses = make(chan response)
 	o.calls <- c
-	a := <-c.reply
+	a := <-c.responses
 	return a.entry, a.err
 }
 
@@ -162,7 +162,7 @@
 func (w *faultyStore) serve(o *operator, pick func(int) int) {
 	c := *o.pending
 	if o.faultsLeft == 0 {
-		c.reply <- w.serveWithoutFault(c)
+		c.responses <- w.serveWithoutFault(c)
 		return
 	}
 	faults := 2
@@ -175,19 +175,19 @@
 	}
 	switch {
 	case fault == 0:
-		c.reply <- w.serveWithoutFault(c)
+		c.responses <- w.serveWithoutFault(c)
 	case !c.write:
-		c.reply <- response{err: metastore.ErrUnavailable}
+		c.responses <- response{err: metastore.ErrUnavailable}
 	case fault == 1: // unavailable before it was sent
-		c.reply <- response{err: metastore.ErrUnavailable}
+		c.responses <- response{err: metastore.ErrUnavailable}
 	case fault == 2: // takes effect, response lost
 		w.swap(c)
-		c.reply <- response{err: metastore.ErrUnknown}
+		c.responses <- response{err: metastore.ErrUnknown}
 	case fault == 3: // request lost
-		c.reply <- response{err: metastore.ErrUnknown}
+		c.responses <- response{err: metastore.ErrUnknown}
 	case fault == 4: // response lost, takes effect later
 		w.delayed = append(w.delayed, c)
-		c.reply <- response{err: metastore.ErrUnknown}
+		c.responses <- response{err: metastore.ErrUnknown}
 	}
 }
 
--- a/routing/policy_test.go
+++ b/routing/policy_test.go
@@ -48,7 +48,7 @@
 		{"wait of its own class", long, func(a, b *Candidate) { a.Wait[ClassLong], b.Wait[ClassShort] = time.Second, time.Minute }},
 		{"older report, queue partly processed since", short, func(a, b *Candidate) { setWait(a, 200*ms); setWait(b, 300*ms); b.LoadAge = 250 * ms }},
 		{"work sent since the last report", short, func(a, b *Candidate) { a.Pending = 500 * ms; setWait(b, 100*ms) }},
-		{"short answer overtakes pending long work", shortResponse, func(a, b *Candidate) { a.Pending = 100 * ms; b.Pending, b.PendingLong = time.Second, time.Second }},
+		{"short response overtakes pending long work", shortResponse, func(a, b *Candidate) { a.Pending = 100 * ms; b.Pending, b.PendingLong = time.Second, time.Second }},
 		{"prefix not cached", prefixed, func(a, b *Candidate) { b.Cached = func([]uint64) int { return 1 } }},
 		{"prefix cached but far busier", prefixed, func(a, b *Candidate) { a.Cached = func([]uint64) int { return 1 }; setWait(a, time.Second) }},
 		{"higher quadratic cost", long, func(a, b *Candidate) { a.Cost.PrefillPerTokenSquared = 0.0005 }},
