--- a/affinity/affinity.go
+++ b/affinity/affinity.go
@@ -38,7 +38,7 @@
 // is a false positive, which is acceptable for a hint.
 type Set struct {
 	buckets    []atomic.Uint64
-	confidence atomic.Uint32 // fixed point, see fullTrust
+	confidence atomic.Uint32 // fixed point, see fullConfidence
 
 	mu       sync.Mutex
 	lastUsed [][ways]uint32 // tick of the last write to a slot
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -130,7 +130,7 @@
 	return a
 }
 
-// Incarnation returns the ID of this process lifetime of the agent; tickets are bound to it.
+// Incarnation returns the ID of this incarnation of the agent; tickets are bound to it.
 func (a *Agent) Incarnation() string { return a.incarnation }
 
 // Start starts the background loops, which first query what the endpoint holds. It does not
--- a/agent/cache.go
+++ b/agent/cache.go
@@ -24,14 +24,14 @@
 func (a *Agent) followCache() {
 	var after uint64
 	for {
-		pause := cachePollIdle
+		interval := cachePollIdle
 		events, err := a.cacheEvents(after)
 		if err == nil && len(events) > 0 {
 			after = a.applyCache(events, after)
-			pause = cachePoll
+			interval = cachePoll
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(interval):
 		case <-a.ctx.Done():
 			return
 		}
--- a/agent/endpoint.go
+++ b/agent/endpoint.go
@@ -26,19 +26,19 @@
 	probeBackoff := newProbeBackoff()
 	lastResponse := time.Now()
 	for a.ctx.Err() == nil {
-		pause := probeInterval
+		interval := probeInterval
 		if err := a.probe(); err != nil {
 			a.endpointLost()
 			if time.Since(lastResponse) > spanGracePeriod {
 				a.stopSpans(result.New(result.EndpointLost, err.Error()))
 			}
-			pause = probeBackoff.NextBackOff()
+			interval = probeBackoff.NextBackOff()
 		} else {
 			lastResponse = time.Now()
 			probeBackoff.Reset()
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(interval):
 		case <-a.ctx.Done():
 		}
 	}
--- a/agent/leaving.go
+++ b/agent/leaving.go
@@ -109,7 +109,7 @@
 }
 
 // urgentSince reports whether the agent is draining, or has a successor, and the last report
-// did not say so. It also returns the channel that is closed at the next change.
+// did not contain that. It also returns the channel that is closed at the next change.
 func (a *Agent) urgentSince(last *rudderv1.AgentReport) (<-chan struct{}, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -40,11 +40,11 @@
 	}
 }
 
-// awaitOrder waits for an accepted order, at most for the pause if it is not 0.
-func (a *Agent) awaitOrder(pause time.Duration) {
+// awaitOrder waits for an accepted order, at most for maxWait if it is not 0.
+func (a *Agent) awaitOrder(maxWait time.Duration) {
 	var timeout <-chan time.Time
-	if pause > 0 {
-		t := time.NewTimer(pause)
+	if maxWait > 0 {
+		t := time.NewTimer(maxWait)
 		defer t.Stop()
 		timeout = t.C
 	}
--- a/agent/reports.go
+++ b/agent/reports.go
@@ -91,8 +91,8 @@
 		return true
 	case <-s.changed:
 	}
-	pause := time.NewTimer(s.a.cfg.ReportInterval)
-	defer pause.Stop()
+	minInterval := time.NewTimer(s.a.cfg.ReportInterval)
+	defer minInterval.Stop()
 	for {
 		next, urgent := s.a.urgentSince(s.last)
 		if urgent {
@@ -107,12 +107,12 @@
 			return true
 		case <-heartbeat.C:
 			return true
-		case <-pause.C:
+		case <-minInterval.C:
 			remaining := s.untilDue()
 			if remaining <= 0 {
 				return true
 			}
-			pause.Reset(min(remaining, s.a.cfg.ReportInterval))
+			minInterval.Reset(min(remaining, s.a.cfg.ReportInterval))
 		case <-next:
 		}
 	}
--- a/engine/failure.go
+++ b/engine/failure.go
@@ -21,7 +21,7 @@
 	Status int    // HTTP status; 0 if there was no response
 	Detail string
 	// RetryAfter is how long the engine wants no further work, taken from its
-	// rejection; 0 means that it did not say.
+	// rejection; 0 means that it gave none.
 	RetryAfter time.Duration
 	Cause      error
 }
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -123,7 +123,7 @@
 }
 
 // recordBackOff records for how long the endpoint accepts no new work. A
-// duration of 0 means that the agent did not say.
+// duration of 0 means that the agent gave none.
 func (l *link) recordBackOff(d time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/offer.go
+++ b/gateway/offer.go
@@ -27,7 +27,7 @@
 	maxConcurrentOffers = 16
 	// fetchDelay is the minimum time that a gateway waits to learn a newer
 	// generation elsewhere after it has heard of it from an agent; the maximum
-	// is twice that. A peer sends it within twice longPollAnswerDelay.
+	// is twice that. A peer sends it within twice longPollResponseDelay.
 	fetchDelay = 600 * time.Millisecond
 )
 
--- a/metastore/linear_test.go
+++ b/metastore/linear_test.go
@@ -49,10 +49,10 @@
 	r.attempts = append(r.attempts, a)
 }
 
-// writer makes one write after each of the given pauses, in milliseconds.
-func (r *writerRace) writer(ctx context.Context, name int, pauses []int, resolve bool) {
+// writer makes one write after each of the given delays, in milliseconds.
+func (r *writerRace) writer(ctx context.Context, name int, delays []int, resolve bool) {
 	c := r.b.newClient()
-	for i, ms := range pauses {
+	for i, ms := range delays {
 		time.Sleep(time.Duration(ms) * time.Millisecond)
 		r.write(ctx, c, fmt.Sprintf("writer %d, write %d", name, i), resolve)
 	}
@@ -112,9 +112,9 @@
 			r := &writerRace{b: b}
 			var done sync.WaitGroup
 			for name := range rapid.IntRange(2, 4).Draw(rt, "writers") {
-				pauses := rapid.SliceOfN(rapid.IntRange(0, 500), 1, 5).Draw(rt, "pauses")
+				delays := rapid.SliceOfN(rapid.IntRange(0, 500), 1, 5).Draw(rt, "pauses")
 				resolve := rapid.Bool().Draw(rt, "settle")
-				done.Go(func() { r.writer(ctx, name, pauses, resolve) })
+				done.Go(func() { r.writer(ctx, name, delays, resolve) })
 			}
 			faults := drawFaults(rt)
 			done.Go(func() { r.injectFaults(faults) })
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -168,7 +168,7 @@
 }
 
 // Members returns the other gateways that are listed, or that sent a datagram within
-// memberTTL and are not shutting down. What a gateway says about itself replaces its
+// memberTTL and are not shutting down. What a gateway reports about itself replaces its
 // list entry.
 func (m *Mesh) Members(now time.Time) []Member {
 	m.mu.Lock()
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -46,7 +46,7 @@
 	is.Equal(len(b.Members(time.Now().Add(memberTTL+time.Second))), 0)
 }
 
-// TestMembers checks that what a gateway says about itself replaces its list entry, and
+// TestMembers checks that what a gateway reports about itself replaces its list entry, and
 // that a gateway is not among its own members.
 func TestMembers(t *testing.T) {
 	is := is.New(t)
