--- a/agent/endpoint.go
+++ b/agent/endpoint.go
@@ -24,21 +24,21 @@
 // lost or back.
 func (a *Agent) watchEndpoint() {
 	probeBackoff := newProbeBackoff()
-	lastAnswer := time.Now()
+	lastResponse := time.Now()
 	for a.ctx.Err() == nil {
-		pause := probeInterval
+		interval := probeInterval
 		if err := a.probe(); err != nil {
 			a.endpointLost()
-			if time.Since(lastAnswer) > spanGracePeriod {
+			if time.Since(lastResponse) > spanGracePeriod {
 				a.stopSpans(result.New(result.EndpointLost, err.Error()))
 			}
-			pause = probeBackoff.NextBackOff()
+			interval = probeBackoff.NextBackOff()
 		} else {
-			lastAnswer = time.Now()
+			lastResponse = time.Now()
 			probeBackoff.Reset()
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(interval):
 		case <-a.ctx.Done():
 		}
 	}
@@ -62,15 +62,15 @@
 	return err
 }
 
-// recordModels records the models and the role that the endpoint reported. asked is the time
-// of the query; an answer that a later one has overtaken is ignored.
-func (a *Agent) recordModels(asked time.Time, models []engine.Model, role string) {
+// recordModels records the models and the role that the endpoint reported. queriedAt is the time
+// of the query; a response that a later one has overtaken is ignored.
+func (a *Agent) recordModels(queriedAt time.Time, models []engine.Model, role string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if asked.Before(a.modelsAsOf) {
+	if queriedAt.Before(a.modelsAsOf) {
 		return
 	}
-	a.modelsAsOf = asked
+	a.modelsAsOf = queriedAt
 	if !sameModels(a.models, models) || a.role != role {
 		a.models, a.role = models, role
 		a.orders.ModelsChanged()
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -40,11 +40,11 @@
 	}
 }
 
-// awaitOrder waits for an accepted order, at most for the pause if it is not 0.
-func (a *Agent) awaitOrder(pause time.Duration) {
+// awaitOrder waits for an accepted order, at most for maxWait if it is not 0.
+func (a *Agent) awaitOrder(maxWait time.Duration) {
 	var timeout <-chan time.Time
-	if pause > 0 {
-		t := time.NewTimer(pause)
+	if maxWait > 0 {
+		t := time.NewTimer(maxWait)
 		defer t.Stop()
 		timeout = t.C
 	}
@@ -91,7 +91,7 @@
 
 // executeOrder queries the endpoint's state, makes the final decision and sends the order.
 func (a *Agent) executeOrder() {
-	asked := time.Now()
+	queriedAt := time.Now()
 	st, err := a.queryState()
 	a.mu.Lock()
 	if err != nil {
@@ -100,7 +100,7 @@
 		a.endpointLost()
 		return
 	}
-	o, ok := a.orders.PrepareSend(uuid.NewString(), a.cfg.Endpoint, st, a.snapshot(), a.blockers(), asked, time.Now())
+	o, ok := a.orders.PrepareSend(uuid.NewString(), a.cfg.Endpoint, st, a.snapshot(), a.blockers(), queriedAt, time.Now())
 	if !ok {
 		a.closeOrder(false)
 		a.mu.Unlock()
@@ -115,17 +115,17 @@
 }
 
 // sendOrder sends the order and returns its result. It also polls the endpoint, because the
-// answer may be lost without an error.
+// response may be lost without an error.
 func (a *Agent) sendOrder(o engine.Order) error {
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
-	answer := make(chan error, 1)
-	go func() { answer <- a.deps.Engine.Order(ctx, o) }()
+	orderErr := make(chan error, 1)
+	go func() { orderErr <- a.deps.Engine.Order(ctx, o) }()
 	poll := time.NewTicker(orderPollInterval)
 	defer poll.Stop()
 	for {
 		select {
-		case err := <-answer:
+		case err := <-orderErr:
 			return err
 		case <-poll.C:
 		}
@@ -136,7 +136,7 @@
 }
 
 // recordOrderResult records the result of an order. What the endpoint holds is taken from its
-// state, not from the answer.
+// state, not from the response.
 func (a *Agent) recordOrderResult(err error) {
 	if err == nil {
 		_, _ = a.queryState()
@@ -147,8 +147,8 @@
 	case err == nil:
 		a.closeOrder(true)
 	case errors.Is(err, engine.ErrLost):
-		a.deps.Log.Warn("The answer to an order was lost.", "err", err)
-		a.orders.AnswerLost(err.Error())
+		a.deps.Log.Warn("The response to an order was lost.", "err", err)
+		a.orders.ResponseLost(err.Error())
 		a.notify()
 	default:
 		a.failOrder(err.Error())
@@ -197,12 +197,12 @@
 func (a *Agent) queryState() (engine.State, error) {
 	ctx, cancel := context.WithTimeout(a.ctx, probeTimeout)
 	defer cancel()
-	asked := time.Now()
+	queriedAt := time.Now()
 	st, err := a.deps.Engine.State(ctx)
 	if err != nil {
 		return st, err
 	}
-	a.recordModels(asked, st.Models, st.Role)
+	a.recordModels(queriedAt, st.Models, st.Role)
 	return st, nil
 }
 
--- a/agent/reports.go
+++ b/agent/reports.go
@@ -74,7 +74,7 @@
 }
 
 // wait waits until the next report is due: at once for a new generation or if the agent begins
-// to leave or has a successor, after the minimum interval for any other change, later if only
+// to drain or has a successor, after the minimum interval for any other change, later if only
 // the load has changed, and at the latest after the heartbeat interval. It returns false when
 // the subscriber or the agent is gone.
 func (s *reportStream) wait(ctx context.Context) bool {
@@ -91,8 +91,8 @@
 		return true
 	case <-s.changed:
 	}
-	pause := time.NewTimer(s.a.cfg.ReportInterval)
-	defer pause.Stop()
+	minInterval := time.NewTimer(s.a.cfg.ReportInterval)
+	defer minInterval.Stop()
 	for {
 		next, urgent := s.a.urgentSince(s.last)
 		if urgent {
@@ -107,12 +107,12 @@
 			return true
 		case <-heartbeat.C:
 			return true
-		case <-pause.C:
+		case <-minInterval.C:
 			remaining := s.untilDue()
 			if remaining <= 0 {
 				return true
 			}
-			pause.Reset(min(remaining, s.a.cfg.ReportInterval))
+			minInterval.Reset(min(remaining, s.a.cfg.ReportInterval))
 		case <-next:
 		}
 	}
--- a/agent/span.go
+++ b/agent/span.go
@@ -51,7 +51,7 @@
 	return fmt.Sprintf("%s/%d", m.Reservation, m.StartToken)
 }
 
-// Prefill computes a span under a lease and keeps it in memory. Repeating the order joins the
+// Prefill computes a span under a lease and keeps it in memory. Retrying the order joins the
 // job or returns its result.
 func (s *server) Prefill(ctx context.Context, req *connect.Request[rudderv1.PrefillRequest]) (*connect.Response[rudderv1.PrefillResponse], error) {
 	j, err := s.a.spanJob(req.Msg)
@@ -77,7 +77,7 @@
 		return nil, result.New(result.EndpointRefused, "wrong kind of endpoint")
 	}
 	now := time.Now()
-	a.stopLapsedJobs(now)
+	a.stopExpiredJobs(now)
 	if !a.mem.leases.Live(m.Reservation, now) {
 		return nil, result.New(result.LeaseLost, "")
 	}
@@ -106,7 +106,7 @@
 }
 
 // runSpan executes the job and records its result. A failed job is removed, so that the order
-// may be repeated.
+// may be retried.
 func (a *Agent) runSpan(j *spanJob) {
 	err := a.prepareSpan(j)
 	if err == nil && j.req.Tokens > 0 {
@@ -227,7 +227,7 @@
 	}
 }
 
-// confirmedPrefill sends the prefill order and, if its answer is lost, queries the engine to
+// confirmedPrefill sends the prefill order and, if its response is lost, queries the engine to
 // find out whether it holds the span.
 func (a *Agent) confirmedPrefill(j *spanJob) error {
 	err := a.watchedPrefill(j)
--- a/gateway/grouped.go
+++ b/gateway/grouped.go
@@ -57,7 +57,7 @@
 
 // runAttempt makes one attempt at l and then releases the group's memory. The
 // group is kept if the order was planned under an old configuration, because
-// that order is repeated with the same group.
+// that order is retried with the same group.
 func (s *session) runAttempt(ctx context.Context, l *link) *rudderv1.End {
 	end := s.sendAttempt(ctx, l)
 	if result.Code(end.Code) == result.LeaseLost {
@@ -86,7 +86,7 @@
 // the group.
 func (s *session) chooseLastMember() (*link, routing.Decision) {
 	memories, links := newGroup(s).memories(time.Now())
-	p := memory.PlanRequest{Prompt: s.cr.completion.PromptTokens, Answer: s.cr.completion.MaxTokens}.Plan(memories)
+	p := memory.PlanRequest{Prompt: s.cr.completion.PromptTokens, Output: s.cr.completion.MaxTokens}.Plan(memories)
 	if p == nil {
 		return nil, routing.Decision{Index: -1, Reason: routing.FilterMemory}
 	}
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -45,12 +45,12 @@
 	lastReportAt    time.Time // when the last report was received
 	connected       bool
 	models          map[string]bool
-	pending         time.Duration // predicted work of the orders sent whose answer has not begun
+	pending         time.Duration // predicted work of the orders sent whose response has not begun
 	pendingLong     time.Duration // the part of pending that is long work
 	pendingRequests int
 	backOffUntil    time.Time // the endpoint has asked for no new work until then
 	breaker         limits.Breaker
-	slowness        cost.Slowness
+	slowdown        cost.Slowdown
 	cache           *affinity.Set // blocks that the endpoint is assumed to have cached
 }
 
@@ -119,7 +119,7 @@
 	l.lastReportAt, l.connected = time.Now(), true
 	if r.GenerationOnly && l.report != nil {
 		l.report = mergeReport(l.report, r)
-		l.setLoad(l.report.Load) // a reply may have set another load in the meantime
+		l.setLoad(l.report.Load) // a response may have set another load in the meantime
 		return l.report
 	}
 	l.report = r
@@ -148,7 +148,7 @@
 	return merged
 }
 
-// recordLoad records the load that came with a reply.
+// recordLoad records the load that came with a response.
 func (l *link) recordLoad(load *rudderv1.Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,9 +162,9 @@
 	}
 }
 
-// recordSend counts predicted work as pending at the agent until settled is
+// recordSend counts predicted work as pending at the agent until done is
 // called.
-func (l *link) recordSend(class routing.Class, work time.Duration) (settled func()) {
+func (l *link) recordSend(class routing.Class, work time.Duration) (done func()) {
 	long := time.Duration(0)
 	if class >= routing.ClassLong {
 		long = work
@@ -205,7 +205,7 @@
 func (l *link) recordPrefill(predicted, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.slowness.Observe(predicted, took, time.Now())
+	l.slowdown.Observe(predicted, took, time.Now())
 }
 
 // incarnation returns the agent's incarnation and an estimate of its current
@@ -226,9 +226,9 @@
 	c := routing.Candidate{
 		Endpoint: l.declared.Name, Host: l.declared.Host, DataCentre: l.declared.DataCentre, Service: l.declared.Service,
 		MemoryTokens: l.declared.MemoryTokens, Models: l.models, Pending: l.pending, PendingLong: l.pendingLong, PendingRequests: l.pendingRequests,
-		Connected: v.Usable(), Leaving: v.State == membership.Leaving,
+		Connected: v.Usable(), Draining: v.State == membership.Draining,
 		BackingOff: now.Before(l.backOffUntil), BreakerOpen: l.breaker.Blocks(now), InLongLane: l.g.lanes.contains(l.declared.Name),
-		SlowdownFactor: l.slowness.Factor(now), Cached: l.cache.Cached,
+		SlowdownFactor: l.slowdown.Factor(now), Cached: l.cache.Cached,
 	}
 	if l.report == nil {
 		return c
--- a/gateway/offer.go
+++ b/gateway/offer.go
@@ -27,7 +27,7 @@
 	maxConcurrentOffers = 16
 	// fetchDelay is the minimum time that a gateway waits to learn a newer
 	// generation elsewhere after it has heard of it from an agent; the maximum
-	// is twice that. A peer sends it within twice longPollAnswerDelay.
+	// is twice that. A peer sends it within twice longPollResponseDelay.
 	fetchDelay = 600 * time.Millisecond
 )
 
@@ -175,7 +175,7 @@
 	l.report.Generation = gen
 }
 
-// learnNewer learns the newer document in an agent's answer.
+// learnNewer learns the newer document in an agent's response.
 func (l *link) learnNewer(ctx context.Context, resp *rudderv1.OfferResponse) error {
 	offer := &rudderv1.OfferRequest{Document: resp.Newer, Delta: resp.NewerDelta}
 	return l.learnFromAgent(ctx, offer)
--- a/limits/window.go
+++ b/limits/window.go
@@ -6,8 +6,7 @@
 )
 
 // RetryWindowConfig is the bound on the retries to a service: in every window of length Window
-// at most Ratio times the number of requests, plus Slack. Requests are first sends,
-// retries are second sends.
+// at most Ratio times the number of requests, plus Slack. A retry does not count as a request.
 type RetryWindowConfig struct {
 	Ratio  float64
 	Slack  float64
@@ -35,13 +34,13 @@
 // NewRetryWindow returns an empty window.
 func NewRetryWindow(c RetryWindowConfig) *RetryWindow { return &RetryWindow{config: c} }
 
-// RecordRequest records a first send.
+// RecordRequest records a request, retries excluded.
 func (w *RetryWindow) RecordRequest(now time.Time) {
 	w.advance(now)
 	w.requests[w.index()]++
 }
 
-// UnknownGateways is the number of gateways to pass to Retry while it is not known how
+// UnknownGateways is the number of gateways to pass to AllowRetry while it is not known how
 // many gateways share the slack.
 const UnknownGateways = math.MaxInt
 
--- a/membership/event.go
+++ b/membership/event.go
@@ -14,7 +14,7 @@
 	Endpoint string
 	Host     string
 	Service  string // empty for a model engine
-	Leaving  bool   // the endpoint or its host is declared as leaving
+	Draining bool   // the endpoint or its host is declared as draining
 }
 
 // EndpointsDeclared replaces the set of endpoints by the declared one.
@@ -31,7 +31,7 @@
 	Models      []string // models that are ready to serve
 }
 
-// OrderRefused reports that an agent refused an order because it is leaving.
+// OrderRefused reports that an agent refused an order because it is draining.
 type OrderRefused struct{ Endpoint string }
 
 // ConnectionLost reports that the connection to an agent broke or could not be opened.
@@ -39,8 +39,8 @@
 
 // ListedHost is one entry of the platform's list of hosts.
 type ListedHost struct {
-	Name    string
-	Leaving bool
+	Name     string
+	Draining bool
 }
 
 // HostsListed is a complete list of hosts as read from the platform. An empty list is
@@ -72,11 +72,11 @@
 	if ok && ev.Incarnation == "" {
 		ev.Incarnation, ev.State, ev.Models = m.incarnation, m.state, m.pools
 	}
-	if !ok || ev.Incarnation == "" || m.outdated(ev) {
+	if !ok || ev.Incarnation == "" || m.isStale(ev) {
 		return
 	}
 	if ev.Incarnation != m.incarnation {
-		m.noteRestart(ev, v.cfg.Flap, now)
+		m.recordRestart(ev, v.cfg.Flap, now)
 	}
 	if m.state == rudderv1.AgentState_AGENT_STATE_SERVING && ev.State == rudderv1.AgentState_AGENT_STATE_ENDPOINT_LOST {
 		m.flap.addPenalty(v.cfg.Flap, now)
@@ -89,25 +89,25 @@
 	v.noAgentSince = time.Time{}
 }
 
-// outdated reports whether a report comes from the previous incarnation, or is
+// isStale reports whether a report comes from the previous incarnation, or is
 // older than the last report of the current one.
-func (m *member) outdated(ev AgentReported) bool {
+func (m *member) isStale(ev AgentReported) bool {
 	if ev.Incarnation != m.incarnation {
 		return ev.Incarnation == m.previous
 	}
 	return ev.AgentMS < m.agentClockMS
 }
 
-// noteRestart records a new incarnation. A restart that the agent did not
+// recordRestart records a new incarnation. A restart that the agent did not
 // announce counts as a loss, unless the lost connection was counted already.
-func (m *member) noteRestart(ev AgentReported, cfg FlapConfig, now time.Time) {
-	if m.incarnation != "" && m.connected && !m.reportedLeaving() {
+func (m *member) recordRestart(ev AgentReported, cfg FlapConfig, now time.Time) {
+	if m.incarnation != "" && m.connected && !m.reportedDraining() {
 		m.flap.addPenalty(cfg, now)
 	}
 	m.previous, m.incarnation, m.firstReport = m.incarnation, ev.Incarnation, now
 }
 
-func (m *member) reportedLeaving() bool { return m.state == rudderv1.AgentState_AGENT_STATE_LEAVING }
+func (m *member) reportedDraining() bool { return m.state == rudderv1.AgentState_AGENT_STATE_LEAVING }
 
 func (ev ConnectionLost) apply(v *View, now time.Time) {
 	m, ok := v.members[ev.Endpoint]
@@ -115,7 +115,7 @@
 		return
 	}
 	m.connected, m.disconnectedAt = false, now
-	if !m.reportedLeaving() {
+	if !m.reportedDraining() {
 		m.flap.addPenalty(v.cfg.Flap, now)
 	}
 	v.updateNoAgentSince(now)
@@ -148,8 +148,8 @@
 	}
 	hosts := make(map[string]listing, len(ev.Hosts))
 	for _, h := range ev.Hosts {
-		l := listing{leaving: h.Leaving, since: now}
-		if old, ok := v.hosts[h.Name]; ok && old.leaving == h.Leaving {
+		l := listing{draining: h.Draining, since: now}
+		if old, ok := v.hosts[h.Name]; ok && old.draining == h.Draining {
 			l.since = old.since
 		}
 		hosts[h.Name] = l
--- a/memory/group.go
+++ b/memory/group.go
@@ -30,12 +30,12 @@
 type Action struct {
 	Kind    ActionKind
 	Member  int
-	Backoff time.Duration // before jitter; set for DoBackoff
-	Code    result.Code   // set for DoFail
+	Backoff time.Duration // before jitter; set for ActionBackoff
+	Code    result.Code   // set for ActionFail
 }
 
 const (
-	// InitialBackoff and MaxBackoff bound the pause after a failed attempt. It doubles from
+	// InitialBackoff and MaxBackoff bound the backoff after a failed attempt. It doubles from
 	// one attempt to the next.
 	InitialBackoff = 100 * time.Millisecond
 	MaxBackoff     = 2 * time.Second
@@ -163,7 +163,7 @@
 }
 
 // Holders returns the members that may hold a lease of this attempt: those that granted it
-// or, if granted is false, all that were asked.
+// or, if granted is false, all that were sent a request.
 func (g *Group) Holders(granted bool) (out []int) {
 	for i, s := range g.states {
 		if s.granted || s.requested && !granted {
@@ -174,7 +174,7 @@
 }
 
 // RecordFailure records that this attempt failed with the given code, and decides whether there
-// is another attempt. All members of Held(false) must be released before that.
+// is another attempt. All members of Holders(false) must be released before that.
 func (g *Group) RecordFailure(code result.Code) {
 	formed := g.reserved == len(g.plan)
 	switch {
--- a/memory/memory.go
+++ b/memory/memory.go
@@ -1,5 +1,5 @@
 // Package memory manages the cache memory of model engines for prompts that no single
-// engine can hold. Book is an agent's record of the leases on its own endpoint's memory.
+// engine can hold. LeaseTable is an agent's record of the leases on its own endpoint's memory.
 // Plan and Group are the coordinator's side: the choice of endpoints, and the steps from
 // the first reservation to the last release. The package does no I/O, and time is an
 // argument.
@@ -26,7 +26,7 @@
 
 // ReservationID returns the ID of the reservation of one attempt of a group, which is the
 // same at every member. It is known before the reservation is made, so that a reservation
-// whose answer was lost can be released.
+// whose response was lost can be released.
 func ReservationID(group string, epoch uint64) string {
 	return group + "." + strconv.FormatUint(epoch, 10)
 }
--- a/metastore/settle.go
+++ b/metastore/settle.go
@@ -9,10 +9,10 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Backoff between the attempts of Settle to determine the outcome of a write.
+// Backoff between the attempts of SwapAndResolve to determine the outcome of a write.
 const (
-	settleInitialInterval = 50 * time.Millisecond
-	settleMaxInterval     = 2 * time.Second
+	resolveInitialInterval = 50 * time.Millisecond
+	resolveMaxInterval     = 2 * time.Second
 )
 
 // SwapAndResolve writes like CompareAndSwap and, if the outcome is unknown, determines
@@ -25,7 +25,7 @@
 // whether it replaced this one. Any other error means that the write was not
 // applied.
 //
-// While the outcome is unknown the same write is repeated. All attempts carry
+// While the outcome is unknown the same write is retried. All attempts carry
 // the same expected revision, so at most one takes effect and any late one
 // fails.
 func SwapAndResolve(ctx context.Context, store Store, key string, expect int64, value []byte, lease LeaseID, isOwn func(Entry) bool) (Entry, error) {
@@ -34,7 +34,7 @@
 		return e, err
 	}
 	s := unresolvedWrite{store: store, key: key, expect: expect, value: value, lease: lease, isOwn: isOwn}
-	wait := settleBackOff()
+	wait := resolveBackOff()
 	for {
 		e, err, known := s.resolve(ctx)
 		if known {
@@ -46,11 +46,11 @@
 	}
 }
 
-// settleBackOff returns the backoff of one Settle call.
-func settleBackOff() *backoff.ExponentialBackOff {
+// resolveBackOff returns the backoff of one SwapAndResolve call.
+func resolveBackOff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = settleInitialInterval
-	b.MaxInterval = settleMaxInterval
+	b.InitialInterval = resolveInitialInterval
+	b.MaxInterval = resolveMaxInterval
 	b.RandomizationFactor = 0.5
 	return b
 }
@@ -65,7 +65,7 @@
 	isOwn  func(Entry) bool
 }
 
-// resolve reads the key and, if nothing has changed, repeats the write. known
+// resolve reads the key and, if nothing has changed, retries the write. known
 // reports whether the result is final.
 func (s *unresolvedWrite) resolve(ctx context.Context) (e Entry, err error, known bool) {
 	e, err = s.store.Get(ctx, s.key)
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -68,7 +68,7 @@
 	failures    map[string]*failure
 }
 
-// NewTracker returns the book of a new incarnation. It starts in the phase Found,
+// NewTracker returns the tracker of a new incarnation. It starts in the phase Found,
 // because the endpoint may still execute an order of an earlier incarnation.
 func NewTracker() *Tracker {
 	return &Tracker{phase: rudderv1.OrderPhase_ORDER_PHASE_FOUND, holds: 1, failures: make(map[string]*failure)}
@@ -140,7 +140,7 @@
 const (
 	Wait Action = iota
 	Drop
-	QueryState // query the state of the endpoint, then call Give
+	QueryState // query the state of the endpoint, then call PrepareSend
 )
 
 // CheckWaiting returns the next action for a waiting order. runs is the number of runs
@@ -162,10 +162,10 @@
 }
 
 // PrepareSend makes the final decision before the order is sent. st is the endpoint's
-// state, queried at the time asked. It returns the order to send, or false if
+// state, queried at queriedAt. It returns the order to send, or false if
 // the order has to be dropped.
-func (b *Tracker) PrepareSend(id, from string, st engine.State, s Snapshot, runs int, asked, now time.Time) (engine.Order, bool) {
-	if b.CheckWaiting(s, runs, now) != QueryState || elapsed(asked, now) > MaxStateAge || st.OrderBusy {
+func (b *Tracker) PrepareSend(id, from string, st engine.State, s Snapshot, runs int, queriedAt, now time.Time) (engine.Order, bool) {
+	if b.CheckWaiting(s, runs, now) != QueryState || elapsed(queriedAt, now) > MaxStateAge || st.OrderBusy {
 		return engine.Order{}, false
 	}
 	if _, err := Complete(b.order, s.Document, s.Endpoint, st.Models); err != nil {
@@ -177,8 +177,8 @@
 	return b.order, true
 }
 
-// AnswerLost records that no answer to the order was received.
-func (b *Tracker) AnswerLost(detail string) {
+// ResponseLost records that no response to the order was received.
+func (b *Tracker) ResponseLost(detail string) {
 	b.setPhase(rudderv1.OrderPhase_ORDER_PHASE_UNKNOWN)
 	b.idleSince, b.detail = time.Time{}, detail
 }
@@ -193,7 +193,7 @@
 	NotExecuted
 )
 
-// Resolve determines the result of an order whose answer was lost, or that was
+// Resolve determines the result of an order whose response was lost, or that was
 // found when the agent started, from the endpoint's state at the time now.
 func (b *Tracker) Resolve(st engine.State, now time.Time) Resolution {
 	switch {
--- a/orders/retry.go
+++ b/orders/retry.go
@@ -8,7 +8,7 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// The back-off before a failed order may be permitted again.
+// The backoff before a failed order may be permitted again.
 const (
 	initialBackoff = time.Second
 	maxBackoff     = 2 * time.Minute
@@ -29,7 +29,7 @@
 	return strings.Join([]string{string(o.Kind), o.Model, o.Version, o.Adapter, o.Role}, "\x00")
 }
 
-// recordFailure records a failure of the order in progress. The back-off doubles
+// recordFailure records a failure of the order in progress. The backoff doubles
 // with each consecutive failure, up to maxBackoff. Jitter places the retry in its
 // upper half, so that endpoints that failed at the same time do not retry at the
 // same time.
@@ -49,7 +49,7 @@
 	f.retryAt = now.Add(backoff/2 + time.Duration(jitter*float64(backoff/2)))
 }
 
-// dropExpiredFailures removes old failures to bound the size of the book.
+// dropExpiredFailures removes old failures to bound the memory use of the tracker.
 func (b *Tracker) dropExpiredFailures(now time.Time) {
 	for k, f := range b.failures {
 		if now.Sub(f.retryAt) > failureRetention {
@@ -58,7 +58,7 @@
 	}
 }
 
-// retryIn returns the remaining back-off of an order, or 0 if it may be permitted.
+// retryIn returns the remaining backoff of an order, or 0 if it may be permitted.
 func (b *Tracker) retryIn(o engine.Order, now time.Time) time.Duration {
 	f, ok := b.failures[orderKey(o)]
 	if !ok {
--- a/routing/filter.go
+++ b/routing/filter.go
@@ -14,7 +14,7 @@
 	FilterNone      = "no endpoints"
 	FilterServes    = "does not serve"
 	FilterConnected = "not connected"
-	FilterLeaving   = "leaving"
+	FilterDraining  = "leaving"
 	FilterMemory    = "memory too small"
 	FilterBackoff   = "resting"
 	FilterBreaker   = "breaker open"
@@ -39,16 +39,16 @@
 	passed filterID = iota
 	byServes
 	byConnected
-	byLeaving
+	byDraining
 	byMemory
-	byResting
+	byBackoff
 	byBreaker
 	byExcluded
 )
 
 // String returns the name of the filter.
 func (f filterID) String() string {
-	return [...]string{FilterNone, FilterServes, FilterConnected, FilterLeaving, FilterMemory, FilterBackoff, FilterBreaker, FilterExcluded}[f]
+	return [...]string{FilterNone, FilterServes, FilterConnected, FilterDraining, FilterMemory, FilterBackoff, FilterBreaker, FilterExcluded}[f]
 }
 
 // rejectedBy returns the first filter that rejects the evaluation's candidate.
@@ -58,12 +58,12 @@
 		return byServes
 	case notConnected(e, maxSilence):
 		return byConnected
-	case leaving(e):
-		return byLeaving
+	case draining(e):
+		return byDraining
 	case memoryTooSmall(e):
 		return byMemory
 	case e.cand.BackingOff:
-		return byResting
+		return byBackoff
 	case breakerOpen(e):
 		return byBreaker
 	case excluded(e):
