--- a/agent/stop.go
+++ b/agent/stop.go
@@ -46,7 +46,7 @@
 // and no group uses the endpoint, or when ctx ends.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.beginStop()
-	a.deps.Log.Info("Shutting down.")
+	a.deps.Log.Info("Draining.")
 	for {
 		a.mu.Lock()
 		busy, grouped, ch := a.records.unfinishedRuns()+a.readers, a.mem.inUse(), a.changed
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -36,7 +36,7 @@
 	case <-ctx.Done():
 	}
 	g.refusing.Store(true)
-	g.deps.Log.Info("Shutting down; refusing new requests.", "requests", g.active.Load())
+	g.deps.Log.Info("Draining.", "requests", g.active.Load())
 	done := make(chan struct{})
 	go func() {
 		g.inFlight.Wait()
