--- a/load/assembly.go
+++ b/load/assembly.go
@@ -6,44 +6,44 @@
 	"github.com/micarudder/micarudder/internal/standin/answer"
 )
 
-// assembly joins the pieces of one answer by their offsets and compares them
-// with the only answer that the request may get.
+// assembly reassembles one answer from its chunks by their byte offsets and
+// compares the text with the only answer that is correct for the request.
 type assembly struct {
-	key    answer.Key
-	want   int // bytes of the whole answer
-	verify bool
+	key       answer.Key
+	wantBytes int // size of the complete answer, bytes
+	verify    bool
 
 	text     []byte
 	restarts int
-	damage   string // first fault found; empty when none
+	damage   string // first error found in the answer; empty if none
 }
 
 func newAssembly(prompt string, tokens uint64, verify bool) *assembly {
-	return &assembly{key: answer.KeyOf(prompt), want: int(tokens) * answer.TokenBytes, verify: verify}
+	return &assembly{key: answer.KeyOf(prompt), wantBytes: int(tokens) * answer.TokenBytes, verify: verify}
 }
 
-// add appends a piece. id is the event's id, the offset after the piece; it is
-// empty when the piece carries none.
+// add appends a chunk. id is the event id, the byte offset after the chunk; it
+// is empty if the event has none.
 func (a *assembly) add(text, id string) {
 	if end, err := strconv.Atoi(id); id != "" && (err != nil || end-len(text) != len(a.text)) {
-		a.fault("event " + id + " does not continue the answer at " + strconv.Itoa(len(a.text)))
+		a.markDamaged("event " + id + " does not continue the answer at offset " + strconv.Itoa(len(a.text)))
 	}
 	a.text = append(a.text, text...)
 }
 
-// restart drops what came before an announced restart.
+// restart discards the text received before an announced restart.
 func (a *assembly) restart() {
 	a.text = a.text[:0]
 	a.restarts++
 }
 
-// finish judges the answer after its end was announced.
+// finish returns the final state of an answer whose end was announced.
 func (a *assembly) finish() Final {
 	if a.verify && !a.key.Matches(a.text) {
-		a.fault("the text is not the request's own")
+		a.markDamaged("the answer text does not match the request")
 	}
-	if a.verify && len(a.text) != a.want {
-		a.fault("the answer has " + strconv.Itoa(len(a.text)) + " bytes of " + strconv.Itoa(a.want))
+	if a.verify && len(a.text) != a.wantBytes {
+		a.markDamaged("answer truncated or too long: got " + strconv.Itoa(len(a.text)) + " bytes, want " + strconv.Itoa(a.wantBytes))
 	}
 	if a.damage != "" {
 		return Damaged
@@ -51,8 +51,9 @@
 	return Whole
 }
 
-// broken judges the answer when nothing more will come.
-func (a *assembly) broken() Final {
+// incomplete returns the final state of an answer that broke off before its end
+// was announced.
+func (a *assembly) incomplete() Final {
 	switch {
 	case a.damage != "" || a.verify && !a.key.Matches(a.text):
 		return Damaged
@@ -63,7 +64,7 @@
 	}
 }
 
-func (a *assembly) fault(what string) {
+func (a *assembly) markDamaged(what string) {
 	if a.damage == "" {
 		a.damage = what
 	}
--- a/load/caller.go
+++ b/load/caller.go
@@ -14,36 +14,37 @@
 )
 
 const (
-	// reattachWait is the pause before a caller asks again after a broken
-	// connection.
-	reattachWait = 100 * time.Millisecond
-	// maxPresentations bounds how often one caller asks for one request.
+	// retryDelay is the delay before a caller sends the next request after a
+	// broken connection.
+	retryDelay = 100 * time.Millisecond
+	// maxPresentations limits how often a caller presents one request.
 	maxPresentations = 100
-	// maxAsks bounds how often a caller asks for a run that may have run.
-	maxAsks = 3
+	// maxUnknownReattaches limits how often a caller reattaches to a run after
+	// the outcome "may have run".
+	maxUnknownReattaches = 3
 )
 
-// caller carries one request through to its end, as a careful application
-// does: it presents the request, attaches to its run again when the connection
-// breaks, comes back after a refusal if its flow says so, and loses patience if
-// its flow says so.
+// caller drives one request to its final state as a robust client application
+// does: it presents the request and reattaches to the run when the connection
+// breaks. If configured in the flow, it also retries refused requests and
+// resubmits the request when no first token arrives in time.
 type caller struct {
 	client *client
 	flow   Flow
 	body   []byte
-	now    func() time.Duration // since the start of the run
-
-	ticket string
-	fresh  func(context.Context) string // fetches another ticket; nil without
-	key    string
-	sent   bool // whether a gateway ever took a connection
-	asked  int  // times the run was asked for after "may have run"
-	rec    *Record
-	asm    *assembly
+	now    func() time.Duration // since the start of the load run
+
+	ticket            string
+	replaceTicket     func(context.Context) string // fetches another ticket; nil if the flow uses none
+	key               string
+	sent              bool // whether a gateway ever accepted a connection
+	unknownReattaches int  // reattachments after "may have run"
+	rec               *Record
+	asm               *assembly
 }
 
-// run carries the request to its end and completes the record. ctx ends when
-// the request's deadline and grace are over.
+// run drives the request to its final state and completes the record. ctx ends
+// when the request's deadline plus the grace period has passed.
 func (c *caller) run(ctx context.Context) {
 	c.rec.Sent = c.now()
 	if c.flow.Keyed {
@@ -51,8 +52,8 @@
 	}
 	attach := false
 	for c.rec.Presentations < maxPresentations {
-		r := c.ask(ctx, attach)
-		next, wait := c.decide(ctx, r, attach)
+		r := c.send(ctx, attach)
+		next, wait := c.nextStep(ctx, r, attach)
 		if next == stop {
 			break
 		}
@@ -61,43 +62,43 @@
 			break
 		}
 	}
-	c.complete()
+	c.completeRecord()
 }
 
-// step is what a caller does after a presentation ended.
+// step is the caller's next action after a presentation ended.
 type step int
 
 const (
 	stop     step = iota
-	again         // present the request again
-	reattach      // ask for the run by its ticket
+	present       // present the request again
+	reattach      // attach to the run by its ticket
 )
 
-// decide judges a reply and says what the caller does next and after which
-// pause.
-func (c *caller) decide(ctx context.Context, r reply, attached bool) (step, time.Duration) {
+// nextStep evaluates a reply and returns the caller's next step and the delay
+// before it.
+func (c *caller) nextStep(ctx context.Context, r reply, attached bool) (step, time.Duration) {
 	if r.ticket != "" {
 		c.ticket = r.ticket
 	}
-	c.sent = c.sent || !r.refused
+	c.sent = c.sent || !r.notConnected
 	c.rec.Code = r.problem.Code
 	switch {
-	case r.refused && ctx.Err() == nil:
-		return c.sameAgain(attached), reattachWait
+	case r.notConnected && ctx.Err() == nil:
+		return c.repeatStep(attached), retryDelay
 	case r.final == "":
-		return c.afterBreak(ctx)
+		return c.afterDisconnect(ctx)
 	case attached && r.problem.Code == result.UnknownRun:
-		// Presented again under the same name, it runs at most once.
-		return again, reattachWait
+		// The request is presented again with the same ticket, so it runs at most once.
+		return present, retryDelay
 	case r.final == Unknown && c.neverPresented(r.problem.Code):
-		c.renew(ctx)
-		return again, reattachWait
-	case r.final == Unknown && c.mayAsk(r.problem.Code):
-		c.asked++
-		return reattach, reattachWait
+		c.renewTicket(ctx)
+		return present, retryDelay
+	case r.final == Unknown && c.mayReattach(r.problem.Code):
+		c.unknownReattaches++
+		return reattach, retryDelay
 	case r.final == Refused && c.mayRetry(r.problem.retryAfter()):
-		c.renew(ctx)
-		return again, r.problem.retryAfter()
+		c.renewTicket(ctx)
+		return present, r.problem.retryAfter()
 	}
 	c.rec.Final = r.final
 	c.rec.Detail = r.problem.Detail
@@ -105,48 +106,51 @@
 	return stop, 0
 }
 
-// afterBreak decides after a connection that broke off or was given up.
-func (c *caller) afterBreak(ctx context.Context) (step, time.Duration) {
+// afterDisconnect returns the next step after a connection that broke or was
+// canceled.
+func (c *caller) afterDisconnect(ctx context.Context) (step, time.Duration) {
 	switch {
 	case ctx.Err() != nil:
 		return stop, 0
 	case c.ticket != "" && c.rec.FirstToken > 0:
-		return reattach, reattachWait
+		return reattach, retryDelay
 	case c.ticket != "" || c.key != "" || c.flow.Resubmit == ResubmitNew && c.rec.Resubmits > 0:
-		return again, reattachWait
+		return present, retryDelay
 	default:
 		return stop, 0
 	}
 }
 
-func (c *caller) sameAgain(attached bool) step {
+func (c *caller) repeatStep(attached bool) step {
 	if attached {
 		return reattach
 	}
-	return again
+	return present
 }
 
-// neverPresented tells whether a ticket's agent was gone before the ticket was
-// first presented: the request certainly did not run, and only its caller can
+// neverPresented reports whether the ticket's agent was gone before the ticket
+// was first presented. The request then did not run, and only its caller can
 // know that.
 func (c *caller) neverPresented(code result.Code) bool {
-	return code == result.IncarnationGone && c.fresh != nil && c.rec.Presentations == 1
+	return code == result.IncarnationGone && c.replaceTicket != nil && c.rec.Presentations == 1
 }
 
-// mayAsk tells whether the caller asks for its run after "may have run".
-func (c *caller) mayAsk(code result.Code) bool {
-	return c.ticket != "" && c.asked < maxAsks && result.Lookup(code).Advice == result.AdviceTicket
+// mayReattach reports whether the caller reattaches to its run after "may have
+// run".
+func (c *caller) mayReattach(code result.Code) bool {
+	return c.ticket != "" && c.unknownReattaches < maxUnknownReattaches && result.Lookup(code).Advice == result.AdviceTicket
 }
 
-// renew takes another ticket for a request that was not run: its old one is
-// refused from now on.
-func (c *caller) renew(ctx context.Context) {
-	if c.fresh != nil {
-		c.ticket = c.fresh(ctx)
+// renewTicket replaces the ticket of a request that did not run, because its old
+// ticket is refused from now on.
+func (c *caller) renewTicket(ctx context.Context) {
+	if c.replaceTicket != nil {
+		c.ticket = c.replaceTicket(ctx)
 	}
 }
 
-// mayRetry tells whether a refused request comes back.
+// mayRetry reports whether a refused request is retried after wait: the flow's
+// retries are not used up and wait ends before the deadline.
 func (c *caller) mayRetry(wait time.Duration) bool {
 	if c.rec.Presentations > c.flow.Retries {
 		return false
@@ -154,11 +158,11 @@
 	return c.now()+wait < c.rec.Due+c.rec.Deadline
 }
 
-// ask sends the request, or asks for its run, once.
-func (c *caller) ask(ctx context.Context, attach bool) reply {
+// send presents the request, or reattaches to its run, once.
+func (c *caller) send(ctx context.Context, attach bool) reply {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	impatience := c.arm(cancel)
+	timer := c.startPatience(cancel)
 	req, err := c.request(ctx, attach)
 	if err != nil {
 		return reply{final: Unsent}
@@ -170,13 +174,13 @@
 		c.asm.text = c.asm.text[:0]
 	}
 	r := c.client.present(req, c.asm, func() {
-		impatience.disarm()
+		timer.disarm()
 		if c.rec.FirstToken == 0 {
 			c.rec.FirstToken = c.now()
 		}
 	})
-	if impatience.disarm() && r.final == "" {
-		c.resubmit()
+	if timer.disarm() && r.final == "" {
+		c.recordResubmit()
 	}
 	return r
 }
@@ -214,9 +218,9 @@
 	return req, nil
 }
 
-func (c *caller) complete() {
+func (c *caller) completeRecord() {
 	if c.rec.Final == "" {
-		c.rec.Final = c.unfinished()
+		c.rec.Final = c.finalWithoutOutcome()
 	}
 	c.rec.End = c.now()
 	c.rec.Restarts = c.asm.restarts
@@ -225,10 +229,11 @@
 	}
 }
 
-// unfinished judges a request that neither an answer nor an outcome ended.
-func (c *caller) unfinished() Final {
+// finalWithoutOutcome returns the final state of a request that ended without a
+// complete answer or an outcome.
+func (c *caller) finalWithoutOutcome() Final {
 	if !c.sent {
 		return Unsent
 	}
-	return c.asm.broken()
+	return c.asm.incomplete()
 }
--- a/load/caller_test.go
+++ b/load/caller_test.go
@@ -16,7 +16,7 @@
 	"github.com/micarudder/micarudder/result"
 )
 
-// oneRequest is a flow whose first arrival is the only one kept.
+// oneRequest is a mix with one flow; most tests keep only its first arrival.
 const oneRequest = `
 [run]
 duration = 60s
@@ -33,24 +33,25 @@
 deadline = 20s
 `
 
-// first keeps the first arrival only.
-func first(a Arrival) bool { return a.ID == "f-0" }
+// isFirst selects the first arrival.
+func isFirst(a Arrival) bool { return a.ID == "f-0" }
 
-// attachTo answers a re-attachment with the rest of the answer to a prompt
-// that an earlier presentation carried.
+// attachTo serves a reattachment with the rest of *text, the answer to an
+// earlier presentation.
 func attachTo(text *string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != pathRuns+"T" {
-			panic("attached to " + r.URL.Path)
+			panic("reattachment requested the path " + r.URL.Path)
 		}
 		from, _ := strconv.Atoi(r.Header.Get(headerLastEvent))
 		stream(w, *text, from)
-		done(w)
+		endStream(w)
 	}
 }
 
-// remember notes the answer of the presentation for a later attachTo.
-func remember(text *string, h http.HandlerFunc) http.HandlerFunc {
+// startAnswer stores the presentation's answer in *text for a later attachTo,
+// streams its first three tokens and calls h.
+func startAnswer(text *string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		b := bodyOf(r)
 		*text = textOf(b)
@@ -62,7 +63,7 @@
 
 func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// hang reads the request and answers nothing until the caller has gone.
+// hang reads the request and sends no answer until the caller disconnects.
 func hang(_ http.ResponseWriter, r *http.Request) {
 	_ = bodyOf(r)
 	<-r.Context().Done()
@@ -87,74 +88,74 @@
 			w.Header().Set("Content-Type", "application/json")
 			fmt.Fprintf(w, `{"choices":[{"text":%q}]}`, textOf(bodyOf(r)))
 		}}, Whole, 1, nil},
-		{"refused", "", []http.HandlerFunc{tell(503, notRun)}, Refused, 1, func(r Record) bool {
+		{"refused", "", []http.HandlerFunc{answerProblem(503, notRun)}, Refused, 1, func(r Record) bool {
 			return r.Code == result.Overloaded && r.RetryAfter == 1500*time.Millisecond
 		}},
-		{"refused, comes back after the stated time", "retries = 1", []http.HandlerFunc{tell(503, notRun), answerWhole}, Whole, 2, func(r Record) bool {
+		{"refused, retried after the stated time", "retries = 1", []http.HandlerFunc{answerProblem(503, notRun), answerWhole}, Whole, 2, func(r Record) bool {
 			return r.Took() == 1500*time.Millisecond
 		}},
-		{"told may have run, without a ticket", "", []http.HandlerFunc{tell(502, mayHaveRun)}, Unknown, 1, nil},
-		{"an error that is no problem document", "", []http.HandlerFunc{func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(502) }}, Unknown, 1, nil},
-		{"broken, then attached", "", []http.HandlerFunc{remember(&text, abort), attachTo(&text)}, Whole, 2, func(r Record) bool {
+		{"outcome may have run, without a ticket", "", []http.HandlerFunc{answerProblem(502, mayHaveRun)}, Unknown, 1, nil},
+		{"an error without a problem document", "", []http.HandlerFunc{func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(502) }}, Unknown, 1, nil},
+		{"connection broken, then reattached", "", []http.HandlerFunc{startAnswer(&text, abort), attachTo(&text)}, Whole, 2, func(r Record) bool {
 			return r.Reattached == 1 && r.Presentations == 1
 		}},
-		{"broken, then the run's records are gone", "", []http.HandlerFunc{remember(&text, abort), tell(410, gone)}, Unknown, 2, nil},
-		{"the agent has no such run yet", "", []http.HandlerFunc{remember(&text, abort), tell(404, unknownRun), answerWhole}, Whole, 3, func(r Record) bool {
+		{"connection broken, then the run's records are gone", "", []http.HandlerFunc{startAnswer(&text, abort), answerProblem(410, gone)}, Unknown, 2, nil},
+		{"the agent has no such run yet", "", []http.HandlerFunc{startAnswer(&text, abort), answerProblem(404, unknownRun), answerWhole}, Whole, 3, func(r Record) bool {
 			return r.Presentations == 2
 		}},
-		{"told may have run, asked, no such run", "idempotency_key = true", []http.HandlerFunc{func(w http.ResponseWriter, r *http.Request) {
+		{"outcome may have run, reattached, no such run", "idempotency_key = true", []http.HandlerFunc{func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set(headerTicket, "T")
-			tell(502, mayHaveRun)(w, r)
-		}, tell(404, unknownRun), answerWhole}, Whole, 3, func(r Record) bool { return r.Presentations == 2 }},
-		{"broken, without a ticket", "", []http.HandlerFunc{abort}, Lost, 1, nil},
-		{"broken under a key, asked again", "idempotency_key = true", []http.HandlerFunc{abort, answerWhole}, Whole, 2, nil},
-		{"ended early without an end", "", []http.HandlerFunc{func(w http.ResponseWriter, r *http.Request) {
+			answerProblem(502, mayHaveRun)(w, r)
+		}, answerProblem(404, unknownRun), answerWhole}, Whole, 3, func(r Record) bool { return r.Presentations == 2 }},
+		{"connection broken, without a ticket", "", []http.HandlerFunc{abort}, Lost, 1, nil},
+		{"connection broken, presented again with the same key", "idempotency_key = true", []http.HandlerFunc{abort, answerWhole}, Whole, 2, nil},
+		{"stream ended without its end marker", "", []http.HandlerFunc{func(w http.ResponseWriter, r *http.Request) {
 			stream(w, textOf(bodyOf(r))[:8], 0)
 		}}, CutOff, 1, nil},
-		{"another's answer", "", []http.HandlerFunc{func(w http.ResponseWriter, _ *http.Request) {
+		{"answer of another request", "", []http.HandlerFunc{func(w http.ResponseWriter, _ *http.Request) {
 			stream(w, string(answer.Text([]byte("another"), 8)), 0)
-			done(w)
+			endStream(w)
 		}}, Damaged, 1, nil},
 		{"end announced too early", "", []http.HandlerFunc{func(w http.ResponseWriter, r *http.Request) {
 			stream(w, textOf(bodyOf(r))[:8], 0)
-			done(w)
+			endStream(w)
 		}}, Damaged, 1, nil},
 		{"a gap in the offsets", "", []http.HandlerFunc{func(w http.ResponseWriter, r *http.Request) {
 			stream(w, textOf(bodyOf(r)), 4)
-			done(w)
+			endStream(w)
 		}}, Damaged, 1, nil},
 		{"an announced restart", "", []http.HandlerFunc{func(w http.ResponseWriter, r *http.Request) {
 			own := textOf(bodyOf(r))
 			stream(w, own[:12], 0)
 			fmt.Fprint(w, "event: restart\nid: 0\ndata: {}\n\n")
 			stream(w, own, 0)
-			done(w)
+			endStream(w)
 		}}, Whole, 1, func(r Record) bool { return r.Restarts == 1 }},
 		{"a failure inside the stream", "", []http.HandlerFunc{func(w http.ResponseWriter, r *http.Request) {
 			stream(w, textOf(bodyOf(r))[:8], 0)
 			fmt.Fprint(w, "event: error\ndata: {\"error\":{\"code\":5001,\"outcome\":\"ran\"}}\n\n")
 		}}, Failed, 1, func(r Record) bool { return r.Code == result.EndpointFailed }},
-		{"hangs past the deadline and the grace", "", []http.HandlerFunc{hang}, Lost, 1, func(r Record) bool { return r.Took() == 21*time.Second }},
-		{"impatient, submits the same request again", "idempotency_key = true\npatience = 3s", []http.HandlerFunc{hang, answerWhole}, Whole, 2, func(r Record) bool {
-			return r.Resubmits == 1 && r.Anew == 0 && r.Took() == 3*time.Second+reattachWait
+		{"no answer until deadline and grace have passed", "", []http.HandlerFunc{hang}, Lost, 1, func(r Record) bool { return r.Took() == 21*time.Second }},
+		{"patience over, same request resubmitted", "idempotency_key = true\npatience = 3s", []http.HandlerFunc{hang, answerWhole}, Whole, 2, func(r Record) bool {
+			return r.Resubmits == 1 && r.ResubmitsAsNew == 0 && r.Took() == 3*time.Second+retryDelay
 		}},
-		{"impatient, submits a new request", "resubmit = new\npatience = 3s", []http.HandlerFunc{hang, answerWhole}, Whole, 2, func(r Record) bool { return r.Anew == 1 }},
+		{"patience over, new request submitted", "resubmit = new\npatience = 3s", []http.HandlerFunc{hang, answerWhole}, Whole, 2, func(r Record) bool { return r.ResubmitsAsNew == 1 }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			m := mustMix(t, oneRequest+c.extra+"\n")
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				g := &gatewayFake{script: c.script}
+				g := &fakeGateway{script: c.script}
 				opt := g.serve(t, m)
-				opt.Keep = first
-				c0 := make([]Record, 0, 1)
-				opt.Progress = func(r Record) { c0 = append(c0, r) }
+				opt.Keep = isFirst
+				reported := make([]Record, 0, 1)
+				opt.Progress = func(r Record) { reported = append(reported, r) }
 				recs := doVerified(t, opt)
 				is.Equal(len(recs), 1)
 				is.Equal(recs[0].Final, c.final)
 				is.Equal(len(g.seen), c.seen)
-				is.Equal(c0, recs)
+				is.Equal(reported, recs)
 				is.Equal(g.seen[0].Header.Get("Authorization"), "Bearer secret")
 				if c.check != nil {
 					is.True(c.check(recs[0]))
@@ -164,8 +165,8 @@
 	}
 }
 
-// doVerified runs the schedule with answers compared; the fake keeps no
-// records of executions, so the join is left out.
+// doVerified runs the schedule and compares the answers. The fake gateway keeps
+// no execution records, so none are joined.
 func doVerified(t *testing.T, o Options) []Record {
 	t.Helper()
 	arrivals := o.schedule()
@@ -182,11 +183,11 @@
 	m := mustMix(t, oneRequest+"repeatable = false\nticket = true\n")
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := &gatewayFake{script: []http.HandlerFunc{func(w http.ResponseWriter, _ *http.Request) {
+		g := &fakeGateway{script: []http.HandlerFunc{func(w http.ResponseWriter, _ *http.Request) {
 			fmt.Fprint(w, `{"tickets":["A"]}`)
 		}, answerWhole}}
 		opt := g.serve(t, m)
-		opt.Keep = first
+		opt.Keep = isFirst
 		recs := doVerified(t, opt)
 		is.Equal(recs[0].Final, Whole)
 		is.Equal(g.seen[0].URL.Path, pathTickets)
@@ -197,10 +198,10 @@
 	})
 }
 
-// A gateway that stalls for ten seconds makes every request due in that time
-// wait for the rest of it. A generator that waited with it would record one
-// slow request and hide the others.
-func TestStallIsNotHidden(t *testing.T) {
+// Guards against coordinated omission: a gateway that stalls for ten seconds
+// delays every request due in that time, but a generator that waits for each
+// answer before it sends the next request records only one slow request.
+func TestLatencyIncludesGatewayStall(t *testing.T) {
 	const stall = 10 * time.Second
 	m := mustMix(t, oneRequest)
 	m.Run.Rate = 20
@@ -209,7 +210,7 @@
 		over := time.After(stall)
 		open := make(chan struct{})
 		go func() { <-over; close(open) }()
-		g := &gatewayFake{script: []http.HandlerFunc{func(w http.ResponseWriter, r *http.Request) {
+		g := &fakeGateway{script: []http.HandlerFunc{func(w http.ResponseWriter, r *http.Request) {
 			<-open
 			answerWhole(w, r)
 		}}}
@@ -235,7 +236,7 @@
 	m.Run.MaxInFlight = 1
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := &gatewayFake{script: []http.HandlerFunc{hang}}
+		g := &fakeGateway{script: []http.HandlerFunc{hang}}
 		opt := g.serve(t, m)
 		opt.Keep = func(a Arrival) bool { return a.At < 10*time.Second }
 		recs := doVerified(t, opt)
@@ -247,7 +248,8 @@
 	})
 }
 
-// A connection that never comes about carries no request, however it ends.
+// A request whose connection was never established counts as unsent, even if
+// the dial ends only with the request's deadline.
 func TestNoConnectionIsUnsent(t *testing.T) {
 	m := mustMix(t, oneRequest)
 	synctest.Test(t, func(t *testing.T) {
@@ -258,7 +260,7 @@
 			<-over
 			return nil, net.ErrClosed
 		}
-		recs := doVerified(t, Options{Mix: m, Gateways: []string{"http://gateway"}, Seed: 1, Keep: first, Transport: &http.Transport{DialContext: hangs}})
+		recs := doVerified(t, Options{Mix: m, Gateways: []string{"http://gateway"}, Seed: 1, Keep: isFirst, Transport: &http.Transport{DialContext: hangs}})
 		is.Equal(recs[0].Final, Unsent)
 	})
 }
--- a/load/check.go
+++ b/load/check.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Breach names a promise that a request's record shows to be broken.
+// Breach names a guarantee that was violated according to a request's record.
 type Breach string
 
-// The breaches.
+// Kinds of breaches.
 const (
-	BreachLost        Breach = "lost"          // admitted or sent, and no outcome ever came
-	BreachCutOff      Breach = "cut-off"       // the answer broke off without an outcome
-	BreachDamaged     Breach = "damaged"       // the answer is another's or has a gap
-	BreachDoubled     Breach = "doubled"       // an unrepeatable request ran more than once
-	BreachFalseNotRun Breach = "false-not-run" // told "not run", and it ran
-	BreachPhantom     Breach = "phantom"       // a whole answer that no executor ran
-	BreachLate        Breach = "late"          // ended after its deadline and the allowance
+	BreachLost        Breach = "lost"          // admitted or sent, but no outcome arrived
+	BreachCutOff      Breach = "cut-off"       // the answer ended early without an outcome
+	BreachDamaged     Breach = "damaged"       // the answer belongs to another request or has a gap
+	BreachDoubled     Breach = "doubled"       // a non-repeatable request ran more than once
+	BreachFalseNotRun Breach = "false-not-run" // reported as "not run", but it ran
+	BreachPhantom     Breach = "phantom"       // a complete answer, but no executor recorded a run
+	BreachLate        Breach = "late"          // ended after its deadline plus lateAllowance
 )
 
-// Breaches lists all breaches in the order of reports.
+// Breaches lists all kinds of breaches in the order used in reports.
 var Breaches = []Breach{BreachLost, BreachCutOff, BreachDamaged, BreachDoubled, BreachFalseNotRun, BreachPhantom, BreachLate}
 
-// lateAllowance is how far past its deadline an outcome may arrive: transport
-// and scheduling on a loaded machine.
+// lateAllowance is how long after the deadline an outcome may still arrive. It
+// covers transport and scheduling delays on a loaded machine.
 const lateAllowance = 2 * time.Second
 
-// Check returns the promises that the record shows to be broken. Counts of
-// executions are judged only when every executor could be asked.
+// Check returns the breaches found in a record. Execution counts are checked
+// only if the records of all executors are available.
 func Check(r Record) []Breach {
 	out := checkEnd(r)
 	if r.Executions >= 0 {
@@ -51,12 +51,12 @@
 
 func checkExecutions(r Record) []Breach {
 	var out []Breach
-	// A caller that submitted anew asked for each of these runs itself.
-	asked := 1 + r.Anew
-	if !r.Repeatable && r.Executions > asked {
+	// Each resubmission as a new request permits one more run.
+	permitted := 1 + r.ResubmitsAsNew
+	if !r.Repeatable && r.Executions > permitted {
 		out = append(out, BreachDoubled)
 	}
-	if r.Final == Refused && r.Anew == 0 && r.Executions > 0 {
+	if r.Final == Refused && r.ResubmitsAsNew == 0 && r.Executions > 0 {
 		out = append(out, BreachFalseNotRun)
 	}
 	if r.Final == Whole && r.Executions == 0 {
--- a/load/check_test.go
+++ b/load/check_test.go
@@ -17,26 +17,26 @@
 		want []Breach
 	}{
 		{"whole, once", Record{Final: Whole, Executions: 1}, nil},
-		{"whole, executors not asked", Record{Final: Whole, Executions: notAsked}, nil},
+		{"whole, execution records missing", Record{Final: Whole, Executions: executionsUnknown}, nil},
 		{"whole, repeatable, twice", Record{Final: Whole, Repeatable: true, Executions: 2}, nil},
-		{"whole, unrepeatable, twice", Record{Final: Whole, Executions: 2}, []Breach{BreachDoubled}},
-		{"whole, unrepeatable, submitted anew", Record{Final: Whole, Executions: 2, Anew: 1, Resubmits: 1}, nil},
-		{"whole, unrepeatable, submitted again under its key", Record{Final: Whole, Executions: 2, Resubmits: 1}, []Breach{BreachDoubled}},
+		{"whole, non-repeatable, twice", Record{Final: Whole, Executions: 2}, []Breach{BreachDoubled}},
+		{"whole, non-repeatable, resubmitted as a new request", Record{Final: Whole, Executions: 2, ResubmitsAsNew: 1, Resubmits: 1}, nil},
+		{"whole, non-repeatable, resubmitted with its key", Record{Final: Whole, Executions: 2, Resubmits: 1}, []Breach{BreachDoubled}},
 		{"whole, never ran", Record{Final: Whole}, []Breach{BreachPhantom}},
 		{"refused, did not run", Record{Final: Refused}, nil},
 		{"refused, ran", Record{Final: Refused, Repeatable: true, Executions: 1}, []Breach{BreachFalseNotRun}},
-		{"refused at the second submission", Record{Final: Refused, Executions: 1, Anew: 1}, nil},
+		{"refused at the second submission", Record{Final: Refused, Executions: 1, ResubmitsAsNew: 1}, nil},
 		{"may have run, did not", Record{Final: Unknown}, nil},
 		{"may have run, ran once", Record{Final: Unknown, Executions: 1}, nil},
 		{"may have run, ran twice", Record{Final: Unknown, Executions: 2}, []Breach{BreachDoubled}},
 		{"failed", Record{Final: Failed, Executions: 1}, nil},
 		{"lost", Record{Final: Lost}, []Breach{BreachLost}},
-		{"lost, unrepeatable, ran twice", Record{Final: Lost, Executions: 2}, []Breach{BreachLost, BreachDoubled}},
+		{"lost, non-repeatable, ran twice", Record{Final: Lost, Executions: 2}, []Breach{BreachLost, BreachDoubled}},
 		{"cut off", Record{Final: CutOff, Executions: 1}, []Breach{BreachCutOff}},
 		{"damaged", Record{Final: Damaged, Executions: 1}, []Breach{BreachDamaged}},
 		{"late within the allowance", Record{Final: Whole, Executions: 1, Deadline: time.Second, End: 3 * time.Second}, nil},
 		{"late", Record{Final: Whole, Executions: 1, Deadline: time.Second, End: 3*time.Second + 1}, []Breach{BreachLate}},
-		{"late counts from due", Record{Final: Whole, Executions: 1, Due: time.Second, Deadline: time.Second, End: 4 * time.Second}, nil},
+		{"late, counted from the due time", Record{Final: Whole, Executions: 1, Due: time.Second, Deadline: time.Second, End: 4 * time.Second}, nil},
 		{"unsent", Record{Final: Unsent, End: time.Hour}, nil},
 	}
 	for _, c := range cases {
@@ -58,9 +58,9 @@
 	s := Summarize(m, 5, 0.8, []Record{
 		with(func(r *Record) { r.FirstToken, r.End = 2100*time.Millisecond, 2200*time.Millisecond }),
 		with(func(r *Record) { r.Measured, r.End = false, 500*time.Millisecond }),
-		with(func(r *Record) { r.End = 3500 * time.Millisecond }), // answered late, within the allowance
+		with(func(r *Record) { r.End = 3500 * time.Millisecond }), // after its deadline, within lateAllowance
 		with(func(r *Record) { r.Executions = 3 }),
-		with(func(r *Record) { r.Due, r.End = 10900*time.Millisecond, 11200*time.Millisecond }), // ended after the arrivals
+		with(func(r *Record) { r.Due, r.End = 10900*time.Millisecond, 11200*time.Millisecond }), // ended after the arrivals stopped
 		with(func(r *Record) {
 			r.Final, r.Executions, r.Sent, r.End = Refused, 0, 2*time.Second, 2005*time.Millisecond
 			r.Code = result.Overloaded
@@ -80,7 +80,7 @@
 	is.Equal(s.Classes[0].FirstToken.Count, int64(1))
 	is.True(within(s.Classes[0].FirstToken.P95, 0.1, 0.001))
 	is.True(within(s.Refusals.P50, 0.005, 0.0001))
-	is.True(within(s.UsefulTokens, 10_100, 0.01)) // two short and one long in ten seconds
+	is.True(within(s.UsefulTokens, 10_100, 0.01)) // two short requests and one long one in ten seconds
 	is.True(within(s.LongTokens, 9_900, 0.01))
 }
 
@@ -96,7 +96,7 @@
 	}
 	shared, alone := run(3), run(2)
 	shared[7].Final = Refused
-	alone[8].Final = Refused // not answered alone: no pair
+	alone[8].Final = Refused // not answered in the run alone: no pair
 	shared[9].Class = routing.ClassLong
 	alone[9].Class = routing.ClassLong
 	s := CompareShort(shared, alone)
--- a/load/client.go
+++ b/load/client.go
@@ -21,22 +21,22 @@
 	maxAnswerBytes = 64 << 20
 )
 
-// reply is how one presentation of a request ended.
+// reply describes how one presentation or reattachment ended.
 type reply struct {
-	final   Final // Whole and Damaged, or as told; empty when the connection broke
-	problem problem
-	ticket  string // the run's name, when one was learned
-	refused bool   // no gateway took the connection; the request was not sent
+	final        Final // Whole or Damaged, or from the reported outcome; empty when the connection broke
+	problem      problem
+	ticket       string // the run's ticket, if the gateway returned one
+	notConnected bool   // no connection was established; the request was not sent
 }
 
-// client speaks the callers' protocol with a list of gateways.
+// client implements the callers' protocol against a list of gateways.
 type client struct {
 	http     *http.Client
 	gateways []string // base URLs
 	next     atomic.Uint64
 }
 
-// gateway returns the base URL for the next connection, as a balancer would.
+// gateway returns the base URL for the next request, in round-robin order.
 func (c *client) gateway() string {
 	return c.gateways[(c.next.Add(1)-1)%uint64(len(c.gateways))]
 }
@@ -58,21 +58,21 @@
 	}
 	defer drain(resp.Body)
 	if resp.StatusCode/100 != 2 {
-		return nil, errors.New("tickets: status " + strconv.Itoa(resp.StatusCode))
+		return nil, errors.New("fetch tickets: HTTP status " + strconv.Itoa(resp.StatusCode))
 	}
 	var out ticketsAnswer
 	err = json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(&out)
 	return out.Tickets, err
 }
 
-// present sends a request and reads its answer into a. onText is called
-// before each piece of text is added.
+// present sends a request and reads its answer into a. It calls onText before
+// each chunk of text is added.
 func (c *client) present(req *http.Request, a *assembly, onText func()) reply {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	resp, err := c.http.Do(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
 	if err != nil {
-		return reply{refused: !connected.Load()}
+		return reply{notConnected: !connected.Load()}
 	}
 	defer drain(resp.Body)
 	r := reply{ticket: resp.Header.Get(headerTicket)}
@@ -94,8 +94,8 @@
 	}
 }
 
-// readProblem reads an error answer. One that is no problem document says
-// nothing about execution.
+// readProblem reads an error response. A response without a problem document
+// yields Unknown because it does not tell whether the request ran.
 func readProblem(resp *http.Response, kind string) (Final, problem) {
 	var p problem
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
@@ -103,7 +103,7 @@
 		return "", p
 	}
 	if kind != typeProblem || json.Unmarshal(body, &p) != nil {
-		return Unknown, problem{Detail: "status " + strconv.Itoa(resp.StatusCode)}
+		return Unknown, problem{Detail: "no problem document, HTTP status " + strconv.Itoa(resp.StatusCode)}
 	}
 	if s, err := strconv.Atoi(resp.Header.Get(headerRetryAfter)); err == nil && p.RetryAfterMS == 0 {
 		p.RetryAfterMS = int64(s) * int64(time.Second/time.Millisecond)
@@ -111,8 +111,8 @@
 	return p.final(), p
 }
 
-// readEvents reads a stream. It returns an empty Final when the stream broke
-// off before its end.
+// readEvents reads an event stream. It returns an empty Final when the stream
+// broke off before its end.
 func readEvents(body io.Reader, a *assembly, onText func()) (Final, problem) {
 	for ev, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
@@ -137,7 +137,7 @@
 func addEvent(ev sse.Event, a *assembly, onText func()) {
 	text, err := parseText([]byte(ev.Data))
 	if err != nil {
-		a.fault("an event is not JSON")
+		a.markDamaged("event data is not valid JSON")
 		return
 	}
 	if text == "" {
--- a/load/executions.go
+++ b/load/executions.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// notAsked stands in Record.Executions when an executor's records are missing.
-	notAsked          = -1
+	// executionsUnknown is the value of Record.Executions when the records of an
+	// executor are missing.
+	executionsUnknown = -1
 	pathExecutions    = "/executions"
 	executionsTimeout = 10 * time.Second
 )
 
-// executions is the part of a stand-in's record that is joined.
+// executions is the part of a stand-in's execution report that is read.
 type executions struct {
 	ByTag map[string]int `json:"by_tag"`
 }
 
-// join writes into each record how often its request ran. When an executor
-// cannot be asked the records keep -1 and the error says so.
+// join sets in each record how often its request ran. If the report of an
+// executor cannot be fetched, the records keep -1 and an error is returned.
 func (o Options) join(ctx context.Context, c *http.Client, records []Record) error {
 	if len(o.Engines) == 0 {
 		return nil
@@ -31,7 +32,7 @@
 	for _, url := range o.Engines {
 		one, err := fetchExecutions(ctx, c, url)
 		if err != nil {
-			return trace.Wrap(err, "executions of %s", url)
+			return trace.Wrap(err, "fetch execution report of %s", url)
 		}
 		for tag, n := range one.ByTag {
 			total[tag] += n
@@ -57,7 +58,7 @@
 	}
 	defer drain(resp.Body)
 	if resp.StatusCode != http.StatusOK {
-		return out, trace.BadParameter("status %d", resp.StatusCode)
+		return out, trace.BadParameter("HTTP status %d", resp.StatusCode)
 	}
 	err = json.NewDecoder(resp.Body).Decode(&out)
 	return out, err
--- a/load/experiment.go
+++ b/load/experiment.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Experiment is a run of the whole mix, if asked for after a run of its short
-// requests alone.
+// Experiment is a run of the whole mix, preceded, if Alone is set, by a run of
+// its short requests alone.
 type Experiment struct {
 	Options
 	MixName string
@@ -22,24 +22,24 @@
 	return len(as) + len(Only(as, IsShort))
 }
 
-// Report is the outcome of an experiment.
+// Report is the result of an experiment.
 type Report struct {
 	Mix      string    `json:"mix"`
 	Started  time.Time `json:"started"`
 	Summary  *Summary  `json:"summary"`
 	Alone    *Summary  `json:"alone,omitempty"`
 	Slowdown *Slowdown `json:"slowdown,omitempty"`
-	// Records hold every request of the run of the whole mix.
+	// Records holds all requests of the run of the whole mix.
 	Records []Record `json:"-"`
 }
 
-// Broken tells whether any promise was seen broken.
+// Broken reports whether any breach was found.
 func (r *Report) Broken() bool {
 	return len(r.Summary.Breaches) > 0 || r.Alone != nil && len(r.Alone.Breaches) > 0
 }
 
-// Run carries out the experiment. It returns the report of what was measured
-// also with an error, unless nothing was.
+// Run performs the experiment. If the run of the whole mix yields records, Run
+// returns a report even along with an error.
 func Run(ctx context.Context, e Experiment) (*Report, error) {
 	rep := &Report{Mix: e.MixName, Started: time.Now().UTC()}
 	var alone []Record
--- a/load/fake_test.go
+++ b/load/fake_test.go
@@ -13,14 +13,15 @@
 	"github.com/micarudder/micarudder/internal/standin/pipe"
 )
 
-// gatewayFake answers presentations by a script; the last entry repeats.
-type gatewayFake struct {
+// fakeGateway serves requests with the handlers of script in order; the last
+// one serves all further requests.
+type fakeGateway struct {
 	mu     sync.Mutex
 	script []http.HandlerFunc
 	seen   []*http.Request
 }
 
-func (g *gatewayFake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *fakeGateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.mu.Lock()
 	h := g.script[min(len(g.seen), len(g.script)-1)]
 	g.seen = append(g.seen, r)
@@ -28,8 +29,9 @@
 	h(w, r)
 }
 
-// serve runs the fake in the bubble and returns options that reach it.
-func (g *gatewayFake) serve(t *testing.T, m *Mix) Options { return serveHandler(t, m, g) }
+// serve starts the fake gateway inside the synctest bubble and returns options
+// that connect to it.
+func (g *fakeGateway) serve(t *testing.T, m *Mix) Options { return serveHandler(t, m, g) }
 
 func serveHandler(t *testing.T, m *Mix, h http.Handler) Options {
 	s := pipe.Serve(h)
@@ -37,7 +39,7 @@
 	return Options{Mix: m, Gateways: []string{"http://gateway"}, Seed: 1, Name: "t", Transport: s.Client.Transport}
 }
 
-// bodyOf reads a completion request.
+// bodyOf parses the body of a completion request.
 func bodyOf(r *http.Request) answer.Body {
 	data, _ := io.ReadAll(r.Body)
 	b, err := answer.Parse(data)
@@ -49,7 +51,7 @@
 
 func textOf(b answer.Body) string { return string(answer.Text([]byte(b.Prompt), b.MaxTokens)) }
 
-// stream writes text as events of one token, from byte offset from on.
+// stream writes text as events of one token each, starting at byte offset from.
 func stream(w http.ResponseWriter, text string, from int) {
 	w.Header().Set("Content-Type", typeEvents)
 	for at := from; at < len(text); at += answer.TokenBytes {
@@ -59,15 +61,15 @@
 	}
 }
 
-func done(w io.Writer) { fmt.Fprintf(w, "data: %s\n\n", endOfStream) }
+func endStream(w io.Writer) { fmt.Fprintf(w, "data: %s\n\n", endOfStream) }
 
-// answerWhole streams the request's own answer.
+// answerWhole streams the complete answer to the request.
 func answerWhole(w http.ResponseWriter, r *http.Request) {
 	stream(w, textOf(bodyOf(r)), 0)
-	done(w)
+	endStream(w)
 }
 
-func tell(status int, p problem) http.HandlerFunc {
+func answerProblem(status int, p problem) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", typeProblem)
 		w.Header().Set(headerRetryAfter, strconv.FormatInt((p.RetryAfterMS+999)/1000, 10))
--- a/load/html.go
+++ b/load/html.go
@@ -23,11 +23,11 @@
 	},
 }).Parse(reportText))
 
-// finals lists all ends in the order of reports.
+// finals lists all final states in the order used in reports.
 var finals = []Final{Whole, Refused, Unknown, Failed, CutOff, Damaged, Lost, Unsent}
 
-// distributionTicks is how many points of a distribution are drawn for each
-// halving of the rest.
+// distributionTicks is the number of points drawn for each halving of the
+// remaining part of a distribution.
 const distributionTicks = 10
 
 type reportPage struct {
@@ -36,7 +36,7 @@
 	Slow       template.HTML
 }
 
-// WriteHTML writes the report as one page that needs no other file.
+// WriteHTML writes the report as one self-contained HTML page.
 func (r *Report) WriteHTML(w io.Writer) error {
 	page := reportPage{Report: r}
 	var err error
@@ -49,7 +49,8 @@
 	return trace.Wrap(reportTemplate.Execute(w, page))
 }
 
-// firstTokenChart shows the part of requests whose first token came within a time.
+// firstTokenChart plots the percentage of requests whose first token arrived
+// within a given time.
 func (r *Report) firstTokenChart() chart.Chart {
 	c := chart.Chart{Title: "Time to first token by prompt length", XLabel: "seconds", YLabel: "% of requests", LogX: true}
 	for _, cl := range r.Summary.Classes {
@@ -65,7 +66,8 @@
 	return c
 }
 
-// slowdownChart shows the part of short requests slowed down by at most a factor.
+// slowdownChart plots the percentage of short requests slowed down by at most a
+// given factor.
 func (r *Report) slowdownChart() chart.Chart {
 	c := chart.Chart{Title: "Slowdown of short requests", XLabel: "time beside long work over time alone", YLabel: "% of requests", LogX: true}
 	if r.Slowdown == nil {
--- a/load/lengths.go
+++ b/load/lengths.go
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// MaxTokens bounds a prompt.
+// MaxTokens is the maximum prompt length.
 const MaxTokens = 1 << 20
 
 const kilo = 1024 // tokens in a "k"
 
-// Range is a range of token counts, drawn log-uniformly, and its weight.
+// Range is a weighted range of token counts, sampled log-uniformly.
 type Range struct {
 	From, To uint64
 	Weight   float64
 }
 
 // Lengths is a distribution of token counts. Its text form is a
-// comma-separated list of FROM-TO:WEIGHT; a count may end in k (1024) or M
-// (1024 k), and a weight left out is 1.
+// comma-separated list of FROM-TO:WEIGHT. A count may end in k (1024) or M
+// (1024 k); the weight defaults to 1.
 type Lengths []Range
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// Draw returns one token count.
+// Draw samples one token count.
 func (l Lengths) Draw(r *rand.Rand) uint64 {
 	x := r.Float64() * l.weight()
 	for _, c := range l {
--- a/load/mix.go
+++ b/load/mix.go
@@ -1,9 +1,9 @@
-// Package load generates callers' traffic against gateways and judges what
-// comes back. Arrivals are open-loop: their times are drawn before the run
-// from a seed, and every latency counts from the drawn time, so that waiting
-// is never hidden by a caller that waits itself. The package speaks only the
-// callers' protocol, and joins its own records with the executors' records to
-// count answers that were lost, doubled, cut off or damaged.
+// Package load generates callers' traffic against gateways and checks the
+// answers. Arrivals are open-loop: their times are drawn from a seed before the
+// run, and every latency is measured from the drawn time, so a delayed request
+// never hides the delay of those behind it (coordinated omission). The package
+// uses only the callers' protocol and joins its own records with the executors'
+// to count requests that were lost, run twice, cut off or damaged.
 package load
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/micarudder/micarudder/settings"
 )
 
-// Paths of the completion protocol that a flow can use.
+// Paths of the completion API that a flow can use.
 const (
 	PathChat        = "/v1/chat/completions"
 	PathCompletions = "/v1/completions"
@@ -38,7 +38,7 @@
 	Flow map[string]Flow `section:"flow *"`
 }
 
-// RunSettings holds what the flows share.
+// RunSettings holds the settings that all flows share.
 type RunSettings struct {
 	Duration    time.Duration `key:"duration" default:"60s" min:"1s" max:"1h" help:"time over which requests arrive"`
 	Rate        float64       `key:"rate" required:"true" min:"0" max:"10000" help:"requests a second of all flows together at load 1"`
@@ -47,7 +47,7 @@
 	MaxInFlight int           `key:"max_in_flight" default:"2000" min:"1" max:"20000" help:"requests open at once; an arrival above it is counted as unsent"`
 }
 
-// Flow is one kind of request of one workspace.
+// Flow describes one kind of request of one workspace.
 type Flow struct {
 	Workspace    string        `key:"workspace" required:"true" help:"name in reports"`
 	Key          string        `key:"key" required:"true" help:"bearer key"`
@@ -92,10 +92,10 @@
 		out = append(out, f.check("flow "+name)...)
 	}
 	if !(m.Run.Rate > 0) {
-		out = append(out, mistake("run", "rate", "is not above 0", ""))
+		out = append(out, mistake("run", "rate", "is not greater than 0", ""))
 	}
 	if total > 1.0001 {
-		out = append(out, mistake("run", "rate", fmt.Sprintf("the flows' shares add up to %.3f", total), "at most 1"))
+		out = append(out, mistake("run", "rate", fmt.Sprintf("the shares of the flows add up to %.3f", total), "at most 1"))
 	}
 	if len(m.Flow) == 0 {
 		out = append(out, mistake("flow", "", "there is none", "[flow NAME]"))
@@ -119,10 +119,10 @@
 		out = append(out, mistake(section, "burst_length", "is longer than burst_every", ""))
 	}
 	if f.Patience > 0 && f.Resubmit == ResubmitSameKey && !f.Keyed && !f.Ticket {
-		out = append(out, mistake(section, "resubmit", "same-key needs a name to present again", "ticket = true or idempotency_key = true"))
+		out = append(out, mistake(section, "resubmit", "same-key needs a ticket or an idempotency key to resubmit with", "ticket = true or idempotency_key = true"))
 	}
 	if !f.Repeatable && !f.Keyed && !f.Ticket {
-		out = append(out, mistake(section, "repeatable", "an unrepeatable request needs a name", "ticket = true or idempotency_key = true"))
+		out = append(out, mistake(section, "repeatable", "a non-repeatable request needs a ticket or an idempotency key", "ticket = true or idempotency_key = true"))
 	}
 	return out
 }
--- a/load/patience.go
+++ b/load/patience.go
@@ -8,17 +8,19 @@
 	"github.com/google/uuid"
 )
 
-// impatience gives up one presentation that brings no first token in time.
-type impatience struct {
+// patienceTimer cancels one presentation that yields no first token in time.
+type patienceTimer struct {
 	mu       sync.Mutex
 	timer    *time.Timer
 	disarmed bool
 	fired    bool
 }
 
-// arm starts the caller's patience, if it has any left, over one presentation.
-func (c *caller) arm(cancel context.CancelFunc) *impatience {
-	p := new(impatience)
+// startPatience starts the timer for one presentation. The timer never fires if
+// the flow sets no patience, a first token has arrived or no resubmissions are
+// left.
+func (c *caller) startPatience(cancel context.CancelFunc) *patienceTimer {
+	p := new(patienceTimer)
 	if c.flow.Patience <= 0 || c.rec.FirstToken > 0 || c.rec.Resubmits >= c.flow.MaxResubmits {
 		return p
 	}
@@ -28,7 +30,7 @@
 	return p
 }
 
-func (p *impatience) fire(cancel context.CancelFunc) {
+func (p *patienceTimer) fire(cancel context.CancelFunc) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.disarmed {
@@ -37,8 +39,8 @@
 	}
 }
 
-// disarm ends the watch and tells whether patience had run out before.
-func (p *impatience) disarm() bool {
+// disarm stops the timer and reports whether it had fired before.
+func (p *patienceTimer) disarm() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.disarmed = true
@@ -48,13 +50,14 @@
 	return p.fired
 }
 
-// resubmit notes that the caller lost patience. A new request gets a new name.
-func (c *caller) resubmit() {
+// recordResubmit counts a resubmission after the patience timer fired. A
+// resubmission as a new request drops the ticket and gets a new idempotency key.
+func (c *caller) recordResubmit() {
 	c.rec.Resubmits++
 	if c.flow.Resubmit != ResubmitNew {
 		return
 	}
-	c.rec.Anew++
+	c.rec.ResubmitsAsNew++
 	c.ticket = ""
 	if c.flow.Keyed {
 		c.key = uuid.NewString()
--- a/load/progress.go
+++ b/load/progress.go
@@ -10,8 +10,8 @@
 
 const progressThrottle = 200 * time.Millisecond
 
-// Progress shows on w how many requests of total have ended and how. The
-// returned function is for Options.Progress; close ends the display.
+// Progress displays on w how many of total requests have ended, by final state.
+// update is meant for Options.Progress; end closes the display.
 func Progress(w io.Writer, title string, total int) (update func(Record), end func()) {
 	bar := progressbar.NewOptions(total,
 		progressbar.OptionSetWriter(w),
--- a/load/prompt.go
+++ b/load/prompt.go
@@ -9,16 +9,16 @@
 	"github.com/micarudder/micarudder/prefix"
 )
 
-// filler is repeated to give a prompt its length.
+// filler is repeated to pad a prompt to its length.
 var filler = strings.Repeat("settle the imbalance of the hour and name the letter by its year ", 1024)
 
-// Tag returns the name by which executors count the runs of an arrival. run
-// names the whole load run, so that tags of two runs differ.
+// Tag returns the identifier by which executors count the runs of an arrival.
+// run names the load run and makes the tags of different load runs distinct.
 func (a Arrival) Tag(run string) string { return run + "-" + a.ID }
 
-// PromptText returns the arrival's prompt: the prefix of its session, then
-// text of its own, then its tag. Prompts of one session share their prefix up
-// to the shorter one's shared part.
+// PromptText returns the arrival's prompt: the prefix of its session, then text
+// unique to the arrival, then its tag. Two prompts of one session have a common
+// prefix as long as the shared part of the shorter prompt.
 func (a Arrival) PromptText(f Flow, run string) string {
 	size := int(a.Prompt) * prefix.BytesPerToken
 	tag := answer.Tag(a.Tag(run))
@@ -33,7 +33,7 @@
 	return b.String()
 }
 
-// fill writes a title and filler until b holds size bytes.
+// fill appends title to b, then filler until b holds size bytes.
 func fill(b *strings.Builder, title string, size int) {
 	b.WriteString(title)
 	for b.Len() < size {
--- a/load/protocol.go
+++ b/load/protocol.go
@@ -29,7 +29,7 @@
 	typeEvents  = "text/event-stream"
 )
 
-// problem is the body of an error answer.
+// problem is the problem document in an error response.
 type problem struct {
 	Code         result.Code `json:"code"`
 	Outcome      string      `json:"outcome"`
@@ -38,7 +38,7 @@
 	RetryAfterMS int64       `json:"retry_after_ms"`
 }
 
-// errorEvent is the data of an error inside a stream.
+// errorEvent is the data of an error event in a stream.
 type errorEvent struct {
 	Error problem `json:"error"`
 }
@@ -47,7 +47,7 @@
 	return time.Duration(p.RetryAfterMS) * time.Millisecond
 }
 
-// final maps a told outcome to the end of a request.
+// final maps the reported outcome to the final state of the request.
 func (p problem) final() Final {
 	switch p.Outcome {
 	case result.NotRun.String():
@@ -59,7 +59,7 @@
 	}
 }
 
-// completion is the part of an answer, whole or a chunk, that is read.
+// completion holds the fields read from an answer or from one of its chunks.
 type completion struct {
 	Choices []struct {
 		Delta   message `json:"delta"`
--- a/load/report_test.go
+++ b/load/report_test.go
@@ -17,7 +17,7 @@
 	m := mustMix(t, strings.Replace(sampleMix, "ticket = true", "", 1))
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := &gatewayFake{script: []http.HandlerFunc{answerWhole}}
+		g := &fakeGateway{script: []http.HandlerFunc{answerWhole}}
 		e := Experiment{Options: g.serve(t, m), MixName: "<sample>", Alone: true}
 		e.Load = 0.1
 		rep, err := Run(context.Background(), e)
@@ -26,7 +26,7 @@
 		is.Equal(rep.Slowdown.Missing, 0)
 		is.Equal(rep.Summary.Finals[Whole], rep.Summary.Requests)
 		is.True(rep.Alone.Requests < rep.Summary.Requests)
-		is.True(!rep.Summary.Joined) // no executor was named
+		is.True(!rep.Summary.Joined) // no executors configured
 		is.True(!rep.Broken())
 		var page bytes.Buffer
 		is.NoErr(rep.WriteHTML(&page))
@@ -40,15 +40,15 @@
 	})
 }
 
-// A stand-in engine speaks the completion protocol too, so that it can stand
-// where a gateway would; its own record of executions is joined.
+// A stand-in engine serves the completion API too, so it replaces the gateway
+// here; its execution records are joined.
 func TestRunJoinsExecutions(t *testing.T) {
 	mix := strings.Replace(sampleMix, "ticket = true", "", 1)
 	m := mustMix(t, strings.Replace(mix, "128k-1M", "32k-64k", 1))
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		cfg := engine.Default()
-		cfg.MemoryTokens = 10 * MaxTokens // nothing is refused for want of memory
+		cfg.MemoryTokens = 10 * MaxTokens // no request is refused for lack of memory
 		h := engine.NewServer(cfg).Handler()
 		e := Experiment{Options: serveHandler(t, m, h), Alone: true}
 		e.Engines, e.Load = e.Gateways, 0.05
@@ -60,7 +60,7 @@
 			is.Equal(r.Executions, 1)
 		}
 		is.Equal(rep.Summary.Breaches, map[Breach]int{})
-		is.True(rep.Slowdown.P95 > 1) // one engine with long work beside short
+		is.True(rep.Slowdown.P95 > 1) // long and short requests share one engine
 		e.Engines = []string{"http://gateway/nowhere"}
 		_, err = Run(context.Background(), e)
 		is.True(err != nil)
--- a/load/run.go
+++ b/load/run.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// ticketBatch is how many tickets a flow fetches at once.
+	// ticketBatch is the number of tickets that a flow fetches at once.
 	ticketBatch = 50
-	// ticketTimeout bounds one fetch; callers of the flow wait for it.
+	// ticketTimeout limits one fetch; callers of the flow wait for it to end.
 	ticketTimeout   = 2 * time.Second
 	idleConnections = 256
 )
 
-// Options choose what one run does.
+// Options configures one load run.
 type Options struct {
 	Mix      *Mix
 	Gateways []string // base URLs
-	// Engines are base URLs of stand-in executors whose records of executions
-	// are joined; empty against real ones, whose answers are then not compared.
+	// Engines holds the base URLs of stand-in executors whose execution records
+	// are joined. It is empty for real executors, whose answers are not compared.
 	Engines []string
 	Seed    uint64
-	Load    float64 // factor on the mix's rate; 0 counts as 1
-	Name    string  // distinguishes the tags of runs against the same executors
-	// Keep chooses arrivals; nil keeps all. Latencies of what is kept can be
-	// compared with a run of the whole schedule, request by request.
+	Load    float64 // multiplier of the mix's rate; 0 means 1
+	Name    string  // distinguishes the tags of load runs against the same executors
+	// Keep selects arrivals; nil selects all. The latency of each selected
+	// request can be compared with that in a run of the whole schedule.
 	Keep func(Arrival) bool
-	// Progress is told of every request that ended; it may be nil.
+	// Progress, if not nil, is called for every request that ended.
 	Progress func(Record)
 	// Transport replaces the HTTP transport; nil for the default.
 	Transport http.RoundTripper
 }
 
-// Do runs the schedule against the gateways and returns every record, judged
-// and joined with the executors' records. It returns early, with what it has,
-// when ctx ends.
+// Do runs the schedule against the gateways and returns the records of all
+// requests, joined with the executors' records. When ctx ends, requests not yet
+// sent are recorded as unsent.
 func Do(ctx context.Context, o Options) ([]Record, error) {
 	if len(o.Gateways) == 0 {
-		return nil, trace.BadParameter("no gateways")
+		return nil, trace.BadParameter("no gateways configured")
 	}
 	arrivals := o.schedule()
 	g := newGenerator(o, len(arrivals))
@@ -83,21 +83,22 @@
 		Measured:   a.At >= o.Mix.Run.Warmup,
 		Due:        a.At,
 		Deadline:   f.Deadline,
-		Executions: notAsked,
+		Executions: executionsUnknown,
 	}
 }
 
-// generator sends requests at their due times, whatever became of earlier ones.
+// generator sends requests at their due times, independently of the state of
+// earlier ones.
 type generator struct {
 	opt     Options
-	verify  bool // compare answers with the stand-ins'
+	verify  bool // compare answers with those expected from the stand-ins
 	client  *client
 	slots   chan struct{}
 	start   time.Time
 	records []Record
 
-	progress sync.Mutex
-	tickets  map[string]*ticketPool
+	progressMu sync.Mutex
+	tickets    map[string]*ticketPool
 }
 
 func newGenerator(o Options, n int) *generator {
@@ -125,24 +126,24 @@
 	g.start = time.Now()
 	for i, a := range arrivals {
 		if !sleep.For(ctx, a.At-g.now()) {
-			g.unsent(i, "the run was stopped")
+			g.recordUnsent(i, "the load run was stopped before the request was due")
 			continue
 		}
 		select {
 		case g.slots <- struct{}{}:
 		default:
-			g.unsent(i, "too many requests in flight")
+			g.recordUnsent(i, "the limit max_in_flight was reached")
 			continue
 		}
 		wg.Go(func() {
 			defer func() { <-g.slots }()
-			g.one(ctx, a, &g.records[i])
+			g.sendArrival(ctx, a, &g.records[i])
 		})
 	}
 	wg.Wait()
 }
 
-func (g *generator) one(ctx context.Context, a Arrival, rec *Record) {
+func (g *generator) sendArrival(ctx context.Context, a Arrival, rec *Record) {
 	f := g.opt.Mix.Flow[a.Flow]
 	ctx, cancel := context.WithDeadline(ctx, g.start.Add(a.At+f.Deadline+g.opt.Mix.Run.Grace))
 	defer cancel()
@@ -161,61 +162,61 @@
 		asm:    newAssembly(prompt, a.Answer, g.verify),
 	}
 	if pool := g.tickets[a.Flow]; pool != nil {
-		c.ticket, c.fresh = pool.take(ctx), pool.fresh
+		c.ticket, c.replaceTicket = pool.take(ctx), pool.replace
 	}
 	c.run(ctx)
-	g.report(*rec)
+	g.reportProgress(*rec)
 }
 
-func (g *generator) unsent(i int, why string) {
+func (g *generator) recordUnsent(i int, why string) {
 	rec := &g.records[i]
 	rec.Final, rec.Detail, rec.End = Unsent, why, g.now()
-	g.report(*rec)
+	g.reportProgress(*rec)
 }
 
-func (g *generator) report(r Record) {
+func (g *generator) reportProgress(r Record) {
 	if g.opt.Progress == nil {
 		return
 	}
-	g.progress.Lock()
-	defer g.progress.Unlock()
+	g.progressMu.Lock()
+	defer g.progressMu.Unlock()
 	g.opt.Progress(r)
 }
 
 func (g *generator) now() time.Duration { return time.Since(g.start) }
 
-// ticketPool fetches tickets in batches, as an application does that wants no
-// extra round trip.
+// ticketPool fetches tickets in batches, as an application does to avoid an
+// extra round trip per request.
 type ticketPool struct {
 	client *client
 	flow   Flow
 
-	mu   sync.Mutex
-	list []string
+	mu        sync.Mutex
+	available []string
 }
 
-// fresh drops the tickets fetched so far, which may name the same lost agent,
+// replace discards the tickets fetched so far, which may name the same lost agent,
 // and returns a new one.
-func (p *ticketPool) fresh(ctx context.Context) string {
+func (p *ticketPool) replace(ctx context.Context) string {
 	p.mu.Lock()
-	p.list = nil
+	p.available = nil
 	p.mu.Unlock()
 	return p.take(ctx)
 }
 
-// take returns a ticket, or "" when none can be had now.
+// take returns a ticket, or "" if none can be fetched.
 func (p *ticketPool) take(ctx context.Context) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.list) == 0 {
+	if len(p.available) == 0 {
 		ctx, cancel := context.WithTimeout(ctx, ticketTimeout)
 		defer cancel()
-		p.list, _ = p.client.tickets(ctx, p.flow, ticketBatch)
+		p.available, _ = p.client.tickets(ctx, p.flow, ticketBatch)
 	}
-	if len(p.list) == 0 {
+	if len(p.available) == 0 {
 		return ""
 	}
-	t := p.list[len(p.list)-1]
-	p.list = p.list[:len(p.list)-1]
+	t := p.available[len(p.available)-1]
+	p.available = p.available[:len(p.available)-1]
 	return t
 }
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -11,11 +11,11 @@
 	"github.com/micarudder/micarudder/routing"
 )
 
-// Arrival is one request that a caller will make.
+// Arrival is one scheduled request.
 type Arrival struct {
 	ID      string        // FLOW-NUMBER, unique in the schedule
 	Flow    string        // name of its flow
-	At      time.Duration // when it is due, from the start of the run
+	At      time.Duration // due time, from the start of the load run
 	Prompt  uint64        // tokens
 	Answer  uint64        // tokens
 	Session int           // index of the session whose prefix it shares; -1: none
@@ -24,9 +24,9 @@
 // Class returns the arrival's length class.
 func (a Arrival) Class() routing.Class { return routing.ClassOf(a.Prompt) }
 
-// Schedule draws the arrivals of the mix at a load, a factor on the rate. The
-// same mix, seed and load give the same schedule; each flow draws from its own
-// source, so that adding or removing a flow leaves the others' arrivals alone.
+// Schedule draws the arrivals of the mix at load, a multiplier of the rate. The
+// same mix, seed and load yield the same schedule. Each flow has its own random
+// source, so adding or removing a flow does not change the arrivals of others.
 func (m *Mix) Schedule(seed uint64, load float64) []Arrival {
 	var out []Arrival
 	for _, name := range m.FlowNames() {
@@ -36,7 +36,7 @@
 	return out
 }
 
-// Only returns the arrivals that keep returns true for.
+// Only returns the arrivals for which keep returns true.
 func Only(as []Arrival, keep func(Arrival) bool) []Arrival {
 	var out []Arrival
 	for _, a := range as {
@@ -50,14 +50,14 @@
 func (m *Mix) flowArrivals(name string, seed uint64, load float64) []Arrival {
 	f := m.Flow[name]
 	r := rand.New(rand.NewPCG(seed, xxhash.Sum64String(name)))
-	rate := f.rates(m.Run.Rate * f.Share * load)
+	rate := f.arrivalRate(m.Run.Rate * f.Share * load)
 	var out []Arrival
 	for at := time.Duration(0); ; {
 		at += rate.gap(r)
 		if at >= m.Run.Duration {
 			return out
 		}
-		// Thinning: draw at the highest rate and keep in proportion.
+		// Thinning: draw at the peak rate and accept with probability rate/peak.
 		if r.Float64()*rate.peak > rate.at(at) {
 			continue
 		}
@@ -71,33 +71,33 @@
 	}
 }
 
-// rateCurve is a rate of arrivals a second that changes in a fixed period.
+// rateCurve is a periodic arrival rate, in arrivals per second.
 type rateCurve struct {
-	base, burst, peak float64
-	every, quiet      time.Duration
+	base, burst, peak  float64
+	period, burstStart time.Duration
 }
 
-func (f Flow) rates(mean float64) rateCurve {
+func (f Flow) arrivalRate(mean float64) rateCurve {
 	if f.Arrivals != ArrivalsBursts {
 		return rateCurve{base: mean, peak: mean}
 	}
-	part := float64(f.BurstLength) / float64(f.BurstEvery)
-	c := rateCurve{every: f.BurstEvery, quiet: f.BurstEvery - f.BurstLength, burst: mean * f.BurstPart / part}
-	if part < 1 {
-		c.base = mean * (1 - f.BurstPart) / (1 - part)
+	burstFraction := float64(f.BurstLength) / float64(f.BurstEvery)
+	c := rateCurve{period: f.BurstEvery, burstStart: f.BurstEvery - f.BurstLength, burst: mean * f.BurstPart / burstFraction}
+	if burstFraction < 1 {
+		c.base = mean * (1 - f.BurstPart) / (1 - burstFraction)
 	}
 	c.peak = max(c.base, c.burst)
 	return c
 }
 
 func (c rateCurve) at(t time.Duration) float64 {
-	if c.every > 0 && t%c.every >= c.quiet {
+	if c.period > 0 && t%c.period >= c.burstStart {
 		return c.burst
 	}
 	return c.base
 }
 
-// gap draws the time to the next arrival at the highest rate.
+// gap draws the time to the next arrival at the peak rate.
 func (c rateCurve) gap(r *rand.Rand) time.Duration {
 	const longest = 24 * time.Hour
 	if c.peak <= 0 {
--- a/load/schedule_test.go
+++ b/load/schedule_test.go
@@ -72,14 +72,14 @@
 
 func TestMixMistakes(t *testing.T) {
 	cases := []struct{ name, from, to, want string }{
-		{"shares", "share = 0.6", "share = 0.7", "[run] rate: the flows' shares add up to 1.100"},
-		{"rate", "rate = 40", "rate = NaN", "[run] rate: is not above 0"},
+		{"shares", "share = 0.6", "share = 0.7", "[run] rate: the shares of the flows add up to 1.100"},
+		{"rate", "rate = 40", "rate = NaN", "[run] rate: is not greater than 0"},
 		{"range", "1k-4k", "4k-1k", `[flow drafts] prompt: "4k-1k" has a range that is empty or above 1M`},
 		{"too long", "128k-1M", "128k-2M", "above 1M"},
 		{"weight", "32k:9", "32k:-1", "is not a list of FROM-TO:WEIGHT"},
 		{"burst", "burst_length = 3s", "burst_length = 16s", "[flow drafts] burst_length: is longer than burst_every"},
-		{"no name", "ticket = true", "repeatable = false", "an unrepeatable request needs a name"},
-		{"no name to present", "ticket = true", "patience = 5s", "same-key needs a name"},
+		{"neither ticket nor key", "ticket = true", "repeatable = false", "a non-repeatable request needs a ticket or an idempotency key"},
+		{"neither ticket nor key to resubmit with", "ticket = true", "patience = 5s", "same-key needs a ticket or an idempotency key"},
 		{"unknown key", "rate = 40", "rate = 40\nspeed = 3", "[run] speed: unknown key"},
 		{"no flow", sampleMix, "[run]\nrate = 1\n", "[flow]: there is none"},
 	}
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestScheduleFollowsFromTheSeed(t *testing.T) {
+func TestScheduleIsDeterministicForASeed(t *testing.T) {
 	is := is.New(t)
 	m := mustMix(t, sampleMix)
 	is.Equal(m.Schedule(7, 1), m.Schedule(7, 1))
@@ -101,7 +101,7 @@
 	is.True(m.Schedule(7, 1)[0] != m.Schedule(8, 1)[0])
 }
 
-func TestAFlowDrawsAlone(t *testing.T) {
+func TestFlowsDrawIndependently(t *testing.T) {
 	is := is.New(t)
 	m := mustMix(t, sampleMix)
 	drafts := func(a Arrival) bool { return a.Flow == "drafts" }
@@ -110,8 +110,8 @@
 	is.Equal(m.Schedule(7, 1), want)
 }
 
-// The mean rate holds to within five standard deviations of a Poisson count,
-// and the stated part of a bursty flow arrives in its bursts.
+// The mean rate stays within five standard deviations of a Poisson count, and
+// the configured fraction of a bursty flow arrives during its bursts.
 func TestScheduleRates(t *testing.T) {
 	is := is.New(t)
 	m := mustMix(t, sampleMix)
@@ -164,7 +164,7 @@
 	is.Equal(one.Class(), routing.ClassMedium)
 }
 
-// The ready mixes use workspaces, keys and models of the example declarations.
+// The example mixes use workspaces, keys and models of the example declarations.
 func TestReadyMixes(t *testing.T) {
 	for name, site := range map[string]string{"bid-desk": "bratislava", "albums": "cardiff"} {
 		is := is.New(t)
--- a/load/slowdown.go
+++ b/load/slowdown.go
@@ -8,30 +8,33 @@
 	"github.com/micarudder/micarudder/routing"
 )
 
-// Slowdown compares short requests beside long work with the same requests
-// alone. Pairs are requests of the same schedule that both runs answered whole.
+// Slowdown compares short requests sent along with long ones with the same
+// requests sent alone. A pair is a request of the schedule that was answered
+// completely in both runs.
 type Slowdown struct {
 	Pairs int `json:"pairs"`
-	// Missing counts requests answered whole alone and not beside long work.
+	// Missing counts requests answered completely in the run alone only.
 	Missing int `json:"missing"`
-	// P50 and P95 are quantiles of the paired ratios, shared over alone, of the
-	// time from due to end; FirstTokenP95 the same of the time to first token.
+	// P50 and P95 are quantiles of the per-pair ratio, shared run over run alone,
+	// of the time from due to end. FirstTokenP95 is that of the time to first
+	// token.
 	P50           float64 `json:"p50"`
 	P95           float64 `json:"p95"`
 	FirstTokenP95 float64 `json:"first_token_p95"`
-	// RatioOfP95 is the 95th percentile of the shared run over that of the run
-	// alone, of the time from due to end; FirstTokenRatioOfP95 of the time to
-	// first token.
+	// RatioOfP95 is the 95th percentile of the time from due to end in the shared
+	// run divided by that in the run alone. FirstTokenRatioOfP95 is the same for
+	// the time to first token.
 	RatioOfP95           float64 `json:"ratio_of_p95"`
 	FirstTokenRatioOfP95 float64 `json:"first_token_ratio_of_p95"`
 
 	Ratios []float64 `json:"-"` // sorted
 }
 
-// IsShort chooses the arrivals whose slowdown is measured.
+// IsShort reports whether the slowdown of an arrival is measured: its prompt is
+// in the shortest class.
 func IsShort(a Arrival) bool { return a.Class() == routing.ClassShort }
 
-// CompareShort pairs the short requests of two runs by id.
+// CompareShort pairs the short requests of two runs by ID and compares them.
 func CompareShort(shared, alone []Record) Slowdown {
 	base := make(map[string]Record)
 	for _, r := range alone {
@@ -59,7 +62,8 @@
 	return out
 }
 
-// pairs collects seconds and ratios; index 0 is shared, 1 alone.
+// pairs collects durations in seconds and their ratios. Index 0 of the arrays is
+// the shared run, 1 the run alone.
 type pairs struct {
 	ratios, firstRatios []float64
 	took, first         [2][]float64
@@ -92,7 +96,8 @@
 	return quantile(vs, q)
 }
 
-// quantile returns the empirical quantile of sorted values; 0 of none.
+// quantile returns the empirical quantile of sorted values, or 0 if there are
+// none.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/load/summary.go
+++ b/load/summary.go
@@ -15,7 +15,7 @@
 	histDigits  = 3
 )
 
-// Quantiles of a set of durations, in seconds.
+// Quantiles summarizes a set of durations, in seconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean"`
@@ -26,8 +26,8 @@
 	Max   float64 `json:"max"`
 }
 
-// Summary is the result of one run, over its measured requests. Breaches and
-// finals count all requests.
+// Summary is the result of one load run. Latencies cover measured requests only;
+// Finals and Breaches count all requests.
 type Summary struct {
 	Seed     uint64  `json:"seed"`
 	Load     float64 `json:"load"`
@@ -37,26 +37,26 @@
 	Finals   map[Final]int  `json:"finals"`
 	Codes    map[string]int `json:"codes"` // result codes of requests not answered whole
 	Breaches map[Breach]int `json:"breaches"`
-	Examples []Record       `json:"examples,omitempty"` // of breaches, a few
+	Examples []Record       `json:"examples,omitempty"` // the first records with breaches
 	// Reruns counts executions of repeatable requests beyond the first.
 	Reruns int `json:"reruns"`
-	// Joined is false when executors' records are missing and executions were
-	// not judged.
+	// Joined is false when the records of an executor are missing, so that
+	// executions were not checked.
 	Joined     bool `json:"joined"`
 	Resubmits  int  `json:"resubmits"`
 	Reattached int  `json:"reattached"`
 	Restarts   int  `json:"restarts"`
 
 	Classes  []ClassSummary `json:"classes"`
-	Refusals Quantiles      `json:"refusals"` // time from sent to the refusal
-	// UsefulTokens is the prompt and answer tokens a second of requests that
-	// were answered whole within their deadlines and ended while requests still
-	// arrived; LongTokens the part of the classes above 32k.
+	Refusals Quantiles      `json:"refusals"` // time from sending to the refusal
+	// UsefulTokens is the number of prompt and answer tokens per second of
+	// requests that were answered completely within their deadlines and ended
+	// while requests still arrived. LongTokens is the part of classes above 32k.
 	UsefulTokens float64 `json:"useful_tokens_per_s"`
 	LongTokens   float64 `json:"long_tokens_per_s"`
 }
 
-// ClassSummary is the part of one length class.
+// ClassSummary summarizes the requests of one prompt length class.
 type ClassSummary struct {
 	Class      string    `json:"class"`
 	Requests   int       `json:"requests"`
@@ -68,19 +68,19 @@
 	FirstTokenHist *hdrhistogram.Histogram `json:"-"`
 }
 
-// maxExamples bounds the breaches that a summary shows in full.
+// maxExamples limits the records with breaches that a summary contains.
 const maxExamples = 20
 
-// Summarize sums up the records of one run.
+// Summarize computes the summary of the records of one load run.
 func Summarize(m *Mix, seed uint64, load float64, records []Record) *Summary {
 	s := &Summary{Seed: seed, Load: load, Finals: map[Final]int{}, Codes: map[string]int{}, Breaches: map[Breach]int{}, Joined: true}
 	s.Duration = (m.Run.Duration - m.Run.Warmup).Seconds()
 	for _, r := range records {
 		s.count(r)
 	}
-	s.classes(records)
-	s.refusals(records)
-	s.tokens(m, records)
+	s.summarizeClasses(records)
+	s.summarizeRefusals(records)
+	s.countTokens(m, records)
 	return s
 }
 
@@ -90,12 +90,12 @@
 	if r.Final != Whole && r.Code != 0 {
 		s.Codes[r.Code.String()]++
 	}
-	s.Joined = s.Joined && r.Executions != notAsked
+	s.Joined = s.Joined && r.Executions != executionsUnknown
 	s.Resubmits += r.Resubmits
 	s.Reattached += r.Reattached
 	s.Restarts += r.Restarts
 	if r.Repeatable {
-		s.Reruns += max(0, r.Executions-1-r.Anew)
+		s.Reruns += max(0, r.Executions-1-r.ResubmitsAsNew)
 	}
 	found := Check(r)
 	for _, b := range found {
@@ -106,7 +106,7 @@
 	}
 }
 
-func (s *Summary) classes(records []Record) {
+func (s *Summary) summarizeClasses(records []Record) {
 	for c := range routing.Class(routing.NumClasses) {
 		s.Classes = append(s.Classes, summarizeClass(c, records))
 	}
@@ -135,7 +135,7 @@
 	return out
 }
 
-func (s *Summary) refusals(records []Record) {
+func (s *Summary) summarizeRefusals(records []Record) {
 	h := newHist()
 	for _, r := range records {
 		if r.Final == Refused && r.Presentations == 1 {
@@ -145,9 +145,10 @@
 	s.Refusals = quantiles(h)
 }
 
-// tokens counts the work that ended while requests arrived, after the
-// warm-up: what a queue still held at the end was not done at that rate.
-func (s *Summary) tokens(m *Mix, records []Record) {
+// countTokens counts the tokens of requests that ended after the warm-up and while
+// requests still arrived. Requests queued at the end of the arrivals are left
+// out, because the system did not complete them at that rate.
+func (s *Summary) countTokens(m *Mix, records []Record) {
 	if s.Duration <= 0 {
 		return
 	}
--- a/load/text.go
+++ b/load/text.go
@@ -10,7 +10,7 @@
 	"github.com/gravitational/trace"
 )
 
-// WriteText writes the report for a terminal.
+// WriteText writes the report as plain text for a terminal.
 func (r *Report) WriteText(w io.Writer) error {
 	s := r.Summary
 	fmt.Fprintf(w, "%s: %d requests, seed %d, load %.2f\n\n", r.Mix, s.Requests, s.Seed, s.Load)
