--- a/internal/fleet/connected.go
+++ b/internal/fleet/connected.go
@@ -14,8 +14,8 @@
 
 const connectedInterval = 20 * time.Millisecond
 
-// waitConnected waits until every gateway hears every agent: a gateway is
-// ready before it does.
+// waitConnected waits until every gateway is connected to every agent. A
+// gateway reports ready before that.
 func (f *Fleet) waitConnected(ctx context.Context) error {
 	client, err := inner.NewClient(inner.KeyFiles{}, nil)
 	if err != nil {
@@ -27,7 +27,7 @@
 			select {
 			case <-time.After(connectedInterval):
 			case <-ctx.Done():
-				return trace.Wrap(ctx.Err(), "gateway %s does not hear every agent", address)
+				return trace.Wrap(ctx.Err(), "gateway %s is not connected to every agent", address)
 			}
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet starts a whole installation of real processes on the loopback
-// interface: the platform's stand-in, stand-in engines, an agent beside each
-// and gateways, with a configuration that is accepted at the start. It serves
-// benchmarks and the demo.
+// Package fleet starts a complete installation of real processes on the
+// loopback interface for benchmarks and the demo: the platform's stand-in,
+// stand-in engines, one agent per engine, and gateways. The configuration is
+// accepted at the start.
 package fleet
 
 import (
@@ -21,9 +21,9 @@
 )
 
 const (
-	// TicketKeys is the ticket key of every process of a fleet.
+	// TicketKeys is the ticket key that all processes of a fleet use.
 	TicketKeys = "1:00112233445566778899aabbccddeeff"
-	// modelVersion is the version of every model of a fleet.
+	// modelVersion is the version of all models of a fleet.
 	modelVersion = "1"
 	maxTokens    = 1 << 20
 	weightBytes  = 140 << 30
@@ -31,29 +31,29 @@
 
 // Config describes a fleet.
 type Config struct {
-	BinDir      string   // where the programs are
-	Dir         string   // where settings and logs go; must exist
+	BinDir      string   // directory of the programs
+	Dir         string   // existing directory for settings and logs
 	Address     string   // loopback address; empty: 127.0.0.1
 	BasePort    int      // first of Ports() consecutive ports
-	DataCentres []string // endpoints and gateways are spread over them in turn
+	DataCentres []string // endpoints and gateways are assigned to them round-robin
 	Engines     int
-	// SharedService, when set, puts one plain service of this name in the place
-	// of all engines, so that many agents can be started with few processes.
+	// SharedService, if set, is the name of one plain service that replaces all
+	// engines, so that many agents can be started with few processes.
 	SharedService string
 	Gateways      int
 	Models        []string
 	Workspaces    []Workspace
 	Policy        string   // routing policy of the gateways
-	EngineArgs    []string // added to each engine's command line
-	// MemoryTokens is the cache memory of one engine.
+	EngineArgs    []string // additional arguments of each engine
+	// MemoryTokens is the cache memory of one engine, in tokens.
 	MemoryTokens int
 	MaxRunning   int
 	LogLevel     string
-	LeaveTime    time.Duration // of a gateway that stops, before it refuses
+	LeaveTime    time.Duration // time that a stopping gateway still accepts requests
 }
 
-// Workspace is one workspace of the accepted configuration. It may use every
-// model.
+// Workspace is one workspace of the accepted configuration. It may use all
+// models.
 type Workspace struct {
 	Name     string
 	Key      string // bearer key
@@ -61,7 +61,7 @@
 	Weight   uint32
 }
 
-// Ports returns how many ports a fleet of this size takes.
+// Ports returns the number of ports that the fleet uses, starting at BasePort.
 func (c Config) Ports() int {
 	return 1 + portsPerEngine*c.Engines + portsPerGateway*c.Gateways
 }
@@ -83,7 +83,7 @@
 	Platform string   // address of the platform's stand-in
 }
 
-// Names of the processes of a fleet; %d counts from 0.
+// Process names of a fleet; %d is an index from 0.
 const (
 	PlatformName  = "platform"
 	engineFormat  = "engine-%d"
@@ -91,17 +91,17 @@
 	gatewayFormat = "gateway-%d"
 )
 
-// EngineName returns the name of the i-th engine's process.
+// EngineName returns the process name of engine i.
 func EngineName(i int) string { return fmt.Sprintf(engineFormat, i) }
 
-// AgentName returns the name of the i-th agent's process.
+// AgentName returns the process name of agent i.
 func AgentName(i int) string { return fmt.Sprintf(agentFormat, i) }
 
-// GatewayName returns the name of the i-th gateway's process.
+// GatewayName returns the process name of gateway i.
 func GatewayName(i int) string { return fmt.Sprintf(gatewayFormat, i) }
 
-// Start starts the processes in order and waits until all are ready. On an
-// error everything that was started is stopped.
+// Start starts the processes in dependency order and waits until all are ready.
+// On an error it stops all processes that it started.
 func Start(ctx context.Context, c Config) (*Fleet, error) {
 	f := c.layout()
 	if err := c.start(ctx, f); err != nil {
@@ -112,15 +112,15 @@
 	return f, nil
 }
 
-// stopTime bounds the stop of a fleet that did not start.
+// stopTime limits the shutdown of a fleet that failed to start.
 const stopTime = 10 * time.Second
 
 func (c Config) start(ctx context.Context, f *Fleet) error {
 	if err := startAll(ctx, f.Group, c.standins(f)); err != nil {
 		return err
 	}
-	if err := accept(ctx, f.Platform, c.Document()); err != nil {
-		return trace.Wrap(err, "configuration")
+	if err := writeDocument(ctx, f.Platform, c.Document()); err != nil {
+		return trace.Wrap(err, "write the first configuration")
 	}
 	if err := startAll(ctx, f.Group, c.agents(f)); err != nil {
 		return err
@@ -175,12 +175,14 @@
 
 func (c Config) engineAddress(i int) string { return c.address(1 + portsPerEngine*i) }
 
-// agentAddress returns the agent's address for gateways (0) or admin (1).
+// agentAddress returns the address of agent i's listener for gateways (which 0)
+// or its admin listener (1).
 func (c Config) agentAddress(i, which int) string {
 	return c.address(2 + portsPerEngine*i + which)
 }
 
-// gatewayAddress returns the gateway's address for callers (0), inner (1) or admin (2).
+// gatewayAddress returns the address of gateway i's listener for callers (which
+// 0), its inner listener (1) or its admin listener (2).
 func (c Config) gatewayAddress(i, which int) string {
 	return c.address(1 + portsPerEngine*c.Engines + portsPerGateway*i + which)
 }
@@ -189,7 +191,7 @@
 
 func hostName(i int) string { return fmt.Sprintf("host-%d", i) }
 
-// Document returns the configuration that a fleet starts with, generation 1.
+// Document returns the initial configuration of the fleet, generation 1.
 func (c Config) Document() *rudderv1.Document {
 	d := &rudderv1.Document{Generation: 1, PlanId: "fleet"}
 	replicas := make(map[string]uint32)
@@ -220,8 +222,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// accept writes the first configuration.
-func accept(ctx context.Context, address string, d *rudderv1.Document) error {
+// writeDocument writes the first configuration to the platform.
+func writeDocument(ctx context.Context, address string, d *rudderv1.Document) error {
 	client, err := metastore.NewClient(metastore.Options{Addresses: []string{address}})
 	if err != nil {
 		return err
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// load writes a process's settings and reads them as the process does.
-func load(t *testing.T, s procs.Spec, target any) {
+// loadSettings writes the settings file of a process and reads it as the process does.
+func loadSettings(t *testing.T, s procs.Spec, target any) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), settingsFile)
 	if err := os.WriteFile(file, []byte(s.Files[settingsFile]), 0o600); err != nil {
@@ -39,18 +39,18 @@
 	ports := map[settings.Address]bool{settings.Address(c.layout().Platform): true}
 	for i, s := range c.agents(c.layout()) {
 		var a agent.Settings
-		load(t, s, &a)
+		loadSettings(t, s, &a)
 		is.Equal(string(a.Agent.Listen), c.Document().Endpoints[i].AgentAddress)
 		ports[a.Agent.Listen], ports[a.Process.AdminListen], ports[a.Endpoint.Address] = true, true, true
 	}
 	for i, s := range c.gateways(c.layout()) {
 		var g gateway.Settings
-		load(t, s, &g)
+		loadSettings(t, s, &g)
 		is.Equal(len(g.Gateway.Peers), 1)
 		is.Equal("http://"+string(g.Gateway.Listen), c.layout().Gateways[i])
 		ports[g.Gateway.Listen], ports[g.Gateway.InnerListen], ports[g.Process.AdminListen] = true, true, true
 	}
-	is.Equal(len(ports), c.Ports()) // none is used twice
+	is.Equal(len(ports), c.Ports()) // no port is used twice
 }
 
 func TestDocument(t *testing.T) {
--- a/internal/fleet/specs.go
+++ b/internal/fleet/specs.go
@@ -10,13 +10,14 @@
 
 const (
 	settingsFile = "settings.ini"
-	// drainTime bounds the stop of one daemon.
+	// drainTime is the drain_time setting of every daemon.
 	drainTime = "5s"
-	// defaultLogLevel is the daemons' level where a fleet names none.
+	// defaultLogLevel is the daemons' log level if Config.LogLevel is empty.
 	defaultLogLevel = "warn"
 )
 
-// standins returns the processes that the product's own depend on.
+// standins returns the stand-ins of the platform and of the engines, on which
+// agents and gateways depend.
 func (c Config) standins(f *Fleet) []procs.Spec {
 	specs := []procs.Spec{{
 		Name:   PlatformName,
@@ -33,7 +34,7 @@
 	return specs
 }
 
-// service is the plain service that stands in the place of all engines.
+// service returns the plain service that replaces all engines.
 func (c Config) service() procs.Spec {
 	address := c.engineAddress(0)
 	return procs.Spec{
@@ -78,12 +79,12 @@
 name = %s
 %s
 max_running = %d
-`, c.dataCentre(i), hostName(i), c.agentAddress(i, 0), EngineName(i), c.beside(i), c.MaxRunning)
+`, c.dataCentre(i), hostName(i), c.agentAddress(i, 0), EngineName(i), c.endpointSettings(i), c.MaxRunning)
 	return c.daemon(AgentName(i), "rudder-agent", text, c.agentAddress(i, 1))
 }
 
-// beside is the part of an agent's settings that tells what it stands beside.
-func (c Config) beside(i int) string {
+// endpointSettings returns the agent's settings that describe its endpoint.
+func (c Config) endpointSettings(i int) string {
 	if c.SharedService != "" {
 		return fmt.Sprintf("kind = service\nservice = %s\naddress = %s", c.SharedService, c.engineAddress(0))
 	}
@@ -133,7 +134,8 @@
 	return list
 }
 
-// daemon returns a daemon's spec: its own sections and those all daemons share.
+// daemon returns the spec of a daemon, whose settings are its own sections
+// followed by those common to all daemons.
 func (c Config) daemon(name, program, own, admin string) procs.Spec {
 	text := own + fmt.Sprintf(`
 [tickets]
--- a/internal/procs/child_linux.go
+++ b/internal/procs/child_linux.go
@@ -7,11 +7,12 @@
 	"syscall"
 )
 
-// run starts the command, reports the start's error and waits for the end. The
-// kernel kills the child when the thread that started it ends, so the thread
-// is kept until the child has ended: a parent that is killed leaves no child
-// behind. The child has a process group of its own, so that an interrupt at
-// the terminal reaches the parent alone, which then stops its group in order.
+// run starts the command, sends the start error on started and waits until the
+// child exits. With Pdeathsig the kernel kills the child when the thread that
+// started it exits, so a killed parent leaves no child behind; run therefore
+// locks its thread until the child has exited. The child has its own process
+// group, so an interrupt at the terminal reaches only the parent, which then
+// stops its Group in order.
 func run(cmd *exec.Cmd, log io.Closer, started chan<- error, ended func(error)) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
--- a/internal/procs/process.go
+++ b/internal/procs/process.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	readyInterval = 20 * time.Millisecond
-	readyTimeout  = 2 * time.Second // of one probe
-	logTail       = 2048            // bytes of the log in an error
+	probeInterval = 20 * time.Millisecond
+	probeTimeout  = 2 * time.Second // of one probe
+	logTail       = 2048            // bytes of the log that Tail returns
 )
 
 // Process is one started process.
@@ -28,16 +28,16 @@
 	cmd     *exec.Cmd
 
 	done chan struct{}
-	err  error // of Wait, valid once done is closed
+	err  error // result of cmd.Wait, valid once done is closed
 
 	mu     sync.Mutex
 	frozen bool
 }
 
-// Name returns the name from the spec.
+// Name returns the name in the process's spec.
 func (p *Process) Name() string { return p.spec.Name }
 
-// Spec returns what the process was started from, to start it again.
+// Spec returns the spec of the process, which can be used to start it again.
 func (p *Process) Spec() Spec { return p.spec }
 
 // PID returns the process id.
@@ -46,13 +46,13 @@
 // Dir returns the process's own directory.
 func (p *Process) Dir() string { return p.dir }
 
-// LogPath returns the file that takes the process's output and errors.
+// LogPath returns the path of the file that receives stdout and stderr.
 func (p *Process) LogPath() string { return p.logPath }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Ended tells whether the process has ended.
+// Ended reports whether the process has exited.
 func (p *Process) Ended() bool {
 	select {
 	case <-p.done:
@@ -62,13 +62,13 @@
 	}
 }
 
-// WaitReady probes the ready URL until it answers 200. It fails at once with
-// the end of the log when the process ends first.
+// WaitReady polls the ready URL until it returns status 200. If the process
+// exits first, WaitReady returns an error with the end of the log.
 func (p *Process) WaitReady(ctx context.Context) error {
 	if p.spec.Ready == "" {
 		return nil
 	}
-	tick := time.NewTicker(readyInterval)
+	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
 	for {
 		if probe(ctx, p.spec.Ready) {
@@ -77,20 +77,20 @@
 		select {
 		case <-tick.C:
 		case <-p.done:
-			return trace.Errorf("process %q ended before it was ready (%v): %s", p.Name(), p.err, p.Tail())
+			return trace.Errorf("process %q exited before it was ready (%v): %s", p.Name(), p.err, p.Tail())
 		case <-ctx.Done():
 			return trace.Wrap(ctx.Err(), "process %q is not ready: %s", p.Name(), p.Tail())
 		}
 	}
 }
 
-// Freeze stops the process's execution (SIGSTOP) until Thaw.
+// Freeze suspends the process (SIGSTOP) until Thaw.
 func (p *Process) Freeze() error { return p.setFrozen(true, syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on (SIGCONT).
+// Thaw resumes a frozen process (SIGCONT).
 func (p *Process) Thaw() error { return p.setFrozen(false, syscall.SIGCONT) }
 
-// Kill ends the process without warning (SIGKILL) and waits for its end.
+// Kill kills the process (SIGKILL) and waits until it has exited.
 func (p *Process) Kill() error {
 	if err := p.signal(syscall.SIGKILL); err != nil {
 		return err
@@ -99,9 +99,9 @@
 	return nil
 }
 
-// Stop asks the process to end (SIGTERM), waits, and kills it when ctx is over.
-// It returns an error when the process had to be killed or exited with a
-// non-zero status. Stopping an ended process is not an error.
+// Stop terminates the process (SIGTERM), waits for its exit, and kills it when
+// ctx ends. It returns an error if the process had to be killed or exited with
+// a non-zero status. Stopping an exited process is not an error.
 func (p *Process) Stop(ctx context.Context) error {
 	if p.Ended() {
 		return nil
@@ -113,7 +113,7 @@
 	case <-p.done:
 		return trace.Wrap(p.err, "process %q", p.Name())
 	case <-ctx.Done():
-		return errors.Join(trace.Errorf("process %q did not stop in time", p.Name()), p.Kill())
+		return errors.Join(trace.Errorf("process %q did not exit in time after SIGTERM, killing it", p.Name()), p.Kill())
 	}
 }
 
@@ -165,7 +165,7 @@
 }
 
 func probe(ctx context.Context, url string) bool {
-	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/procs/procs.go
+++ b/internal/procs/procs.go
@@ -1,7 +1,8 @@
-// Package procs starts, watches and stops real processes for the demo, the
-// bench and tests. Every process belongs to a Group, which writes the files it
-// needs, keeps its output in a log file and ends it by its own process id. The
-// daemons never import it: a process of the system starts no other process.
+// Package procs starts, monitors and stops real processes for the demo, the
+// benchmarks and tests. Each process belongs to a Group, which writes the files
+// that the process needs, redirects its output to a log file and signals it by
+// process ID. The daemons do not import this package, because they start no
+// other processes.
 package procs
 
 import (
@@ -16,22 +17,22 @@
 	"github.com/gravitational/trace"
 )
 
-// DirVar is replaced in arguments and file contents by the process's own
-// directory.
+// DirVar is a placeholder for the process's own directory in arguments and file
+// contents.
 const DirVar = "{dir}"
 
 // Spec describes one process.
 type Spec struct {
-	Name   string            // unique in its group; also the directory's name
-	Binary string            // path of the program
+	Name   string            // unique in its group; also the name of its directory
+	Binary string            // path of the executable
 	Args   []string          // DirVar is expanded
 	Env    []string          // added to the parent's environment, KEY=value
 	Files  map[string]string // relative path to content, written before the start
-	Ready  string            // URL that answers 200 when ready; empty when none
+	Ready  string            // URL that returns status 200 when ready; empty for none
 }
 
-// Group is a set of processes that are stopped together in reverse order of
-// their start. It is safe for concurrent use.
+// Group is a set of processes that are stopped together, in reverse start
+// order. It is safe for concurrent use.
 type Group struct {
 	dir string
 
@@ -41,22 +42,23 @@
 	stopped bool
 }
 
-// NewGroup returns an empty group whose files live under dir, which must exist.
+// NewGroup returns an empty group that keeps its files in the existing
+// directory dir.
 func NewGroup(dir string) *Group {
 	return &Group{dir: dir, byName: make(map[string]*Process)}
 }
 
-// Start writes the process's files, starts it and returns at once. A name may
-// be started again after its process has ended.
+// Start writes the process's files, starts the process and returns without
+// waiting until it is ready. A name may be reused after its process has exited.
 func (g *Group) Start(s Spec) (*Process, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.stopped {
-		return nil, trace.BadParameter("group is stopped")
+		return nil, trace.BadParameter("process group is already stopped")
 	}
 	old := g.byName[s.Name]
 	if old != nil && !old.Ended() {
-		return nil, trace.AlreadyExists("process %q is running", s.Name)
+		return nil, trace.AlreadyExists("process %q is already running", s.Name)
 	}
 	dir := filepath.Join(g.dir, s.Name)
 	if err := writeFiles(dir, s.Files); err != nil {
@@ -72,21 +74,21 @@
 	return p, nil
 }
 
-// Get returns the process last started under the name, or nil.
+// Get returns the process last started with the name, or nil.
 func (g *Group) Get(name string) *Process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.byName[name]
 }
 
-// All returns the processes in the order of their start.
+// All returns the processes in start order.
 func (g *Group) All() []*Process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]*Process(nil), g.order...)
 }
 
-// WaitReady waits until every process with a ready URL answers there.
+// WaitReady waits until every process with a ready URL is ready.
 func (g *Group) WaitReady(ctx context.Context) error {
 	for _, p := range g.All() {
 		if err := p.WaitReady(ctx); err != nil {
@@ -96,8 +98,8 @@
 	return nil
 }
 
-// Stop ends the processes one by one, the last started first. Each gets
-// SIGTERM and, when ctx is over, SIGKILL. The group starts nothing afterwards.
+// Stop stops the processes one by one in reverse start order, with SIGTERM and,
+// when ctx ends, SIGKILL. The group starts no processes afterwards.
 func (g *Group) Stop(ctx context.Context) error {
 	g.mu.Lock()
 	g.stopped = true
@@ -142,7 +144,7 @@
 		args[i] = strings.ReplaceAll(a, DirVar, dir)
 	}
 	logPath := filepath.Join(dir, "log")
-	// A restarted process appends, so that its log tells the whole story.
+	// A restarted process appends to the log, so the output of earlier starts stays.
 	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
--- a/internal/procs/procs_test.go
+++ b/internal/procs/procs_test.go
@@ -17,7 +17,7 @@
 	"github.com/micarudder/micarudder/internal/procs"
 )
 
-// The test binary is its own child program, chosen by this variable.
+// The test binary runs itself as the child process; roleVar selects its role.
 const roleVar = "PROCS_TEST_ROLE"
 
 func TestMain(m *testing.M) {
@@ -36,8 +36,8 @@
 	}
 }
 
-// serve answers 200 on the given address and ends on SIGTERM, noting its name
-// in a file that the group shares.
+// serve responds with status 200 on the given address. On SIGTERM it appends
+// its name to a file common to the group and exits.
 func serve() {
 	term := make(chan os.Signal, 1)
 	signal.Notify(term, syscall.SIGTERM)
@@ -54,7 +54,7 @@
 	return procs.Spec{Name: role, Binary: os.Args[0], Args: args, Env: []string{roleVar + "=" + role}}
 }
 
-func within(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	t.Cleanup(cancel)
 	return ctx
@@ -71,13 +71,13 @@
 		_, err := g.Start(s)
 		is.NoErr(err)
 	}
-	is.NoErr(g.WaitReady(within(t)))
-	is.NoErr(g.Stop(within(t)))
+	is.NoErr(g.WaitReady(testContext(t)))
+	is.NoErr(g.Stop(testContext(t)))
 	ends, err := os.ReadFile(dir + "/ends")
 	is.NoErr(err)
 	is.Equal(string(ends), "second\nfirst\n")
 	_, err = g.Start(child("server"))
-	is.True(err != nil) // a stopped group starts nothing
+	is.True(err != nil) // a stopped group starts no processes
 }
 
 func TestReadyFailsWithTheLogWhenTheProcessEnds(t *testing.T) {
@@ -87,7 +87,7 @@
 	s.Ready = "http://" + freeAddr(t) + "/readyz"
 	_, err := g.Start(s)
 	is.NoErr(err)
-	err = g.WaitReady(within(t))
+	err = g.WaitReady(testContext(t))
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "no such setting"))
 }
@@ -118,7 +118,7 @@
 	waitForLog(t, again, "ready")
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
-	is.True(g.Stop(over) != nil) // ignored SIGTERM, was killed
+	is.True(g.Stop(over) != nil) // the child ignores SIGTERM and was killed
 	is.True(again.Ended())
 }
 
@@ -133,7 +133,7 @@
 }
 
 func waitForLog(t *testing.T, p *procs.Process, text string) {
-	ctx := within(t)
+	ctx := testContext(t)
 	for !strings.Contains(p.Tail(), text) {
 		if ctx.Err() != nil {
 			t.Fatalf("log lacks %q: %s", text, p.Tail())
--- a/internal/slopes/decision.go
+++ b/internal/slopes/decision.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// decisionBenchmarks are the benchmarks of what a gateway and an agent decide
-// for each request, by package.
+// decisionBenchmarks lists the benchmarks of the decisions that a gateway and an
+// agent make for each request, by package.
 var decisionBenchmarks = []struct{ pkg, pattern string }{
 	{"./routing", "BenchmarkChoose"},
 	{"./membership", "BenchmarkVerdicts2900"},
@@ -18,13 +18,13 @@
 // benchTime is long enough for decisions that take at most a few milliseconds.
 const benchTime = "100ms"
 
-// decisions runs the benchmarks of decisions and prints their results.
-func decisions(ctx context.Context) error {
+// runDecisionBenchmarks runs the benchmarks and prints their results.
+func runDecisionBenchmarks(ctx context.Context) error {
 	fmt.Println("\ncost of decisions")
 	for _, b := range decisionBenchmarks {
 		out, err := exec.CommandContext(ctx, "go", "test", "-run", "^$", "-bench", b.pattern, "-benchtime", benchTime, b.pkg).CombinedOutput()
 		if err != nil {
-			return fmt.Errorf("%s: %w\n%s", b.pkg, err, out)
+			return fmt.Errorf("benchmark %s: %w\n%s", b.pkg, err, out)
 		}
 		for line := range strings.Lines(string(out)) {
 			if strings.HasPrefix(line, "Benchmark") {
--- a/internal/slopes/fit.go
+++ b/internal/slopes/fit.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// badFit is the coefficient of determination below which a line is called
-	// a bad fit.
-	badFit = 0.9
-	// leastPoints is the number of points below which a fit says nothing.
-	leastPoints = 3
+	// minRSquared is the coefficient of determination below which a line is
+	// reported as a bad fit.
+	minRSquared = 0.9
+	// minPoints is the number of points below which a fit is meaningless.
+	minPoints = 3
 )
 
-// report prints a line through each figure of a series.
+// report prints the fitted line of each metric over a series of fleet sizes.
 func report(over string, numbers []int, points []point) {
 	fmt.Printf("\nslopes over %s\n", over)
 	x := make([]float64, len(numbers))
 	for i, n := range numbers {
 		x[i] = float64(n)
 	}
-	figures := []struct {
+	metrics := []struct {
 		name, unit string
 		of         func(point) float64
 	}{
@@ -36,17 +36,17 @@
 		{"platform reads", "1/s", func(p point) float64 { return p.reads }},
 		{"platform writes", "1/s", func(p point) float64 { return p.writes }},
 	}
-	for _, f := range figures {
+	for _, f := range metrics {
 		y := make([]float64, len(points))
 		for i, p := range points {
 			y[i] = f.of(p)
 		}
-		fmt.Println(line(f.name, f.unit, x, y))
+		fmt.Println(fitLine(f.name, f.unit, x, y))
 	}
 }
 
-// line fits a line and says how well it fits.
-func line(name, unit string, x, y []float64) string {
+// fitLine fits a line to the points and describes it and the quality of the fit.
+func fitLine(name, unit string, x, y []float64) string {
 	base, slope := stat.LinearRegression(x, y, nil, false)
 	r2 := stat.RSquared(x, y, nil, base, slope)
 	residual := 0.0
@@ -55,9 +55,9 @@
 	}
 	text := fmt.Sprintf("%-18s %10.4f + %8.5f n %-12s R2 %.3f, largest residual %.4f", name, base, slope, unit, r2, residual)
 	switch {
-	case len(x) < leastPoints:
+	case len(x) < minPoints:
 		text += "  (too few points)"
-	case r2 < badFit:
+	case r2 < minRSquared:
 		text += "  (bad fit)"
 	}
 	return text
--- a/internal/slopes/main.go
+++ b/internal/slopes/main.go
@@ -1,10 +1,11 @@
-// Command slopes measures what control costs each process, from real gateways
-// and agents with stand-ins on the loopback interface, and fits a line through
-// each figure. docs/CAPACITY.md works the target's size out from these slopes.
+// Command slopes measures the cost of control traffic per process, with real
+// gateways and agents and with stand-ins on the loopback interface, and fits a
+// line to each metric. docs/CAPACITY.md extrapolates the target's size from
+// these slopes.
 //
-// Nothing but control runs: subscriptions with heartbeats, probes of the
-// endpoints, the configuration's watch and the gateways' exchange of recent use.
-// The decisions for a request are measured apart, by their benchmarks.
+// Only control traffic is measured: subscriptions with heartbeats, probes of
+// the endpoints, the watch of the configuration and the gateways' exchange of
+// recent use. Decisions per request are measured separately by benchmarks.
 package main
 
 import (
@@ -20,7 +21,7 @@
 const (
 	startTime    = time.Minute
 	stopTime     = 30 * time.Second
-	settle       = 4 * time.Second // after the start, until only steady control is left
+	settleTime   = 4 * time.Second // from the start until only steady control traffic is left
 	memoryTokens = 450_000
 	maxRunning   = 64
 )
@@ -34,17 +35,17 @@
 	Streams  []int         `long:"streams" description:"number of open streams at one gateway beside 10 agents; may be repeated (default: 0, 100, 300)"`
 }
 
-// besideGateways is the number of agents while the gateways vary.
-const besideGateways = 25
+// agentsForGateways is the number of agents while the number of gateways varies.
+const agentsForGateways = 25
 
 func main() {
 	tool.Main("slopes", 0, run)
 }
 
-// size is one point of a series.
+// size is the size of the fleet at one point of a series.
 type size struct{ agents, gateways, streams int }
 
-// orDefault returns the numbers given, or else the default ones.
+// orDefault returns the given numbers or, if there are none, the default ones.
 func orDefault(given []int, byDefault ...int) []int {
 	if len(given) > 0 {
 		return given
@@ -53,17 +54,17 @@
 }
 
 func run(ctx context.Context, o options) error {
-	all := []struct {
+	series := []struct {
 		over    string
 		numbers []int
 		size    func(int) size
 	}{
 		{"agents (one gateway)", orDefault(o.Agents, 5, 50, 100, 181), func(n int) size { return size{n, 1, 0} }},
-		{fmt.Sprintf("gateways (%d agents)", besideGateways), orDefault(o.Gateways, 1, 4, 8), func(n int) size { return size{besideGateways, n, 0} }},
-		{fmt.Sprintf("open streams (%d agents, one gateway)", besideStreams), orDefault(o.Streams, 0, 100, 300), func(n int) size { return size{besideStreams, 1, n} }},
+		{fmt.Sprintf("gateways (%d agents)", agentsForGateways), orDefault(o.Gateways, 1, 4, 8), func(n int) size { return size{agentsForGateways, n, 0} }},
+		{fmt.Sprintf("open streams (%d agents, one gateway)", agentsForStreams), orDefault(o.Streams, 0, 100, 300), func(n int) size { return size{agentsForStreams, 1, n} }},
 	}
-	points := make([][]point, len(all))
-	for i, s := range all {
+	points := make([][]point, len(series))
+	for i, s := range series {
 		for _, n := range s.numbers {
 			p, err := measure(ctx, o, s.size(n))
 			if err != nil {
@@ -73,13 +74,13 @@
 			points[i] = append(points[i], p)
 		}
 	}
-	for i, s := range all {
+	for i, s := range series {
 		report(s.over, s.numbers, points[i])
 	}
-	return decisions(ctx)
+	return runDecisionBenchmarks(ctx)
 }
 
-// measure starts a fleet and measures its control over the window.
+// measure starts a fleet and measures its control traffic over the window.
 func measure(ctx context.Context, o options, s size) (point, error) {
 	dir, err := os.MkdirTemp("", "micarudder-slopes-")
 	if err != nil {
@@ -107,7 +108,7 @@
 		return point{}, err
 	}
 	defer closeStreams()
-	if err := sleep(ctx, settle); err != nil {
+	if err := sleep(ctx, settleTime); err != nil {
 		return point{}, err
 	}
 	return observe(ctx, f, s, o.Window)
--- a/internal/slopes/observe.go
+++ b/internal/slopes/observe.go
@@ -15,32 +15,33 @@
 )
 
 const (
-	// clockTick is the unit of processor time in /proc, in seconds (proc(5)).
+	// clockTick is the unit of CPU time in /proc, in seconds (proc(5)).
 	clockTick = 0.01
 	pageSize  = 4096
 )
 
-// use is what one process used: bytes and processor time since its start.
-type use struct {
+// usage is the resource usage of one process: CPU time and bytes since its start,
+// and its current memory.
+type usage struct {
 	cpu      float64 // seconds
 	received float64 // bytes
 	sent     float64 // bytes
-	resident float64 // bytes, now
-	private  float64 // bytes of it that are not pages of files, now
+	resident float64 // current bytes
+	private  float64 // current resident bytes without file-backed and shared pages
 }
 
-// point is what control cost per process and second at one size.
+// point holds the cost of control traffic per process and second at one size.
 type point struct {
 	gateway, agent role
-	reads, writes  float64 // platform calls a second, all processes together
+	reads, writes  float64 // platform calls per second of all processes
 }
 
-// role is the mean over the processes of one role.
+// role holds the mean usage of the processes of one role.
 type role struct {
 	cpu      float64 // share of a core
-	bytes    float64 // received and sent, a second
+	bytes    float64 // received and sent per second
 	resident float64 // bytes
-	private  float64 // bytes of it that are not pages of files
+	private  float64 // resident bytes without file-backed and shared pages
 }
 
 func (p point) String() string {
@@ -49,18 +50,19 @@
 		p.agent.cpu*100, p.agent.bytes, p.agent.resident/1e6, p.agent.private/1e6, p.reads, p.writes)
 }
 
-// observe measures the fleet over a window.
+// observe measures the resource usage and platform calls of the fleet over the
+// window.
 func observe(ctx context.Context, f *fleet.Fleet, s size, window time.Duration) (point, error) {
 	before, err := countCalls(ctx, f)
 	if err != nil {
 		return point{}, err
 	}
-	g0, a0 := usesOf(f, fleet.GatewayName, s.gateways), usesOf(f, fleet.AgentName, s.agents)
+	g0, a0 := usagesOf(f, fleet.GatewayName, s.gateways), usagesOf(f, fleet.AgentName, s.agents)
 	began := time.Now()
 	if err := sleep(ctx, window); err != nil {
 		return point{}, err
 	}
-	g1, a1 := usesOf(f, fleet.GatewayName, s.gateways), usesOf(f, fleet.AgentName, s.agents)
+	g1, a1 := usagesOf(f, fleet.GatewayName, s.gateways), usagesOf(f, fleet.AgentName, s.agents)
 	took := time.Since(began).Seconds()
 	after, err := countCalls(ctx, f)
 	if err != nil {
@@ -72,8 +74,9 @@
 	}, nil
 }
 
-// mean returns the use per process and second between two moments.
-func mean(before, after []use, seconds float64) role {
+// mean returns the mean CPU time and bytes per process and second between two
+// readings, and the mean memory at the second one.
+func mean(before, after []usage, seconds float64) role {
 	var r role
 	n := float64(len(after))
 	for i := range after {
@@ -85,17 +88,18 @@
 	return r
 }
 
-func usesOf(f *fleet.Fleet, name func(int) string, n int) []use {
-	out := make([]use, n)
+func usagesOf(f *fleet.Fleet, name func(int) string, n int) []usage {
+	out := make([]usage, n)
 	for i := range n {
-		out[i] = useOf(f.Group.Get(name(i)).PID())
+		out[i] = usageOf(f.Group.Get(name(i)).PID())
 	}
 	return out
 }
 
-// useOf reads a process's use from /proc; what cannot be read is zero.
-func useOf(pid int) use {
-	var u use
+// usageOf reads the resource usage of a process from /proc. Values that cannot be
+// read are zero.
+func usageOf(pid int) usage {
+	var u usage
 	if b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
 		text := string(b)
 		fields := strings.Fields(text[strings.LastIndex(text, ")")+1:])
@@ -129,7 +133,7 @@
 	return v
 }
 
-// countCalls asks the platform's stand-in for the calls it has served.
+// countCalls fetches the counts of calls that the platform's stand-in has served.
 func countCalls(ctx context.Context, f *fleet.Fleet) (platform.Counts, error) {
 	var c platform.Counts
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.Platform+"/counts", nil)
--- a/internal/slopes/streams.go
+++ b/internal/slopes/streams.go
@@ -17,28 +17,28 @@
 	workspace    = "slopes"
 	workspaceKey = "key-of-slopes"
 	model        = "rudder-llm"
-	// besideStreams is the number of agents while the streams vary; each runs
-	// up to maxRunning.
-	besideStreams = 10
-	// decodeToken is what each token of a stream takes, so that streams outlast
-	// the window and their bytes are few beside their number.
+	// agentsForStreams is the number of agents while the number of streams
+	// varies; each runs up to maxRunning.
+	agentsForStreams = 10
+	// decodeToken is the time per token of a stream. It is long, so that streams
+	// outlast the window and carry few bytes relative to their number.
 	decodeToken = "2s"
 	streamBody  = `{"model":"` + model + `","stream":true,"max_tokens":1000,"messages":[{"role":"user","content":"slopes %d"}]}`
 )
 
-// openStreams opens n streams at a gateway, waits until each has begun and
+// openStreams opens n streams at a gateway, waits until all have started and
 // returns a function that closes them.
 func openStreams(ctx context.Context, f *fleet.Fleet, n int) (stop func(), err error) {
 	ctx, cancel := context.WithCancel(ctx)
-	var reading sync.WaitGroup
+	var readers sync.WaitGroup
 	stop = func() {
 		cancel()
-		reading.Wait()
+		readers.Wait()
 	}
 	client := &http.Client{Transport: new(http.Transport)}
 	begun := make(chan error, n)
 	for i := range n {
-		reading.Go(func() { readStream(ctx, client, f.Gateways[0], i, begun) })
+		readers.Go(func() { readStream(ctx, client, f.Gateways[0], i, begun) })
 	}
 	for range n {
 		if err := <-begun; err != nil {
@@ -49,7 +49,8 @@
 	return stop, nil
 }
 
-// readStream reads one stream until ctx ends, and says on begun whether it began.
+// readStream reads one stream until ctx ends and reports on begun whether it
+// started.
 func readStream(ctx context.Context, client *http.Client, gateway string, i int, begun chan<- error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, gateway+"/v1/chat/completions", strings.NewReader(fmt.Sprintf(streamBody, i)))
 	if err != nil {
--- a/load/caller_test.go
+++ b/load/caller_test.go
@@ -137,9 +137,9 @@
 		}}, Failed, 1, func(r Record) bool { return r.Code == result.EndpointFailed }},
 		{"no answer until deadline and grace have passed", "", []http.HandlerFunc{hang}, Lost, 1, func(r Record) bool { return r.Took() == 21*time.Second }},
 		{"patience over, same request resubmitted", "idempotency_key = true\npatience = 3s", []http.HandlerFunc{hang, answerWhole}, Whole, 2, func(r Record) bool {
-			return r.Resubmits == 1 && r.ResubmitsAsNew == 0 && r.Took() == 3*time.Second+retryDelay
+			return r.Resubmits == 1 && r.Anew == 0 && r.Took() == 3*time.Second+retryDelay
 		}},
-		{"patience over, new request submitted", "resubmit = new\npatience = 3s", []http.HandlerFunc{hang, answerWhole}, Whole, 2, func(r Record) bool { return r.ResubmitsAsNew == 1 }},
+		{"patience over, new request submitted", "resubmit = new\npatience = 3s", []http.HandlerFunc{hang, answerWhole}, Whole, 2, func(r Record) bool { return r.Anew == 1 }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/load/check.go
+++ b/load/check.go
@@ -52,11 +52,11 @@
 func checkExecutions(r Record) []Breach {
 	var out []Breach
 	// Each resubmission as a new request permits one more run.
-	permitted := 1 + r.ResubmitsAsNew
+	permitted := 1 + r.Anew
 	if !r.Repeatable && r.Executions > permitted {
 		out = append(out, BreachDoubled)
 	}
-	if r.Final == Refused && r.ResubmitsAsNew == 0 && r.Executions > 0 {
+	if r.Final == Refused && r.Anew == 0 && r.Executions > 0 {
 		out = append(out, BreachFalseNotRun)
 	}
 	if r.Final == Whole && r.Executions == 0 {
--- a/load/patience.go
+++ b/load/patience.go
@@ -57,7 +57,7 @@
 	if c.flow.Resubmit != ResubmitNew {
 		return
 	}
-	c.rec.ResubmitsAsNew++
+	c.rec.Anew++
 	c.ticket = ""
 	if c.flow.Keyed {
 		c.key = uuid.NewString()
--- a/load/record.go
+++ b/load/record.go
@@ -46,11 +46,11 @@
 	RetryAfter time.Duration `json:"retry_after_ns,omitempty"`
 	Detail     string        `json:"detail,omitempty"`
 
-	Presentations  int `json:"presentations"` // times the request was sent
-	Resubmits      int `json:"resubmits"`     // resubmissions after the patience timer fired
-	ResubmitsAsNew int `json:"anew"`          // those of Resubmits that were sent as a new request
-	Reattached     int `json:"reattached"`
-	Restarts       int `json:"restarts"` // announced restarts of the answer
+	Presentations int `json:"presentations"` // times the request was sent
+	Resubmits     int `json:"resubmits"`     // resubmissions after the patience timer fired
+	Anew          int `json:"anew"`          // those of Resubmits that were sent as a new request
+	Reattached    int `json:"reattached"`
+	Restarts      int `json:"restarts"` // announced restarts of the answer
 
 	// Executions is the number of runs in the executors' records, or -1 when the
 	// records of an executor are missing.
--- a/load/summary.go
+++ b/load/summary.go
@@ -95,7 +95,7 @@
 	s.Reattached += r.Reattached
 	s.Restarts += r.Restarts
 	if r.Repeatable {
-		s.Reruns += max(0, r.Executions-1-r.ResubmitsAsNew)
+		s.Reruns += max(0, r.Executions-1-r.Anew)
 	}
 	found := Check(r)
 	for _, b := range found {
