--- a/internal/experiment/groups/calls.go
+++ b/internal/experiment/groups/calls.go
@@ -20,23 +20,24 @@
 
 const million = 1_000_000
 
-// bench is a running fleet with what was counted so far.
-type bench struct {
+// testbed is a running fleet with the number of prompts used so far.
+type testbed struct {
 	*fleet.Fleet
 	opts    options
 	prompts int
 }
 
-// prompt returns a prompt of n tokens that was not used before.
-func (b *bench) prompt(n int) string {
+// prompt returns a new prompt of n tokens.
+func (b *testbed) prompt(n int) string {
 	b.prompts++
 	p := fmt.Sprintf("archive %d ", b.prompts) + strings.Repeat("word", n)
 	return p[:4*n]
 }
 
-// ask sends a completion and returns the modelled time to the whole answer of
-// one token; status 0 means that no answer came.
-func (b *bench) ask(ctx context.Context, gateway, prompt string) (took time.Duration, status int, right bool) {
+// complete sends a completion request for one token. It returns the modelled
+// time to the complete answer, the HTTP status (0 if there was no response) and
+// whether the answer was correct.
+func (b *testbed) complete(ctx context.Context, gateway, prompt string) (took time.Duration, status int, correct bool) {
 	body, err := json.Marshal(map[string]any{"model": model, "prompt": prompt, "max_tokens": 1})
 	if err != nil {
 		return 0, 0, false
@@ -54,22 +55,22 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
-	right = err == nil && resp.StatusCode == http.StatusOK && bytes.Contains(raw, answer.Text([]byte(prompt), 1))
-	return b.modelled(time.Since(began)), resp.StatusCode, right
+	correct = err == nil && resp.StatusCode == http.StatusOK && bytes.Contains(raw, answer.Text([]byte(prompt), 1))
+	return b.modelled(time.Since(began)), resp.StatusCode, correct
 }
 
-func (b *bench) modelled(d time.Duration) time.Duration {
+func (b *testbed) modelled(d time.Duration) time.Duration {
 	return (d * time.Duration(b.opts.Speed)).Round(time.Millisecond)
 }
 
-// state asks an engine what it holds.
-func (b *bench) state(ctx context.Context, i int) (st engine.State, err error) {
+// state fetches the state of an engine.
+func (b *testbed) state(ctx context.Context, i int) (st engine.State, err error) {
 	return engine.NewClient(engine.Options{BaseURL: b.Engines[i]}).State(ctx)
 }
 
-// awaitFree waits until no engine holds anything and returns how long it took,
-// in real time.
-func (b *bench) awaitFree(ctx context.Context) (time.Duration, error) {
+// awaitFree waits until no engine holds any memory and returns the real time
+// that it took.
+func (b *testbed) awaitFree(ctx context.Context) (time.Duration, error) {
 	began := time.Now()
 	for {
 		free := true
@@ -84,14 +85,14 @@
 			return time.Since(began).Round(time.Millisecond), nil
 		}
 		if time.Since(began) > time.Minute {
-			return 0, trace.Errorf("memory is still held after a minute")
+			return 0, trace.Errorf("engines still hold memory after 1 minute")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// peakMemory returns the most resident memory that a process has had, in MiB.
-func (b *bench) peakMemory(name string) float64 {
+// peakMemory returns the peak resident memory of a process in MiB.
+func (b *testbed) peakMemory(name string) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", b.Group.Get(name).PID()))
 	if err != nil {
 		return 0
--- a/internal/experiment/groups/cases.go
+++ b/internal/experiment/groups/cases.go
@@ -14,31 +14,31 @@
 
 const (
 	shortTokens = 1000
-	shortPause  = 20 * time.Millisecond // between two short requests, real time
+	shortPause  = 20 * time.Millisecond // real time between two short requests
 	shortAlone  = 200
-	// frozenTime is longer than a group's lease.
-	frozenTime = 6 * time.Second
+	// freezeTime is longer than a group's lease.
+	freezeTime = 6 * time.Second
 )
 
-// undisturbed measures the first token of a million tokens, alone and beside
-// short requests, and these alone and beside it.
-func (b *bench) undisturbed(ctx context.Context) error {
-	alone := b.shorts(ctx, func(n int) bool { return n == shortAlone })
+// measureWithoutFaults measures prompts of a million tokens alone and along
+// with short requests, and the short requests alone and along with them.
+func (b *testbed) measureWithoutFaults(ctx context.Context) error {
+	alone := b.sendShort(ctx, func(n int) bool { return n == shortAlone })
 	var beside []time.Duration
 	for i := range b.opts.Rounds {
-		took, status, right := b.ask(ctx, b.Gateways[0], b.prompt(million))
-		if !right {
-			return trace.Errorf("a million tokens alone: status %d", status)
+		took, status, correct := b.complete(ctx, b.Gateways[0], b.prompt(million))
+		if !correct {
+			return trace.Errorf("prompt of a million tokens alone: no correct answer, status %d", status)
 		}
 		fmt.Printf("million alone, round %d: %v\n", i+1, took)
 		done := make(chan bool, 1)
 		go func() {
-			took, status, right = b.ask(ctx, b.Gateways[0], b.prompt(million))
-			done <- right
+			took, status, correct = b.complete(ctx, b.Gateways[0], b.prompt(million))
+			done <- correct
 		}()
-		beside = append(beside, b.shorts(ctx, func(int) bool { return len(done) > 0 })...)
+		beside = append(beside, b.sendShort(ctx, func(int) bool { return len(done) > 0 })...)
 		if !<-done {
-			return trace.Errorf("a million tokens beside short requests: status %d", status)
+			return trace.Errorf("prompt of a million tokens beside short requests: no correct answer, status %d", status)
 		}
 		fmt.Printf("million beside short requests, round %d: %v\n", i+1, took)
 	}
@@ -51,10 +51,11 @@
 	return nil
 }
 
-// shorts asks short questions one after the other until stop.
-func (b *bench) shorts(ctx context.Context, stop func(n int) bool) (out []time.Duration) {
+// sendShort sends short requests one after the other until stop returns true and
+// returns the times of those answered correctly.
+func (b *testbed) sendShort(ctx context.Context, stop func(n int) bool) (out []time.Duration) {
 	for n := 0; !stop(n) && ctx.Err() == nil; n++ {
-		if took, _, right := b.ask(ctx, b.Gateways[1], b.prompt(shortTokens)); right {
+		if took, _, right := b.complete(ctx, b.Gateways[1], b.prompt(shortTokens)); right {
 			out = append(out, took)
 		}
 		time.Sleep(shortPause)
@@ -68,18 +69,18 @@
 	return fmt.Sprintf("%d requests, p50 %v p95 %v p99 %v max %v", len(times), at(50), at(95), at(99), at(100))
 }
 
-// disturbed kills and freezes processes in the middle of a group.
-func (b *bench) disturbed(ctx context.Context) error {
-	victims := []victim{
+// measureFaults kills and freezes processes while a group computes a prompt.
+func (b *testbed) measureFaults(ctx context.Context) error {
+	targets := []faultTarget{
 		{"gateway", func(roles) string { return fleet.GatewayName(0) }},
 		{"agent of the first member", func(r roles) string { return fleet.AgentName(r.first) }},
 		{"agent of the second member", func(r roles) string { return fleet.AgentName(r.second) }},
 		{"agent of a later member", func(r roles) string { return fleet.AgentName(r.later) }},
 		{"engine of the second member", func(r roles) string { return fleet.EngineName(r.second) }},
 	}
-	for _, v := range victims {
+	for _, v := range targets {
 		for _, kill := range []bool{false, true} {
-			if err := b.disturb(ctx, v, kill); err != nil {
+			if err := b.measureFault(ctx, v, kill); err != nil {
 				return err
 			}
 		}
@@ -87,52 +88,53 @@
 	return nil
 }
 
-// roles are the members of the present group, as the engines show them while
-// the second member computes.
+// roles holds the indexes of the current group's members, derived from the
+// engines' state while the second member computes.
 type roles struct{ first, second, later int }
 
-// victim names a process by its part in the group.
-type victim struct {
-	name string
-	of   func(roles) string
+// faultTarget selects a process by its role in the group.
+type faultTarget struct {
+	name    string
+	process func(roles) string
 }
 
-// disturb runs one prompt and kills or freezes a process while the second
+// measureFault runs one prompt and kills or freezes a process while the second
 // member computes.
-func (b *bench) disturb(ctx context.Context, v victim, kill bool) error {
-	type end struct {
-		took   time.Duration
-		status int
-		right  bool
+func (b *testbed) measureFault(ctx context.Context, v faultTarget, kill bool) error {
+	type answer struct {
+		took    time.Duration
+		status  int
+		correct bool
 	}
-	done := make(chan end, 1)
+	done := make(chan answer, 1)
 	go func() {
-		var e end
-		e.took, e.status, e.right = b.ask(ctx, b.Gateways[0], b.prompt(million))
+		var e answer
+		e.took, e.status, e.correct = b.complete(ctx, b.Gateways[0], b.prompt(million))
 		done <- e
 	}()
-	r, err := b.awaitSecond(ctx)
+	r, err := b.awaitSecondMember(ctx)
 	if err != nil {
 		return err
 	}
-	what := "frozen"
+	fault := "frozen"
 	if kill {
-		what = "killed"
+		fault = "killed"
 	}
-	if err := b.strike(b.Group.Get(v.of(r)), kill); err != nil {
+	if err := b.injectFault(b.Group.Get(v.process(r)), kill); err != nil {
 		return err
 	}
 	e := <-done
 	free, err := b.awaitFree(ctx)
 	if err != nil {
-		return trace.Wrap(err, "%s %s", v.name, what)
+		return trace.Wrap(err, "%s %s", v.name, fault)
 	}
-	fmt.Printf("%s %s: status %d, whole %t after %v; all memory free %v after the answer\n", v.name, what, e.status, e.right, e.took, free)
+	fmt.Printf("%s %s: status %d, whole %t after %v; all memory free %v after the answer\n", v.name, fault, e.status, e.correct, e.took, free)
 	return nil
 }
 
-// awaitSecond waits until the second member computes and returns who is who.
-func (b *bench) awaitSecond(ctx context.Context) (r roles, err error) {
+// awaitSecondMember waits until the second member computes and returns the roles
+// of the engines.
+func (b *testbed) awaitSecondMember(ctx context.Context) (r roles, err error) {
 	for ctx.Err() == nil {
 		held := make([]uint64, engines)
 		second := -1
@@ -156,8 +158,8 @@
 	return r, ctx.Err()
 }
 
-// rolesOf tells the members apart by what they hold: the first holds its own
-// span, the others what they have imported of it.
+// rolesOf derives the roles from the tokens that the engines hold: the first
+// member holds its own span, the others the part of it that they have imported.
 func rolesOf(held []uint64, second int) roles {
 	r := roles{second: second, first: (second + 1) % engines}
 	for i, n := range held {
@@ -173,13 +175,14 @@
 	return r
 }
 
-// strike kills and restarts a process, or freezes it and thaws it later.
-func (b *bench) strike(p *procs.Process, kill bool) error {
+// injectFault kills and restarts a process, or freezes it and thaws it after
+// freezeTime.
+func (b *testbed) injectFault(p *procs.Process, kill bool) error {
 	if !kill {
 		if err := p.Freeze(); err != nil {
 			return err
 		}
-		time.AfterFunc(frozenTime, func() { _ = p.Thaw() })
+		time.AfterFunc(freezeTime, func() { _ = p.Thaw() })
 		return nil
 	}
 	spec := p.Spec()
--- a/internal/experiment/groups/main.go
+++ b/internal/experiment/groups/main.go
@@ -1,8 +1,8 @@
-// Command groups measures, with real processes on the loopback interface,
-// prompts of a million tokens over four engines: the time to the first token,
-// short requests beside it, the agents' resident memory, and what is left held
-// after gateways, agents and engines were killed or frozen. It takes about five
-// minutes.
+// Command groups measures prompts of a million tokens that four engines prefill
+// as a group, with real processes on the loopback interface: the time to the
+// first token, concurrent short requests, the agents' resident memory, and the
+// memory still held after gateways, agents and engines were killed or frozen.
+// It takes about five minutes.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	key          = "key-of-the-archive"
 	startTime    = 20 * time.Second
 	stopTime     = 10 * time.Second
-	wholeTime    = 10 * time.Minute
+	runLimit     = 10 * time.Minute
 )
 
 type options struct {
@@ -36,7 +36,7 @@
 }
 
 func main() {
-	tool.Main("groups", wholeTime, run)
+	tool.Main("groups", runLimit, run)
 }
 
 func run(ctx context.Context, opts options) error {
@@ -53,8 +53,8 @@
 	return trace.NewAggregate(b.measure(ctx), b.stop())
 }
 
-// start starts the fleet: four engines with their agents and two gateways.
-func (o options) start(ctx context.Context, dir string) (*bench, error) {
+// start starts a fleet of four engines with their agents and two gateways.
+func (o options) start(ctx context.Context, dir string) (*testbed, error) {
 	c := fleet.Config{
 		BinDir: o.BinDir, Dir: dir, BasePort: o.BasePort, DataCentres: []string{"cdf-a"}, Engines: engines, Gateways: 2,
 		Models: []string{model}, Workspaces: []fleet.Workspace{{Name: "archive", Key: key}}, Policy: "default",
@@ -66,18 +66,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return &bench{Fleet: f, opts: o}, nil
+	return &testbed{Fleet: f, opts: o}, nil
 }
 
-func (b *bench) stop() error {
+func (b *testbed) stop() error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTime)
 	defer cancel()
 	return b.Group.Stop(ctx)
 }
 
-func (b *bench) measure(ctx context.Context) error {
-	if err := b.undisturbed(ctx); err != nil {
+func (b *testbed) measure(ctx context.Context) error {
+	if err := b.measureWithoutFaults(ctx); err != nil {
 		return err
 	}
-	return b.disturbed(ctx)
+	return b.measureFaults(ctx)
 }
--- a/internal/experiment/overhead/main.go
+++ b/internal/experiment/overhead/main.go
@@ -1,6 +1,6 @@
-// Command overhead measures what gateway and agent add to the time to first
-// token at idle, against the same stand-in engine reached directly, in turns
-// in the same run.
+// Command overhead measures the time to first token that gateway and agent add
+// on an idle system. It compares with direct requests to the same stand-in
+// engine, which alternate with the others in the same run.
 package main
 
 import (
@@ -50,10 +50,10 @@
 		return err
 	}
 	defer func() { _ = f.Group.Stop(context.WithoutCancel(ctx)) }()
-	ways := []string{f.Engines[0], f.Gateways[0]}
-	took := make([][]time.Duration, len(ways))
+	targets := []string{f.Engines[0], f.Gateways[0]}
+	took := make([][]time.Duration, len(targets))
 	for i := range o.N {
-		for way, base := range ways {
+		for way, base := range targets {
 			d, err := firstToken(ctx, base, fmt.Sprintf("%d-%d ", way, i))
 			if err != nil {
 				return err
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// firstToken sends one streamed completion and returns the time to its first event.
+// firstToken sends one streaming completion request and returns the time to the
+// first event.
 func firstToken(ctx context.Context, base, tag string) (time.Duration, error) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":2,"messages":[{"role":"user","content":%q}]}`, model, tag+strings.Repeat("x", promptBytes))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/v1/chat/completions", strings.NewReader(body))
@@ -82,7 +83,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("%s answered %s", base, resp.Status)
+		return 0, fmt.Errorf("completion request to %s: HTTP status %s", base, resp.Status)
 	}
 	first := time.Duration(0)
 	sc := bufio.NewScanner(resp.Body)
--- a/internal/experiment/spread/bytes.go
+++ b/internal/experiment/spread/bytes.go
@@ -9,10 +9,10 @@
 	"github.com/micarudder/micarudder/internal/fleet"
 )
 
-// measureBytes counts what processes read and write, without a change and with
-// changes. The kernel's counters hold the bytes of the sockets without the
-// headers of TCP and IP.
-func (t *times) measureBytes(ctx context.Context, r *running) error {
+// measureBytes counts the bytes that processes read and write, first without
+// and then with configuration changes. The kernel's counters include the bytes
+// of sockets without TCP and IP headers.
+func (t *propagation) measureBytes(ctx context.Context, r *liveFleet) error {
 	start := t.snapshot(r)
 	if err := pause(ctx, byteWindow); err != nil {
 		return err
@@ -27,19 +27,19 @@
 		}
 	}
 	busy := t.snapshot(r)
-	t.agent = bytesOf{idle.agents.less(start.agents) / byteWindow.Seconds(), busy.agents.less(idle.agents) / byteChanges}
-	t.gateway = bytesOf{idle.gateways.less(start.gateways) / byteWindow.Seconds(), busy.gateways.less(idle.gateways) / byteChanges}
+	t.agent = byteCounts{idle.agents.minus(start.agents) / byteWindow.Seconds(), busy.agents.minus(idle.agents) / byteChanges}
+	t.gateway = byteCounts{idle.gateways.minus(start.gateways) / byteWindow.Seconds(), busy.gateways.minus(idle.gateways) / byteChanges}
 	return nil
 }
 
-// mean is the mean over the processes of one kind.
+// mean is the mean number of bytes over the processes of one kind.
 type mean float64
 
-func (m mean) less(n mean) float64 { return float64(m - n) }
+func (m mean) minus(n mean) float64 { return float64(m - n) }
 
 type snapshot struct{ agents, gateways mean }
 
-func (t *times) snapshot(r *running) (s snapshot) {
+func (t *propagation) snapshot(r *liveFleet) (s snapshot) {
 	for i := range t.agents {
 		s.agents += mean(transferred(r, fleet.AgentName(i)) / float64(t.agents))
 	}
@@ -49,8 +49,9 @@
 	return s
 }
 
-// transferred returns the bytes that a process has read and written so far.
-func transferred(r *running, name string) float64 {
+// transferred returns the number of bytes that a process has read and written
+// since its start.
+func transferred(r *liveFleet, name string) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", r.Group.Get(name).PID()))
 	if err != nil {
 		return 0
--- a/internal/experiment/spread/calls.go
+++ b/internal/experiment/spread/calls.go
@@ -14,20 +14,21 @@
 	callAgents   = []int{5, 20, 40}
 )
 
-// callsOf are the calls a second at the platform of one fleet without changes
-// and without requests.
-type callsOf struct {
+// callRates holds the platform calls per second of one fleet without
+// configuration changes and requests, and its open watches.
+type callRates struct {
 	gateways, agents int
 	reads, writes    float64
 	watches          int64
 }
 
-// measureCalls counts the platform's calls of each combination. Fleets with the
-// same number of agents run side by side, at loopback addresses of their own.
-func (o options) measureCalls(ctx context.Context) ([]callsOf, error) {
-	var all []callsOf
+// measureCalls counts the platform calls for each combination of callGateways
+// and callAgents. Fleets with the same number of agents run concurrently, each
+// on its own loopback address.
+func (o options) measureCalls(ctx context.Context) ([]callRates, error) {
+	var all []callRates
 	for _, agents := range callAgents {
-		found := make([]callsOf, len(callGateways))
+		found := make([]callRates, len(callGateways))
 		errs := make([]error, len(callGateways))
 		var wg sync.WaitGroup
 		for i, gateways := range callGateways {
@@ -44,16 +45,16 @@
 	return all, nil
 }
 
-func (o options) countCalls(ctx context.Context, address string, gateways, agents int) (callsOf, error) {
+func (o options) countCalls(ctx context.Context, address string, gateways, agents int) (callRates, error) {
 	r, err := o.start(ctx, address, gateways, agents)
 	if err != nil {
-		return callsOf{}, err
+		return callRates{}, err
 	}
-	c := callsOf{gateways: gateways, agents: agents}
+	c := callRates{gateways: gateways, agents: agents}
 	return c, trace.NewAggregate(c.count(ctx, r, o.Window), r.stop())
 }
 
-func (c *callsOf) count(ctx context.Context, r *running, window time.Duration) error {
+func (c *callRates) count(ctx context.Context, r *liveFleet, window time.Duration) error {
 	before, err := r.counts(ctx)
 	if err != nil {
 		return err
--- a/internal/experiment/spread/fleet.go
+++ b/internal/experiment/spread/fleet.go
@@ -21,21 +21,21 @@
 const (
 	startTime = 20 * time.Second
 	stopTime  = 10 * time.Second
-	// firstReports is how long the agents take to tell every gateway its rank.
+	// firstReports is the time that the agents take to send every gateway its rank.
 	firstReports = 6 * time.Second
 )
 
-// running is a fleet with the means to change its configuration.
-type running struct {
+// liveFleet is a running fleet whose configuration can be changed.
+type liveFleet struct {
 	*fleet.Fleet
-	dir   string
-	store *metastore.Client
-	doc   *rudderv1.Document
-	at    int64 // revision of doc
+	dir      string
+	store    *metastore.Client
+	doc      *rudderv1.Document
+	revision int64 // revision of doc
 }
 
-// start starts a fleet of gateways and agents at a loopback address.
-func (o options) start(ctx context.Context, address string, gateways, agents int) (*running, error) {
+// start starts a fleet of gateways and agents on a loopback address.
+func (o options) start(ctx context.Context, address string, gateways, agents int) (*liveFleet, error) {
 	dir, err := os.MkdirTemp("", "micarudder-spread-")
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -53,32 +53,32 @@
 	if err != nil {
 		return nil, trace.NewAggregate(err, os.RemoveAll(dir))
 	}
-	r := &running{Fleet: f, dir: dir, doc: c.Document()}
+	r := &liveFleet{Fleet: f, dir: dir, doc: c.Document()}
 	if err := r.open(ctx); err != nil {
 		return nil, trace.NewAggregate(err, r.stop())
 	}
 	return r, nil
 }
 
-func (r *running) open(ctx context.Context) error {
+func (r *liveFleet) open(ctx context.Context) error {
 	var err error
 	if r.store, err = metastore.NewClient(metastore.Options{Addresses: []string{r.Platform}}); err != nil {
 		return err
 	}
 	e, err := r.store.Get(ctx, metastore.KeyDocument)
-	r.at = e.Revision
+	r.revision = e.Revision
 	return trace.Wrap(err)
 }
 
-func (r *running) stop() error {
+func (r *liveFleet) stop() error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTime)
 	defer cancel()
 	return trace.NewAggregate(r.Group.Stop(ctx), os.RemoveAll(r.dir))
 }
 
-// confirm accepts the next generation, in which the weight of one workspace is
-// another one, and returns when the write began.
-func (r *running) confirm(ctx context.Context) (began time.Time, err error) {
+// confirm writes the next generation, in which the weight of one workspace
+// differs, and returns the start time of the write.
+func (r *liveFleet) confirm(ctx context.Context) (began time.Time, err error) {
 	next := proto.CloneOf(r.doc)
 	next.Generation++
 	next.PlanId = fmt.Sprint("plan-", next.Generation)
@@ -89,16 +89,16 @@
 		return began, err
 	}
 	began = time.Now()
-	e, err := r.store.CompareAndSwap(ctx, metastore.KeyDocument, r.at, value, 0)
+	e, err := r.store.CompareAndSwap(ctx, metastore.KeyDocument, r.revision, value, 0)
 	if err != nil {
 		return began, trace.Wrap(err)
 	}
-	r.doc, r.at = next, e.Revision
+	r.doc, r.revision = next, e.Revision
 	return began, nil
 }
 
-// counts returns the calls that the platform's stand-in has received.
-func (r *running) counts(ctx context.Context) (c standplatform.Counts, err error) {
+// counts returns the call counts of the platform's stand-in.
+func (r *liveFleet) counts(ctx context.Context) (c standplatform.Counts, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.Platform+"/counts", nil)
 	if err != nil {
 		return c, err
--- a/internal/experiment/spread/main.go
+++ b/internal/experiment/spread/main.go
@@ -1,7 +1,8 @@
-// Command spread measures, with real processes on the loopback interface, how
-// a confirmed configuration reaches every process: the time until it is in
-// force everywhere, the calls at the platform against the numbers of gateways
-// and agents, and the bytes that one change costs. It takes under a minute.
+// Command spread measures the propagation of a confirmed configuration to all
+// processes, with real processes on the loopback interface: the time until it
+// is in force everywhere, the platform calls as a function of the numbers of
+// gateways and agents, and the bytes transferred per change. It takes under a
+// minute.
 package main
 
 import (
@@ -21,11 +22,11 @@
 }
 
 func main() {
-	tool.Main("spread", wholeTime, run)
+	tool.Main("spread", runLimit, run)
 }
 
-// wholeTime bounds the run.
-const wholeTime = 2 * time.Minute
+// runLimit limits the duration of the whole run.
+const runLimit = 2 * time.Minute
 
 func run(ctx context.Context, opts options) error {
 	times, err := opts.measureTimes(ctx)
--- a/internal/experiment/spread/times.go
+++ b/internal/experiment/spread/times.go
@@ -16,42 +16,43 @@
 const (
 	timeGateways = 4
 	timeAgents   = 54 // with the platform's and the service's stand-in 60 processes
-	// settle is left after a change before the processes are asked.
-	settle = 150 * time.Millisecond
-	// lost is when a change that is not in force everywhere counts as lost.
-	lost = 15 * time.Second
-	// byteWindow is the length of the idle and of the busy window in which
-	// bytes are counted, and byteChanges the changes in the busy one.
+	// settleTime is the delay after a change before the processes are scraped.
+	settleTime = 150 * time.Millisecond
+	// changeTimeout is the time after which a change that is not in force
+	// everywhere counts as lost.
+	changeTimeout = 15 * time.Second
+	// byteWindow is the length of the idle and of the busy window in which bytes
+	// are counted. byteChanges is the number of changes in the busy window.
 	byteWindow  = 4 * time.Second
 	byteChanges = 8
 )
 
-// times is the result of the time and byte measurement.
-type times struct {
+// propagation holds the results of the time and byte measurements.
+type propagation struct {
 	gateways, agents int
 	took             []time.Duration // sorted
-	agent, gateway   bytesOf
-	delta, whole     float64 // bytes of one offer to an agent
-	repeats          float64 // offers for each agent and change
+	agent, gateway   byteCounts
+	delta, whole     float64 // bytes per offer to an agent, by form
+	offersPerChange  float64 // offers per agent and change
 }
 
-// bytesOf are the bytes that a process reads and writes.
-type bytesOf struct{ idlePerSecond, busyPerChange float64 }
+// byteCounts holds the bytes that a process reads and writes.
+type byteCounts struct{ idlePerSecond, busyPerChange float64 }
 
-func (o options) measureTimes(ctx context.Context) (*times, error) {
+func (o options) measureTimes(ctx context.Context) (*propagation, error) {
 	r, err := o.start(ctx, "127.0.0.1", timeGateways, timeAgents)
 	if err != nil {
 		return nil, err
 	}
-	t := &times{gateways: timeGateways, agents: timeAgents}
+	t := &propagation{gateways: timeGateways, agents: timeAgents}
 	return t, trace.NewAggregate(t.measure(ctx, r, o.Changes), r.stop())
 }
 
-func (t *times) measure(ctx context.Context, r *running, changes int) error {
+func (t *propagation) measure(ctx context.Context, r *liveFleet, changes int) error {
 	if err := pause(ctx, firstReports); err != nil {
 		return err
 	}
-	before := r.offers(ctx)
+	before := r.sumMetrics(ctx)
 	for range changes {
 		took, err := r.change(ctx)
 		if err != nil {
@@ -60,29 +61,29 @@
 		t.took = append(t.took, took)
 	}
 	slices.Sort(t.took)
-	t.offers(before, r.offers(ctx), changes)
+	t.computeOffers(before, r.sumMetrics(ctx), changes)
 	return t.measureBytes(ctx, r)
 }
 
-// at returns a quantile of the times by the nearest rank.
-func (t *times) at(q float64) time.Duration {
+// quantile returns a nearest-rank quantile of the propagation times.
+func (t *propagation) quantile(q float64) time.Duration {
 	rank := int(q*float64(len(t.took)) + 0.999999)
 	return t.took[min(max(rank, 1), len(t.took))-1]
 }
 
-// change confirms one change and returns how long it took until it was in
-// force in the last process, by that process's own word.
-func (r *running) change(ctx context.Context) (time.Duration, error) {
+// change confirms one change and returns the time until it was in force in the
+// last process, according to the timestamp in that process's metrics.
+func (r *liveFleet) change(ctx context.Context) (time.Duration, error) {
 	began, err := r.confirm(ctx)
 	if err != nil {
 		return 0, err
 	}
-	if err := pause(ctx, settle); err != nil {
+	if err := pause(ctx, settleTime); err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, lost)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	all := r.admins()
+	all := r.metricsURLs()
 	since := make([]time.Time, len(all))
 	errs := make([]error, len(all))
 	var wg sync.WaitGroup
@@ -94,8 +95,8 @@
 	return last.Sub(began), trace.NewAggregate(errs...)
 }
 
-// admins returns the URLs of all metrics.
-func (r *running) admins() []string {
+// metricsURLs returns the metrics URLs of all gateways and agents.
+func (r *liveFleet) metricsURLs() []string {
 	out := slices.Clone(r.Metrics)
 	for _, a := range r.Agents {
 		out = append(out, a+"/metrics")
@@ -103,7 +104,8 @@
 	return out
 }
 
-// waitGeneration waits until a process has the generation and returns since when.
+// waitGeneration waits until a process has the generation and returns the time
+// at which it took effect there.
 func waitGeneration(ctx context.Context, url string, generation uint64) (time.Time, error) {
 	for {
 		m, err := scrape(ctx, url)
@@ -115,13 +117,13 @@
 				return time.UnixMicro(int64(m[process+"_timestamp_seconds"] * 1e6)), nil
 			}
 		}
-		if err := pause(ctx, settle/3); err != nil {
-			return time.Time{}, trace.Wrap(err, "%s does not reach generation %d", url, generation)
+		if err := pause(ctx, settleTime/3); err != nil {
+			return time.Time{}, trace.Wrap(err, "%s did not reach generation %d in time", url, generation)
 		}
 	}
 }
 
-// scrape reads a page of metrics.
+// scrape fetches and parses the metrics of a process.
 func scrape(ctx context.Context, url string) (map[string]float64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -145,8 +147,9 @@
 	return m, nil
 }
 
-// offers sums the gateways' metrics of offers to agents.
-func (r *running) offers(ctx context.Context) map[string]float64 {
+// sumMetrics returns the sum over all gateways of each metric. Gateways that
+// cannot be scraped are left out.
+func (r *liveFleet) sumMetrics(ctx context.Context) map[string]float64 {
 	sum := make(map[string]float64)
 	for _, url := range r.Metrics {
 		m, err := scrape(ctx, url)
@@ -160,11 +163,11 @@
 	return sum
 }
 
-func (t *times) offers(before, after map[string]float64, changes int) {
+func (t *propagation) computeOffers(before, after map[string]float64, changes int) {
 	const number, size = "rudder_gateway_offers_total", "rudder_gateway_offer_bytes_total"
 	const delta, whole = `{to="agent",form="delta"}`, `{to="agent",form="whole"}`
 	grown := func(name string) float64 { return after[name] - before[name] }
-	t.repeats = (grown(number+delta) + grown(number+whole)) / float64(changes*t.agents)
+	t.offersPerChange = (grown(number+delta) + grown(number+whole)) / float64(changes*t.agents)
 	t.delta = grown(size+delta) / max(1, grown(number+delta))
 	t.whole = after[size+whole] / max(1, after[number+whole])
 }
--- a/internal/experiment/worth/main.go
+++ b/internal/experiment/worth/main.go
@@ -1,7 +1,8 @@
-// Command worth reads the logs of relaying gateways and says, by time and by the
-// length of the prompts, what was asked for in engine seconds, what was answered in
-// time, for what reason the rest was not, how much could have been, and how far the
-// choice's expectation of the first event was from what came.
+// Command worth analyzes the logs of relaying gateways. By time window and by
+// prompt length it reports the demand in engine seconds, the worth of requests
+// answered in time, the reasons for which the rest was not, and an upper bound of
+// what was possible. It also compares the time to first event expected when the
+// endpoint was chosen with the measured one.
 package main
 
 import (
@@ -32,7 +33,7 @@
 
 func run(_ context.Context, o options) error {
 	if o.Endpoints <= 0 || o.ReadPerMs <= 0 || o.PairsPerM < 0 || o.Seconds <= 0 {
-		return errors.New("--endpoints, --read-per-ms and --window must be above zero, --pairs-per-m not below")
+		return errors.New("--endpoints, --read-per-ms and --window must be greater than zero, --pairs-per-m must not be negative")
 	}
 	var lines []eventlog.Line
 	for _, name := range o.Log {
--- a/internal/experiment/worth/requests.go
+++ b/internal/experiment/worth/requests.go
@@ -7,7 +7,7 @@
 	"github.com/micarudder/micarudder/eventlog"
 )
 
-// reason is why a request was not answered in time.
+// reason classifies the end of a request: in time, or why not.
 type reason string
 
 const (
@@ -26,31 +26,32 @@
 	notOwed         reason = "not owed: no key, or the caller left early"
 )
 
-// slowPace is the pace of an endpoint from which on lateness is put down to it.
+// slowPace is the pace of an endpoint above which late answers are attributed to
+// it.
 const slowPace = 1.2
 
-// request is one request for an engine as the gateways' logs tell it.
+// request is one request for an engine, reconstructed from the gateways' logs.
 type request struct {
-	at        time.Time // when its head was read
+	at        time.Time // when its header was read
 	tokens    int
-	objective time.Duration // to the first event
-	pause     time.Duration // longest that the route allows
-	first     time.Duration // until the first event; negative: none came
-	gap       time.Duration // longest pause
-	held      time.Duration // until its end
-	deadline  time.Duration // that the caller told; 0: none
+	objective time.Duration // for the time to the first event
+	pause     time.Duration // longest pause between events that the route allows
+	first     time.Duration // time to the first event; negative if there was none
+	gap       time.Duration // longest pause between events
+	held      time.Duration // time to its end
+	deadline  time.Duration // stated by the caller; 0 if none
 	route     string
-	again     bool          // whether the caller had asked before
-	pace      float64       // of the slowest endpoint that it was sent to; 0: not known
-	expected  time.Duration // first event as the choice expected it; 0: never chosen
-	busy      bool          // whether the chosen endpoint read or generated for others
+	retry     bool          // whether it is a retry of an earlier request
+	pace      float64       // of the slowest endpoint that it was sent to; 0 if unknown
+	expected  time.Duration // expected time to the first event; 0 if no endpoint was chosen
+	busy      bool          // whether the chosen endpoint was prefilling or generating for others
 	why       reason
 }
 
-// size is a class of requests by the length of their prompts.
+// size is a class of prompt lengths.
 type size int
 
-// The sizes.
+// Classes of prompt lengths.
 const (
 	small size = iota
 	medium
@@ -59,7 +60,7 @@
 	sizes
 )
 
-// String returns the range of lengths in tokens.
+// String returns the range of lengths of the class in tokens.
 func (s size) String() string {
 	return [...]string{"to 20k", "20k to 80k", "80k to 250k", "over 250k"}[s]
 }
@@ -77,25 +78,26 @@
 	}
 }
 
-// firstTryShare is the part of the longest time that a route's callers give, in percent,
-// below which a caller is taken for one that asked before: those that ask first differ by a
-// fifth, and a refused one has spent at least a third of an objective and a pause of seconds.
-const firstTryShare = 75
+// firstAttemptPercent is the percentage of a route's longest deadline below which a request
+// is taken for a retry. Deadlines of first attempts differ by a fifth, and a retry after a
+// refusal has spent at least a third of an objective and a pause of seconds.
+const firstAttemptPercent = 75
 
-// markAgain marks the requests whose callers had asked before. Each try has an id of its
-// own; what ties a caller's tries together is that less of its time is left.
-func markAgain(all []*request) {
+// markRetries marks the requests that are retries. Each attempt has its own request ID, so
+// retries are recognized by their shorter remaining deadline.
+func markRetries(all []*request) {
 	longest := make(map[string]time.Duration)
 	for _, r := range all {
 		longest[r.route] = max(longest[r.route], r.deadline)
 	}
 	for _, r := range all {
-		r.again = r.deadline > 0 && r.deadline < longest[r.route]*firstTryShare/100
+		r.retry = r.deadline > 0 && r.deadline < longest[r.route]*firstAttemptPercent/100
 	}
 }
 
-// collect builds the requests from the lines of all gateways. Requests without a
-// prompt are left out: they are for plain services, or were refused unread.
+// collect builds the requests from the log lines of all gateways. Requests without
+// a prompt are left out: they are for plain services or were refused before their
+// body was read.
 func collect(lines []eventlog.Line) []*request {
 	chosen := make(map[string]eventlog.Line)
 	refused := make(map[string]eventlog.Line)
@@ -110,38 +112,38 @@
 		case "No endpoint chosen.":
 			refused[id] = l
 		case "Request ended.":
-			if r := ended(l, chosen[id], refused[id]); r.tokens > 0 {
+			if r := newRequest(l, chosen[id], refused[id]); r.tokens > 0 {
 				out = append(out, r)
 			}
 			delete(chosen, id)
 			delete(refused, id)
 		}
 	}
-	markAgain(out)
+	markRetries(out)
 	return out
 }
 
-// ended builds a request from its last line, the choice of its first endpoint and its
-// refusal for want of one.
-func ended(l, choice, refusal eventlog.Line) *request {
+// newRequest builds a request from the log lines of its end, of the choice of its first
+// endpoint and of its refusal because no endpoint was available.
+func newRequest(l, choice, refusal eventlog.Line) *request {
 	r := &request{
 		at: l.At.Add(-millis(l, "ms")), tokens: number(l, "tokens"), objective: millis(l, "objective_ms"), pause: millis(l, "pause_ms"),
 		first: millis(l, "first_ms"), gap: millis(l, "gap_ms"), held: millis(l, "ms"), deadline: millis(l, "deadline_ms"), route: l.Fields["route"],
 	}
 	if choice.Fields != nil {
-		// What was expected counts from the choice, the rest from the head.
+		// expected_ms is relative to the choice, the other times to the header.
 		r.expected = millis(choice, "expected_ms") + choice.At.Sub(r.at)
 		r.busy = number(choice, "short")+number(choice, "long")+number(choice, "read_ms") > 0
-		r.pace, _ = strconv.ParseFloat(choice.Fields["pace"], 64) // older lines lack it
+		r.pace, _ = strconv.ParseFloat(choice.Fields["pace"], 64) // missing in logs of older releases
 	}
-	r.why = why(r, l.Fields["outcome"], refusal)
+	r.why = classify(r, l.Fields["outcome"], refusal)
 	return r
 }
 
-func why(r *request, outcome string, refusal eventlog.Line) reason {
+func classify(r *request, outcome string, refusal eventlog.Line) reason {
 	switch outcome {
 	case "answered":
-		return late(r)
+		return classifyAnswer(r)
 	case "refused-busy":
 		return refusedSlots
 	case "not-started", "stopping", "refused-key":
@@ -167,8 +169,8 @@
 	return otherEnd
 }
 
-// late says why an answer was late, or that it was not.
-func late(r *request) reason {
+// classifyAnswer returns why an answer was late, or inTime.
+func classifyAnswer(r *request) reason {
 	firstLate, pauseLate := r.first > r.objective, r.pause > 0 && r.gap > r.pause
 	switch {
 	case !firstLate && !pauseLate:
@@ -181,15 +183,16 @@
 	return latePause
 }
 
-// Callers of a stream give up after a pause of leastPatience, four objectives or eight
-// allowed pauses, whichever is longest; see the platform's adapter.
-const leastPatience = 2 * time.Second
+// minPatience is the minimum time after which callers of a stream give up. They give up
+// after a pause of minPatience, four objectives or eight allowed pauses, whichever is
+// longest; see the platform's adapter.
+const minPatience = 2 * time.Second
 
-// leftEarly reports whether the caller left before its patience was over.
+// leftEarly reports whether the caller disconnected before its patience ended.
 func (r *request) leftEarly() bool {
-	patience := max(leastPatience, 4*r.objective, 8*r.pause)
+	patience := max(minPatience, 4*r.objective, 8*r.pause)
 	if r.first >= 0 {
-		return r.gap < patience // it had the first event
+		return r.gap < patience // the first event had arrived
 	}
 	return r.held < patience*9/10
 }
@@ -198,8 +201,8 @@
 	return time.Duration(number(l, field)) * time.Millisecond
 }
 
-// number returns a whole number of a line. Lines of older releases lack some
-// fields; those count as zero.
+// number returns an integer field of a line. Missing fields, as in lines of older
+// releases, count as zero.
 func number(l eventlog.Line, field string) int {
 	n, err := strconv.Atoi(l.Fields[field])
 	if err != nil {
--- a/internal/experiment/worth/table.go
+++ b/internal/experiment/worth/table.go
@@ -13,19 +13,20 @@
 	"github.com/micarudder/micarudder/internal/chart"
 )
 
-// window is what came in during a stretch of time.
+// window holds the totals of the requests that arrived in one time window or
+// belong to one size.
 type window struct {
 	second int
-	asked  time.Duration // engine time of the prompts
-	owed   float64
-	earned float64
-	// strict is earned less what holding cost that was not served.
+	demand time.Duration // engine time needed for the prompts
+	owed   float64       // worth of first attempts
+	earned float64       // worth of answers
+	// strict is earned minus the cost of requests that were held but not answered.
 	strict  float64
 	bounded float64
 	lost    map[reason]float64
 }
 
-// report is what the logs of one run say.
+// report is the analysis of the logs of one run.
 type report struct {
 	fleet    fleet
 	width    time.Duration
@@ -34,14 +35,14 @@
 	sizes    [sizes]window
 }
 
-// newReport sorts the requests into windows of that width.
+// newReport assigns the requests to windows of the given width.
 func newReport(f fleet, v values, width time.Duration, all []*request) *report {
 	r := &report{fleet: f, width: width, requests: all}
 	if len(all) == 0 {
 		return r
 	}
 	begin := slices.MinFunc(all, func(a, b *request) int { return a.at.Compare(b.at) }).at
-	fits := bound(f, v, owed(all))
+	fits := bound(f, v, owedRequests(all))
 	bySecond := make(map[int]*window)
 	for _, one := range all {
 		second := int(one.at.Sub(begin)/width) * int(width.Seconds())
@@ -59,29 +60,29 @@
 	return r
 }
 
-// lateShare is the part of its worth that an answer keeps which is late.
+// lateShare is the fraction of its worth that a late answer retains.
 const lateShare = 0.25
 
-// owed returns the requests that something is owed for: first tries, of callers that had a
-// key and stayed.
-func owed(all []*request) []*request {
-	return slices.DeleteFunc(slices.Clone(all), func(r *request) bool { return r.again || r.why == notOwed })
+// owedRequests returns the requests whose worth is owed: first attempts of callers that had a
+// valid key and did not leave early.
+func owedRequests(all []*request) []*request {
+	return slices.DeleteFunc(slices.Clone(all), func(r *request) bool { return r.retry || r.why == notOwed })
 }
 
 func (w *window) add(f fleet, v values, r *request, fits bool) {
 	if w.lost == nil {
 		w.lost = make(map[reason]float64)
 	}
-	worth := v.of(r)
-	w.asked += f.reading(r.tokens)
+	worth := v.worthOf(r)
+	w.demand += f.prefillTime(r.tokens)
 	if r.why == notOwed {
 		return
 	}
 	if fits {
 		w.bounded += worth
 	}
-	if r.again {
-		w.addAgain(r, worth)
+	if r.retry {
+		w.addRetry(r, worth)
 		return
 	}
 	w.owed += worth
@@ -97,9 +98,9 @@
 	}
 }
 
-// addAgain counts a request whose caller had asked before: the worth was lost with the first
-// try, and an answer now is a late one.
-func (w *window) addAgain(r *request, worth float64) {
+// addRetry counts a retry. Its worth was lost with the first attempt, so an answer counts
+// as a late one.
+func (w *window) addRetry(r *request, worth float64) {
 	switch r.why {
 	case inTime, lateFirst, latePause, lateSlow:
 		w.earn(worth * lateShare)
@@ -113,7 +114,7 @@
 	w.strict += worth
 }
 
-// heldShare returns which part of its caller's time a request was held that was not served.
+// heldShare returns the fraction of its deadline for which an unanswered request was held.
 func (r *request) heldShare() float64 {
 	if r.deadline <= 0 {
 		return 0
@@ -121,10 +122,10 @@
 	return min(1, float64(r.held)/float64(r.deadline))
 }
 
-// reasons in the order of the table.
+// reasons lists the reasons for lost worth in the order of the table's columns.
 var reasons = []reason{lateFirst, latePause, lateSlow, refusedQueue, refusedNever, refusedSlots, refusedSends, refusedStarting, broken, gaveUp, otherEnd}
 
-// text writes the tables.
+// text writes the tables as plain text.
 func (r *report) text(out io.Writer) error {
 	tab := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	head := "engine s/s\towed\tearned\tless holding\tbound"
@@ -149,14 +150,15 @@
 }
 
 func (w *window) row(width time.Duration) string {
-	cells := fmt.Sprintf("%.1f\t%.0f\t%.0f\t%.0f\t%.0f", w.asked.Seconds()/width.Seconds(), w.owed, w.earned, w.strict, w.bounded)
+	cells := fmt.Sprintf("%.1f\t%.0f\t%.0f\t%.0f\t%.0f", w.demand.Seconds()/width.Seconds(), w.owed, w.earned, w.strict, w.bounded)
 	for _, why := range reasons {
 		cells += fmt.Sprintf("\t%.0f", w.lost[why])
 	}
 	return cells
 }
 
-// modelError writes what was expected of the first event beside what was measured.
+// modelError writes the expected and the measured times to the first event for one size
+// and for idle or busy endpoints.
 func (r *report) modelError(out io.Writer, s size, busy bool) {
 	var expected, measured, gaps []time.Duration
 	for _, one := range r.requests {
@@ -178,7 +180,7 @@
 		quantile(expected, 0.5), quantile(measured, 0.5), quantile(expected, 0.95), quantile(measured, 0.95), quantile(gaps, 0.5), quantile(gaps, 0.95))
 }
 
-// quantile returns a quantile in milliseconds.
+// quantile sorts the durations and returns a quantile in milliseconds.
 func quantile(d []time.Duration, q float64) int64 {
 	slices.Sort(d)
 	return d[int(q*float64(len(d)-1))].Milliseconds()
@@ -189,17 +191,17 @@
 {{.Load}}{{.Worth}}<pre>{{.Text}}</pre>
 `))
 
-// html writes the tables and two charts as one page.
+// html writes the tables and two charts as one HTML page.
 func (r *report) html(out io.Writer) error {
-	var seconds, asked, have, owed, earned, bounded []float64
+	var seconds, demand, capacity, owed, earned, bounded []float64
 	for _, w := range r.windows {
 		seconds = append(seconds, float64(w.second))
-		asked = append(asked, w.asked.Seconds()/r.width.Seconds())
-		have = append(have, float64(r.fleet.endpoints))
+		demand = append(demand, w.demand.Seconds()/r.width.Seconds())
+		capacity = append(capacity, float64(r.fleet.endpoints))
 		owed, earned, bounded = append(owed, w.owed), append(earned, w.earned), append(bounded, w.bounded)
 	}
 	load, err := chart.Chart{Title: "Reading asked for", XLabel: "seconds", YLabel: "engine seconds a second", Series: []chart.Series{
-		{Name: "asked", X: seconds, Y: asked}, {Name: "engines", X: seconds, Y: have}}}.SVG()
+		{Name: "asked", X: seconds, Y: demand}, {Name: "engines", X: seconds, Y: capacity}}}.SVG()
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/worth/worth_test.go
+++ b/internal/experiment/worth/worth_test.go
@@ -11,9 +11,9 @@
 	"github.com/micarudder/micarudder/eventlog"
 )
 
-var engines = fleet{endpoints: 2, readPerMs: 100, pairsPerM: 0}
+var engines = fleet{endpoints: 2, tokensPerMs: 100, msPerMillionPairs: 0}
 
-// logOf returns log lines in which each request takes a second.
+// logOf returns log lines with the given bodies, one per second and request.
 func logOf(t *testing.T, bodies ...string) []eventlog.Line {
 	t.Helper()
 	var text strings.Builder
@@ -27,7 +27,7 @@
 	return lines
 }
 
-// TestReasons: each end is told by the reason that costs its worth.
+// TestReasons checks the reason assigned to each outcome in the log.
 func TestReasons(t *testing.T) {
 	const end = `msg="Request ended." tokens=5000 objective_ms=300 pause_ms=250 ms=1000 `
 	for text, want := range map[string]reason{
@@ -39,7 +39,7 @@
 		end + "outcome=not-started first_ms=-1 gap_ms=0":     refusedStarting,
 		end + "outcome=refused-full first_ms=-1 gap_ms=0":    refusedSends,
 		end + "outcome=broken-off first_ms=100 gap_ms=0":     broken,
-		end + "outcome=caller-gone first_ms=-1 gap_ms=0":     notOwed, // a second of two
+		end + "outcome=caller-gone first_ms=-1 gap_ms=0":     notOwed, // after 1 s of 2 s of patience
 		end + "outcome=caller-gone first_ms=50 gap_ms=2500":  gaveUp,
 		end + "outcome=unknown-key first_ms=-1 gap_ms=0":     notOwed,
 		end + "outcome=unknown-route first_ms=-1 gap_ms=0":   otherEnd,
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestRefusedInTheQueue: a refusal is put down to the queue when the log says that
-// no endpoint was chosen, and requests without a prompt are left out.
+// TestRefusedInTheQueue checks that a refusal is attributed to the queue if the log
+// reports that no endpoint was chosen, and that requests without a prompt are left out.
 func TestRefusedInTheQueue(t *testing.T) {
 	is := is.New(t)
 	lines := logOf(t,
@@ -70,7 +70,7 @@
 	is.Equal(collect(lines)[0].why, refusedNever)
 }
 
-// TestSlowEndpoint: lateness beside a slow endpoint is put down to it.
+// TestSlowEndpoint checks that a late answer of a slow endpoint is attributed to it.
 func TestSlowEndpoint(t *testing.T) {
 	is := is.New(t)
 	lines := logOf(t,
@@ -81,9 +81,10 @@
 	is.Equal(collect(lines)[0].why, lateSlow)
 }
 
-// TestCallersThatAskAgain: what is owed is owed once, for the first try; an answer to a
-// later one is late, and holding without serving costs from its first millisecond.
-func TestCallersThatAskAgain(t *testing.T) {
+// TestRetries checks that worth is owed only for the first attempt, that an answer to a
+// retry counts as late, and that holding a request without an answer costs from the first
+// millisecond.
+func TestRetries(t *testing.T) {
 	is := is.New(t)
 	lines := logOf(t,
 		`msg="Request ended." route=r outcome=refused-full tokens=20000 deadline_ms=10000 objective_ms=1500 pause_ms=500 first_ms=-1 gap_ms=0 ms=500`,
@@ -98,22 +99,23 @@
 	is.Equal(w.lost[refusedSends], 2.0)
 }
 
-// TestWorthByKind: kinds are told apart by their pauses and count by length up to a bound.
+// TestWorthByKind checks that kinds are identified by their pauses and that worth grows
+// with the length up to a limit.
 func TestWorthByKind(t *testing.T) {
 	is := is.New(t)
 	v, err := parseKinds([]string{"200:1.4:5000", "800:30:300000"})
 	is.NoErr(err)
-	is.Equal(v.of(&request{pause: 800 * time.Millisecond, tokens: 300000}), 30.0)
-	is.Equal(v.of(&request{pause: 800 * time.Millisecond, tokens: 30_000_000}), 120.0)
-	is.Equal(v.of(&request{pause: 500 * time.Millisecond, tokens: 45000}), 4.5)
+	is.Equal(v.worthOf(&request{pause: 800 * time.Millisecond, tokens: 300000}), 30.0)
+	is.Equal(v.worthOf(&request{pause: 800 * time.Millisecond, tokens: 30_000_000}), 120.0)
+	is.Equal(v.worthOf(&request{pause: 500 * time.Millisecond, tokens: 45000}), 4.5)
 	for _, text := range []string{"", "200", "200:1", "x:1:1", "200:0:5", "200:1:-5"} {
 		_, err := parseKinds([]string{text})
 		is.True(err != nil)
 	}
 }
 
-// TestBound: of two prompts that fill the engines until they are due, the one that
-// brings more for its time is counted; one that is due later fits beside it.
+// TestBound checks that of two prompts that exceed the engine time until their objective
+// the one with more worth per engine time is counted, and one due later fits as well.
 func TestBound(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(0, 0)
@@ -121,14 +123,14 @@
 		return &request{at: at, tokens: tokens, objective: objective}
 	}
 	small, big, patient := make(10_000, time.Second), make(200_000, time.Second), make(100_000, 3*time.Second)
-	fits := bound(fleet{endpoints: 2, readPerMs: 100, pairsPerM: 0.1}, nil, []*request{small, big, patient})
+	fits := bound(fleet{endpoints: 2, tokensPerMs: 100, msPerMillionPairs: 0.1}, nil, []*request{small, big, patient})
 	is.True(fits[small])
-	is.True(!fits[big]) // 4 s of reading for 2.2 engine seconds until it is due
+	is.True(!fits[big]) // 4 s of prefill for 2.2 engine seconds until its objective
 	is.True(fits[patient])
 	is.Equal(len(bound(engines, nil, nil)), 0)
 }
 
-// TestReport: windows and sizes hold what was owed, earned and lost.
+// TestReport checks the owed, earned and lost worth by window and by size.
 func TestReport(t *testing.T) {
 	is := is.New(t)
 	lines := logOf(t,
