--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -1,7 +1,7 @@
-// Package bench measures the default routing policy against the project's own
-// baselines in the same run, with real processes on the loopback interface.
-// Its results are ratios, not absolute times: the engines are stand-ins with
-// modelled costs.
+// Package bench compares the default routing policy with the project's baseline
+// policies in the same run, with real processes on the loopback interface. Its
+// results are meaningful as ratios, not as absolute times, because the engines
+// are stand-ins with modelled costs.
 package bench
 
 import (
@@ -17,12 +17,12 @@
 	"github.com/micarudder/micarudder/load"
 )
 
-// MixText is the mix of the benchmark.
+// MixText is the load mix of the benchmark.
 //
 //go:embed bench.ini
 var MixText []byte
 
-// The routing policies by their names in the gateways' settings.
+// Names of the routing policies in the gateways' settings.
 const (
 	PolicyDefault    = "default"
 	PolicyRoundRobin = "round-robin"
@@ -30,23 +30,24 @@
 	PolicyNoLanes    = "no-lanes"
 )
 
-// Policies lists the default and its baselines.
+// Policies lists the default policy, followed by the baselines.
 var Policies = []string{PolicyDefault, PolicyRoundRobin, PolicyLeastLoad, PolicyNoLanes}
 
 const (
-	// compareLoad is the load of the comparison.
+	// compareLoad is the load at which policies are compared.
 	compareLoad = 0.8
-	// sweepDuration is long enough for queues to fill past the longest deadline.
+	// sweepDuration is long enough for queueing delays to exceed the longest
+	// deadline.
 	sweepDuration = 45 * time.Second
 	startTime     = 30 * time.Second
 	stopTime      = 20 * time.Second
 )
 
-// Sweep lists the loads over which the peak of useful work is looked for; the
+// Sweep lists the loads over which the peak of useful work is determined. The
 // last one is the overload.
 var Sweep = []float64{1, 1.25, 1.5}
 
-// Options choose a benchmark.
+// Options configures a benchmark.
 type Options struct {
 	BinDir   string
 	BasePort int
@@ -54,11 +55,12 @@
 	Policies []string
 	Sweep    []float64
 	Mix      *load.Mix
-	// Log is told of each finished part.
+	// Log is called after each finished run.
 	Log func(format string, args ...any)
 }
 
-// Result holds the parts of a benchmark.
+// Result holds the runs of a benchmark: the comparison of policies and the sweep
+// over loads.
 type Result struct {
 	Compared []Cell `json:"compared"`
 	Overload []Cell `json:"overload"`
@@ -72,7 +74,7 @@
 	Report *load.Report `json:"report"`
 }
 
-// DefaultMix reads the benchmark's own mix.
+// DefaultMix parses MixText.
 func DefaultMix() (*load.Mix, error) {
 	dir, err := os.MkdirTemp("", "micarudder-mix-")
 	if err != nil {
@@ -86,8 +88,8 @@
 	return load.ReadMix(file)
 }
 
-// Run carries out the benchmark. The order of policies turns with the seed, so
-// that a machine that slows down does not favour one of them.
+// Run performs the benchmark. The order of policies rotates with the seed, so
+// that a machine that slows down over time does not favour one of them.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	out := new(Result)
 	for i, seed := range o.Seeds {
@@ -110,7 +112,8 @@
 	return out, nil
 }
 
-// forSweep returns the options with a mix whose arrivals go on for longer.
+// forSweep returns the options with a mix whose duration is at least
+// sweepDuration.
 func (o Options) forSweep() Options {
 	mix := *o.Mix
 	mix.Run.Duration = max(mix.Run.Duration, sweepDuration)
@@ -118,7 +121,7 @@
 	return o
 }
 
-// cell runs one experiment against a fresh fleet.
+// cell runs one load experiment against a new fleet.
 func (o Options) cell(ctx context.Context, policy string, seed uint64, at float64, alone bool) (Cell, error) {
 	c := Cell{Policy: policy, Seed: seed, Load: at}
 	dir, err := os.MkdirTemp("", "micarudder-bench-")
@@ -139,7 +142,7 @@
 		err = trace.Wrap(ctx.Err())
 	}
 	if err == nil {
-		o.Log("%s, seed %d, load %.2f: %s", policy, seed, at, oneLine(c.Report))
+		o.Log("%s, seed %d, load %.2f: %s", policy, seed, at, summaryLine(c.Report))
 	}
 	return c, err
 }
@@ -154,6 +157,6 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTime)
 	defer cancel()
 	if err := f.Group.Stop(ctx); err != nil {
-		o.Log("stop: %v", err)
+		o.Log("stop fleet: %v", err)
 	}
 }
--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -6,18 +6,18 @@
 	"github.com/micarudder/micarudder/internal/fleet"
 )
 
-// The fleet of the benchmark.
+// Parameters of the benchmark's fleet.
 const (
 	engines      = 20
 	gateways     = 2
 	memoryTokens = 450_000
 	maxRunning   = 64
-	// engineSpeed is modelled time over real time.
+	// engineSpeed is the ratio of modelled time to real time.
 	engineSpeed = 2
 	dataCentre  = "hall-petrzalka"
 )
 
-// fleet describes the installation for one run.
+// fleet returns the configuration of the fleet for one run.
 func (o Options) fleet(dir, policy string) fleet.Config {
 	return fleet.Config{
 		BinDir:       o.BinDir,
--- a/internal/bench/goals.go
+++ b/internal/bench/goals.go
@@ -7,39 +7,39 @@
 	"github.com/micarudder/micarudder/load"
 )
 
-// The goals of the benchmark.
+// Goals of the benchmark.
 const (
-	goalSlowdown   = 1.2  // p95 of short requests, shared over alone, below
-	goalFirstToken = 1.0  // p95 of every class over any baseline's, at most
-	goalShortest   = 0.5  // p95 of the shortest class over round robin's, below
-	goalLong       = 0.95 // long work over the best baseline's, at least
-	goalOverload   = 0.9  // useful work at the highest load over its peak, above
-	goalRefusal    = 0.1  // seconds to a refusal, p95, at most
+	goalSlowdown   = 1.2  // p95 slowdown of short requests, shared over alone: below
+	goalFirstToken = 1.0  // p95 first token of every class over any baseline's: at most
+	goalShortest   = 0.5  // p95 first token of the shortest class over round robin's: below
+	goalLong       = 0.95 // tokens of long prompts over the best baseline's: at least
+	goalOverload   = 0.9  // useful tokens at the highest load over their peak: at least
+	goalRefusal    = 0.1  // p95 time to a refusal in seconds: at most
 )
 
-// Spread is a figure over the seeds.
+// Spread summarizes the values of a metric over the seeds.
 type Spread struct {
 	Median, Min, Max float64
 	N                int
 }
 
-// Line is one goal and what was measured.
-type Line struct {
-	Name   string
-	Goal   string
-	Value  Spread
-	Met    bool // in the median
-	Judged bool // false without a figure
+// GoalResult compares one goal with its measured value.
+type GoalResult struct {
+	Name     string
+	Goal     string
+	Value    Spread
+	Met      bool // whether the median meets the goal
+	Measured bool // false if there are no values
 }
 
-// Judge compares the result with the goals.
-func Judge(r *Result) []Line {
-	out := []Line{
+// EvaluateGoals compares the result with the goals.
+func EvaluateGoals(r *Result) []GoalResult {
+	out := []GoalResult{
 		below("p95 slowdown of short requests, shared over alone", goalSlowdown, r.perSeed(PolicyDefault, slowdown)),
 	}
-	for class := range classes(r) {
+	for class := range classCount(r) {
 		for _, p := range Policies[1:] {
-			out = append(out, firstTokenLine(r, class, p))
+			out = append(out, firstTokenGoal(r, class, p))
 		}
 	}
 	out = append(out, atLeast("long work over the best baseline's", goalLong, r.longOverBest()))
@@ -51,7 +51,7 @@
 	return append(out, atMost("promises seen broken by the default policy", 0, []float64{float64(r.breaches(PolicyDefault))}))
 }
 
-func firstTokenLine(r *Result, class int, baseline string) Line {
+func firstTokenGoal(r *Result, class int, baseline string) GoalResult {
 	name := fmt.Sprintf("p95 first token %s over %s", className(r, class), baseline)
 	values := r.overBaseline(baseline, func(rep *load.Report) float64 { return rep.Summary.Classes[class].FirstToken.P95 })
 	if class == 0 && baseline == PolicyRoundRobin {
@@ -60,7 +60,7 @@
 	return atMost(name, goalFirstToken, values)
 }
 
-func classes(r *Result) int {
+func classCount(r *Result) int {
 	if len(r.Compared) == 0 {
 		return 0
 	}
@@ -71,7 +71,7 @@
 
 func slowdown(rep *load.Report) float64 { return rep.Slowdown.P95 }
 
-// perSeed returns a figure of every compared run of a policy.
+// perSeed returns a metric of every run of a policy in the comparison.
 func (r *Result) perSeed(policy string, value func(*load.Report) float64) []float64 {
 	var out []float64
 	for _, c := range r.Compared {
@@ -82,7 +82,8 @@
 	return out
 }
 
-// overBaseline returns, for each seed, a figure of the default over the baseline's.
+// overBaseline returns, for each seed, the ratio of a metric of the default
+// policy to that of the baseline.
 func (r *Result) overBaseline(baseline string, value func(*load.Report) float64) []float64 {
 	var out []float64
 	for _, c := range r.Compared {
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// longOverBest returns, for each seed, the default's long work over the most
-// that any baseline did.
+// longOverBest returns, for each seed, the ratio of the default policy's rate of
+// long-prompt tokens to the highest one of any baseline.
 func (r *Result) longOverBest() []float64 {
 	var out []float64
 	for _, c := range r.Compared {
@@ -127,8 +128,8 @@
 	return out
 }
 
-// overloadOverPeak returns, for each seed, the useful work at the highest load
-// over the most at any load.
+// overloadOverPeak returns, for each seed, the ratio of the useful token rate at
+// the highest load to the highest one at any load.
 func (r *Result) overloadOverPeak() []float64 {
 	peak, last := make(map[uint64]float64), make(map[uint64]Cell)
 	for _, c := range r.Overload {
@@ -146,8 +147,8 @@
 	return out
 }
 
-// refusals returns, for each run at the highest load that refused anything,
-// the p95 time to a refusal in seconds.
+// refusals returns the p95 time to a refusal, in seconds, of each run at the
+// highest load with refusals.
 func (r *Result) refusals() []float64 {
 	highest := 0.0
 	for _, c := range r.Overload {
@@ -175,23 +176,23 @@
 	return n
 }
 
-func below(name string, goal float64, vs []float64) Line {
+func below(name string, goal float64, vs []float64) GoalResult {
 	s := spread(vs)
-	return Line{name, fmt.Sprintf("< %g", goal), s, s.N > 0 && s.Median < goal, s.N > 0}
+	return GoalResult{name, fmt.Sprintf("< %g", goal), s, s.N > 0 && s.Median < goal, s.N > 0}
 }
 
-func atMost(name string, goal float64, vs []float64) Line {
+func atMost(name string, goal float64, vs []float64) GoalResult {
 	s := spread(vs)
-	return Line{name, fmt.Sprintf("≤ %g", goal), s, s.N > 0 && s.Median <= goal, s.N > 0}
+	return GoalResult{name, fmt.Sprintf("≤ %g", goal), s, s.N > 0 && s.Median <= goal, s.N > 0}
 }
 
-func atLeast(name string, goal float64, vs []float64) Line {
+func atLeast(name string, goal float64, vs []float64) GoalResult {
 	s := spread(vs)
-	return Line{name, fmt.Sprintf("≥ %g", goal), s, s.N > 0 && s.Median >= goal, s.N > 0}
+	return GoalResult{name, fmt.Sprintf("≥ %g", goal), s, s.N > 0 && s.Median >= goal, s.N > 0}
 }
 
-// spread returns the middle, least and greatest of the values; of an even
-// number the lower middle.
+// spread returns the median, minimum and maximum of the values. The median of an
+// even number of values is the lower middle one.
 func spread(vs []float64) Spread {
 	if len(vs) == 0 {
 		return Spread{}
--- a/internal/bench/goals_test.go
+++ b/internal/bench/goals_test.go
@@ -11,7 +11,7 @@
 	"github.com/micarudder/micarudder/load"
 )
 
-// report makes a report whose figures all follow from one number.
+// report returns a report whose metrics are all derived from v.
 func report(v float64) *load.Report {
 	s := &load.Summary{
 		Requests: 100, Finals: map[load.Final]int{load.Whole: 97, load.Refused: 3}, Breaches: map[load.Breach]int{},
@@ -41,10 +41,10 @@
 	goldie.New(t).Assert(t, "table.md", out.Bytes())
 }
 
-func TestJudge(t *testing.T) {
+func TestEvaluateGoals(t *testing.T) {
 	is := is.New(t)
 	met := make(map[string]bool)
-	for _, l := range Judge(sample()) {
+	for _, l := range EvaluateGoals(sample()) {
 		met[l.Name] = l.Met
 	}
 	is.True(!met["p95 slowdown of short requests, shared over alone"]) // 1.1, 1.2, 1.3: the median is not below
@@ -57,11 +57,11 @@
 
 	broken := sample()
 	broken.Overload[0].Report.Summary.Breaches[load.BreachDoubled] = 1
-	lines := Judge(broken)
+	lines := EvaluateGoals(broken)
 	is.True(!lines[len(lines)-1].Met)
 }
 
-func TestTableOfPartOfABenchmark(t *testing.T) {
+func TestTableOfIncompleteResult(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.NoErr(WriteTable(&out, new(Result), "abc1234"))
@@ -80,6 +80,6 @@
 			long++
 		}
 	}
-	part := long / float64(len(all))
-	is.True(part > 0.015 && part < 0.025) // one in fifty
+	fraction := long / float64(len(all))
+	is.True(fraction > 0.015 && fraction < 0.025) // one in fifty
 }
--- a/internal/bench/run/main.go
+++ b/internal/bench/run/main.go
@@ -1,4 +1,4 @@
-// Command run carries out the benchmark and writes its table.
+// Command run performs the benchmark and writes its table.
 package main
 
 import (
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	// What was measured before an error or an interrupt is written all the same.
+	// Results measured before an error or an interrupt are written as well.
 	res, err := bench.Run(ctx, o)
 	return errors.Join(err, writeJSON(opts.JSON, res), bench.WriteTable(os.Stdout, res, opts.Commit))
 }
--- a/internal/bench/table.go
+++ b/internal/bench/table.go
@@ -10,12 +10,12 @@
 )
 
 // WriteTable writes the result as Markdown for docs/MEASUREMENTS.md: the goals,
-// then the figures of each policy. Spreads are the median and, in brackets,
-// the least and the greatest over the seeds.
+// then the metrics of each policy. Values are the median and, in parentheses,
+// the minimum and maximum over the seeds.
 func WriteTable(w io.Writer, r *Result, commit string) error {
 	fmt.Fprintf(w, "\n### Commit %s\n\n", commit)
 	fmt.Fprint(w, "| goal | wanted | measured | met |\n|---|---|---|---|\n")
-	for _, l := range Judge(r) {
+	for _, l := range EvaluateGoals(r) {
 		fmt.Fprintf(w, "| %s | %s | %s | %s |\n", l.Name, l.Goal, l.Value, l.verdict())
 	}
 	writePolicies(w, r)
@@ -24,9 +24,9 @@
 	return trace.Wrap(err)
 }
 
-func (l Line) verdict() string {
+func (l GoalResult) verdict() string {
 	switch {
-	case !l.Judged:
+	case !l.Measured:
 		return "not measured"
 	case l.Met:
 		return "yes"
@@ -35,28 +35,29 @@
 	}
 }
 
-// String writes the median and the spread.
+// String formats the median and the range.
 func (s Spread) String() string {
 	switch s.N {
 	case 0:
 		return "none"
 	case 1:
-		return figure(s.Median)
+		return formatValue(s.Median)
 	default:
-		return fmt.Sprintf("%s (%s to %s)", figure(s.Median), figure(s.Min), figure(s.Max))
+		return fmt.Sprintf("%s (%s to %s)", formatValue(s.Median), formatValue(s.Min), formatValue(s.Max))
 	}
 }
 
-// figure writes three digits, and whole numbers where they are larger.
-func figure(v float64) string {
+// formatValue formats v with three significant digits, or as an integer from 100
+// on.
+func formatValue(v float64) string {
 	if v >= 100 {
 		return fmt.Sprintf("%.0f", v)
 	}
 	return fmt.Sprintf("%.3g", v)
 }
 
-// figures are the columns of the table of policies.
-var figures = []struct {
+// columns are the metrics in the table of policies.
+var columns = []struct {
 	name  string
 	value func(*load.Report) float64
 }{
@@ -81,11 +82,11 @@
 		return
 	}
 	fmt.Fprintf(w, "\nLoad %.2g; first token p95 by class; tokens a second.\n\n| policy |", r.Compared[0].Load)
-	for _, f := range figures {
+	for _, f := range columns {
 		fmt.Fprintf(w, " %s |", f.name)
 	}
 	fmt.Fprint(w, "\n|---|")
-	for range figures {
+	for range columns {
 		fmt.Fprint(w, "---|")
 	}
 	fmt.Fprintln(w)
@@ -99,7 +100,7 @@
 		return
 	}
 	fmt.Fprintf(w, "| %s |", policy)
-	for _, f := range figures {
+	for _, f := range columns {
 		fmt.Fprintf(w, " %s |", spread(r.perSeed(policy, f.value)))
 	}
 	fmt.Fprintln(w)
@@ -118,8 +119,8 @@
 	}
 }
 
-// oneLine sums a report up for the progress of a benchmark.
-func oneLine(r *load.Report) string {
+// summaryLine summarizes a report in one line for the progress log.
+func summaryLine(r *load.Report) string {
 	s := r.Summary
 	text := fmt.Sprintf("ends %v, codes %v, broken %v, useful %.0f k/s, first token p95", s.Finals, s.Codes, s.Breaches, s.UsefulTokens/1000)
 	for _, c := range s.Classes {
--- a/internal/bench/virtual_test.go
+++ b/internal/bench/virtual_test.go
@@ -45,7 +45,8 @@
 
 const platformAddress = "10.0.0.1:2379"
 
-// bubble is the fleet of the bench in one process under virtual time.
+// bubble is the benchmark's fleet in one process inside a synctest bubble, under
+// virtual time.
 type bubble struct {
 	t       *testing.T
 	mu      sync.Mutex
@@ -81,33 +82,33 @@
 	go func() { _ = srv.Serve(l) }()
 }
 
-func (b *bubble) plain(address string, h http.Handler) {
+func (b *bubble) servePlain(address string, h http.Handler) {
 	b.serve(address, &http.Server{Handler: h, IdleTimeout: time.Minute})
 }
 
-func (b *bubble) inner(address, path string, h http.Handler) {
+func (b *bubble) serveInner(address, path string, h http.Handler) {
 	m := http.NewServeMux()
 	m.Handle(path, h)
 	srv, err := inner.NewServer(m, inner.KeyFiles{})
-	b.check(err)
+	b.must(err)
 	b.serve(address, srv)
 }
 
-func (b *bubble) check(err error) {
+func (b *bubble) must(err error) {
 	if err != nil {
 		b.t.Error(err)
 		panic(err)
 	}
 }
 
-func (b *bubble) endpoint(i, memory int) string {
+func (b *bubble) startEndpoint(i, memory int) string {
 	name, address := fleet.EngineName(i), fleet.EngineName(i)+":8000"
 	cfg := standengine.Default()
 	cfg.Name, cfg.Models, cfg.MemoryTokens, cfg.MaxRunning, cfg.Speed = name, []string{"rudder-llm@1"}, uint64(memory), maxRunning, engineSpeed
 	e := standengine.NewServer(cfg)
-	b.plain(address, e.Handler())
+	b.servePlain(address, e.Handler())
 	client, err := inner.NewClient(inner.KeyFiles{}, b.dial)
-	b.check(err)
+	b.must(err)
 	a := agent.New(agent.Config{
 		Endpoint: name, Host: name, DataCentre: dataCentre, MemoryTokens: uint64(memory), MaxRunning: maxRunning,
 		ReattachWindow: 10 * time.Second, AnswerKeep: 2 * time.Minute, BufferBytes: 64 << 20, MaxRecords: 20_000,
@@ -117,7 +118,7 @@
 		Engine: engine.NewClient(engine.Options{BaseURL: "http://" + address, HTTPClient: b.client(), Name: name}),
 	})
 	path, h := a.Handler()
-	b.inner(fleet.AgentName(i)+":7100", path, h)
+	b.serveInner(fleet.AgentName(i)+":7100", path, h)
 	a.Start()
 	b.close = append(b.close, a.Close, e.Close)
 	b.doc.Endpoints = append(b.doc.Endpoints, &rudderv1.Endpoint{
@@ -126,20 +127,20 @@
 	return "http://" + address
 }
 
-func (b *bubble) gateway(i int, policy routing.Policy) string {
+func (b *bubble) startGateway(i int, policy routing.Policy) string {
 	name := fleet.GatewayName(i)
 	client, err := inner.NewClient(inner.KeyFiles{}, b.dial)
-	b.check(err)
+	b.must(err)
 	store := b.store()
 	g := gateway.New(gateway.Config{
 		Name: name, DataCentre: dataCentre, MaxBody: 16 << 20, BodyTime: 30 * time.Second, WriteTime: 30 * time.Second,
 		DefaultDeadline: 5 * time.Minute, MaxDeadline: time.Hour, TicketLife: 15 * time.Minute, DefaultTokens: 256, FirstTokenGoal: time.Second,
 	}, gateway.Deps{Store: store, Hosts: store, Client: client, Signer: b.signer, Tracker: generation.NewTracker(), Policy: policy, Log: log.New(io.Discard)})
-	face, err := g.Handler()
-	b.check(err)
-	b.plain(name+":80", face)
+	callerHandler, err := g.Handler()
+	b.must(err)
+	b.servePlain(name+":80", callerHandler)
 	path, h := g.InnerHandler()
-	b.inner(name+":7000", path, h)
+	b.serveInner(name+":7000", path, h)
 	g.Start()
 	b.close = append(b.close, g.Close)
 	return "http://" + name
@@ -147,7 +148,7 @@
 
 func (b *bubble) store() *metastore.Client {
 	c, err := metastore.NewClient(metastore.Options{Addresses: []string{platformAddress}, HTTPClient: b.client(), Timeout: time.Second})
-	b.check(err)
+	b.must(err)
 	return c
 }
 
@@ -155,7 +156,7 @@
 	PolicyDefault: routing.Default, PolicyRoundRobin: routing.RoundRobin, PolicyLeastLoad: routing.LeastLoad, PolicyNoLanes: routing.NoLanes,
 }
 
-// virtualCell runs one experiment of n engines under virtual time.
+// virtualCell runs one load experiment with n engines under virtual time.
 func virtualCell(t *testing.T, mix *load.Mix, n int, c Cell, alone bool) Cell {
 	signer, err := ticket.NewSigner(ticket.Key{ID: 1, Secret: []byte("0123456789abcdef")})
 	if err != nil {
@@ -166,22 +167,22 @@
 		defer b.stop()
 		b.doc = Options{Mix: mix}.fleet("", "").Document()
 		b.doc.Endpoints = nil
-		b.plain(platformAddress, standplatform.NewServer(standplatform.Config{}).Handler())
+		b.servePlain(platformAddress, standplatform.NewServer(standplatform.Config{}).Handler())
 		e := load.Experiment{MixName: "bench", Alone: alone}
 		for i := range n {
-			e.Engines = append(e.Engines, b.endpoint(i, memoryTokens))
+			e.Engines = append(e.Engines, b.startEndpoint(i, memoryTokens))
 		}
 		value, err := generation.Encode(b.doc)
-		b.check(err)
+		b.must(err)
 		_, err = b.store().CompareAndSwap(t.Context(), metastore.KeyDocument, 0, value, 0)
-		b.check(err)
+		b.must(err)
 		for i := range gateways {
-			e.Gateways = append(e.Gateways, b.gateway(i, policies[c.Policy]()))
+			e.Gateways = append(e.Gateways, b.startGateway(i, policies[c.Policy]()))
 		}
 		time.Sleep(3 * time.Second)
 		e.Mix, e.Seed, e.Load, e.Name, e.Transport = mix, c.Seed, c.Load, "bench", b.client().Transport
 		c.Report, err = load.Run(t.Context(), e)
-		b.check(err)
+		b.must(err)
 	})
 	return c
 }
@@ -193,12 +194,12 @@
 	for _, s := range b.servers {
 		_ = s.Close()
 	}
-	time.Sleep(time.Hour) // lets every timer of the bubble end
+	time.Sleep(time.Hour) // lets all timers of the bubble expire
 }
 
-// TestVirtual runs the bench's mix through real gateway and agent code under
-// virtual time: every answer is whole and no promise is broken. With -policies
-// it compares all policies at full size and writes the table.
+// TestVirtual runs the benchmark's mix through real gateway and agent code under
+// virtual time and checks that every answer is complete and no breach is found.
+// With -policies it compares all policies at full size and writes the table.
 func TestVirtual(t *testing.T) {
 	mix, err := DefaultMix()
 	if err != nil {
@@ -225,7 +226,7 @@
 			c = virtualCell(t, mix, engines, c, into == &res.Compared)
 			mu.Lock()
 			defer mu.Unlock()
-			t.Log(oneLine(c.Report))
+			t.Log(summaryLine(c.Report))
 			*into = append(*into, c)
 		})
 	}
