--- a/internal/bench/table.go
+++ b/internal/bench/table.go
@@ -122,7 +122,7 @@
 // summaryLine summarizes a report in one line for the progress log.
 func summaryLine(r *load.Report) string {
 	s := r.Summary
-	text := fmt.Sprintf("ends %v, codes %v, broken %v, useful %.0f k/s, first token p95", s.Finals, s.Codes, s.Breaches, s.UsefulTokens/1000)
+	text := fmt.Sprintf("final states %v, codes %v, breaches %v, useful %.0f k/s, first token p95", s.Finals, s.Codes, s.Breaches, s.UsefulTokens/1000)
 	for _, c := range s.Classes {
 		text += fmt.Sprintf(" %s %.0f ms", c.Class, c.FirstToken.P95*1000)
 	}
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -19,12 +19,11 @@
 	width     = 18 * vg.Centimeter
 	height    = 8 * vg.Centimeter
 	lineWidth = 1.6
-	// fewPoints is up to how many points a series has its points marked.
-	fewPoints = 30
+	// maxMarkedPoints is the number of points up to which a series has markers.
+	maxMarkedPoints = 30
 )
 
-// palette holds colours that people with impaired colour vision tell apart
-// (Okabe and Ito).
+// palette is the colour-blind-safe palette of Okabe and Ito.
 var palette = []color.Color{
 	color.RGBA{0x00, 0x72, 0xb2, 0xff},
 	color.RGBA{0xd5, 0x5e, 0x00, 0xff},
@@ -34,8 +33,8 @@
 	color.RGBA{0x56, 0xb4, 0xe9, 0xff},
 }
 
-// Series is one line; X and Y have equal lengths. Points that are not finite,
-// or not above zero on a logarithmic axis, are left out.
+// Series is one line of a chart; X and Y have equal lengths. Points that are not
+// finite, or not greater than zero on a logarithmic axis, are left out.
 type Series struct {
 	Name string
 	X, Y []float64
@@ -48,11 +47,12 @@
 	YLabel string
 	LogX   bool
 	LogY   bool
-	Goal   float64 // a horizontal line; 0: none
+	Goal   float64 // position of a horizontal line; 0 for none
 	Series []Series
 }
 
-// SVG draws the chart. A chart without a single point is an empty string.
+// SVG renders the chart. It returns an empty string if there are no points to
+// draw.
 func (c Chart) SVG() (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.XLabel, c.YLabel
@@ -85,7 +85,7 @@
 		line.Color, marks.Color = palette[i%len(palette)], palette[i%len(palette)]
 		line.Width = lineWidth
 		p.Add(line)
-		if len(pts) <= fewPoints {
+		if len(pts) <= maxMarkedPoints {
 			p.Add(marks)
 		}
 		p.Legend.Add(s.Name, line)
@@ -97,14 +97,14 @@
 func (c Chart) points(s Series) plotter.XYs {
 	var out plotter.XYs
 	for i := range s.X {
-		if usable(s.X[i], c.LogX) && usable(s.Y[i], c.LogY) {
+		if drawable(s.X[i], c.LogX) && drawable(s.Y[i], c.LogY) {
 			out = append(out, plotter.XY{X: s.X[i], Y: s.Y[i]})
 		}
 	}
 	return out
 }
 
-func usable(v float64, log bool) bool {
+func drawable(v float64, log bool) bool {
 	return !math.IsNaN(v) && !math.IsInf(v, 0) && (!log || v > 0)
 }
 
@@ -115,7 +115,8 @@
 	return f
 }
 
-// scale sets the axes; a range of one value is widened so that it can be drawn.
+// scale configures the axes. An axis whose range is a single value is widened so
+// that it can be drawn.
 func (c Chart) scale(p *plot.Plot) {
 	widen(&p.X, c.LogX)
 	widen(&p.Y, c.LogY)
@@ -145,7 +146,7 @@
 	if _, err := canvas.WriteTo(&b); err != nil {
 		return "", trace.Wrap(err)
 	}
-	// An XML declaration may not stand inside an HTML document.
+	// An XML declaration is not allowed inside an HTML document.
 	at := bytes.Index(b.Bytes(), []byte("<svg"))
 	return template.HTML(b.Bytes()[max(at, 0):]), nil
 }
--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -14,7 +14,7 @@
 	cases := []struct {
 		name  string
 		chart chart.Chart
-		want  string // in the drawing; empty: nothing is drawn
+		want  string // text in the SVG; empty if nothing is drawn
 	}{
 		{"nothing", chart.Chart{}, ""},
 		{"no finite point", chart.Chart{Series: []chart.Series{{X: []float64{1}, Y: []float64{math.NaN()}}}}, ""},
--- a/internal/demo/calls.go
+++ b/internal/demo/calls.go
@@ -17,21 +17,21 @@
 	callPause    = 200 * time.Millisecond
 )
 
-// calls sends unrepeatable calls to the plain services, each with a ticket,
-// and asks again under the same ticket when no answer comes.
+// calls sends non-repeatable calls to the plain services, each with a ticket,
+// and presents a call again with the same ticket if no outcome arrives.
 type calls struct {
-	s       *stage
-	http    *http.Client
-	mu      sync.Mutex
-	ended   map[string]string // call path to its end
-	presses int
+	inst          *installation
+	http          *http.Client
+	mu            sync.Mutex
+	outcomes      map[string]string // outcome by call path
+	presentations int
 }
 
-func newCalls(s *stage) *calls {
-	return &calls{s: s, http: &http.Client{Timeout: callDeadline}, ended: make(map[string]string)}
+func newCalls(s *installation) *calls {
+	return &calls{inst: s, http: &http.Client{Timeout: callDeadline}, outcomes: make(map[string]string)}
 }
 
-// run sends calls until ctx ends and waits for their ends.
+// run sends calls until ctx ends and waits until all have ended.
 func (c *calls) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	tick := time.NewTicker(callEvery)
@@ -42,30 +42,30 @@
 			wg.Wait()
 			return
 		case <-tick.C:
-			wg.Go(func() { c.one(i) })
+			wg.Go(func() { c.runCall(i) })
 		}
 	}
 }
 
-func (c *calls) one(i int) {
+func (c *calls) runCall(i int) {
 	path := fmt.Sprintf("/positions/%d", i)
 	ctx, cancel := context.WithTimeout(context.Background(), callDeadline)
 	defer cancel()
-	end := c.present(ctx, i, path)
+	outcome := c.present(ctx, i, path)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended[path] = end
+	c.outcomes[path] = outcome
 }
 
-// present asks, through one gateway after the other, until an outcome is known.
+// present presents a call to the gateways in turn until its outcome is known.
 func (c *calls) present(ctx context.Context, i int, path string) string {
 	ticket := ""
 	for n := 0; ctx.Err() == nil; n++ {
-		gw := c.s.fleet.Gateways[(i+n)%len(c.s.fleet.Gateways)]
+		gw := c.inst.fleet.Gateways[(i+n)%len(c.inst.fleet.Gateways)]
 		if ticket == "" {
 			ticket = c.ticket(ctx, gw)
-		} else if end := c.call(ctx, gw, path, ticket); end != "" {
-			return end
+		} else if outcome := c.call(ctx, gw, path, ticket); outcome != "" {
+			return outcome
 		}
 		if n > 0 || ticket == "" {
 			time.Sleep(callPause)
@@ -74,7 +74,7 @@
 	return "lost"
 }
 
-// ticket fetches one ticket; empty when the gateway cannot be reached.
+// ticket fetches one ticket. It returns "" if the gateway returns none.
 func (c *calls) ticket(ctx context.Context, gw string) string {
 	body, ok := c.do(ctx, gw+"/v1/tickets", `{"count":1,"service":"`+serviceName+`"}`, "")
 	var got struct{ Tickets []string }
@@ -84,10 +84,10 @@
 	return got.Tickets[0]
 }
 
-// call returns how the call ended, or nothing when no word came.
+// call presents a call once and returns its outcome, or "" if none arrived.
 func (c *calls) call(ctx context.Context, gw, path, ticket string) string {
 	c.mu.Lock()
-	c.presses++
+	c.presentations++
 	c.mu.Unlock()
 	body, ok := c.do(ctx, gw+"/services/"+serviceName+path, `{"mw":5}`, ticket)
 	var p struct {
@@ -106,7 +106,8 @@
 	}
 }
 
-// do posts and returns the whole body; false when it did not arrive.
+// do sends a POST request and returns the response body. It returns false if the
+// complete body did not arrive.
 func (c *calls) do(ctx context.Context, url, body, ticket string) ([]byte, bool) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
@@ -125,13 +126,14 @@
 	return got, err == nil
 }
 
-// tally is the verdict over the calls, from callers and executors.
-type tally struct{ answered, refused, unknown, lost, doubled, wrong int }
+// tally counts the calls by their outcome, from the records of callers and
+// executors.
+type tally struct{ answered, refused, unknown, lost, doubled, inconsistent int }
 
-// judge joins the ends with the services' records of executions.
-func (c *calls) judge(ctx context.Context) (tally, error) {
+// evaluate joins the outcomes with the services' execution records.
+func (c *calls) evaluate(ctx context.Context) (tally, error) {
 	ran := make(map[string]int)
-	for _, url := range c.s.executors {
+	for _, url := range c.inst.executors {
 		if err := executions(ctx, url, ran); err != nil {
 			return tally{}, err
 		}
@@ -139,28 +141,28 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var t tally
-	for path, end := range c.ended {
+	for path, outcome := range c.outcomes {
 		n := ran[path]
 		if n > 1 {
 			t.doubled++
 		}
 		switch {
-		case end == "answered" && n == 1:
+		case outcome == "answered" && n == 1:
 			t.answered++
-		case end == "not run" && n == 0:
+		case outcome == "not run" && n == 0:
 			t.refused++
-		case end == "may have run", end == "ran":
+		case outcome == "may have run", outcome == "ran":
 			t.unknown++
-		case end == "lost":
+		case outcome == "lost":
 			t.lost++
 		default:
-			t.wrong++
+			t.inconsistent++
 		}
 	}
 	return t, nil
 }
 
-// executions adds one service's executions by path.
+// executions adds the executions of one service to ran, by call path.
 func executions(ctx context.Context, url string, ran map[string]int) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url+"/executions", nil)
 	if err != nil {
--- a/internal/demo/main.go
+++ b/internal/demo/main.go
@@ -1,9 +1,9 @@
 // Command demo runs the whole product on the loopback interface in separate
 // processes: two gateways, six agents with stand-in engines, three plain
-// services with agents, and the platform. It serves prompts of a thousand to
-// a million tokens while an engine, an agent and a gateway die, an agent is
-// drained and a configuration change is planned and confirmed. Its verdict
-// comes from what callers received and what executors recorded.
+// services with agents, and the platform. It serves prompts of a thousand to a
+// million tokens while an engine, an agent and a gateway crash, an agent is
+// drained and a configuration change is planned and confirmed. The result is
+// computed from what callers received and what executors recorded.
 package main
 
 import (
@@ -21,13 +21,13 @@
 )
 
 const (
-	limit        = 55 * time.Second // of the whole demo
+	limit        = 55 * time.Second // for the whole demo
 	stopLimit    = 20 * time.Second
 	memoryTokens = 450_000
 	seed         = 7
 )
 
-// mixText is the load of the demo.
+// mixText is the load mix of the demo.
 //
 //go:embed demo.ini
 var mixText []byte
@@ -48,10 +48,11 @@
 	})
 }
 
-// errBroken is the verdict on a run that broke a promise.
-var errBroken = errors.New("a promise was broken, see above")
+// errBroken reports a run in which a guarantee was violated.
+var errBroken = errors.New("a guarantee was violated, see the output above")
 
-// run starts everything, runs the session and stops everything.
+// run starts all processes, runs the load with the events and stops all
+// processes. It reports whether every guarantee held.
 func run(ctx context.Context, o options) (bool, error) {
 	dir, err := os.MkdirTemp("", "micarudder-demo-")
 	if err != nil {
@@ -67,16 +68,16 @@
 		return false, err
 	}
 	began := time.Now()
-	s := &stage{dir: dir, bin: o.Bin, mix: mix, servicePort: o.Port + 100}
+	s := &installation{dir: dir, bin: o.Bin, mix: mix, servicePort: o.Port + 100}
 	if s.fleet, err = fleet.Start(ctx, config(o, dir, mix)); err != nil {
 		return false, err
 	}
 	defer s.stop(ctx)
-	say("started 2 gateways, 6 agents with engines and the platform in %.1f s", time.Since(began).Seconds())
+	logf("started 2 gateways, 6 agents with engines and the platform in %.1f s", time.Since(began).Seconds())
 	if err := s.addServices(ctx); err != nil {
 		return false, err
 	}
-	return s.play(ctx)
+	return s.runLoad(ctx)
 }
 
 func config(o options, dir string, mix *load.Mix) fleet.Config {
@@ -100,4 +101,4 @@
 	return load.ReadMix(file)
 }
 
-func say(format string, args ...any) { fmt.Printf("demo: "+format+"\n", args...) }
+func logf(format string, args ...any) { fmt.Printf("demo: "+format+"\n", args...) }
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -14,14 +14,14 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// event is something that happens to the installation during the load.
+// event is a fault or an operation during the load.
 type event struct {
 	at time.Duration
 	do func(context.Context) error
 }
 
-// events lists what happens, with its time from the start of the load.
-func (s *stage) events() []event {
+// events lists the events with their times from the start of the load.
+func (s *installation) events() []event {
 	return []event{
 		{2 * time.Second, func(ctx context.Context) error { return s.crashEngine(ctx, 0) }},
 		{5 * time.Second, func(ctx context.Context) error { return s.kill(ctx, fleet.GatewayName(0), 2*time.Second) }},
@@ -39,15 +39,15 @@
 	}
 }
 
-// play runs the load with the events and judges the outcome.
-func (s *stage) play(ctx context.Context) (bool, error) {
+// runLoad runs the load with the events and reports whether every guarantee held.
+func (s *installation) runLoad(ctx context.Context) (bool, error) {
 	c := newCalls(s)
 	loadCtx, loadDone := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	wg.Go(func() { c.run(loadCtx) })
 	failed := make(chan error, len(s.events()))
 	for _, e := range s.events() {
-		wg.Go(func() { failed <- happen(loadCtx, e) })
+		wg.Go(func() { failed <- runEvent(loadCtx, e) })
 	}
 	total := len(s.mix.Schedule(seed, 1))
 	update, end := progress(total)
@@ -65,7 +65,7 @@
 			return false, err
 		}
 	}
-	t, err := c.judge(ctx)
+	t, err := c.evaluate(ctx)
 	if err != nil {
 		return false, err
 	}
@@ -73,7 +73,7 @@
 	return verdict(load.Summarize(s.mix, seed, 1, records), t), nil
 }
 
-// printCodes shows why requests had no whole answer.
+// printCodes prints the reasons for which requests had no complete answer.
 func printCodes(records []load.Record) {
 	counts := make(map[string]int)
 	for _, r := range records {
@@ -86,7 +86,7 @@
 	}
 }
 
-// progress shows a display on a terminal and nothing elsewhere.
+// progress displays the progress if stderr is a terminal, and nothing otherwise.
 func progress(total int) (update func(load.Record), end func()) {
 	if info, err := os.Stderr.Stat(); err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return nil, func() {}
@@ -94,34 +94,34 @@
 	return load.Progress(os.Stderr, "demo", total)
 }
 
-func happen(ctx context.Context, e event) error {
+func runEvent(ctx context.Context, e event) error {
 	select {
 	case <-time.After(e.at):
 		return e.do(context.WithoutCancel(ctx))
 	case <-ctx.Done():
-		return fmt.Errorf("the load ended before an event at %s", e.at)
+		return fmt.Errorf("the load ended before the event scheduled at %s", e.at)
 	}
 }
 
-// verdict prints the table and the last line, and reports whether every
-// promise held.
+// verdict prints the table and the summary line and reports whether every
+// guarantee held.
 func verdict(s *load.Summary, t tally) bool {
 	fmt.Printf("\n%-14s %9s %9s %9s %14s %14s\n", "prompt", "requests", "answered", "refused", "first p50", "first p95")
 	for _, c := range s.Classes {
 		fmt.Printf("%-14s %9d %9d %9d %11.0f ms %11.0f ms\n", "to "+c.Class, c.Requests, c.Whole, c.Refused, c.FirstToken.P50*1e3, c.FirstToken.P95*1e3)
 	}
-	fmt.Printf("%-14s %9d %9d %9d\n\n", "service calls", t.answered+t.refused+t.unknown+t.lost+t.wrong, t.answered, t.refused)
-	fmt.Printf("ends %v, re-attached %d, restarts %d, runs beyond the first of repeatable requests %d\n", s.Finals, s.Reattached, s.Restarts, s.Reruns)
+	fmt.Printf("%-14s %9d %9d %9d\n\n", "service calls", t.answered+t.refused+t.unknown+t.lost+t.inconsistent, t.answered, t.refused)
+	fmt.Printf("final states %v, reattached %d, restarts %d, runs beyond the first of repeatable requests %d\n", s.Finals, s.Reattached, s.Restarts, s.Reruns)
 	if len(s.Breaches) > 0 {
-		fmt.Printf("broken promises: %v\n", s.Breaches)
+		fmt.Printf("violated guarantees: %v\n", s.Breaches)
 	}
 	for _, r := range s.Examples {
 		fmt.Printf("    %+v\n", r)
 	}
-	fmt.Printf("told \"may have run\": %d completions, %d calls\n", s.Finals[load.Unknown], t.unknown)
+	fmt.Printf("outcome \"may have run\": %d completions, %d calls\n", s.Finals[load.Unknown], t.unknown)
 	lost := s.Breaches[load.BreachLost] + s.Finals[load.Unsent] + t.lost
 	doubled := s.Breaches[load.BreachDoubled] + t.doubled
 	cut := s.Breaches[load.BreachCutOff] + s.Breaches[load.BreachDamaged]
 	fmt.Printf("demo: %d answered, %d lost, %d doubled, %d cut off\n", s.Finals[load.Whole]+t.answered, lost, doubled, cut)
-	return lost+doubled+cut+t.wrong == 0 && len(s.Breaches) == 0
+	return lost+doubled+cut+t.inconsistent == 0 && len(s.Breaches) == 0
 }
--- a/internal/demo/stage.go
+++ b/internal/demo/stage.go
@@ -26,8 +26,8 @@
 	services    = 3
 )
 
-// stage is the running installation of the demo.
-type stage struct {
+// installation is the running installation of the demo.
+type installation struct {
 	dir         string
 	bin         string
 	mix         *load.Mix
@@ -36,21 +36,22 @@
 	executors   []string // base URLs of the plain services
 }
 
-// stop ends every process that was started.
-func (s *stage) stop(ctx context.Context) {
+// stop stops all processes that were started.
+func (s *installation) stop(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopLimit)
 	defer cancel()
 	if err := s.fleet.Group.Stop(ctx); err != nil {
-		say("stop: %v", err)
+		logf("stop processes: %v", err)
 	}
 }
 
-func (s *stage) address(i, which int) string {
+func (s *installation) address(i, which int) string {
 	return fmt.Sprintf("127.0.0.1:%d", s.servicePort+3*i+which)
 }
 
-// addServices starts the plain services with their agents and declares them.
-func (s *stage) addServices(ctx context.Context) error {
+// addServices starts the plain services and their agents and declares them in
+// the configuration.
+func (s *installation) addServices(ctx context.Context) error {
 	for i := range services {
 		name := fmt.Sprintf("bid-api-%d", i)
 		s.executors = append(s.executors, "http://"+s.address(i, 0))
@@ -82,7 +83,7 @@
 	})
 }
 
-func (s *stage) serviceAgent(i int, name string) procs.Spec {
+func (s *installation) serviceAgent(i int, name string) procs.Spec {
 	text := fmt.Sprintf(`[agent]
 data_centre = hall-petrzalka
 host = host-%s
@@ -107,7 +108,7 @@
 	}
 }
 
-func (s *stage) program(name string) string {
+func (s *installation) program(name string) string {
 	path, err := filepath.Abs(filepath.Join(s.bin, name))
 	if err != nil {
 		return filepath.Join(s.bin, name)
@@ -115,9 +116,9 @@
 	return path
 }
 
-// change edits the accepted configuration as an operator does: declarations,
-// plan, confirm.
-func (s *stage) change(ctx context.Context, what string, edit func(*rudderv1.Document)) error {
+// change edits the accepted configuration as an operator does: it writes
+// declarations, plans the change and confirms the plan.
+func (s *installation) change(ctx context.Context, what string, edit func(*rudderv1.Document)) error {
 	doc, err := s.accepted(ctx)
 	if err != nil {
 		return err
@@ -138,11 +139,11 @@
 	if err := s.waitInForce(ctx, doc.Generation+1); err != nil {
 		return err
 	}
-	say("configuration %d (%s) planned, confirmed and in force at both gateways after %d ms", doc.Generation+1, what, time.Since(began).Milliseconds())
+	logf("configuration %d (%s) planned, confirmed and in force at both gateways after %d ms", doc.Generation+1, what, time.Since(began).Milliseconds())
 	return nil
 }
 
-func (s *stage) accepted(ctx context.Context) (*rudderv1.Document, error) {
+func (s *installation) accepted(ctx context.Context) (*rudderv1.Document, error) {
 	client, err := metastore.NewClient(metastore.Options{Addresses: []string{s.fleet.Platform}})
 	if err != nil {
 		return nil, err
@@ -154,7 +155,7 @@
 	return generation.Decode(e.Value)
 }
 
-func (s *stage) rudderctl(ctx context.Context, args ...string) error {
+func (s *installation) rudderctl(ctx context.Context, args ...string) error {
 	args = append(args, "--platform", s.fleet.Platform)
 	for _, g := range s.fleet.Inner {
 		args = append(args, "--gateway", g)
@@ -170,22 +171,22 @@
 	return nil
 }
 
-// waitInForce waits until both gateways serve the generation.
-func (s *stage) waitInForce(ctx context.Context, generation uint64) error {
+// waitInForce waits until the generation is in force at all gateways.
+func (s *installation) waitInForce(ctx context.Context, generation uint64) error {
 	want := fmt.Sprintf("rudder_gateway_generation %d\n", generation)
 	for _, url := range s.fleet.Metrics {
-		for !scraped(ctx, url, want) {
+		for !metricsContain(ctx, url, want) {
 			select {
 			case <-time.After(10 * time.Millisecond):
 			case <-ctx.Done():
-				return fmt.Errorf("generation %d is not in force at %s", generation, url)
+				return fmt.Errorf("generation %d did not take effect in time at %s", generation, url)
 			}
 		}
 	}
 	return nil
 }
 
-func scraped(ctx context.Context, url, want string) bool {
+func metricsContain(ctx context.Context, url, want string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false
@@ -200,19 +201,19 @@
 	return err == nil && strings.Contains(b.String(), want)
 }
 
-// kill ends a process with SIGKILL and starts it again.
-func (s *stage) kill(ctx context.Context, name string, down time.Duration) error {
+// kill kills a process with SIGKILL and starts it again after down.
+func (s *installation) kill(ctx context.Context, name string, down time.Duration) error {
 	p := s.fleet.Group.Get(name)
 	if err := p.Kill(); err != nil {
 		return err
 	}
 	<-p.Done()
-	say("killed %s", name)
-	return s.again(ctx, p, down)
+	logf("killed %s", name)
+	return s.restart(ctx, p, down)
 }
 
-// drain stops a process in order and starts it again.
-func (s *stage) drain(ctx context.Context, name string, down time.Duration) error {
+// drain stops a process with SIGTERM and starts it again after down.
+func (s *installation) drain(ctx context.Context, name string, down time.Duration) error {
 	p := s.fleet.Group.Get(name)
 	began := time.Now()
 	if err := syscall.Kill(p.PID(), syscall.SIGTERM); err != nil {
@@ -223,11 +224,11 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	say("drained %s in %d ms", name, time.Since(began).Milliseconds())
-	return s.again(ctx, p, down)
+	logf("drained %s in %d ms", name, time.Since(began).Milliseconds())
+	return s.restart(ctx, p, down)
 }
 
-func (s *stage) again(ctx context.Context, p *procs.Process, down time.Duration) error {
+func (s *installation) restart(ctx context.Context, p *procs.Process, down time.Duration) error {
 	select {
 	case <-time.After(down):
 	case <-ctx.Done():
@@ -237,9 +238,9 @@
 	return err
 }
 
-// crashEngine makes a stand-in engine die in the middle of its next answer.
-// The stand-in keeps its record of executions, which a killed process would lose.
-func (s *stage) crashEngine(ctx context.Context, i int) error {
+// crashEngine makes a stand-in engine simulate a crash during its next answer.
+// Unlike a killed process, the stand-in keeps its execution records.
+func (s *installation) crashEngine(ctx context.Context, i int) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.fleet.Engines[i]+"/fault", strings.NewReader(`{"die_after_tokens":8}`))
 	if err != nil {
 		return err
@@ -248,6 +249,6 @@
 	if err != nil {
 		return err
 	}
-	say("engine-%d dies in the middle of an answer", i)
+	logf("engine-%d is set to crash during its next answer", i)
 	return resp.Body.Close()
 }
--- a/internal/etcdjson/etcdjson.go
+++ b/internal/etcdjson/etcdjson.go
@@ -1,6 +1,6 @@
-// Package etcdjson holds the messages of the etcd v3 protocol in their JSON
-// mapping, as far as this repository uses them: 64-bit integers travel as
-// strings, bytes as base64, and fields at their zero value are left out.
+// Package etcdjson defines the messages of the etcd v3 protocol that this
+// repository uses, in their JSON mapping: 64-bit integers are encoded as
+// strings, bytes as base64, and fields with their zero value are omitted.
 package etcdjson
 
 import (
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// The paths of the service, all called with POST.
+// Paths of the etcd API, all called with POST.
 const (
 	PathRange     = "/v3/kv/range"
 	PathTxn       = "/v3/kv/txn"
@@ -18,7 +18,7 @@
 	PathWatch     = "/v3/watch"
 )
 
-// The status codes of gRPC that the service puts into its errors.
+// gRPC status codes in error responses of etcd.
 const (
 	CodeInvalidArgument   = 3
 	CodeNotFound          = 5
@@ -27,7 +27,7 @@
 	CodeUnavailable       = 14
 )
 
-// The error texts that callers have to tell apart.
+// Error messages that callers have to distinguish.
 const (
 	MessageNoLeader      = "etcdserver: no leader"
 	MessageTooLarge      = "etcdserver: request is too large"
@@ -36,7 +36,8 @@
 	MessageLeaseExists   = "etcdserver: lease already exists"
 )
 
-// Int64 is written as a string and read from a string or a number.
+// Int64 is an integer that is encoded as a string and decoded from a string or a
+// number.
 type Int64 int64
 
 // MarshalJSON implements json.Marshaler.
@@ -59,14 +60,15 @@
 	return nil
 }
 
-// Header stands in every response; Revision is the store's own at that moment,
-// ClusterID names the cluster, and a restored one has another.
+// Header is part of every response. Revision is the revision of the store at the
+// time of the response. ClusterID identifies the cluster; a restored cluster has
+// a different one.
 type Header struct {
 	ClusterID string `json:"cluster_id,omitempty"`
 	Revision  Int64  `json:"revision,omitempty"`
 }
 
-// KeyValue is one key at one modification.
+// KeyValue is the state of a key at one modification.
 type KeyValue struct {
 	Key            []byte `json:"key,omitempty"`
 	CreateRevision Int64  `json:"create_revision,omitempty"`
@@ -76,7 +78,8 @@
 	Lease          Int64  `json:"lease,omitempty"`
 }
 
-// RangeRequest reads [Key, RangeEnd), or the one key when RangeEnd is empty.
+// RangeRequest reads the keys in [Key, RangeEnd), or only Key if RangeEnd is
+// empty.
 type RangeRequest struct {
 	Key      []byte `json:"key,omitempty"`
 	RangeEnd []byte `json:"range_end,omitempty"`
@@ -84,7 +87,8 @@
 	KeysOnly bool   `json:"keys_only,omitempty"`
 }
 
-// RangeResponse answers a RangeRequest; More says that Limit cut it short.
+// RangeResponse is the response to a RangeRequest. More is true if Limit
+// truncated the result.
 type RangeResponse struct {
 	Header Header     `json:"header"`
 	Kvs    []KeyValue `json:"kvs,omitempty"`
@@ -99,7 +103,7 @@
 	Lease Int64  `json:"lease,omitempty"`
 }
 
-// PutResponse answers a PutRequest.
+// PutResponse is the response to a PutRequest.
 type PutResponse struct {
 	Header Header `json:"header"`
 }
@@ -109,13 +113,14 @@
 	Key []byte `json:"key,omitempty"`
 }
 
-// DeleteRangeResponse answers a DeleteRangeRequest.
+// DeleteRangeResponse is the response to a DeleteRangeRequest.
 type DeleteRangeResponse struct {
 	Header  Header `json:"header"`
 	Deleted Int64  `json:"deleted,omitempty"`
 }
 
-// The only comparison in use: the key's modification revision is equal.
+// Target and result of the only comparison in use: the modification revision of
+// the key equals a given one.
 const (
 	CompareMod   = "MOD"
 	CompareEqual = "EQUAL"
@@ -129,41 +134,41 @@
 	ModRevision Int64  `json:"mod_revision"`
 }
 
-// RequestOp is one operation of a transaction; exactly one field is set.
+// RequestOp is one operation of a transaction. Exactly one field is set.
 type RequestOp struct {
 	Range       *RangeRequest       `json:"request_range,omitempty"`
 	Put         *PutRequest         `json:"request_put,omitempty"`
 	DeleteRange *DeleteRangeRequest `json:"request_delete_range,omitempty"`
 }
 
-// ResponseOp answers the RequestOp at the same index.
+// ResponseOp is the response to the RequestOp at the same index.
 type ResponseOp struct {
 	Range       *RangeResponse       `json:"response_range,omitempty"`
 	Put         *PutResponse         `json:"response_put,omitempty"`
 	DeleteRange *DeleteRangeResponse `json:"response_delete_range,omitempty"`
 }
 
-// TxnRequest runs Success when every comparison holds, else Failure.
+// TxnRequest executes Success if all comparisons hold, and Failure otherwise.
 type TxnRequest struct {
 	Compare []Compare   `json:"compare,omitempty"`
 	Success []RequestOp `json:"success,omitempty"`
 	Failure []RequestOp `json:"failure,omitempty"`
 }
 
-// TxnResponse answers a TxnRequest.
+// TxnResponse is the response to a TxnRequest.
 type TxnResponse struct {
 	Header    Header       `json:"header"`
 	Succeeded bool         `json:"succeeded,omitempty"`
 	Responses []ResponseOp `json:"responses,omitempty"`
 }
 
-// GrantRequest asks for a lease of TTL seconds.
+// GrantRequest requests a lease with a TTL in seconds.
 type GrantRequest struct {
 	TTL Int64 `json:"TTL,omitempty"`
 	ID  Int64 `json:"ID,omitempty"`
 }
 
-// GrantResponse answers a GrantRequest.
+// GrantResponse is the response to a GrantRequest.
 type GrantResponse struct {
 	Header Header `json:"header"`
 	ID     Int64  `json:"ID,omitempty"`
@@ -175,25 +180,26 @@
 	ID Int64 `json:"ID,omitempty"`
 }
 
-// KeepAliveResponse answers a KeepAliveRequest; TTL 0 means no such lease.
+// KeepAliveResponse is the response to a KeepAliveRequest. A TTL of 0 means that
+// the lease does not exist.
 type KeepAliveResponse struct {
 	Header Header `json:"header"`
 	ID     Int64  `json:"ID,omitempty"`
 	TTL    Int64  `json:"TTL,omitempty"`
 }
 
-// KeepAliveFrame is one line of the stream that answers a KeepAliveRequest.
+// KeepAliveFrame is one line of the response stream of a KeepAliveRequest.
 type KeepAliveFrame struct {
 	Result *KeepAliveResponse `json:"result,omitempty"`
 	Error  *Error             `json:"error,omitempty"`
 }
 
-// RevokeRequest ends a lease.
+// RevokeRequest revokes a lease.
 type RevokeRequest struct {
 	ID Int64 `json:"ID,omitempty"`
 }
 
-// RevokeResponse answers a RevokeRequest.
+// RevokeResponse is the response to a RevokeRequest.
 type RevokeResponse struct {
 	Header Header `json:"header"`
 }
@@ -203,22 +209,22 @@
 	Create WatchCreate `json:"create_request"`
 }
 
-// WatchCreate names what is watched, from StartRevision on.
+// WatchCreate selects the key to watch, starting at StartRevision.
 type WatchCreate struct {
 	Key           []byte `json:"key,omitempty"`
 	StartRevision Int64  `json:"start_revision,omitempty"`
 }
 
-// EventDelete is the Type of a deletion; a put leaves the field out.
+// EventDelete is the Type of a deletion. The field is omitted for a put.
 const EventDelete = "DELETE"
 
-// Event is one change of a key.
+// Event is one modification of a key.
 type Event struct {
 	Type string   `json:"type,omitempty"`
 	Kv   KeyValue `json:"kv"`
 }
 
-// WatchResponse is the content of one line of a watch.
+// WatchResponse is the result in one line of a watch stream.
 type WatchResponse struct {
 	Header          Header  `json:"header"`
 	Created         bool    `json:"created,omitempty"`
@@ -227,20 +233,20 @@
 	Events          []Event `json:"events,omitempty"`
 }
 
-// WatchFrame is one line of a watch.
+// WatchFrame is one line of a watch stream.
 type WatchFrame struct {
 	Result *WatchResponse `json:"result,omitempty"`
 	Error  *Error         `json:"error,omitempty"`
 }
 
-// Error is the body of a response that is not a success.
+// Error is the body of an error response.
 type Error struct {
 	Code    int    `json:"code,omitempty"`
 	Message string `json:"message,omitempty"`
 }
 
-// PrefixEnd returns the end of the range of all keys with the prefix; the
-// single byte zero, the service's sign for "no end", when there is none.
+// PrefixEnd returns the end of the range of all keys with the prefix. If there is
+// no such end, it returns a single zero byte, with which etcd denotes "no end".
 func PrefixEnd(prefix []byte) []byte {
 	end := bytes.Clone(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/internal/localhttp/localhttp.go
+++ b/internal/localhttp/localhttp.go
@@ -1,5 +1,5 @@
-// Package localhttp makes the HTTP clients by which an agent talks to the
-// endpoint beside it.
+// Package localhttp creates the HTTP clients with which an agent connects to its
+// local endpoint.
 package localhttp
 
 import (
@@ -14,8 +14,9 @@
 	maxIdleConns = 16
 )
 
-// New returns a client made from the one given, or else one for a peer on the
-// same host. It follows no redirect, which would send a request a second time.
+// New returns a copy of the given client, or a new client for a peer on the same
+// host if given is nil. The client does not follow redirects, because they would
+// send a request a second time.
 func New(given *http.Client) http.Client {
 	var c http.Client
 	if given != nil {
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep pauses what may be ended meanwhile.
+// Package sleep provides a sleep that a context can interrupt.
 package sleep
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d; it reports false when ctx ended first.
+// For waits for d. It returns false if ctx ended first.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/tool/tool.go
+++ b/internal/tool/tool.go
@@ -1,5 +1,6 @@
-// Package tool is what the mains of the demo and of the measuring programs
-// share: the command line, signals, a bound on the whole run, and exit codes.
+// Package tool provides the main function that the demo and the measurement
+// programs share: command-line parsing, signal handling, a time limit for the
+// whole run, and exit codes.
 package tool
 
 import (
@@ -19,9 +20,9 @@
 	exitUsage  = 2
 )
 
-// Main parses the command line into an O, a struct of go-flags options, runs
-// the tool and ends the process. The context ends with SIGINT, SIGTERM or the
-// limit; a limit of 0 is none.
+// Main parses the command line into an O, a struct of go-flags options, and runs
+// the tool. On an error it exits with a non-zero status. The context ends on
+// SIGINT, on SIGTERM or after limit; a limit of 0 means no limit.
 func Main[O any](name string, limit time.Duration, run func(context.Context, O) error) {
 	var o O
 	if _, err := flags.Parse(&o); err != nil {
@@ -30,13 +31,13 @@
 		}
 		os.Exit(exitUsage)
 	}
-	if err := bounded(limit, func(ctx context.Context) error { return run(ctx, o) }); err != nil {
+	if err := runWithLimit(limit, func(ctx context.Context) error { return run(ctx, o) }); err != nil {
 		fmt.Fprintln(os.Stderr, name+":", err)
 		os.Exit(exitFailed)
 	}
 }
 
-func bounded(limit time.Duration, run func(context.Context) error) error {
+func runWithLimit(limit time.Duration, run func(context.Context) error) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	if limit > 0 {
