--- a/load/caller.go
+++ b/load/caller.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// retryDelay is the delay before a caller sends the next request after a
-	// broken connection.
+	// retryDelay is the delay before a caller presents a request again or
+	// reattaches to its run, unless the refusal states another.
 	retryDelay = 100 * time.Millisecond
 	// maxPresentations limits how often a caller presents one request.
 	maxPresentations = 100
--- a/load/experiment.go
+++ b/load/experiment.go
@@ -19,7 +19,7 @@
 	if !e.Alone {
 		return len(as)
 	}
-	return len(as) + len(Only(as, IsShort))
+	return len(as) + len(FilterArrivals(as, IsShort))
 }
 
 // Report is the result of an experiment.
--- a/load/run.go
+++ b/load/run.go
@@ -64,7 +64,7 @@
 	}
 	as := o.Mix.Schedule(o.Seed, load)
 	if o.Keep != nil {
-		as = Only(as, o.Keep)
+		as = FilterArrivals(as, o.Keep)
 	}
 	return as
 }
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -36,8 +36,8 @@
 	return out
 }
 
-// Only returns the arrivals for which keep returns true.
-func Only(as []Arrival, keep func(Arrival) bool) []Arrival {
+// FilterArrivals returns the arrivals for which keep returns true.
+func FilterArrivals(as []Arrival, keep func(Arrival) bool) []Arrival {
 	var out []Arrival
 	for _, a := range as {
 		if keep(a) {
--- a/load/schedule_test.go
+++ b/load/schedule_test.go
@@ -105,7 +105,7 @@
 	is := is.New(t)
 	m := mustMix(t, sampleMix)
 	drafts := func(a Arrival) bool { return a.Flow == "drafts" }
-	want := Only(m.Schedule(7, 1), drafts)
+	want := FilterArrivals(m.Schedule(7, 1), drafts)
 	delete(m.Flow, "reconciliations")
 	is.Equal(m.Schedule(7, 1), want)
 }
@@ -116,9 +116,9 @@
 	is := is.New(t)
 	m := mustMix(t, sampleMix)
 	m.Run.Duration = 20 * time.Minute
-	as := Only(m.Schedule(3, 1), func(a Arrival) bool { return a.Flow == "drafts" })
+	as := FilterArrivals(m.Schedule(3, 1), func(a Arrival) bool { return a.Flow == "drafts" })
 	is.True(within(float64(len(as)), 40*0.6*1200, 5*170))
-	inBurst := Only(as, func(a Arrival) bool { return a.At%(15*time.Second) >= 12*time.Second })
+	inBurst := FilterArrivals(as, func(a Arrival) bool { return a.At%(15*time.Second) >= 12*time.Second })
 	is.True(within(float64(len(inBurst))/float64(len(as)), 0.8, 0.02))
 }
 
@@ -176,7 +176,7 @@
 			is.Equal(s.Key("key-digests").String(), fmt.Sprintf("%x", sha256.Sum256([]byte(f.Key))))
 			is.Equal(s.Key("models").String(), f.Model)
 		}
-		long := Only(m.Schedule(1, 100), func(a Arrival) bool { return a.Prompt > 100_000 })
+		long := FilterArrivals(m.Schedule(1, 100), func(a Arrival) bool { return a.Prompt > 100_000 })
 		is.True(len(long) > 0)
 	}
 }
