--- a/e2e/bubble_test.go
+++ b/e2e/bubble_test.go
@@ -43,62 +43,63 @@
 // oldKey signs tickets unless a test rotates the keys.
 var oldKey = ticket.Key{ID: 1, Secret: []byte("0123456789abcdef")}
 
-// bubble is one installation inside a synctest bubble. Its processes are
-// reached by address, as in the real one.
-type bubble struct {
-	t      *testing.T
-	mu     sync.Mutex
-	hosts  map[string]*pipe.Listener
-	conns  map[string][]net.Conn
-	cut    map[string]bool // addresses that no connection can be made to
-	parted map[route]bool  // routes that no connection can be made on
-	joined map[route][]net.Conn
-	frozen map[string]chan struct{} // by name or address of a process; closed at the thaw
-	dead   map[string]bool          // processes that reach nobody any more
-	signer *ticket.Signer
-	doc    *rudderv1.Document
-
-	platform   *standplatform.Server
-	engines    map[string]*standengine.Server
-	services   map[string]*standservice.Server
-	agents     map[string]*agent.Agent
-	gateways   map[string]*gateway.Gateway
-	servers    map[string]*http.Server // by address
-	orders     []orderSeen
-	delay      map[string]time.Duration // of an engine's word about its state
-	cleanup    []func()
-	revision   int64 // of the accepted document
-	policy     routing.Policy
-	place      func(next http.Handler, w http.ResponseWriter, r *http.Request) // stands between placers and agents
-	keepers    map[string]*generation.Tracker
-	metrics    map[string]*metrics.Set // of gateways
-	signers    map[string]*ticket.Signer
-	change     func(*gateway.Config)   // of gateways started from now on; may be nil
-	maxRunning int                     // runs at once of agents started from now on
-	gauges     map[string]*metrics.Set // of agents, by endpoint
-	work       time.Duration           // of plain services
-	answerKeep time.Duration           // of agents
-
-	net  *network                                          // connections that take time and can be held; nil: plain ones
-	wrap func(addr string, next http.Handler) http.Handler // around every server; nil: none
+// cluster is one installation inside a synctest bubble. Its processes reach
+// each other by address, as in a real installation.
+type cluster struct {
+	t           *testing.T
+	mu          sync.Mutex
+	listeners   map[string]*pipe.Listener
+	conns       map[string][]net.Conn
+	unreachable map[string]bool // addresses that refuse connections
+	partitioned map[route]bool  // routes on which no connection can be made
+	routeConns  map[route][]net.Conn
+	frozen      map[string]chan struct{} // by process name or address; closed when the process is thawed
+	crashed     map[string]bool          // names of crashed processes, whose connections are refused
+	signer      *ticket.Signer
+	doc         *rudderv1.Document
+
+	platform         *standplatform.Server
+	engines          map[string]*standengine.Server
+	services         map[string]*standservice.Server
+	agents           map[string]*agent.Agent
+	gateways         map[string]*gateway.Gateway
+	servers          map[string]*http.Server // by address
+	orderLog         []recordedOrder
+	stateDelay       map[string]time.Duration // added before an agent receives its engine's state, by name
+	cleanup          []func()
+	documentRevision int64 // of the accepted document at the platform
+	policy           routing.Policy
+	placeHook        func(next http.Handler, w http.ResponseWriter, r *http.Request) // intercepts placement requests to agents; may be nil
+	trackers         map[string]*generation.Tracker
+	gatewayMetrics   map[string]*metrics.Set // of gateways
+	signers          map[string]*ticket.Signer
+	configureGateway func(*gateway.Config)   // applied to gateways started from now on; may be nil
+	maxRunning       int                     // concurrent runs of agents started from now on
+	agentMetrics     map[string]*metrics.Set // of agents, by endpoint
+	serviceTime      time.Duration           // time that a plain service takes for a call
+	answerKeep       time.Duration           // how long agents keep finished answers
+
+	network     *network                                          // adds latency and can hold connections back; nil: direct connections
+	wrapHandler func(addr string, next http.Handler) http.Handler // wraps the handler of every server; may be nil
 }
 
-// run runs a session in a bubble and stops every process at its end.
-func run(t *testing.T, session func(b *bubble)) {
+// runSession runs a session in a synctest bubble and stops every process at its
+// end.
+func runSession(t *testing.T, session func(b *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		signer, err := ticket.NewSigner(oldKey)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &bubble{
-			t: t, policy: routing.Default(), maxRunning: 64, hosts: make(map[string]*pipe.Listener), conns: make(map[string][]net.Conn), cut: make(map[string]bool), signer: signer,
-			engines: make(map[string]*standengine.Server), services: make(map[string]*standservice.Server), delay: make(map[string]time.Duration),
-			gauges: make(map[string]*metrics.Set), work: 5 * time.Millisecond, answerKeep: 2 * time.Minute,
+		b := &cluster{
+			t: t, policy: routing.Default(), maxRunning: 64, listeners: make(map[string]*pipe.Listener), conns: make(map[string][]net.Conn), unreachable: make(map[string]bool), signer: signer,
+			engines: make(map[string]*standengine.Server), services: make(map[string]*standservice.Server), stateDelay: make(map[string]time.Duration),
+			agentMetrics: make(map[string]*metrics.Set), serviceTime: 5 * time.Millisecond, answerKeep: 2 * time.Minute,
 			agents: make(map[string]*agent.Agent), gateways: make(map[string]*gateway.Gateway), servers: make(map[string]*http.Server),
-			frozen: make(map[string]chan struct{}), dead: make(map[string]bool),
-			parted: make(map[route]bool), joined: make(map[route][]net.Conn),
-			keepers: make(map[string]*generation.Tracker), metrics: make(map[string]*metrics.Set), signers: make(map[string]*ticket.Signer),
+			frozen: make(map[string]chan struct{}), crashed: make(map[string]bool),
+			partitioned: make(map[route]bool), routeConns: make(map[route][]net.Conn),
+			trackers: make(map[string]*generation.Tracker), gatewayMetrics: make(map[string]*metrics.Set), signers: make(map[string]*ticket.Signer),
 			doc: &rudderv1.Document{
 				Generation: 1, PlanId: "plan-1",
 				Models: []*rudderv1.Model{{Name: model, Version: "1", MaxTokens: 1_100_000, Replicas: map[string]uint32{dataCentre: 100}}},
@@ -114,7 +115,7 @@
 	})
 }
 
-func (b *bubble) close() {
+func (b *cluster) close() {
 	for _, f := range b.cleanup {
 		f()
 	}
@@ -130,15 +131,15 @@
 	for _, e := range b.engines {
 		e.Close()
 	}
-	time.Sleep(time.Hour) // lets every timer of the bubble end
+	time.Sleep(time.Hour) // lets every timer in the bubble expire
 }
 
 // dial connects to a process by its address.
-func (b *bubble) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (b *cluster) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	addr = strings.TrimSuffix(addr, ":80")
 	b.mu.Lock()
-	l, ok := b.hosts[addr]
-	ok = ok && !b.cut[addr]
+	l, ok := b.listeners[addr]
+	ok = ok && !b.unreachable[addr]
 	b.mu.Unlock()
 	if !ok {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: errors.New("connection refused")}
@@ -154,35 +155,36 @@
 	return c, nil
 }
 
-// httpClient returns a client that reaches every process of the bubble.
-func (b *bubble) httpClient() *http.Client { return b.httpClientFrom("") }
+// httpClient returns a client that reaches every process of the cluster.
+func (b *cluster) httpClient() *http.Client { return b.httpClientFrom("") }
 
-// httpClientFrom returns the HTTP client of one process.
-func (b *bubble) httpClientFrom(from string) *http.Client {
+// httpClientFrom returns the HTTP client of one process, subject to that
+// process's partitions and crashes.
+func (b *cluster) httpClientFrom(from string) *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: b.dialFrom(from), DisableCompression: true, IdleConnTimeout: time.Minute}}
 }
 
-func (b *bubble) serve(addr string, h http.Handler) {
-	b.serveOn(addr, &http.Server{Handler: h, IdleTimeout: time.Minute})
+func (b *cluster) serve(addr string, h http.Handler) {
+	b.serveServer(addr, &http.Server{Handler: h, IdleTimeout: time.Minute})
 }
 
-func (b *bubble) serveOn(addr string, srv *http.Server) {
+func (b *cluster) serveServer(addr string, srv *http.Server) {
 	l := pipe.Listen()
-	if b.wrap != nil {
-		srv.Handler = b.wrap(addr, srv.Handler)
+	if b.wrapHandler != nil {
+		srv.Handler = b.wrapHandler(addr, srv.Handler)
 	}
 	b.mu.Lock()
-	b.hosts[addr], b.servers[addr] = l, srv
+	b.listeners[addr], b.servers[addr] = l, srv
 	b.mu.Unlock()
 	go func() { _ = srv.Serve(l) }()
 }
 
-// kill ends the process at an address as a crash would: connections break and
-// new ones are refused.
-func (b *bubble) kill(addr string) {
+// kill ends the process at an address as a crash does: its connections break
+// and new ones are refused.
+func (b *cluster) kill(addr string) {
 	b.mu.Lock()
 	srv, conns := b.servers[addr], b.conns[addr]
-	delete(b.hosts, addr)
+	delete(b.listeners, addr)
 	b.conns[addr] = nil
 	b.mu.Unlock()
 	_ = srv.Close()
@@ -191,8 +193,8 @@
 	}
 }
 
-// engine adds a model engine with its agent; the name of both is given.
-func (b *bubble) engine(name string, change func(*standengine.Config)) {
+// engine adds a model engine and its agent, both under the given name.
+func (b *cluster) engine(name string, change func(*standengine.Config)) {
 	cfg := standengine.Default()
 	cfg.Name, cfg.Models = name, []string{model + "@1"}
 	if change != nil {
@@ -200,36 +202,36 @@
 	}
 	e := standengine.NewServer(cfg)
 	b.engines[name] = e
-	b.serve(engineAddr(name), b.logged(name, e.Handler()))
-	b.declare(name, "", cfg.MemoryTokens)
+	b.serve(engineAddr(name), b.recordOrders(name, e.Handler()))
+	b.declareEndpoint(name, "", cfg.MemoryTokens)
 	b.agent(name, "", cfg.MemoryTokens)
 }
 
-// service adds a plain service with its agent.
-func (b *bubble) service(name, serviceName string) {
-	s := standservice.NewServer(standservice.Config{Name: name, Work: b.work})
+// service adds a plain service and its agent.
+func (b *cluster) service(name, serviceName string) {
+	s := standservice.NewServer(standservice.Config{Name: name, Work: b.serviceTime})
 	b.services[name] = s
 	b.serve(engineAddr(name), s.Handler())
-	b.declare(name, serviceName, 0)
+	b.declareEndpoint(name, serviceName, 0)
 	b.agent(name, serviceName, 0)
 }
 
-func (b *bubble) declare(name, serviceName string, memory uint64) {
+func (b *cluster) declareEndpoint(name, serviceName string, memory uint64) {
 	b.doc.Endpoints = append(b.doc.Endpoints, &rudderv1.Endpoint{
 		Name: name, Host: "host-" + name, DataCentre: dataCentre, AgentAddress: agentAddr(name), Service: serviceName, MemoryTokens: memory,
 	})
 }
 
-// agent starts the agent beside an endpoint; it can be called again after a kill.
-func (b *bubble) agent(name, serviceName string, memory uint64) *agent.Agent {
-	b.keepers[name] = generation.NewTracker()
+// agent starts the agent of an endpoint; it can be called again after a kill.
+func (b *cluster) agent(name, serviceName string, memory uint64) *agent.Agent {
+	b.trackers[name] = generation.NewTracker()
 	deps := agent.Deps{
-		Client: b.innerClientFrom(name), Signer: b.signerOf(name), Queue: admission.New(admission.Config{}), Tracker: b.keepers[name], Log: quiet(),
+		Client: b.innerClientFrom(name), Signer: b.signerOf(name), Queue: admission.New(admission.Config{}), Tracker: b.trackers[name], Log: discardLogger(),
 		Metrics: metrics.NewSet(),
 	}
-	b.gauges[name] = deps.Metrics
+	b.agentMetrics[name] = deps.Metrics
 	if serviceName == "" {
-		deps.Engine = &slowState{engine.NewClient(engine.Options{BaseURL: "http://" + engineAddr(name), HTTPClient: b.httpClientFrom(name), Name: name}), b, name}
+		deps.Engine = &delayedState{engine.NewClient(engine.Options{BaseURL: "http://" + engineAddr(name), HTTPClient: b.httpClientFrom(name), Name: name}), b, name}
 	} else {
 		deps.Service = service.NewClient(service.Options{BaseURL: "http://" + engineAddr(name), HTTPClient: b.httpClientFrom(name)})
 	}
@@ -241,18 +243,19 @@
 	b.agents[name] = a
 	m := http.NewServeMux()
 	path, h := a.Handler()
-	m.Handle(path, b.onPlace(h))
+	m.Handle(path, b.interceptPlace(h))
 	srv, err := inner.NewServer(m, inner.KeyFiles{})
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.serveOn(agentAddr(name), srv)
+	b.serveServer(agentAddr(name), srv)
 	a.Start()
 	return a
 }
 
-// signerOf returns the signer of one process, with keys of its own.
-func (b *bubble) signerOf(name string) *ticket.Signer {
+// signerOf returns the ticket signer of one process; each process has its own,
+// so that keys can be rotated process by process.
+func (b *cluster) signerOf(name string) *ticket.Signer {
 	if b.signers[name] == nil {
 		s, err := ticket.NewSigner(oldKey)
 		if err != nil {
@@ -263,11 +266,12 @@
 	return b.signers[name]
 }
 
-// innerClient returns a client for the inner protocol that nothing cuts off.
-func (b *bubble) innerClient() *inner.Client { return b.innerClientFrom("") }
+// innerClient returns a client for the inner protocol that no partition or
+// crash affects.
+func (b *cluster) innerClient() *inner.Client { return b.innerClientFrom("") }
 
-// innerClientFrom returns a process's client for the inner protocol.
-func (b *bubble) innerClientFrom(name string) *inner.Client {
+// innerClientFrom returns the client of one process for the inner protocol.
+func (b *cluster) innerClientFrom(name string) *inner.Client {
 	client, err := inner.NewClient(inner.KeyFiles{}, b.dialFrom(name))
 	if err != nil {
 		b.t.Fatal(err)
@@ -275,11 +279,11 @@
 	return client
 }
 
-// gateway starts a gateway; peers are names of other gateways.
-func (b *bubble) gateway(name string, peers ...string) *gateway.Gateway {
+// gateway starts a gateway; peers are the names of other gateways.
+func (b *cluster) gateway(name string, peers ...string) *gateway.Gateway {
 	client := b.innerClientFrom(name)
 	set := metrics.NewSet()
-	b.keepers[name], b.metrics[name] = generation.NewTracker(), set
+	b.trackers[name], b.gatewayMetrics[name] = generation.NewTracker(), set
 	store, err := metastore.NewClient(metastore.Options{Addresses: []string{platformAddr}, HTTPClient: b.httpClientFrom(name), Timeout: time.Second, Metrics: set})
 	if err != nil {
 		b.t.Fatal(err)
@@ -292,39 +296,40 @@
 	for _, p := range peers {
 		cfg.Peers = append(cfg.Peers, innerAddr(p))
 	}
-	if b.change != nil {
-		b.change(&cfg)
+	if b.configureGateway != nil {
+		b.configureGateway(&cfg)
 	}
 	g := gateway.New(cfg, gateway.Deps{
-		Store: store, Hosts: store, Client: client, Signer: b.signerOf(name), Tracker: b.keepers[name], Policy: b.policy, Log: quiet(), Metrics: set,
+		Store: store, Hosts: store, Client: client, Signer: b.signerOf(name), Tracker: b.trackers[name], Policy: b.policy, Log: discardLogger(), Metrics: set,
 	})
 	b.gateways[name] = g
-	face, err := g.Handler()
+	handler, err := g.Handler()
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.serve(name, face)
+	b.serve(name, handler)
 	m := http.NewServeMux()
 	m.Handle(g.InnerHandler())
 	srv, err := inner.NewServer(m, inner.KeyFiles{})
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.serveOn(innerAddr(name), srv)
+	b.serveServer(innerAddr(name), srv)
 	g.Start()
 	return g
 }
 
-// publish accepts the document at the platform and waits until all is quiet.
-func (b *bubble) publish() {
+// publish writes the document to the platform and waits until the cluster is
+// idle.
+func (b *cluster) publish() {
 	b.t.Helper()
-	b.accept()
+	b.writeDocument()
 	time.Sleep(time.Second)
 	synctest.Wait()
 }
 
-// accept writes the document to the platform.
-func (b *bubble) accept() {
+// writeDocument writes the document to the platform as the accepted one.
+func (b *cluster) writeDocument() {
 	b.t.Helper()
 	store, err := metastore.NewClient(metastore.Options{Addresses: []string{platformAddr}, HTTPClient: b.httpClient(), Timeout: time.Second})
 	if err != nil {
@@ -334,25 +339,25 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	e, err := store.CompareAndSwap(b.t.Context(), metastore.KeyDocument, b.revision, value, 0)
+	e, err := store.CompareAndSwap(b.t.Context(), metastore.KeyDocument, b.documentRevision, value, 0)
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.revision = e.Revision
+	b.documentRevision = e.Revision
 }
 
 func engineAddr(name string) string { return "engine-" + name + ":8000" }
 func agentAddr(name string) string  { return "agent-" + name + ":7100" }
 func innerAddr(name string) string  { return "inner-" + name + ":7000" }
 
-func quiet() *log.Logger { return log.New(io.Discard) }
+func discardLogger() *log.Logger { return log.New(io.Discard) }
 
 func cloneDocument(d *rudderv1.Document) *rudderv1.Document {
 	return proto.Clone(d).(*rudderv1.Document)
 }
 
 // stopAgent stops an agent as SIGTERM does.
-func (b *bubble) stopAgent(name string, drain time.Duration) error {
+func (b *cluster) stopAgent(name string, drain time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), drain)
 	defer cancel()
 	defer b.kill(agentAddr(name))
@@ -360,7 +365,7 @@
 }
 
 // stopGateway stops a gateway as SIGTERM does.
-func (b *bubble) stopGateway(name string, drain time.Duration) error {
+func (b *cluster) stopGateway(name string, drain time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), drain)
 	defer cancel()
 	defer b.kill(name)
@@ -368,7 +373,7 @@
 	return b.gateways[name].Stop(ctx, b.server(name), b.server(innerAddr(name)))
 }
 
-func (b *bubble) server(addr string) *http.Server {
+func (b *cluster) server(addr string) *http.Server {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.servers[addr]
--- a/e2e/caller_test.go
+++ b/e2e/caller_test.go
@@ -21,32 +21,32 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// patience is how long a caller waits for a whole answer.
-const patience = 10 * time.Minute
+// callerTimeout limits how long a caller waits for a whole answer.
+const callerTimeout = 10 * time.Minute
 
-// reply is what a caller got.
+// reply is the answer that a caller received.
 type reply struct {
 	status  int
 	header  http.Header
-	body    string // of an answer that is no event stream
-	text    string // joined text of the events
+	body    string // of an answer that is not an event stream
+	text    string // concatenated text of the events
 	lastID  string
-	done    bool // [DONE] came
+	done    bool // [DONE] was received
 	restart bool
-	problem string // the error event
+	problem string // data of the error event
 	err     error
 }
 
 // ask sends one request to a gateway.
-func (b *bubble) ask(gw, method, path, body string, header map[string]string) reply {
+func (b *cluster) ask(gw, method, path, body string, header map[string]string) reply {
 	b.t.Helper()
-	return b.askFor(patience, gw, method, path, body, header)
+	return b.askWithin(callerTimeout, gw, method, path, body, header)
 }
 
-// askFor gives up after a time.
-func (b *bubble) askFor(patience time.Duration, gw, method, path, body string, header map[string]string) reply {
+// askWithin sends one request to a gateway and gives up after the timeout.
+func (b *cluster) askWithin(timeout time.Duration, gw, method, path, body string, header map[string]string) reply {
 	b.t.Helper()
-	ctx, cancel := context.WithTimeout(b.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(b.t.Context(), timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+gw+path, strings.NewReader(body))
 	if err != nil {
@@ -85,7 +85,7 @@
 		case "id":
 			r.lastID = value
 		case "data":
-			r.data(event, value)
+			r.addEvent(event, value)
 		case "":
 			event = ""
 		}
@@ -93,7 +93,7 @@
 	return sc.Err()
 }
 
-func (r *reply) data(event, value string) {
+func (r *reply) addEvent(event, value string) {
 	switch {
 	case event == "restart":
 		r.text, r.restart = "", true
@@ -114,7 +114,7 @@
 	}
 }
 
-// lastID is the event id that goes with the text held.
+// lastID returns the event id that belongs to the text received so far.
 func lastID(text string) string { return strconv.Itoa(len(text)) }
 
 // chat returns a chat request body.
@@ -126,5 +126,5 @@
 	return b.String()
 }
 
-// answerTo is the whole answer that the stand-in engine gives.
+// answerTo returns the whole answer of the simulated engine to a prompt.
 func answerTo(prompt string, tokens int) string { return string(answer.Text([]byte(prompt), tokens)) }
--- a/e2e/conn_test.go
+++ b/e2e/conn_test.go
@@ -5,59 +5,59 @@
 	"sync"
 )
 
-// conn is one connection of the bubble, from a process by its name to an
-// address. Nothing passes it while one of its ends is frozen.
+// conn is one connection of the cluster, from a process, given by its name, to
+// an address. No bytes pass while either end is frozen.
 type conn struct {
 	net.Conn
-	b      *bubble
+	b      *cluster
 	from   string
 	to     string
 	once   sync.Once
 	closed chan struct{}
 
-	mu      sync.Mutex
-	kept    []byte
-	keeping bool
+	mu        sync.Mutex
+	buffered  []byte
+	buffering bool
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
-	c.await()
+	c.awaitThaw()
 	n, err := c.Conn.Read(p)
-	c.await()
+	c.awaitThaw()
 	return n, err
 }
 
-// Write implements net.Conn. While frozen, it keeps what is written, as the
-// kernel would, and sends it at the thaw.
+// Write implements net.Conn. While an end is frozen, it buffers what is
+// written, as the kernel would, and sends it after the thaw.
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	if !c.keeping && !c.isFrozen() {
+	if !c.buffering && !c.isFrozen() {
 		c.mu.Unlock()
 		return c.Conn.Write(p)
 	}
 	defer c.mu.Unlock()
-	c.kept = append(c.kept, p...)
-	if !c.keeping {
-		c.keeping = true
+	c.buffered = append(c.buffered, p...)
+	if !c.buffering {
+		c.buffering = true
 		go c.flush()
 	}
 	return len(p), nil
 }
 
-// flush sends what was kept, once thawed.
+// flush sends the buffered bytes once both ends are thawed.
 func (c *conn) flush() {
 	for {
-		c.await()
+		c.awaitThaw()
 		c.mu.Lock()
-		kept := c.kept
-		c.kept = nil
-		c.keeping = len(kept) > 0
+		pending := c.buffered
+		c.buffered = nil
+		c.buffering = len(pending) > 0
 		c.mu.Unlock()
-		if len(kept) == 0 {
+		if len(pending) == 0 {
 			return
 		}
-		if _, err := c.Conn.Write(kept); err != nil {
+		if _, err := c.Conn.Write(pending); err != nil {
 			return
 		}
 	}
@@ -75,8 +75,8 @@
 	return c.Conn.Close()
 }
 
-// await returns when neither end is frozen, or the connection is closed.
-func (c *conn) await() {
+// awaitThaw waits until neither end is frozen or the connection is closed.
+func (c *conn) awaitThaw() {
 	for _, name := range [...]string{c.from, c.to} {
 		c.b.mu.Lock()
 		thaw := c.b.frozen[name]
@@ -91,9 +91,9 @@
 	}
 }
 
-// freeze stops what goes to and from a process, given by its name and
+// freeze stops all traffic to and from a process, given by its name and
 // addresses, until thaw.
-func (b *bubble) freeze(ends ...string) {
+func (b *cluster) freeze(ends ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range ends {
@@ -103,7 +103,7 @@
 	}
 }
 
-func (b *bubble) thaw(ends ...string) {
+func (b *cluster) thaw(ends ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range ends {
@@ -115,7 +115,7 @@
 }
 
 // breakConns breaks the connections of a process; new ones can be made.
-func (b *bubble) breakConns(ends ...string) {
+func (b *cluster) breakConns(ends ...string) {
 	for _, e := range ends {
 		b.mu.Lock()
 		conns := b.conns[e]
@@ -127,18 +127,18 @@
 	}
 }
 
-// crash ends a process so that nothing it does afterwards reaches any other.
-func (b *bubble) crash(name, addr string) {
+// crash ends a process so that nothing it still does reaches any other process.
+func (b *cluster) crash(name, addr string) {
 	b.mu.Lock()
-	b.dead[name] = true
+	b.crashed[name] = true
 	b.mu.Unlock()
 	b.breakConns(name)
 	b.kill(addr)
 }
 
-// revive lets a process be started in place of a crashed one.
-func (b *bubble) revive(name string) {
+// revive allows a process to be started in place of a crashed one.
+func (b *cluster) revive(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.dead, name)
+	delete(b.crashed, name)
 }
--- a/e2e/doc.go
+++ b/e2e/doc.go
@@ -1,4 +1,4 @@
-// Package e2e holds the tests of whole sessions: real gateways and agents with
-// small stand-ins for the outside systems, joined by in-memory connections
-// under virtual time.
+// Package e2e tests whole sessions: real gateways and agents with small
+// simulators of the outside systems, connected by in-memory connections under
+// virtual time. A few tests start real processes instead.
 package e2e
--- a/e2e/engine_rest_test.go
+++ b/e2e/engine_rest_test.go
@@ -12,11 +12,13 @@
 	standengine "github.com/micarudder/micarudder/internal/standin/engine"
 )
 
-// TestEngineThatAsksForRest: it gets nothing until then; others serve, or callers are told a time at which they are served.
+// TestEngineThatAsksForRest: an engine that refuses a request and names a retry
+// time gets no requests until then. Other engines serve them, or callers are
+// told a Retry-After time after which they are served.
 func TestEngineThatAsksForRest(t *testing.T) {
 	for name, engines := range map[string]int{"another engine is there": 2, "it is the only one": 1} {
 		t.Run(name, func(t *testing.T) {
-			run(t, func(b *bubble) {
+			runSession(t, func(b *cluster) {
 				is := is.New(b.t)
 				b.fleet(engines)
 				number := 0
@@ -34,7 +36,7 @@
 					if resting.Refused() > 0 {
 						break
 					}
-					resting.SetFaults(standengine.Faults{}) // requests go to the other one
+					resting.SetFaults(standengine.Faults{}) // the request went to the other engine
 				}
 				var last reply
 				for range 20 {
@@ -46,13 +48,13 @@
 				resting.SetFaults(standengine.Faults{})
 				if engines == 1 {
 					is.Equal(last.status, http.StatusServiceUnavailable)
-					told, err := strconv.Atoi(last.header.Get("Retry-After"))
+					retryAfter, err := strconv.Atoi(last.header.Get("Retry-After"))
 					is.NoErr(err)
-					time.Sleep(time.Duration(told) * time.Second)
+					time.Sleep(time.Duration(retryAfter) * time.Second)
 					_, served := ask()
 					is.True(served)
 				}
-				b.allFree()
+				b.requireMemoryFree()
 			})
 		})
 	}
--- a/e2e/group_fault_test.go
+++ b/e2e/group_fault_test.go
@@ -18,9 +18,9 @@
 	frozenTime  = 15 * time.Second
 )
 
-// smallFleet starts four engines of a tenth of the usual size; a prompt of
+// smallFleet starts four engines with a tenth of the usual memory; a prompt of
 // groupTokens needs all of them.
-func (b *bubble) smallFleet(gateways ...string) {
+func (b *cluster) smallFleet(gateways ...string) {
 	for _, name := range []string{"e1", "e2", "e3", "e4"} {
 		b.engine(name, func(c *standengine.Config) { c.MemoryTokens = smallMemory })
 	}
@@ -30,39 +30,39 @@
 	b.publish()
 }
 
-// moment is a step of a group, seen at the engines. The members compute in the
-// order of their names.
-type moment struct {
-	name  string
-	seen  func(b *bubble) bool
-	after time.Duration // more, from when it was seen
-	who   []string      // members that have a part in it
+// groupStage is a stage of a group's work as seen at the engines. The members
+// compute in the order of their names.
+type groupStage struct {
+	name    string
+	reached func(b *cluster) bool
+	delay   time.Duration // additional wait after it was reached
+	members []string      // members involved in the stage
 }
 
-func (b *bubble) runs(name string) int { return len(b.engines[name].State().Running) }
-func (b *bubble) helds(name string) int {
+func (b *cluster) runs(name string) int { return len(b.engines[name].State().Running) }
+func (b *cluster) heldSpans(name string) int {
 	return len(b.engines[name].State().Held)
 }
 
-var moments = []moment{
-	{"first span", func(b *bubble) bool { return b.runs("e1") > 0 }, 0, []string{"e1", "e4"}},
-	{"hand over", func(b *bubble) bool { return b.helds("e1") > 0 && b.runs("e2") == 0 }, 0, []string{"e1", "e2"}},
-	{"second span", func(b *bubble) bool { return b.runs("e2") > 0 }, 0, []string{"e2"}},
-	{"last import", func(b *bubble) bool { return b.helds("e4") > 0 && b.runs("e4") == 0 }, 0, []string{"e3", "e4"}},
-	{"last span", func(b *bubble) bool { return b.runs("e4") > 0 }, 0, []string{"e4"}},
-	{"answer", func(b *bubble) bool { return b.runs("e4") > 0 }, 3 * time.Second, []string{"e4"}},
+var groupStages = []groupStage{
+	{"first span", func(b *cluster) bool { return b.runs("e1") > 0 }, 0, []string{"e1", "e4"}},
+	{"hand over", func(b *cluster) bool { return b.heldSpans("e1") > 0 && b.runs("e2") == 0 }, 0, []string{"e1", "e2"}},
+	{"second span", func(b *cluster) bool { return b.runs("e2") > 0 }, 0, []string{"e2"}},
+	{"last import", func(b *cluster) bool { return b.heldSpans("e4") > 0 && b.runs("e4") == 0 }, 0, []string{"e3", "e4"}},
+	{"last span", func(b *cluster) bool { return b.runs("e4") > 0 }, 0, []string{"e4"}},
+	{"answer", func(b *cluster) bool { return b.runs("e4") > 0 }, 3 * time.Second, []string{"e4"}},
 }
 
-// fault is something that befalls one process.
-type fault struct {
-	name string
-	do   func(b *bubble)
-	// lone: nobody is left who could answer the caller.
-	lone bool
+// groupFault is a fault of one process, or of two at once.
+type groupFault struct {
+	name   string
+	inject func(b *cluster)
+	// unanswerable: no process is left that could answer the caller.
+	unanswerable bool
 }
 
-func dies(name string) func(b *bubble) {
-	return func(b *bubble) {
+func restartAgentAfterCrash(name string) func(b *cluster) {
+	return func(b *cluster) {
 		b.crash(name, agentAddr(name))
 		time.AfterFunc(downTime, func() {
 			b.agents[name].Close()
@@ -72,68 +72,68 @@
 	}
 }
 
-func freezes(ends ...string) func(b *bubble) {
-	return func(b *bubble) {
+func freezeAndThaw(ends ...string) func(b *cluster) {
+	return func(b *cluster) {
 		b.freeze(ends...)
 		time.AfterFunc(frozenTime, func() { b.thaw(ends...) })
 	}
 }
 
-func hangs(name string, f standengine.Faults, after time.Duration) func(b *bubble) {
-	return func(b *bubble) {
+func setAndClearFaults(name string, f standengine.Faults, after time.Duration) func(b *cluster) {
+	return func(b *cluster) {
 		b.engines[name].SetFaults(f)
 		time.AfterFunc(after, func() { b.engines[name].SetFaults(standengine.Faults{}) })
 	}
 }
 
-func breaks(ends ...string) func(b *bubble) { return func(b *bubble) { b.breakConns(ends...) } }
+func breakConnsOf(ends ...string) func(b *cluster) { return func(b *cluster) { b.breakConns(ends...) } }
 
-func both(f, g func(b *bubble)) func(b *bubble) { return func(b *bubble) { f(b); g(b) } }
+func both(f, g func(b *cluster)) func(b *cluster) { return func(b *cluster) { f(b); g(b) } }
 
-func faults(members []string) []fault {
-	out := []fault{
-		{"coordinator dies", func(b *bubble) { b.crash("gw1", "gw1") }, true},
-		{"coordinator freezes", freezes("gw1"), false},
-		{"coordinator loses messages", breaks("gw1"), true}, // its caller's connection too
-		{"caller leaves", func(b *bubble) { b.breakConns("") }, true},
+func groupFaults(members []string) []groupFault {
+	out := []groupFault{
+		{"coordinator dies", func(b *cluster) { b.crash("gw1", "gw1") }, true},
+		{"coordinator freezes", freezeAndThaw("gw1"), false},
+		{"coordinator loses messages", breakConnsOf("gw1"), true}, // the caller's connection breaks too
+		{"caller leaves", func(b *cluster) { b.breakConns("") }, true},
 	}
 	for _, name := range members {
 		out = append(out,
-			fault{"agent " + name + " dies", dies(name), false},
-			fault{"agent " + name + " freezes", freezes(name, agentAddr(name)), false},
-			fault{"agent " + name + " loses messages", breaks(name, agentAddr(name)), false},
-			fault{"engine " + name + " dies", func(b *bubble) { b.engines[name].Crash() }, false},
-			fault{"engine " + name + " freezes", hangs(name, standengine.Faults{Hang: true}, frozenTime), false},
-			fault{"engine " + name + " loses messages", hangs(name, standengine.Faults{LoseOrderAnswer: true}, downTime), false},
-			fault{"coordinator and agent " + name + " die", both(func(b *bubble) { b.crash("gw1", "gw1") }, dies(name)), true},
-			fault{"coordinator and engine " + name + " freeze",
-				both(freezes("gw1"), hangs(name, standengine.Faults{Hang: true}, frozenTime+time.Second)), false},
+			groupFault{"agent " + name + " dies", restartAgentAfterCrash(name), false},
+			groupFault{"agent " + name + " freezes", freezeAndThaw(name, agentAddr(name)), false},
+			groupFault{"agent " + name + " loses messages", breakConnsOf(name, agentAddr(name)), false},
+			groupFault{"engine " + name + " dies", func(b *cluster) { b.engines[name].Crash() }, false},
+			groupFault{"engine " + name + " freezes", setAndClearFaults(name, standengine.Faults{Hang: true}, frozenTime), false},
+			groupFault{"engine " + name + " loses messages", setAndClearFaults(name, standengine.Faults{LoseOrderAnswer: true}, downTime), false},
+			groupFault{"coordinator and agent " + name + " die", both(func(b *cluster) { b.crash("gw1", "gw1") }, restartAgentAfterCrash(name)), true},
+			groupFault{"coordinator and engine " + name + " freeze",
+				both(freezeAndThaw("gw1"), setAndClearFaults(name, standengine.Faults{Hang: true}, frozenTime+time.Second)), false},
 		)
 	}
 	return out
 }
 
-// TestGroupUnderFaults: whatever befalls a group at any step, the caller gets
-// the whole answer or a definite code in time, unrepeatable work runs at most
-// once, and no engine loses memory.
+// TestGroupUnderFaults: whatever fault hits a group at any stage, the caller
+// gets the whole answer or a definite code in time, unrepeatable work runs at
+// most once, and no engine loses memory.
 func TestGroupUnderFaults(t *testing.T) {
-	for _, m := range moments {
-		for _, f := range faults(m.who) {
+	for _, stage := range groupStages {
+		for _, f := range groupFaults(stage.members) {
 			for _, repeatable := range []bool{true, false} {
-				name := m.name + "/" + f.name
+				name := stage.name + "/" + f.name
 				if !repeatable {
 					name += "/unrepeatable"
 				}
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
-					run(t, func(b *bubble) { groupFault(b, m, f, repeatable) })
+					runSession(t, func(b *cluster) { runGroupFault(b, stage, f, repeatable) })
 				})
 			}
 		}
 	}
 }
 
-func groupFault(b *bubble, m moment, f fault, repeatable bool) {
+func runGroupFault(b *cluster, stage groupStage, f groupFault, repeatable bool) {
 	is := is.New(b.t)
 	b.smallFleet("gw1", "gw2")
 	const deadline = 3 * time.Minute
@@ -145,18 +145,18 @@
 	got := make(chan reply, 1)
 	began := time.Now()
 	go func() { got <- b.ask("gw1", "POST", chatPath, chat(prompt, groupAnswer, true), header) }()
-	for !m.seen(b) {
+	for !stage.reached(b) {
 		if time.Since(began) > deadline {
-			b.t.Fatal("the moment never came")
+			b.t.Fatal("the stage was not reached within the deadline")
 		}
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(m.after)
-	f.do(b)
+	time.Sleep(stage.delay)
+	f.inject(b)
 	r := <-got
-	if ticket := r.header.Get("Rudder-Ticket"); !r.done && !definite(r) && ticket != "" {
-		r = b.ask("gw2", "GET", "/v1/runs/"+ticket, "", header) // the stream was cut: read the answer elsewhere
-		is.True(r.done || definite(r))
+	if ticket := r.header.Get("Rudder-Ticket"); !r.done && !hasErrorCode(r) && ticket != "" {
+		r = b.ask("gw2", "GET", "/v1/runs/"+ticket, "", header) // the stream was cut: read the answer through another gateway
+		is.True(r.done || hasErrorCode(r))
 	}
 	is.True(time.Since(began) <= deadline+time.Second)
 	ran := 0
@@ -165,22 +165,23 @@
 	}
 	whole := r.err == nil && r.done && r.text == answerTo(prompt, groupAnswer)
 	b.t.Logf("after %v: status %d, whole %t, ran %d, %s%s", time.Since(began), r.status, whole, ran, r.body, r.problem)
-	if !f.lone && repeatable {
+	if !f.unanswerable && repeatable {
 		is.True(whole)
 	}
-	if !f.lone && !whole {
-		is.True(definite(r)) // a problem with a code
+	if !f.unanswerable && !whole {
+		is.True(hasErrorCode(r)) // an error with a code
 	}
 	if !repeatable {
 		is.True(ran <= 1)
 	}
 	time.Sleep(2 * time.Minute)
-	b.allFree()
+	b.requireMemoryFree()
 }
 
-// definite reports whether the caller was told a numbered code.
-func definite(r reply) bool {
-	var whole struct {
+// hasErrorCode reports whether the caller received an error with a numbered
+// code.
+func hasErrorCode(r reply) bool {
+	var body struct {
 		Code    int
 		Outcome string
 	}
@@ -190,7 +191,7 @@
 			Outcome string
 		}
 	}
-	_ = json.Unmarshal([]byte(r.body), &whole)
+	_ = json.Unmarshal([]byte(r.body), &body)
 	_ = json.Unmarshal([]byte(r.problem), &event)
-	return whole.Code > 2000 && whole.Outcome != "" || event.Error.Code > 2000 && event.Error.Outcome != ""
+	return body.Code > 2000 && body.Outcome != "" || event.Error.Code > 2000 && event.Error.Outcome != ""
 }
--- a/e2e/group_test.go
+++ b/e2e/group_test.go
@@ -18,16 +18,16 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// longPrompt returns a prompt of n tokens that begins with a name.
+// longPrompt returns a prompt of n tokens that begins with the name.
 func longPrompt(name string, n int) string {
 	p := name + " " + strings.Repeat("word", n)
 	return p[:4*n]
 }
 
-var patient = map[string]string{"Rudder-Deadline": "50m"}
+var longDeadline = map[string]string{"Rudder-Deadline": "50m"}
 
 // fleet starts engines of 450,000 tokens each and a gateway.
-func (b *bubble) fleet(engines int) {
+func (b *cluster) fleet(engines int) {
 	for i := range engines {
 		b.engine(fmt.Sprintf("e%d", i+1), nil)
 	}
@@ -35,25 +35,25 @@
 	b.publish()
 }
 
-func TestLongPromptOverFour(t *testing.T) {
-	run(t, func(b *bubble) {
+func TestLongPromptOverFourEngines(t *testing.T) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.fleet(4)
 		prompt := longPrompt("archive", 1_000_000)
 		began := time.Now()
-		r := b.ask("gw1", "POST", chatPath, chat(prompt, 32, true), patient)
+		r := b.ask("gw1", "POST", chatPath, chat(prompt, 32, true), longDeadline)
 		b.t.Log("took", time.Since(began), r.body, r.problem)
 		is.NoErr(r.err)
 		is.Equal(r.status, 200)
 		is.Equal(r.text, answerTo(prompt, 32))
 		is.True(r.done)
 		time.Sleep(10 * time.Second)
-		b.allFree()
+		b.requireMemoryFree()
 	})
 }
 
-// TestGroupsFormingAtOnce: two and three groups that need the same four engines
-// all finish whichever asks first, and short requests pass meanwhile.
+// TestGroupsFormingAtOnce: two or three groups that need the same four engines
+// all finish, whichever asks first, and short requests are served meanwhile.
 func TestGroupsFormingAtOnce(t *testing.T) {
 	orders := [][]string{
 		{"gw1", "gw2"}, {"gw2", "gw1"}, {"gw1", "gw1"},
@@ -63,7 +63,7 @@
 	for _, order := range orders {
 		t.Run(strings.Join(order, " "), func(t *testing.T) {
 			t.Parallel()
-			run(t, func(b *bubble) {
+			runSession(t, func(b *cluster) {
 				is := is.New(b.t)
 				b.smallFleet("gw1", "gw2", "gw3")
 				header := map[string]string{"Rudder-Deadline": "3m"}
@@ -76,7 +76,7 @@
 						got <- r.err == nil && r.done && r.text == answerTo(prompt, 20)
 					}()
 				}
-				slowest := b.shortWork(10 * time.Second)
+				slowest := b.slowestShortRequest(10 * time.Second)
 				for i := range order {
 					is.True(<-got)
 					b.t.Log("answered", i+1, "after", time.Since(began).Round(time.Millisecond))
@@ -84,16 +84,16 @@
 				b.t.Log("slowest short request", slowest)
 				is.True(slowest < 200*time.Millisecond)
 				time.Sleep(time.Minute)
-				b.allFree()
+				b.requireMemoryFree()
 			})
 		})
 	}
 }
 
-// TestAdmittedWorkGoesFirst: a group does not take memory for which admitted
-// work waits; that work ends in time, and then the group is formed.
+// TestAdmittedWorkGoesFirst: a group does not take memory that admitted work
+// waits for; that work ends in time, and then the group is formed.
 func TestAdmittedWorkGoesFirst(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.smallFleet("gw1")
 		got := make(chan bool, 9)
@@ -102,7 +102,7 @@
 			got <- r.done && r.text == answerTo(prompt, tokens)
 			b.t.Log(r.status, r.body, r.problem)
 		}
-		for i := range 8 { // one runs and one waits at each engine
+		for i := range 8 { // one running and one queued at each engine
 			go ask(longPrompt(fmt.Sprint("reconciliation ", i), 30_000), 400, "40s")
 			time.Sleep(60 * time.Millisecond)
 		}
@@ -111,15 +111,16 @@
 			is.True(<-got)
 		}
 		time.Sleep(time.Minute)
-		b.allFree()
+		b.requireMemoryFree()
 	})
 }
 
-// shortWork asks a short question every 100 ms and returns the slowest answer.
-func (b *bubble) shortWork(span time.Duration) time.Duration {
+// slowestShortRequest sends a short request every 100 ms and returns the
+// longest time to a whole answer.
+func (b *cluster) slowestShortRequest(duration time.Duration) time.Duration {
 	is := is.New(b.t)
 	var slowest time.Duration
-	for i := 0; time.Duration(i)*100*time.Millisecond < span; i++ {
+	for i := 0; time.Duration(i)*100*time.Millisecond < duration; i++ {
 		began := time.Now()
 		r := b.ask("gw1", "POST", chatPath, chat(longPrompt(fmt.Sprint("question ", i), 1000), 1, true), nil)
 		is.True(r.done)
@@ -130,16 +131,16 @@
 	return slowest
 }
 
-// TestMillionOverFourGolden: the session of a prompt of a million tokens as its
-// members' agents and engines saw it.
+// TestMillionOverFourGolden records reserved and held memory during a prompt of
+// a million tokens as the members' agents and engines report it.
 func TestMillionOverFourGolden(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.fleet(4)
 		prompt := longPrompt("archive", 1_000_000)
 		done := make(chan reply, 1)
 		began := time.Now()
-		go func() { done <- b.ask("gw1", "POST", chatPath, chat(prompt, 32, true), patient) }()
+		go func() { done <- b.ask("gw1", "POST", chatPath, chat(prompt, 32, true), longDeadline) }()
 		var out strings.Builder
 		out.WriteString("   time   reserved and held tokens, in thousands; * computes\n")
 		for len(done) == 0 {
@@ -151,12 +152,12 @@
 		time.Sleep(10 * time.Second)
 		fmt.Fprintf(&out, "  later %s\n", b.memoryLine())
 		g := goldie.New(b.t, goldie.WithFixtureDir("testdata"))
-		g.Assert(b.t, "million", []byte(thin(out.String())))
+		g.Assert(b.t, "million", []byte(dropRepeatedLines(out.String())))
 	})
 }
 
-// memoryLine says what each member has reserved and holds.
-func (b *bubble) memoryLine() string {
+// memoryLine formats what each member has reserved and holds.
+func (b *cluster) memoryLine() string {
 	var out []string
 	for _, name := range []string{"e1", "e2", "e3", "e4"} {
 		mark := " "
@@ -164,24 +165,25 @@
 			mark = "*"
 		}
 		load := b.report(name).Load
-		out = append(out, fmt.Sprintf("%s%s%4d%4d", name, mark, load.ReservedTokens/1000, b.heldAt(name)/1000))
+		out = append(out, fmt.Sprintf("%s%s%4d%4d", name, mark, load.ReservedTokens/1000, b.heldTokens(name)/1000))
 	}
 	return strings.Join(out, "   ")
 }
 
-// report returns an agent's word about itself.
-func (b *bubble) report(name string) *rudderv1.AgentReport {
+// report returns an agent's present report.
+func (b *cluster) report(name string) *rudderv1.AgentReport {
 	ctx, cancel := context.WithCancel(b.t.Context())
 	defer cancel()
-	stream, err := b.desk(name).client.Subscribe(ctx, connect.NewRequest(&rudderv1.SubscribeRequest{}))
+	stream, err := b.coordinatorClient(name).client.Subscribe(ctx, connect.NewRequest(&rudderv1.SubscribeRequest{}))
 	if err != nil || !stream.Receive() {
 		b.t.Fatal(err)
 	}
 	return stream.Msg()
 }
 
-// thin keeps the lines that differ from the one before in more than the time.
-func thin(lines string) string {
+// dropRepeatedLines keeps the lines that differ from the previous one in more
+// than the time.
+func dropRepeatedLines(lines string) string {
 	var out []string
 	last := ""
 	for _, line := range strings.Split(lines, "\n") {
@@ -193,10 +195,10 @@
 }
 
 // TestGroupWithTicket: a long prompt with a ticket fetched in advance runs at
-// the endpoint that the ticket names, and a second presentation gets the same
-// run's answer without another group.
+// the endpoint that the ticket names, and a second presentation gets the answer
+// of the same run without forming another group.
 func TestGroupWithTicket(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.smallFleet("gw1", "gw2")
 		r := b.ask("gw1", "POST", "/v1/tickets", fmt.Sprintf(`{"model":%q,"count":1,"prompt_tokens":%d}`, model, groupTokens), nil)
@@ -207,7 +209,7 @@
 		prompt := longPrompt("archive", groupTokens)
 		got := make(chan reply, 2)
 		go func() { got <- b.ask("gw1", "POST", chatPath, chat(prompt, 500, true), header) }()
-		time.Sleep(11 * time.Second) // in the answer
+		time.Sleep(11 * time.Second) // while the answer is being generated
 		go func() { got <- b.ask("gw2", "POST", chatPath, chat(prompt, 500, true), header) }()
 		for range 2 {
 			r := <-got
@@ -220,14 +222,14 @@
 		}
 		is.Equal(ran, 1)
 		time.Sleep(time.Minute)
-		b.allFree()
+		b.requireMemoryFree()
 	})
 }
 
 // TestTicketOfLostEndpoint: when the endpoint that the ticket names cannot take
-// its part, the request did not run, and says so.
+// its part, the request does not run and the error says "not run".
 func TestTicketOfLostEndpoint(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.smallFleet("gw1")
 		r := b.ask("gw1", "POST", "/v1/tickets", fmt.Sprintf(`{"model":%q,"count":1,"prompt_tokens":%d}`, model, groupTokens), nil)
@@ -244,16 +246,16 @@
 			e.SetFaults(standengine.Faults{})
 		}
 		time.Sleep(time.Minute)
-		b.allFree()
+		b.requireMemoryFree()
 	})
 }
 
-// TestMemberLeaves: an agent that is stopped as planned while it is a member
-// serves its part to the end.
+// TestMemberLeaves: an agent that is drained while it is a member of a group
+// serves its part until it ends.
 func TestMemberLeaves(t *testing.T) {
 	for _, member := range []string{"e1", "e2", "e4"} {
 		t.Run(member, func(t *testing.T) {
-			run(t, func(b *bubble) {
+			runSession(t, func(b *cluster) {
 				is := is.New(b.t)
 				b.smallFleet("gw1")
 				prompt := longPrompt("archive", groupTokens)
@@ -263,7 +265,7 @@
 				}()
 				time.Sleep(time.Second)
 				is.NoErr(b.agents[member].Drain(b.t.Context()))
-				is.Equal(b.heldAt(member), uint64(0))
+				is.Equal(b.heldTokens(member), uint64(0))
 				b.agents[member].Close()
 				r := <-got
 				b.t.Log(r.status, r.body, r.problem, r.err)
@@ -274,10 +276,10 @@
 	}
 }
 
-// TestModelTakenFromMember: an order that takes a member's model waits for the
-// group, whose run is still accepted; new groups are not.
+// TestModelTakenFromMember: an order to unload a member's model waits for the
+// group, whose run is still accepted; reservations for new groups are refused.
 func TestModelTakenFromMember(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.smallFleet("gw1")
 		prompt := longPrompt("archive", groupTokens)
@@ -286,9 +288,9 @@
 			got <- b.ask("gw1", "POST", chatPath, chat(prompt, 20, true), map[string]string{"Rudder-Deadline": "3m"})
 		}()
 		time.Sleep(time.Second)
-		h := b.hand("e4")
+		h := b.placerClient("e4")
 		resp := h.place(h.permit(engine.Order{Kind: engine.OrderUnloadModel, Model: model, Version: "1"}))
-		for range 100 { // the placer's own order may be in progress
+		for range 100 { // an order from the placer itself may be in progress
 			if resp.Accepted {
 				break
 			}
--- a/e2e/handover_test.go
+++ b/e2e/handover_test.go
@@ -16,76 +16,79 @@
 	"github.com/micarudder/micarudder/rudderv1/rudderv1connect"
 )
 
-// longAnswer is the length of an answer that outlasts the wait for a successor.
-const longAnswer = 600
+// longAnswerTokens is the length of an answer that takes longer than the wait
+// for a successor.
+const longAnswerTokens = 600
 
 // present sends an unrepeatable request under a ticket.
-func (b *bubble) present(gw, ticket, prompt string, tokens int) reply {
+func (b *cluster) present(gw, ticket, prompt string, tokens int) reply {
 	return b.ask(gw, "POST", chatPath, chat(prompt, tokens, true), map[string]string{"Rudder-Ticket": ticket})
 }
 
-// pastTickets are unrepeatable requests that met an agent before it stopped.
-type pastTickets struct {
-	b        *bubble
-	finished string // ran to its end
-	running  string // was running when the stop began
+// earlierTickets are tickets of unrepeatable requests for an agent, fetched
+// before it stopped.
+type earlierTickets struct {
+	b        *cluster
+	finished string // its run finished
+	running  string // its run was in progress when the stop began
 	voided   string
 	unused   string
-	reply    reply // what the caller of running got
+	reply    reply // to the caller of running
 }
 
-// pastTickets prepares the tickets at the only agent there is and stops it while
-// one of them runs.
-func (b *bubble) pastTickets(stop func()) *pastTickets {
-	p := &pastTickets{b: b}
+// presentEarlierTickets fetches the tickets at the only agent there is, uses
+// them, and calls stop while one of them runs.
+func (b *cluster) presentEarlierTickets(stop func()) *earlierTickets {
+	p := &earlierTickets{b: b}
 	for _, t := range []*string{&p.finished, &p.running, &p.voided, &p.unused} {
-		*t = b.buy("gw1", onceTicket)
+		*t = b.fetchTicket("gw1", onceTicket)
 	}
 	is := is.New(b.t)
 	is.True(b.present("gw1", p.finished, "first", 5).done)
 	is.Equal(b.ask("gw1", "DELETE", "/v1/runs/"+p.voided, "", nil).status, 200)
 	var wg sync.WaitGroup
-	wg.Go(func() { p.reply = b.present("gw1", p.running, "second", longAnswer) })
+	wg.Go(func() { p.reply = b.present("gw1", p.running, "second", longAnswerTokens) })
 	time.Sleep(300 * time.Millisecond)
 	stop()
 	wg.Wait()
 	return p
 }
 
-// check presents every ticket again: each gets its own answer or "not run",
-// and nothing runs again.
-func (p *pastTickets) check(gw string, executed func() int) {
+// check presents every ticket again: each gets its own answer or "not run", and
+// nothing runs again.
+func (p *earlierTickets) check(gw string, executed func() int) {
 	p.b.t.Helper()
 	is := is.New(p.b.t)
 	want := executed()
 	is.Equal(p.b.present(gw, p.finished, "first", 5).text, answerTo("first", 5))
-	is.Equal(p.b.present(gw, p.running, "second", longAnswer).text, answerTo("second", longAnswer))
+	is.Equal(p.b.present(gw, p.running, "second", longAnswerTokens).text, answerTo("second", longAnswerTokens))
 	read := p.b.ask(gw, "GET", "/v1/runs/"+p.running, "", map[string]string{"Last-Event-ID": "40"})
-	is.Equal(read.text, answerTo("second", longAnswer)[40:])
+	is.Equal(read.text, answerTo("second", longAnswerTokens)[40:])
 	for _, ticket := range []string{p.voided, p.unused} {
-		is.Equal(p.b.present(gw, ticket, "third", 5).fault().Outcome, "not run")
-		is.Equal(p.b.ask(gw, "GET", "/v1/runs/"+ticket, "", nil).fault().Outcome, "not run")
-		is.Equal(p.b.ask(gw, "DELETE", "/v1/runs/"+ticket, "", nil).fault().Outcome, "not run")
+		is.Equal(p.b.present(gw, ticket, "third", 5).parsedProblem().Outcome, "not run")
+		is.Equal(p.b.ask(gw, "GET", "/v1/runs/"+ticket, "", nil).parsedProblem().Outcome, "not run")
+		is.Equal(p.b.ask(gw, "DELETE", "/v1/runs/"+ticket, "", nil).parsedProblem().Outcome, "not run")
 	}
-	is.Equal(p.b.present(gw, p.voided, "third", 5).fault().Code, int(result.TicketVoided))
-	is.Equal(p.b.present(gw, p.finished, "other", 5).fault().Code, int(result.KeyReused))
+	is.Equal(p.b.present(gw, p.voided, "third", 5).parsedProblem().Code, int(result.TicketVoided))
+	is.Equal(p.b.present(gw, p.finished, "other", 5).parsedProblem().Code, int(result.KeyReused))
 	is.Equal(executed(), want)
 }
 
-// checkUnknown presents every ticket again after the records are gone.
-func (p *pastTickets) checkUnknown(gw string, executed func() int) {
+// checkUnknown presents every ticket again after the records are lost: each
+// gets "may have run", and nothing runs again.
+func (p *earlierTickets) checkUnknown(gw string, executed func() int) {
 	p.b.t.Helper()
 	is := is.New(p.b.t)
 	want := executed()
 	for _, ticket := range []string{p.finished, p.running, p.voided, p.unused} {
-		is.Equal(p.b.present(gw, ticket, "first", 5).fault().Outcome, "may have run")
-		is.Equal(p.b.ask(gw, "DELETE", "/v1/runs/"+ticket, "", nil).fault().Outcome, "may have run")
+		is.Equal(p.b.present(gw, ticket, "first", 5).parsedProblem().Outcome, "may have run")
+		is.Equal(p.b.ask(gw, "DELETE", "/v1/runs/"+ticket, "", nil).parsedProblem().Outcome, "may have run")
 	}
 	is.Equal(executed(), want)
 }
 
 // executed counts the executions of all engines.
-func (b *bubble) executed() int {
+func (b *cluster) executed() int {
 	n := 0
 	for _, e := range b.engines {
 		n += e.Counts().Total
@@ -93,37 +96,38 @@
 	return n
 }
 
-// laterEngine declares an engine whose agent is started later.
-func (b *bubble) laterEngine(name string) {
+// engineWithoutAgent adds an engine whose agent is started later, with
+// startAgent.
+func (b *cluster) engineWithoutAgent(name string) {
 	b.engine(name, nil)
 	b.agents[name].Close()
 	b.kill(agentAddr(name))
 }
 
-// startAgent starts a new life of an agent that ended.
-func (b *bubble) startAgent(name string) {
+// startAgent starts a new incarnation of an agent that has ended.
+func (b *cluster) startAgent(name string) {
 	b.agents[name].Close()
 	b.agent(name, "", 450_000)
 }
 
-// TestAgentStop: a planned stop of an agent cuts off no caller, and a request
+// TestAgentStop: a planned stop of an agent cuts off no caller. A request
 // presented again afterwards gets its own answer or "not run" as before,
-// through gateways that knew the agent and through one that did not, also
-// after the successor has stopped in its turn.
+// through gateways that knew the agent and one that did not, also after the
+// successor has stopped too.
 func TestAgentStop(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
-		b.laterEngine("b")
-		b.laterEngine("c")
+		b.engineWithoutAgent("b")
+		b.engineWithoutAgent("c")
 		b.gateway("gw1")
 		b.publish()
-		p := b.pastTickets(func() {
+		p := b.presentEarlierTickets(func() {
 			b.startAgent("b")
-			time.Sleep(4 * time.Second) // gw1 finds it and gives it the document
+			time.Sleep(4 * time.Second) // gw1 discovers it and sends it the document
 			is.NoErr(b.stopAgent("a", time.Minute))
 		})
-		is.Equal(p.reply.text, answerTo("second", longAnswer))
+		is.Equal(p.reply.text, answerTo("second", longAnswerTokens))
 		p.check("gw1", b.executed)
 		b.startAgent("a") // a new incarnation at the old address
 		b.gateway("gw2")
@@ -138,16 +142,16 @@
 	})
 }
 
-// TestSuccessorDies: what only the successor knew is unknown after its death,
-// and never "not run".
+// TestSuccessorDies: after the successor has died, the outcome of runs that
+// only it had records of is "may have run", never "not run".
 func TestSuccessorDies(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
-		b.laterEngine("b")
+		b.engineWithoutAgent("b")
 		b.gateway("gw1")
 		b.publish()
-		p := b.pastTickets(func() {
+		p := b.presentEarlierTickets(func() {
 			b.startAgent("b")
 			time.Sleep(4 * time.Second)
 			is.NoErr(b.stopAgent("a", time.Minute))
@@ -161,21 +165,21 @@
 	})
 }
 
-// TestNoSuccessor: without a peer the stop still ends, and tickets say "may
-// have run".
+// TestNoSuccessor: without another agent to hand over to, the stop still ends,
+// and tickets get "may have run".
 func TestNoSuccessor(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
-		b.laterEngine("b")
+		b.engineWithoutAgent("b")
 		b.gateway("gw1")
 		b.publish()
-		p := b.pastTickets(func() {
+		p := b.presentEarlierTickets(func() {
 			began := time.Now()
 			is.NoErr(b.stopAgent("a", time.Minute))
 			is.True(time.Since(began) < 15*time.Second)
 		})
-		is.Equal(p.reply.text, answerTo("second", longAnswer))
+		is.Equal(p.reply.text, answerTo("second", longAnswerTokens))
 		p.checkUnknown("gw1", b.executed)
 		b.startAgent("a")
 		time.Sleep(4 * time.Second)
@@ -183,17 +187,18 @@
 	})
 }
 
-// TestRackStop: when agents stop together, none chooses one that is leaving.
+// TestRackStop: when several agents stop together, none hands over to one that
+// is leaving.
 func TestRackStop(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		for _, name := range []string{"b", "c", "d", "e"} {
-			b.laterEngine(name)
+			b.engineWithoutAgent(name)
 		}
 		b.gateway("gw1")
 		b.publish()
-		p := b.pastTickets(func() {
+		p := b.presentEarlierTickets(func() {
 			for _, name := range []string{"b", "c", "d", "e"} {
 				b.startAgent(name)
 			}
@@ -204,14 +209,14 @@
 			}
 			wg.Wait()
 		})
-		is.Equal(p.reply.text, answerTo("second", longAnswer))
+		is.Equal(p.reply.text, answerTo("second", longAnswerTokens))
 		p.check("gw1", b.executed)
 	})
 }
 
-// TestUnfinishedHandover: an agent that dies between two parts leaves nothing
-// behind that could say "not run"; nor does a last part that comes without the
-// others, or late from a frozen agent.
+// TestUnfinishedHandover: an agent that dies between two parts of a handover
+// leaves no records from which "not run" could be concluded. The same holds for
+// a last part without the others, or one that comes late from a frozen agent.
 func TestUnfinishedHandover(t *testing.T) {
 	const ms = 1_000_000
 	records := func(ids ...string) (out []*rudderv1.RunRecord) {
@@ -221,10 +226,10 @@
 		return out
 	}
 	cases := []struct {
-		name  string
-		parts []*rudderv1.HandoverRequest
-		pause time.Duration // before the last part
-		took  bool
+		name     string
+		parts    []*rudderv1.HandoverRequest
+		pause    time.Duration // before the last part is sent
+		complete bool
 	}{
 		{"first part only", []*rudderv1.HandoverRequest{{Records: records("x", "y")}}, 0, false},
 		{"whole", []*rudderv1.HandoverRequest{{Records: records("x", "y")}, {Records: records("z"), Last: true, Total: 3}}, 0, true},
@@ -235,7 +240,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			run(t, func(b *bubble) {
+			runSession(t, func(b *cluster) {
 				is := is.New(b.t)
 				b.engine("a", nil)
 				b.publish()
@@ -249,25 +254,25 @@
 					is.NoErr(err)
 				}
 				end := runOnce(is, b.t.Context(), client, b.order("unknown", "old"))
-				if c.took {
+				if c.complete {
 					is.Equal(result.Code(end.Code), result.Draining)
 					is.True(end.Sealed)
 				} else {
 					is.Equal(result.Code(end.Code), result.IncarnationGone)
 				}
-				free := b.order("unknown", "old")
-				free.Ticket = b.ticket("unknown", "old", true)
-				is.Equal(result.Code(runOnce(is, b.t.Context(), client, free).Code), result.IncarnationGone) // its record may have been given up
+				repeatable := b.order("unknown", "old")
+				repeatable.Ticket = b.ticket("unknown", "old", true)
+				is.Equal(result.Code(runOnce(is, b.t.Context(), client, repeatable).Code), result.IncarnationGone) // its record may have been evicted
 				is.Equal(b.executed(), 0)
 			})
 		})
 	}
 }
 
-// TestInheritedTime: on the clock of the stopped incarnation a ticket expires
-// when it would have, and the record is there until then.
-func TestInheritedTime(t *testing.T) {
-	run(t, func(b *bubble) {
+// TestInheritedRecordsExpire: a ticket of the stopped incarnation expires when
+// it would have by that incarnation's clock, and its record is kept until then.
+func TestInheritedRecordsExpire(t *testing.T) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.publish()
@@ -303,9 +308,9 @@
 }
 
 // TestFrozenGatewayAfterStop: orders that a frozen gateway sends after the
-// stop run nowhere.
+// agent's stop run nowhere.
 func TestFrozenGatewayAfterStop(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.engine("b", nil)
@@ -332,25 +337,25 @@
 	})
 }
 
-// TestPromisedAfterHandover: a run that was promised memory is taken while an
-// agent drains, but not once its records were taken: the successor would not
-// know of it.
-func TestPromisedAfterHandover(t *testing.T) {
-	for _, handed := range []bool{false, true} {
-		run(t, func(b *bubble) {
+// TestReservedRunDuringDrain: a run with reserved memory is accepted while an
+// agent drains, but not once its records were handed over, because the
+// successor would not know of it.
+func TestReservedRunDuringDrain(t *testing.T) {
+	for _, handedOver := range []bool{false, true} {
+		runSession(t, func(b *cluster) {
 			is := is.New(b.t)
 			b.engine("a", nil)
 			b.engine("b", nil)
 			b.gateway("gw1")
 			b.publish()
-			d, a := b.desk("a"), b.agents["a"]
+			d, a := b.coordinatorClient("a"), b.agents["a"]
 			lease := d.reserve("g", 1, 1000)
 			is.True(lease.Granted)
 			ctx, cancel := context.WithTimeout(b.t.Context(), 100*time.Millisecond)
 			defer cancel()
 			is.True(a.Drain(ctx) != nil)
 			want := result.OK
-			if handed {
+			if handedOver {
 				is.NoErr(a.HandOver(b.t.Context()))
 				want = result.Draining
 			}
@@ -361,50 +366,52 @@
 	}
 }
 
-// TestDrainRunsOut: what a stop cannot wait for goes on elsewhere if it may,
-// and is unknown, never "not run", if it may not.
+// TestDrainRunsOut: when the drain time runs out, a repeatable run is resumed
+// by another agent, and an unrepeatable one has an unknown outcome, never "not
+// run".
 func TestDrainRunsOut(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
-		b.laterEngine("b")
+		b.engineWithoutAgent("b")
 		b.gateway("gw1")
 		b.publish()
-		ticket := b.buy("gw1", onceTicket)
-		var free, once reply
+		ticket := b.fetchTicket("gw1", onceTicket)
+		var repeatable, unrepeatable reply
 		var wg sync.WaitGroup
-		wg.Go(func() { free = b.ask("gw1", "POST", chatPath, chat("free", 400, true), nil) })
-		wg.Go(func() { once = b.present("gw1", ticket, "once", 400) })
+		wg.Go(func() { repeatable = b.ask("gw1", "POST", chatPath, chat("free", 400, true), nil) })
+		wg.Go(func() { unrepeatable = b.present("gw1", ticket, "once", 400) })
 		time.Sleep(500 * time.Millisecond)
 		b.startAgent("b")
 		time.Sleep(time.Second)
 		is.True(b.stopAgent("a", 500*time.Millisecond) != nil)
 		wg.Wait()
-		is.NoErr(free.err)
-		is.Equal(free.text, answerTo("free", 400))
-		is.True(!free.restart)
-		is.True(once.fault().Outcome != "not run")
+		is.NoErr(repeatable.err)
+		is.Equal(repeatable.text, answerTo("free", 400))
+		is.True(!repeatable.restart)
+		is.True(unrepeatable.parsedProblem().Outcome != "not run")
 		again := b.present("gw1", ticket, "once", 400)
-		is.True(again.fault().Outcome != "not run")
-		is.Equal(b.engines["b"].Counts().Total, 0) // the free one was resumed there
+		is.True(again.parsedProblem().Outcome != "not run")
+		is.Equal(b.engines["b"].Counts().Total, 0) // the repeatable run was resumed there
 		is.Equal(len(b.engines["b"].Counts().Resumes), 1)
 	})
 }
 
-// TestLargeHandover: answers of many megabytes are handed over whole, in parts.
+// TestLargeHandover: records with many megabytes of answers are handed over
+// completely, in several parts.
 func TestLargeHandover(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.service("s", "bid-api")
 		b.service("t", "bid-api")
 		b.gateway("gw1")
 		b.publish()
-		ctx, own := b.t.Context(), b.agents["s"].Incarnation()
-		const calls, size = 70, 400_000 // together more than one message holds
+		ctx, incarnation := b.t.Context(), b.agents["s"].Incarnation()
+		const calls, size = 70, 400_000 // in total more than one message can carry
 		call := func(client rudderv1connect.AgentServiceClient, i int) (text string) {
 			id := fmt.Sprint("call-", i)
 			stream, err := client.Run(ctx, connect.NewRequest(&rudderv1.RunRequest{
-				RequestId: id, Attempt: 1, Ticket: b.ticket(id, own, false), RemainingMs: 60_000, Generation: b.doc.Generation, Weight: 1,
+				RequestId: id, Attempt: 1, Ticket: b.ticket(id, incarnation, false), RemainingMs: 60_000, Generation: b.doc.Generation, Weight: 1,
 				Call: &rudderv1.ServiceCall{Service: "bid-api", Method: "POST", Path: "/x"}, Body: []byte(strings.Repeat(id, size/len(id))),
 			}))
 			is.NoErr(err)
--- a/e2e/idle_test.go
+++ b/e2e/idle_test.go
@@ -9,12 +9,12 @@
 	"github.com/matryer/is"
 )
 
-// TestIdleEngineAdmits: one engine far from its limits refuses nothing of a
-// steady stream of short requests with time to spare.
+// TestIdleEngineAdmits: an engine far below its limits refuses no request of a
+// steady stream of short ones whose deadlines leave time to spare.
 func TestIdleEngineAdmits(t *testing.T) {
 	for _, every := range []time.Duration{80 * time.Millisecond, 40 * time.Millisecond} {
 		t.Run(every.String(), func(t *testing.T) {
-			run(t, func(b *bubble) {
+			runSession(t, func(b *cluster) {
 				b.engine("a", nil)
 				b.gateway("gw1")
 				b.publish()
@@ -26,7 +26,7 @@
 						r := b.ask("gw1", "POST", chatPath, chat(fmt.Sprintf("caller %d", i), 50, false), nil)
 						mu.Lock()
 						defer mu.Unlock()
-						ends[fmt.Sprint(r.status, " ", r.fault().Code)]++
+						ends[fmt.Sprint(r.status, " ", r.parsedProblem().Code)]++
 					})
 					time.Sleep(every)
 				}
--- a/e2e/kill_test.go
+++ b/e2e/kill_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// TestKilledMidStream: whatever dies behind the gateway in the middle of a
-// repeatable answer, the caller gets the whole answer once.
+// TestKilledMidStream: if the agent or the engine dies in the middle of a
+// repeatable answer, the caller gets the whole answer exactly once.
 func TestKilledMidStream(t *testing.T) {
 	cases := []struct {
 		name string
@@ -16,7 +16,7 @@
 	}{{"agent", agentAddr}, {"engine", engineAddr}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			run(t, func(b *bubble) {
+			runSession(t, func(b *cluster) {
 				is := is.New(b.t)
 				b.engine("a", nil)
 				b.engine("b", nil)
@@ -28,7 +28,7 @@
 				for name, e := range b.engines {
 					if len(e.State().Running) > 0 {
 						b.kill(c.addr(name))
-						break // the run moves to the other one at once
+						break // the run continues at the other endpoint at once
 					}
 				}
 				r := <-got
--- a/e2e/leaving_test.go
+++ b/e2e/leaving_test.go
@@ -22,17 +22,17 @@
 // callerTokens is the length of the answers that traffic asks for.
 const callerTokens = 8
 
-// traffic is a steady flow of callers through one gateway.
+// traffic is a steady rate of requests through one gateway.
 type traffic struct {
-	b       *bubble
+	b       *cluster
 	wg      sync.WaitGroup
 	mu      sync.Mutex
 	replies map[string]reply // by prompt
 	stop    func()
 }
 
-// flow starts callers, one every interval, each with a prompt of its own.
-func (b *bubble) flow(gw string, interval time.Duration, tokens int) *traffic {
+// startTraffic starts one caller every interval, each with a prompt of its own.
+func (b *cluster) startTraffic(gw string, interval time.Duration, tokens int) *traffic {
 	t := &traffic{b: b, replies: make(map[string]reply)}
 	stop := make(chan struct{})
 	t.stop = sync.OnceFunc(func() { close(stop) })
@@ -56,24 +56,25 @@
 	return t
 }
 
-// end waits for every caller and checks that each got its whole answer.
+// end stops new callers, waits for the present ones and checks that each got
+// its whole answer.
 func (t *traffic) end(tokens int) {
 	t.b.t.Helper()
 	t.stop()
 	t.wg.Wait()
 	for prompt, r := range t.replies {
 		if t.b.t.Failed() {
-			return // one is enough to see
+			return // one failure is enough
 		}
 		if r.err != nil || !r.done || r.text != answerTo(prompt, tokens) {
-			t.b.t.Errorf("%s: %d done=%v err=%v problem=%s body=%s", prompt, r.status, r.done, r.err, r.problem, r.body)
+			t.b.t.Errorf("%s: status %d done=%v err=%v problem=%s body=%s", prompt, r.status, r.done, r.err, r.problem, r.body)
 		}
 	}
 }
 
-// lastStart watches an engine until stop and returns how long after begin it
-// last began a run.
-func (b *bubble) lastStart(name string, begin time.Time, watch time.Duration) time.Duration {
+// lastRunStart samples an engine until watch has passed since begin, and
+// returns how long after begin its last run started.
+func (b *cluster) lastRunStart(name string, begin time.Time, watch time.Duration) time.Duration {
 	const sample = 5 * time.Millisecond
 	last, total := time.Duration(0), b.engines[name].Counts().Total
 	for time.Since(begin) < watch {
@@ -85,8 +86,8 @@
 	return last
 }
 
-// agentClient reaches an agent as a gateway does.
-func (b *bubble) agentClient(name string) rudderv1connect.AgentServiceClient {
+// agentClient returns a client that calls an agent as a gateway does.
+func (b *cluster) agentClient(name string) rudderv1connect.AgentServiceClient {
 	client, err := inner.NewClient(inner.KeyFiles{}, b.dial)
 	if err != nil {
 		b.t.Fatal(err)
@@ -95,57 +96,58 @@
 	return rudderv1connect.NewAgentServiceClient(client, client.URL(agentAddr(name)))
 }
 
-// listHosts lists the hosts of all endpoints at the platform.
-func (b *bubble) listHosts() {
+// listHosts enters the hosts of all endpoints in the platform's host list as
+// live.
+func (b *cluster) listHosts() {
 	for _, e := range b.doc.Endpoints {
 		b.platform.SetHost(metastore.Host{Name: e.Host, DataCentre: dataCentre, State: metastore.HostLive, Address: e.AgentAddress})
 	}
 }
 
-// TestLeaving: whoever learns first that an endpoint leaves, it gets no new
-// work after two seconds, and no caller notices.
+// TestLeaving: whichever process learns first that an endpoint is leaving, the
+// endpoint gets no new work after two seconds, and no caller notices.
 func TestLeaving(t *testing.T) {
 	const bound = 2 * time.Second
 	cases := []struct {
-		name  string
-		leave func(b *bubble)
-		back  func(b *bubble) // takes it back; nil when it is final
+		name     string
+		leave    func(b *cluster)
+		withdraw func(b *cluster) // withdraws the leave; nil when it is final
 	}{
-		{"signal", func(b *bubble) { go func() { _ = b.agents["a"].Drain(b.t.Context()) }() }, nil},
-		{"declaration", func(b *bubble) { b.redeclare(true) }, func(b *bubble) { b.redeclare(false) }},
-		{"declaration known to the agent only, platform away", func(b *bubble) {
+		{"signal", func(b *cluster) { go func() { _ = b.agents["a"].Drain(b.t.Context()) }() }, nil},
+		{"declaration", func(b *cluster) { b.declareLeaving(true) }, func(b *cluster) { b.declareLeaving(false) }},
+		{"declaration known to the agent only, platform away", func(b *cluster) {
 			b.kill(platformAddr)
 			doc := b.leavingDoc(true)
 			_, err := b.agentClient("a").Offer(b.t.Context(), connect.NewRequest(&rudderv1.OfferRequest{Document: doc}))
 			is.New(b.t).NoErr(err)
 		}, nil},
-		{"platform's list only", func(b *bubble) {
+		{"platform's list only", func(b *cluster) {
 			b.platform.SetHost(metastore.Host{Name: "host-a", State: metastore.HostLeaving})
-		}, func(b *bubble) {
+		}, func(b *cluster) {
 			b.platform.SetHost(metastore.Host{Name: "host-a", State: metastore.HostLive})
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			run(t, func(b *bubble) {
+			runSession(t, func(b *cluster) {
 				is := is.New(b.t)
 				b.engine("a", nil)
 				b.engine("b", nil)
-				b.policy = routing.RoundRobin() // so that both get work all the time
+				b.policy = routing.RoundRobin() // keeps both busy
 				b.listHosts()
 				b.gateway("gw1")
 				b.publish()
-				callers := b.flow("gw1", 60*time.Millisecond, callerTokens)
+				callers := b.startTraffic("gw1", 60*time.Millisecond, callerTokens)
 				time.Sleep(2 * time.Second)
 				is.True(b.engines["a"].Counts().Total > 10)
 				begin := time.Now()
 				c.leave(b)
-				last := b.lastStart("a", begin, 6*time.Second)
+				last := b.lastRunStart("a", begin, 6*time.Second)
 				b.t.Log("last new run after", last)
 				is.True(last < bound)
-				if c.back != nil {
-					c.back(b)
-					time.Sleep(15 * time.Second) // longer than the word of the list holds
+				if c.withdraw != nil {
+					c.withdraw(b)
+					time.Sleep(15 * time.Second) // longer than the list's entry stays in force
 					before := b.engines["a"].Counts().Total
 					go func() { _ = b.agents["b"].Drain(b.t.Context()) }()
 					time.Sleep(2 * time.Second)
@@ -157,10 +159,11 @@
 	}
 }
 
-// TestDeclaredLeavingAtTheAgent: an agent that learns a declaration before its
-// gateways refuses even orders that were planned under it, and says so at once.
+// TestDeclaredLeavingAtTheAgent: an agent that receives a declaration of
+// leaving before its gateways do refuses even orders planned under it, and
+// reports the state at once.
 func TestDeclaredLeavingAtTheAgent(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.publish()
@@ -184,8 +187,9 @@
 	})
 }
 
-// leavingDoc returns the next document, in which endpoint a leaves or stays.
-func (b *bubble) leavingDoc(leaves bool) *rudderv1.Document {
+// leavingDoc returns the next document, which declares endpoint a as leaving or
+// not.
+func (b *cluster) leavingDoc(leaves bool) *rudderv1.Document {
 	doc := proto.CloneOf(b.doc)
 	doc.Generation++
 	doc.PlanId = fmt.Sprint("plan-", doc.Generation)
@@ -194,15 +198,15 @@
 	return doc
 }
 
-func (b *bubble) redeclare(leaves bool) {
+func (b *cluster) declareLeaving(leaves bool) {
 	b.leavingDoc(leaves)
-	b.accept()
+	b.writeDocument()
 }
 
-// TestLateOrders: a gateway that was frozen sends what it decided before; the
-// agent decides by itself.
+// TestLateOrders: a frozen gateway sends an earlier decision late; the agent
+// judges by its own clock and incarnation whether to follow it.
 func TestLateOrders(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.gateway("gw1")
@@ -215,32 +219,33 @@
 			return resp.Msg.Leaving
 		}
 		time.Sleep(time.Minute)
-		now := time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)).Milliseconds() // the agent started with the bubble
-		own := b.agents["a"].Incarnation()
+		now := time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)).Milliseconds() // the agent started at the bubble's start time
+		incarnation := b.agents["a"].Incarnation()
 		is.True(!leave("another", now))
-		is.True(!leave(own, now-4000))
-		is.True(leave(own, now-2000))
-		end := runOnce(is, ctx, c, b.order("late", own))
+		is.True(!leave(incarnation, now-4000))
+		is.True(leave(incarnation, now-2000))
+		end := runOnce(is, ctx, c, b.order("late", incarnation))
 		is.Equal(result.Code(end.Code), result.Draining)
 		is.True(end.Sealed)
-		time.Sleep(8001 * time.Millisecond) // what was left of the lease
-		is.Equal(result.Code(runOnce(is, ctx, c, b.order("late", own)).Code), result.TicketVoided)
-		is.Equal(result.Code(runOnce(is, ctx, c, b.order("next", own)).Code), result.OK)
+		time.Sleep(8001 * time.Millisecond) // the rest of the lease
+		is.Equal(result.Code(runOnce(is, ctx, c, b.order("late", incarnation)).Code), result.TicketVoided)
+		is.Equal(result.Code(runOnce(is, ctx, c, b.order("next", incarnation)).Code), result.OK)
 		is.Equal(b.engines["a"].Counts().Total, 1)
 	})
 }
 
-// TestHeldOrders: an order that was held back by a freeze has lost that time.
-func TestHeldOrders(t *testing.T) {
-	run(t, func(b *bubble) {
+// TestDelayedOrders: time during which an order was held back by a freeze
+// counts against its remaining time.
+func TestDelayedOrders(t *testing.T) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.publish()
 		time.Sleep(time.Minute)
-		now := time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)).Milliseconds() // the agent started with the bubble
+		now := time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)).Milliseconds() // the agent started at the bubble's start time
 		send := func(id string, held int64) *rudderv1.End {
 			req := b.order(id, b.agents["a"].Incarnation())
-			req.Completion.MaxTokens, req.Body = 500, []byte(chat(id, 500, true)) // five seconds of work, ten are left
+			req.Completion.MaxTokens, req.Body = 500, []byte(chat(id, 500, true)) // five seconds of work with ten seconds left
 			req.SentAgentMs = now - held
 			return runOnce(is, b.t.Context(), b.agentClient("a"), req)
 		}
@@ -256,8 +261,8 @@
 	})
 }
 
-// ticket names a run of an incarnation of agent a.
-func (b *bubble) ticket(id, incarnation string, repeatable bool) string {
+// ticket returns a ticket for a run at an incarnation of agent a.
+func (b *cluster) ticket(id, incarnation string, repeatable bool) string {
 	t, err := b.signer.Sign(&rudderv1.TicketClaims{
 		RequestId: id, Workspace: "bid-desk", Endpoint: "a", AgentAddress: agentAddr("a"), Incarnation: incarnation,
 		ExpiresAgentMs: 3_600_000, Repeatable: repeatable,
@@ -268,15 +273,16 @@
 	return t
 }
 
-// order is an unrepeatable order under a ticket for an incarnation of agent a.
-func (b *bubble) order(id, incarnation string) *rudderv1.RunRequest {
+// order returns an unrepeatable order under a ticket for an incarnation of
+// agent a.
+func (b *cluster) order(id, incarnation string) *rudderv1.RunRequest {
 	return &rudderv1.RunRequest{
 		RequestId: id, Attempt: 1, Ticket: b.ticket(id, incarnation, false), Workspace: "bid-desk", Weight: 1, RemainingMs: 10_000, Generation: b.doc.Generation,
 		Completion: &rudderv1.Completion{Model: model, Path: chatPath, PromptTokens: 5, MaxTokens: 10}, Body: []byte(chat(id, 10, true)),
 	}
 }
 
-// runOnce sends an order and returns its end.
+// runOnce sends an order and returns the end message of its stream.
 func runOnce(is *is.I, ctx context.Context, c rudderv1connect.AgentServiceClient, req *rudderv1.RunRequest) *rudderv1.End {
 	stream, err := c.Run(ctx, connect.NewRequest(req))
 	is.NoErr(err)
--- a/e2e/matrix_cell_test.go
+++ b/e2e/matrix_cell_test.go
@@ -5,106 +5,106 @@
 	"strings"
 )
 
-// step is a moment in a request's life.
+// step is a point in a request's life cycle at which a failure happens.
 type step string
 
-// The steps of the life cycle, in their order.
+// The steps of the life cycle in order.
 const (
-	atOrdering  step = "ordering"  // before the request, and so before its order, is sent
-	atOrdered   step = "ordered"   // the order is at the agent's door
+	atOrdering  step = "ordering"  // before the caller sends the request, hence before its order
+	atOrdered   step = "ordered"   // the order has reached the agent's server
 	atQueued    step = "queued"    // admitted and waiting for the endpoint
-	atStarted   step = "started"   // the agent's request is at the endpoint's door
+	atStarted   step = "started"   // the agent's request has reached the endpoint's server
 	atAnswering step = "answering" // the endpoint is in the middle of its answer
-	atEnded     step = "ended"     // the endpoint has sent its end, the agent has it
-	atDelivered step = "delivered" // the caller has its whole answer
+	atEnded     step = "ended"     // the agent has received the end of the endpoint's answer
+	atDelivered step = "delivered" // the caller has received the whole answer
 )
 
 var steps = []step{atOrdering, atOrdered, atQueued, atStarted, atAnswering, atEnded, atDelivered}
 
-// mishap is what goes wrong at a step.
-type mishap string
+// failureKind is what fails at a step.
+type failureKind string
 
-// The mishaps.
+// The kinds of failure.
 const (
-	gatewayDies   mishap = "gateway dies"
-	gatewayHeld   mishap = "gateway frozen"
-	agentDies     mishap = "agent dies"
-	agentHeld     mishap = "agent frozen"
-	endpointDies  mishap = "endpoint dies"
-	endpointHeld  mishap = "endpoint frozen"
-	messageLost   mishap = "connection cut"
-	orderDoubled  mishap = "order doubled"
-	orderLate     mishap = "order late"
-	storeAway     mishap = "platform refuses"
-	storeHeld     mishap = "platform frozen"
-	storeMute     mishap = "platform answer lost"
-	storeForgets  mishap = "platform write lost"
-	everyoneHeld  mishap = "all agents frozen"
-	everythingOff mishap = "gateway and agent die"
+	gatewayDies        failureKind = "gateway dies"
+	gatewayFrozen      failureKind = "gateway frozen"
+	agentDies          failureKind = "agent dies"
+	agentFrozen        failureKind = "agent frozen"
+	endpointDies       failureKind = "endpoint dies"
+	endpointFrozen     failureKind = "endpoint frozen"
+	connectionCut      failureKind = "connection cut"
+	orderDuplicated    failureKind = "order doubled"
+	orderLate          failureKind = "order late"
+	platformRefuses    failureKind = "platform refuses"
+	platformFrozen     failureKind = "platform frozen"
+	platformAnswerLost failureKind = "platform answer lost"
+	platformWriteLost  failureKind = "platform write lost"
+	allAgentsFrozen    failureKind = "all agents frozen"
+	gatewayAndAgentDie failureKind = "gateway and agent die"
 )
 
-var mishaps = []mishap{
-	gatewayDies, gatewayHeld, agentDies, agentHeld, endpointDies, endpointHeld,
-	messageLost, orderDoubled, orderLate, everyoneHeld, everythingOff,
+var failureKinds = []failureKind{
+	gatewayDies, gatewayFrozen, agentDies, agentFrozen, endpointDies, endpointFrozen,
+	connectionCut, orderDuplicated, orderLate, allAgentsFrozen, gatewayAndAgentDie,
 }
 
-// platformMishaps matter where the platform is asked: for a bare key, before
-// the order and when the caller comes back.
-var platformMishaps = []mishap{storeAway, storeHeld, storeMute, storeForgets}
+// platformFailures apply only where the platform is called: for a bare key,
+// before the order and when the caller presents the request again.
+var platformFailures = []failureKind{platformRefuses, platformFrozen, platformAnswerLost, platformWriteLost}
 
-// naming is how the caller names its request.
+// naming is how the caller identifies its request.
 type naming string
 
-// The ways to name a request.
+// The ways to identify a request.
 const (
-	byNothing naming = "none"
-	byTicket  naming = "ticket"
-	byKey     naming = "key"
+	withoutName naming = "none"
+	byTicket    naming = "ticket"
+	byKey       naming = "key"
 )
 
-// cell is one cell of the kill matrix.
+// cell is one combination of the kill matrix.
 type cell struct {
 	step       step
-	mishap     mishap
-	call       bool // a service call; else a completion
+	failure    failureKind
+	call       bool // a service call if true, otherwise a completion
 	repeatable bool
 	naming     naming
 }
 
 func (c cell) String() string {
-	kind, again := "completion", "once"
+	kind, repeat := "completion", "once"
 	if c.call {
 		kind = "call"
 	}
 	if c.repeatable {
-		again = "repeatable"
+		repeat = "repeatable"
 	}
-	return fmt.Sprintf("%s/%s/%s/%s/%s", c.step, c.mishap, kind, again, c.naming)
+	return fmt.Sprintf("%s/%s/%s/%s/%s", c.step, c.failure, kind, repeat, c.naming)
 }
 
-// cells lists the matrix.
+// cells lists all cells of the matrix.
 func cells() []cell {
 	var out []cell
 	for _, s := range steps {
-		for _, m := range mishaps {
-			if s == atOrdering && (m == orderDoubled || m == orderLate) {
+		for _, m := range failureKinds {
+			if s == atOrdering && (m == orderDuplicated || m == orderLate) {
 				continue // there is no order yet
 			}
 			out = append(out, variants(s, m)...)
 		}
 	}
-	for _, m := range platformMishaps {
+	for _, m := range platformFailures {
 		out = append(out, variants(atOrdering, m)...)
 		out = append(out, variants(atDelivered, m)...)
 	}
 	return out
 }
 
-func variants(s step, m mishap) []cell {
+func variants(s step, m failureKind) []cell {
 	var out []cell
 	for _, call := range []bool{false, true} {
 		for _, repeatable := range []bool{false, true} {
-			for _, n := range []naming{byNothing, byTicket, byKey} {
+			for _, n := range []naming{withoutName, byTicket, byKey} {
 				out = append(out, cell{s, m, call, repeatable, n})
 			}
 		}
@@ -112,49 +112,50 @@
 	return out
 }
 
-// told is what one presentation was answered.
-type told struct {
+// presentationResult is the answer to one presentation of the request.
+type presentationResult struct {
 	whole   bool
 	notRun  bool
 	restart bool
-	text    string // what the caller holds after it
+	text    string // all text that the caller has received so far
 	summary string // for the golden file
 	code    int
 }
 
-// verdict is what a cell came to.
-type verdict struct {
-	answers []told
-	runs    int // executions counted at the endpoints
-	resumes int
-	wrong   []string // invariants that did not hold
+// cellResult is the outcome of one cell.
+type cellResult struct {
+	answers    []presentationResult
+	runs       int // executions counted by the endpoints
+	resumes    int
+	violations []string // violated invariants
 }
 
-func (v *verdict) failf(format string, args ...any) {
-	v.wrong = append(v.wrong, fmt.Sprintf(format, args...))
+func (v *cellResult) failf(format string, args ...any) {
+	v.violations = append(v.violations, fmt.Sprintf(format, args...))
 }
 
-func (v *verdict) last() told {
+func (v *cellResult) last() presentationResult {
 	if len(v.answers) == 0 {
-		return told{}
+		return presentationResult{}
 	}
 	return v.answers[len(v.answers)-1]
 }
 
-// line is the cell's line in the golden file. How often repeatable work ran is
-// left out: it hangs on which endpoint was tried first. An agent that thaws has
-// an order and a void before it, of which either may come first.
-func (v *verdict) line(c cell) string {
-	frozen := !c.repeatable && c.step == atOrdering && (c.mishap == agentHeld || c.mishap == everyoneHeld)
+// goldenLine formats the cell's line of the golden file. The number of runs of
+// repeatable work is left out because it depends on which endpoint was tried
+// first. A thawed agent has both an order and a void waiting, and either may be
+// handled first.
+func (v *cellResult) goldenLine(c cell) string {
+	orderUncertain := !c.repeatable && c.step == atOrdering && (c.failure == agentFrozen || c.failure == allAgentsFrozen)
 	var answers []string
 	for _, a := range v.answers {
-		if frozen && (a.whole || a.notRun) {
+		if orderUncertain && (a.whole || a.notRun) {
 			a.summary = "whole, or not run"
 		}
 		answers = append(answers, a.summary)
 	}
 	line := fmt.Sprintf("%-56s %s", c, strings.Join(answers, " → "))
-	if !c.repeatable && !frozen {
+	if !c.repeatable && !orderUncertain {
 		line += fmt.Sprintf(" | runs %d", v.runs)
 	}
 	return line + "\n"
--- a/e2e/matrix_mishap_test.go
+++ b/e2e/matrix_mishap_test.go
@@ -14,48 +14,49 @@
 	"github.com/micarudder/micarudder/rudderv1/rudderv1connect"
 )
 
-// happen makes the cell's mishap happen.
-func (p *play) happen() {
+// injectFailure makes the cell's failure happen.
+func (p *cellRun) injectFailure() {
 	b := p.b
-	switch p.mishap {
+	switch p.failure {
 	case gatewayDies:
 		p.killGateway()
-	case gatewayHeld:
-		p.holdGateway()
+	case gatewayFrozen:
+		p.freezeGateway()
 	case agentDies:
-		p.each(p.killAgent)
-	case agentHeld:
-		p.each(p.holdAgent)
+		p.eachTarget(p.killAgent)
+	case agentFrozen:
+		p.eachTarget(p.freezeAgent)
 	case endpointDies:
-		p.each(p.killEndpoint)
-	case endpointHeld:
-		p.each(func(name string) { p.holdEndpoint(name, true) })
-	case messageLost:
-		p.each(func(name string) { b.net.sever("gw1", agentAddr(name)) })
-	case orderDoubled:
-		p.resend()
+		p.eachTarget(p.killEndpoint)
+	case endpointFrozen:
+		p.eachTarget(func(name string) { p.setEndpointFrozen(name, true) })
+	case connectionCut:
+		p.eachTarget(func(name string) { b.network.breakLinks("gw1", agentAddr(name)) })
+	case orderDuplicated:
+		p.duplicateOrder()
 	case orderLate:
-		p.late = append(p.late, bytes.NewReader(p.order))
-	case storeAway:
+		p.lateOrders = append(p.lateOrders, bytes.NewReader(p.order))
+	case platformRefuses:
 		b.platform.SetFaults(standplatform.Faults{Outage: standplatform.OutageRefuse})
-	case storeHeld:
+	case platformFrozen:
 		b.platform.SetFaults(standplatform.Faults{Outage: standplatform.OutageHang})
-	case storeMute:
+	case platformAnswerLost:
 		b.platform.SetFaults(standplatform.Faults{LoseApplied: 2})
-	case storeForgets:
+	case platformWriteLost:
 		b.platform.SetFaults(standplatform.Faults{LoseUnapplied: 2})
-	case everyoneHeld:
-		for _, name := range pair {
-			p.holdAgent(name)
+	case allAgentsFrozen:
+		for _, name := range cellEndpoints {
+			p.freezeAgent(name)
 		}
-	case everythingOff:
+	case gatewayAndAgentDie:
 		p.killGateway()
-		p.each(p.killAgent)
+		p.eachTarget(p.killAgent)
 	}
 }
 
-// each calls f for the endpoint that has the order, or for pair before.
-func (p *play) each(f func(name string)) {
+// eachTarget calls f for the endpoint that received the order, or for both
+// endpoints if there was no order yet.
+func (p *cellRun) eachTarget(f func(name string)) {
 	p.mu.Lock()
 	target := p.target
 	p.mu.Unlock()
@@ -63,48 +64,49 @@
 		f(target)
 		return
 	}
-	for _, name := range pair {
+	for _, name := range cellEndpoints {
 		f(name)
 	}
 }
 
-// holdGateway freezes the first gateway; before the order it does so between
-// its decision and the sending.
-func (p *play) holdGateway() {
+// freezeGateway freezes the first gateway. Before the order, it freezes only
+// the outgoing connections, so that the order stops between the gateway's
+// decision and its sending.
+func (p *cellRun) freezeGateway() {
 	if p.step == atOrdering {
-		p.b.net.hold(outgoing("gw1"))
+		p.b.network.hold(outgoing("gw1"))
 		return
 	}
-	p.b.net.hold("gw1")
+	p.b.network.hold("gw1")
 }
 
-// holdAgent freezes an agent, pair as a server and as its endpoint's client.
-func (p *play) holdAgent(name string) {
-	p.b.net.hold(agentAddr(name))
-	p.b.net.hold(name)
+// freezeAgent freezes an agent both as a server and as its endpoint's client.
+func (p *cellRun) freezeAgent(name string) {
+	p.b.network.hold(agentAddr(name))
+	p.b.network.hold(name)
 }
 
-func (p *play) killGateway() {
-	p.b.net.bury("gw1")
-	p.b.net.sever("", "gw1")
+func (p *cellRun) killGateway() {
+	p.b.network.disconnect("gw1")
+	p.b.network.breakLinks("", "gw1")
 	p.b.kill("gw1")
 	p.b.kill(innerAddr("gw1"))
 	go p.b.gateways["gw1"].Close()
 }
 
-func (p *play) killAgent(name string) {
+func (p *cellRun) killAgent(name string) {
 	addr := agentAddr(name)
-	p.b.net.bury(name)
-	p.b.net.sever("", addr)
+	p.b.network.disconnect(name)
+	p.b.network.breakLinks("", addr)
 	p.b.kill(addr)
 	go p.b.agents[name].Close()
-	time.AfterFunc(restartIn, func() {
-		p.b.net.revive(name)
+	time.AfterFunc(restartDelay, func() {
+		p.b.network.reconnect(name)
 		p.restartAgent(name)
 	})
 }
 
-func (p *play) restartAgent(name string) {
+func (p *cellRun) restartAgent(name string) {
 	if p.call {
 		p.b.agent(name, "bid-api", 0)
 		return
@@ -112,13 +114,13 @@
 	p.b.agent(name, "", standengine.Default().MemoryTokens)
 }
 
-func (p *play) killEndpoint(name string) {
+func (p *cellRun) killEndpoint(name string) {
 	addr := engineAddr(name)
 	p.b.kill(addr)
 	if e := p.b.engines[name]; e != nil {
 		e.Crash()
 	}
-	time.AfterFunc(restartIn, func() {
+	time.AfterFunc(restartDelay, func() {
 		if e := p.b.engines[name]; e != nil {
 			p.b.serve(addr, e.Handler())
 			return
@@ -127,39 +129,40 @@
 	})
 }
 
-func (p *play) holdEndpoint(name string, held bool) {
+func (p *cellRun) setEndpointFrozen(name string, frozen bool) {
 	if e := p.b.engines[name]; e != nil {
-		e.SetFaults(standengine.Faults{Hang: held})
+		e.SetFaults(standengine.Faults{Hang: frozen})
 		return
 	}
-	p.b.services[name].SetFaults(standservice.Faults{Hang: held})
+	p.b.services[name].SetFaults(standservice.Faults{Hang: frozen})
 }
 
-// mend ends whatever lasts: frozen processes go on, the platform comes back.
-func (p *play) mend() {
-	p.b.net.release()
+// endFailures ends the lasting failures: frozen processes continue and the
+// platform recovers.
+func (p *cellRun) endFailures() {
+	p.b.network.release()
 	p.b.platform.SetFaults(standplatform.Faults{})
-	for _, name := range pair {
-		p.holdEndpoint(name, false)
+	for _, name := range cellEndpoints {
+		p.setEndpointFrozen(name, false)
 	}
-	time.Sleep(recovery)
+	time.Sleep(recoveryTime)
 }
 
-// resend gives the agent the order once more, over another connection.
-func (p *play) resend() {
+// duplicateOrder sends the agent the order again over another connection.
+func (p *cellRun) duplicateOrder() {
 	p.mu.Lock()
 	order, addr := p.order, p.address
 	p.mu.Unlock()
 	go p.deliver(addr, bytes.NewReader(order))
 }
 
-func (p *play) deliverLate() {
-	for _, order := range p.late {
+func (p *cellRun) deliverLate() {
+	for _, order := range p.lateOrders {
 		p.deliver(p.address, order)
 	}
 }
 
-func (p *play) deliver(addr string, order io.Reader) {
+func (p *cellRun) deliver(addr string, order io.Reader) {
 	client, err := inner.NewClient(inner.KeyFiles{}, p.b.dialFrom("way"))
 	if err != nil {
 		p.b.t.Error(err)
@@ -177,7 +180,7 @@
 	req.Header.Set("Connect-Protocol-Version", "1")
 	resp, err := client.Do(req)
 	if err != nil {
-		return // the agent may be gone
+		return // the agent may have died
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
--- a/e2e/matrix_play_test.go
+++ b/e2e/matrix_play_test.go
@@ -18,82 +18,84 @@
 	cellPrompt = "position at hour 12"
 	cellTokens = 40
 	cellBody   = `{"hour":12`
-	// cellDeadline leaves time to find every order lost.
+	// cellDeadline leaves enough time to detect that every order was lost.
 	cellDeadline = 20 * time.Second
-	// pause is how long a caller waits before it asks again: by then every
-	// gateway has noticed who is frozen.
-	pause = 8 * time.Second
-	// slack is what an answer may come after its deadline: the way of the last
-	// message.
-	slack = 50 * time.Millisecond
-	// midAnswer is the time from an endpoint's start to the middle of its answer.
-	midAnswer = 200 * time.Millisecond
-	restartIn = time.Second
-	recovery  = 10 * time.Second
+	// retryPause is how long a caller waits before it asks again. By then every
+	// gateway has detected the frozen processes.
+	retryPause = 8 * time.Second
+	// deadlineSlack is how long after its deadline an answer may arrive: the
+	// latency of the last message.
+	deadlineSlack = 50 * time.Millisecond
+	// midAnswer is the time from the endpoint's start of a run to the middle of
+	// its answer.
+	midAnswer    = 200 * time.Millisecond
+	restartDelay = time.Second
+	recoveryTime = 10 * time.Second
 )
 
-// play is one cell being played.
-type play struct {
+// cellRun is the execution of one cell.
+type cellRun struct {
 	cell
-	b *bubble
-	v verdict
+	b      *cluster
+	result cellResult
 
-	mu      sync.Mutex
-	due     bool   // the mishap has yet to happen
-	target  string // endpoint that got the order
-	order   []byte // body of the order
-	address string // of the agent that got it
-	late    []*bytes.Reader
-	ticket  string
+	mu         sync.Mutex
+	pending    bool   // the failure has yet to happen
+	target     string // endpoint that received the first order
+	order      []byte // body of the first order
+	address    string // of the agent that received it
+	lateOrders []*bytes.Reader
+	ticket     string
 }
 
-// the endpoints of a cell.
-var pair = []string{"a", "b"}
+// cellEndpoints are the endpoints of a cell.
+var cellEndpoints = []string{"a", "b"}
 
-// playCell plays one cell to its end and checks the invariants.
-func playCell(b *bubble, c cell) *verdict {
-	p := &play{cell: c, b: b, due: true}
+// runCell runs one cell to its end and checks the invariants.
+func runCell(b *cluster, c cell) *cellResult {
+	p := &cellRun{cell: c, b: b, pending: true}
 	p.build()
 	p.present("gw1")
 	for _, gw := range []string{"gw2", "gw2"} {
-		if !p.comesBack() {
+		if !p.presentsAgain() {
 			break
 		}
-		time.Sleep(pause)
-		if len(p.v.answers) == 2 {
-			p.mend()
+		time.Sleep(retryPause)
+		if len(p.result.answers) == 2 {
+			p.endFailures()
 		}
 		p.present(gw)
 	}
-	p.mend()
+	p.endFailures()
 	p.deliverLate()
-	time.Sleep(recovery)
-	p.settle()
+	time.Sleep(recoveryTime)
+	p.voidUnknown()
 	for _, g := range b.gateways {
-		g.Close() // spares their heartbeats
+		g.Close() // saves simulating their heartbeats
 	}
 	time.Sleep(2 * b.answerKeep)
 	p.check()
-	return &p.v
+	return &p.result
 }
 
-// settled is the default policy without its dice, so that a cell has one course.
-type settled struct{ routing.Policy }
+// deterministicPolicy is the default policy without random choices, so that a
+// cell always takes the same course.
+type deterministicPolicy struct{ routing.Policy }
 
 // Choose implements routing.Policy.
-func (s settled) Choose(req routing.Request, view []routing.Candidate, _ func(int) int, trace bool) routing.Decision {
+func (s deterministicPolicy) Choose(req routing.Request, view []routing.Candidate, _ func(int) int, trace bool) routing.Decision {
 	return s.Policy.Choose(req, view, func(int) int { return 0 }, trace)
 }
 
-func (p *play) build() {
+func (p *cellRun) build() {
 	b := p.b
-	b.net, b.wrap, b.work = newNetwork(), p.watch, 2*midAnswer
-	b.policy = settled{routing.Default()}
+	b.network, b.wrapHandler, b.serviceTime = newNetwork(), p.intercept, 2*midAnswer
+	b.policy = deterministicPolicy{routing.Default()}
 	b.answerKeep = 90 * time.Second
 	if p.step == atQueued {
 		b.maxRunning = 1
 	}
-	for _, name := range pair {
+	for _, name := range cellEndpoints {
 		if p.call {
 			b.service(name, "bid-api")
 		} else {
@@ -104,29 +106,29 @@
 	b.gateway("gw2")
 	b.publish()
 	if p.naming == byTicket {
-		p.ticket = b.buy("gw1", p.ticketRequest())
+		p.ticket = b.fetchTicket("gw1", p.ticketRequest())
 	}
 	if p.step == atQueued {
-		p.occupy()
+		p.occupyEndpoints()
 	}
 }
 
-func (p *play) ticketRequest() string {
+func (p *cellRun) ticketRequest() string {
 	switch {
 	case p.call && p.repeatable:
 		return `{"service":"bid-api","count":1,"repeatable":true}`
 	case p.call:
-		return checkTicket
+		return serviceTicket
 	case p.repeatable:
-		return freeTicket
+		return repeatableTicket
 	default:
 		return onceTicket
 	}
 }
 
-// occupy keeps pair endpoints busy for a while.
-func (p *play) occupy() {
-	for _, name := range pair {
+// occupyEndpoints keeps both endpoints busy for a while.
+func (p *cellRun) occupyEndpoints() {
+	for _, name := range cellEndpoints {
 		ticket := p.ticketAt(name)
 		header := map[string]string{"Rudder-Ticket": ticket}
 		done := make(chan reply, 1)
@@ -141,10 +143,10 @@
 	time.Sleep(50 * time.Millisecond)
 }
 
-// ticketAt fetches tickets until one is for the endpoint.
-func (p *play) ticketAt(name string) string {
+// ticketAt fetches tickets until one names the endpoint.
+func (p *cellRun) ticketAt(name string) string {
 	for {
-		ticket := p.b.buy("gw2", p.ticketRequest())
+		ticket := p.b.fetchTicket("gw2", p.ticketRequest())
 		claims, err := p.b.signer.Parse(ticket)
 		if err == nil && claims.Endpoint == name {
 			return ticket
@@ -152,38 +154,39 @@
 	}
 }
 
-// comesBack reports whether the caller asks once more.
-func (p *play) comesBack() bool {
-	last := p.v.last()
-	if last.notRun || len(p.v.answers) == 1 && p.step == atDelivered {
+// presentsAgain reports whether the caller presents the request again.
+func (p *cellRun) presentsAgain() bool {
+	last := p.result.last()
+	if last.notRun || len(p.result.answers) == 1 && p.step == atDelivered {
 		return !last.notRun
 	}
-	return !last.whole && (p.repeatable || p.naming != byNothing)
+	return !last.whole && (p.repeatable || p.naming != withoutName)
 }
 
-// present asks once.
-func (p *play) present(gw string) {
+// present presents the request once through a gateway.
+func (p *cellRun) present(gw string) {
 	if p.step == atOrdering {
-		p.strike()
+		p.trigger()
 	}
-	if p.step == atQueued && len(p.v.answers) == 0 {
-		time.AfterFunc(50*time.Millisecond, func() { p.strike() })
+	if p.step == atQueued && len(p.result.answers) == 0 {
+		time.AfterFunc(50*time.Millisecond, func() { p.trigger() })
 	}
 	began := time.Now()
 	r := p.request(gw)
 	took := time.Since(began)
-	p.judge(r, took, gw == "gw1" && p.gatewayHit())
+	p.record(r, took, gw == "gw1" && p.gatewayAffected())
 	if p.step == atDelivered {
-		p.strike()
+		p.trigger()
 	}
 }
 
-// gatewayHit reports whether the mishap leaves the first gateway unable to answer.
-func (p *play) gatewayHit() bool {
-	return p.mishap == gatewayDies || p.mishap == gatewayHeld || p.mishap == everythingOff
+// gatewayAffected reports whether the failure leaves the first gateway unable
+// to answer.
+func (p *cellRun) gatewayAffected() bool {
+	return p.failure == gatewayDies || p.failure == gatewayFrozen || p.failure == gatewayAndAgentDie
 }
 
-func (p *play) request(gw string) reply {
+func (p *cellRun) request(gw string) reply {
 	header := map[string]string{"Rudder-Deadline": cellDeadline.String(), "Rudder-Repeatable": "false"}
 	if p.repeatable {
 		header["Rudder-Repeatable"] = "true"
@@ -191,42 +194,45 @@
 	switch p.naming {
 	case byTicket:
 		header["Rudder-Ticket"] = p.ticket
-		if held := p.v.last().text; held != "" && !p.call {
+		if held := p.result.last().text; held != "" && !p.call {
 			header["Last-Event-ID"] = lastID(held)
 		}
 	case byKey:
 		header["Idempotency-Key"] = "hour-12"
 	}
 	if p.call {
-		return p.b.askFor(cellDeadline+2*time.Second, gw, "POST", checkPath, p.body(len(p.v.answers)), header)
+		return p.b.askWithin(cellDeadline+2*time.Second, gw, "POST", checkPath, p.body(len(p.result.answers)), header)
 	}
-	return p.b.askFor(cellDeadline+2*time.Second, gw, "POST", chatPath, chat(p.prompt(len(p.v.answers)), cellTokens, true), header)
+	return p.b.askWithin(cellDeadline+2*time.Second, gw, "POST", chatPath, chat(p.prompt(len(p.result.answers)), cellTokens, true), header)
 }
 
-// prompt is what a presentation asks. Without a name each is a request of its
-// own and can be told from the others.
-func (p *play) prompt(presentation int) string {
-	if p.naming == byNothing {
+// prompt returns the prompt of a presentation. Presentations of an unnamed
+// request are separate requests with different prompts, so that their runs can
+// be told apart.
+func (p *cellRun) prompt(presentation int) string {
+	if p.naming == withoutName {
 		return cellPrompt + " " + strconv.Itoa(presentation)
 	}
 	return cellPrompt
 }
 
-// body is the same of a call.
-func (p *play) body(presentation int) string {
-	if p.naming == byNothing {
+// body returns the body of a service call, which differs between presentations
+// in the same way.
+func (p *cellRun) body(presentation int) string {
+	if p.naming == withoutName {
 		return cellBody + `,"ask":` + strconv.Itoa(presentation) + "}"
 	}
 	return cellBody + "}"
 }
 
-// watch sees every message at the processes' doors.
-func (p *play) watch(addr string, next http.Handler) http.Handler {
+// intercept wraps the handler of every server and passes the messages that
+// concern the cell to atAgent and atEndpoint.
+func (p *cellRun) intercept(addr string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.URL.Path == rudderv1connect.AgentServiceRunProcedure:
 			p.atAgent(addr, w, r, next)
-		case strings.HasPrefix(addr, "engine-") && r.Method == "POST" && p.isWork(r):
+		case strings.HasPrefix(addr, "engine-") && r.Method == "POST" && p.isCellRequest(r):
 			p.atEndpoint(w, r, next)
 		default:
 			next.ServeHTTP(w, r)
@@ -234,24 +240,25 @@
 	})
 }
 
-// isWork reports whether a message to an endpoint is the cell's own request.
-func (p *play) isWork(r *http.Request) bool {
+// isCellRequest reports whether a request to an endpoint is the cell's own.
+func (p *cellRun) isCellRequest(r *http.Request) bool {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return false
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
-	return concerns(body)
+	return carriesCellRequest(body)
 }
 
-// concerns reports whether a message carries the cell's own request.
-func concerns(body []byte) bool {
+// carriesCellRequest reports whether a message body contains the cell's own
+// request.
+func carriesCellRequest(body []byte) bool {
 	return bytes.Contains(body, []byte(cellPrompt)) || bytes.Contains(body, []byte(cellBody))
 }
 
-func (p *play) atAgent(addr string, w http.ResponseWriter, r *http.Request, next http.Handler) {
+func (p *cellRun) atAgent(addr string, w http.ResponseWriter, r *http.Request, next http.Handler) {
 	body, err := io.ReadAll(r.Body)
-	if err != nil || !concerns(body) {
+	if err != nil || !carriesCellRequest(body) {
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		next.ServeHTTP(w, r)
 		return
@@ -264,45 +271,46 @@
 	}
 	p.mu.Unlock()
 	if first && p.step == atOrdered {
-		p.strike()
-		if p.mishap == agentDies || p.mishap == orderLate || p.mishap == messageLost || p.mishap == everythingOff {
+		p.trigger()
+		if p.failure == agentDies || p.failure == orderLate || p.failure == connectionCut || p.failure == gatewayAndAgentDie {
 			panic(http.ErrAbortHandler)
 		}
-		time.Sleep(10 * latency) // what happened is seen by all
+		time.Sleep(10 * latency) // lets every process see the failure
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	next.ServeHTTP(w, r)
 }
 
-func (p *play) atEndpoint(w http.ResponseWriter, r *http.Request, next http.Handler) {
+func (p *cellRun) atEndpoint(w http.ResponseWriter, r *http.Request, next http.Handler) {
 	switch p.step {
 	case atStarted:
-		if p.strike() && p.mishap == endpointDies {
+		if p.trigger() && p.failure == endpointDies {
 			panic(http.ErrAbortHandler)
 		}
 	case atAnswering:
-		time.AfterFunc(midAnswer, func() { p.strike() })
+		time.AfterFunc(midAnswer, func() { p.trigger() })
 	case atEnded:
-		defer time.AfterFunc(latency*3/2, func() { p.strike() })
+		defer time.AfterFunc(latency*3/2, func() { p.trigger() })
 	}
 	next.ServeHTTP(w, r)
 }
 
-// strike makes the mishap happen, once; it reports whether it did.
-func (p *play) strike() bool {
+// trigger makes the failure happen once and reports whether this call did so.
+func (p *cellRun) trigger() bool {
 	p.mu.Lock()
-	due := p.due
-	p.due = false
+	pending := p.pending
+	p.pending = false
 	p.mu.Unlock()
-	if due {
-		p.happen()
+	if pending {
+		p.injectFailure()
 	}
-	return due
+	return pending
 }
 
-// count reads the endpoints' own records of one presentation's request.
-func (p *play) count(presentation int) (runs, resumes int) {
-	for _, name := range pair {
+// count returns how often the endpoints ran and resumed one presentation's
+// request by their own records.
+func (p *cellRun) count(presentation int) (runs, resumes int) {
+	for _, name := range cellEndpoints {
 		if e := p.b.engines[name]; e != nil {
 			c, key := e.Counts(), answer.KeyOf(p.prompt(presentation)).String()
 			runs += c.ByPrompt[key]
--- a/e2e/naming_bench_test.go
+++ b/e2e/naming_bench_test.go
@@ -12,11 +12,12 @@
 	standplatform "github.com/micarudder/micarudder/internal/standin/platform"
 )
 
-// naming benchmark's fleet.
+// namingPort is the base port of the benchmark's processes.
 const namingPort = 22100
 
 // BenchmarkNaming measures an unrepeatable request of one token over real
-// processes by the way it is named, with the platform's writes for each.
+// processes for each way to name it, with the platform's writes and reads per
+// request.
 func BenchmarkNaming(b *testing.B) {
 	f := startFleet(b, fleet.Config{
 		BasePort: namingPort, DataCentres: []string{"hall-petrzalka"}, Engines: 1, Gateways: 1, Policy: "default", Models: []string{model},
@@ -24,7 +25,7 @@
 	})
 	batch := strings.Replace(onceTicket, `"count":1`, `"count":100`, 1)
 	var tickets []string
-	ways := []struct {
+	namings := []struct {
 		name string
 		set  func(h http.Header, i int)
 	}{
@@ -39,7 +40,7 @@
 		{"one ticket each", func(h http.Header, _ int) { h.Set("Rudder-Ticket", fetchTickets(b, f, onceTicket)[0]) }},
 		{"bare key", func(h http.Header, i int) { h.Set("Idempotency-Key", strconv.Itoa(b.N)+"-"+strconv.Itoa(i)) }},
 	}
-	for _, w := range ways {
+	for _, w := range namings {
 		b.Run(w.name, func(b *testing.B) {
 			before := platformCounts(b, f)
 			for i := range b.N {
@@ -57,7 +58,7 @@
 func fetchTickets(b *testing.B, f *fleet.Fleet, body string) []string {
 	var out struct{ Tickets []string }
 	if err := json.Unmarshal(post(b, f, "/v1/tickets", body, http.Header{}), &out); err != nil || len(out.Tickets) == 0 {
-		b.Fatalf("tickets: %v", err)
+		b.Fatalf("cannot fetch tickets: %v", err)
 	}
 	return out.Tickets
 }
@@ -76,7 +77,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		b.Fatalf("%d %s %v", resp.StatusCode, raw, err)
+		b.Fatalf("status %d: %s %v", resp.StatusCode, raw, err)
 	}
 	return raw
 }
--- a/e2e/network_test.go
+++ b/e2e/network_test.go
@@ -9,88 +9,89 @@
 )
 
 const (
-	// latency is what each part of a message takes on its way.
+	// latency is the delay of each chunk of bytes.
 	latency = time.Millisecond
-	// inFlight bounds the parts on their way over one connection.
-	inFlight = 1 << 12
+	// maxInFlight limits the chunks in transit on one connection per direction.
+	maxInFlight = 1 << 12
 )
 
-// network joins processes by connections that take time and can be held back.
-// A held process neither gets nor gives a byte; what was sent before is
-// delivered when it is let go, even if the sender is gone by then.
+// network connects processes by connections that add latency and can be held
+// back. A held process neither receives nor sends a byte. Bytes sent before are
+// delivered when it is released, even if the sender has died by then.
 type network struct {
-	mu    sync.Mutex
-	holds map[string]chan struct{} // by process; closed when let go
-	dead  map[string]bool
-	wires []*wire
+	mu           sync.Mutex
+	holds        map[string]chan struct{} // by process; closed at release
+	disconnected map[string]bool
+	links        []*link
 }
 
-// wire is one connection.
-type wire struct {
+// link is one connection.
+type link struct {
 	from, to string
-	turn     int         // among the wires between the two
-	ends     [3]net.Conn // of the client, of the network towards it, of the server
+	index    int         // among the links from the one to the other
+	conns    [3]net.Conn // client side, the network's end of that pipe, server side
 }
 
 func newNetwork() *network {
-	return &network{holds: make(map[string]chan struct{}), dead: make(map[string]bool)}
+	return &network{holds: make(map[string]chan struct{}), disconnected: make(map[string]bool)}
 }
 
-// join puts a wire between a client and a server's connection.
-func (n *network) join(from, to string, far net.Conn) net.Conn {
+// connect puts a link between a client and the connection to a server. It
+// returns the client's side.
+func (n *network) connect(from, to string, far net.Conn) net.Conn {
 	if n == nil {
 		return far
 	}
-	near, mid := net.Pipe()
-	w := &wire{from: from, to: to, ends: [3]net.Conn{near, mid, far}}
+	near, relayEnd := net.Pipe()
+	w := &link{from: from, to: to, conns: [3]net.Conn{near, relayEnd, far}}
 	n.mu.Lock()
-	for _, o := range n.wires {
+	for _, o := range n.links {
 		if o.from == from && o.to == to {
-			w.turn++
+			w.index++
 		}
 	}
-	n.wires = append(n.wires, w)
+	n.links = append(n.links, w)
 	n.mu.Unlock()
-	go n.pump(w, mid, far)
-	go n.pump(w, far, mid)
+	go n.forward(w, relayEnd, far)
+	go n.forward(w, far, relayEnd)
 	return near
 }
 
-// parcel is one part of a message on its way.
-type parcel struct {
+// packet is a chunk of bytes in transit.
+type packet struct {
 	data []byte
 	due  time.Time
 }
 
-// pump carries bytes one way; the end of src follows after the last of them.
-func (n *network) pump(w *wire, src, dst net.Conn) {
-	way := make(chan parcel, inFlight)
+// forward carries bytes in one direction and closes dst after the last of them.
+func (n *network) forward(w *link, src, dst net.Conn) {
+	packets := make(chan packet, maxInFlight)
 	go func() {
-		defer close(way)
+		defer close(packets)
 		for {
 			buf := make([]byte, 4096)
-			k, err := src.Read(buf)
+			size, err := src.Read(buf)
 			if err != nil {
 				return
 			}
-			way <- parcel{buf[:k], time.Now().Add(latency)}
+			packets <- packet{buf[:size], time.Now().Add(latency)}
 		}
 	}()
-	for p := range way {
+	for p := range packets {
 		time.Sleep(time.Until(p.due))
-		n.passable(w)
+		n.awaitRelease(w)
 		if _, err := dst.Write(p.data); err != nil {
 			break
 		}
 	}
-	n.passable(w)
+	n.awaitRelease(w)
 	_ = dst.Close()
-	for range way { // lets the reader end
+	for range packets { // drains the queue so that the reader can end
 	}
 }
 
-// passable waits until neither end is held.
-func (n *network) passable(w *wire) {
+// awaitRelease waits until neither end is held.
+func (n *network) awaitRelease(w *link) {
 	for {
 		n.mu.Lock()
 		hold := n.holds[w.from]
@@ -105,20 +106,22 @@
 			return
 		}
 		<-hold
-		time.Sleep(w.lag())
+		time.Sleep(w.releaseDelay())
 	}
 }
 
-// lag spreads what is let go at once, always in the same order.
-func (w *wire) lag() time.Duration {
+// releaseDelay spreads the traffic that a release sets free, always in the same
+// order.
+func (w *link) releaseDelay() time.Duration {
 	pair := xxhash.Sum64String(w.from+" "+w.to) % 1000
-	return time.Duration(pair)*100*time.Microsecond + time.Duration(w.turn)*2*latency
+	return time.Duration(pair)*100*time.Microsecond + time.Duration(w.index)*2*latency
 }
 
-// outgoing names what a process sends over the connections that it made.
+// outgoing is the key in holds of what a process sends over the connections
+// that it opened.
 func outgoing(process string) string { return process + " outgoing" }
 
-// hold freezes a process as the others see it.
+// hold freezes a process as seen by the others.
 func (n *network) hold(process string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -127,7 +130,7 @@
 	}
 }
 
-// release lets every held process go.
+// release ends all holds.
 func (n *network) release() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -137,51 +140,52 @@
 	}
 }
 
-// bury breaks the connections that a process made and refuses it new ones.
-func (n *network) bury(process string) {
+// disconnect breaks the connections that a process opened and refuses it new
+// ones.
+func (n *network) disconnect(process string) {
 	n.mu.Lock()
-	n.dead[process] = true
+	n.disconnected[process] = true
 	n.mu.Unlock()
-	n.each(func(w *wire) {
+	n.eachLink(func(w *link) {
 		if w.from == process {
-			_ = w.ends[0].Close()
+			_ = w.conns[0].Close()
 		}
 	})
 }
 
-// revive lets a restarted process connect again.
-func (n *network) revive(process string) {
+// reconnect allows a restarted process to open connections again.
+func (n *network) reconnect(process string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.dead, process)
+	delete(n.disconnected, process)
 }
 
-func (n *network) isDead(process string) bool {
+func (n *network) isDisconnected(process string) bool {
 	if n == nil {
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.dead[process]
+	return n.disconnected[process]
 }
 
-// sever breaks the connections to a process from another, or from all when
-// from is empty; what is on its way is lost.
-func (n *network) sever(from, to string) {
-	n.each(func(w *wire) {
+// breakLinks breaks the connections from a process to another, or all
+// connections to it when from is empty; bytes in transit are lost.
+func (n *network) breakLinks(from, to string) {
+	n.eachLink(func(w *link) {
 		if w.to == to && (from == "" || w.from == from) {
-			for _, c := range w.ends {
+			for _, c := range w.conns {
 				_ = c.Close()
 			}
 		}
 	})
 }
 
-func (n *network) each(f func(*wire)) {
+func (n *network) eachLink(f func(*link)) {
 	n.mu.Lock()
-	wires := append([]*wire(nil), n.wires...)
+	links := append([]*link(nil), n.links...)
 	n.mu.Unlock()
-	for _, w := range wires {
+	for _, w := range links {
 		f(w)
 	}
 }
--- a/e2e/order_faults_test.go
+++ b/e2e/order_faults_test.go
@@ -20,8 +20,9 @@
 	styleTwo = "style@2"
 )
 
-// orderKinds are the orders of the fault table with the effect that each must
-// have in the end. The engine holds the model's version 1 with style@1.
+// orderKinds are the orders of the fault table, each with the state that it
+// must lead to in the end. The engine starts with version 1 of the model and
+// the adapter style@1.
 var orderKinds = []struct {
 	order engine.Order
 	done  func(st engine.State) bool
@@ -41,96 +42,97 @@
 	return slices.ContainsFunc(st.Models, func(m engine.Model) bool { return slices.Contains(m.Adapters, id) })
 }
 
-// orderFaults are the faults of the table; begin switches one on before the
-// order is permitted, during it happens while the order is on its way, and end
-// switches it off.
+// orderFaults are the faults of the table. begin switches a fault on before the
+// order is permitted, during acts while the order is in progress, and end
+// switches the fault off.
 var orderFaults = []struct {
 	name               string
-	begin, during, end func(b *bubble, store *weights.Server)
+	begin, during, end func(b *cluster, store *weights.Server)
 }{
 	{name: "none"},
-	{name: "agent dies", during: func(b *bubble, _ *weights.Server) { b.restartAgent("a") }},
+	{name: "agent dies", during: func(b *cluster, _ *weights.Server) { b.restartAgent("a") }},
 	{
 		name:  "agent paused before the order",
-		begin: func(b *bubble, _ *weights.Server) { b.setDelay("a", time.Minute) },
-		end:   func(b *bubble, _ *weights.Server) { b.setDelay("a", 0) },
+		begin: func(b *cluster, _ *weights.Server) { b.setDelay("a", time.Minute) },
+		end:   func(b *cluster, _ *weights.Server) { b.setDelay("a", 0) },
 	},
 	{
 		name: "answer lost",
-		begin: func(b *bubble, _ *weights.Server) {
+		begin: func(b *cluster, _ *weights.Server) {
 			b.engines["a"].SetFaults(standengine.Faults{LoseOrderAnswer: true})
 		},
-		end: func(b *bubble, _ *weights.Server) { b.engines["a"].SetFaults(standengine.Faults{}) },
+		end: func(b *cluster, _ *weights.Server) { b.engines["a"].SetFaults(standengine.Faults{}) },
 	},
-	{name: "engine restarts", during: func(b *bubble, _ *weights.Server) { b.engines["a"].Crash() }},
+	{name: "engine restarts", during: func(b *cluster, _ *weights.Server) { b.engines["a"].Crash() }},
 	{
 		name:   "engine hangs",
-		during: func(b *bubble, _ *weights.Server) { b.engines["a"].SetFaults(standengine.Faults{Hang: true}) },
-		end:    func(b *bubble, _ *weights.Server) { b.engines["a"].SetFaults(standengine.Faults{}) },
+		during: func(b *cluster, _ *weights.Server) { b.engines["a"].SetFaults(standengine.Faults{Hang: true}) },
+		end:    func(b *cluster, _ *weights.Server) { b.engines["a"].SetFaults(standengine.Faults{}) },
 	},
 	{
 		name:  "engine fails orders",
-		begin: func(b *bubble, _ *weights.Server) { b.engines["a"].SetFaults(standengine.Faults{FailOrders: true}) },
-		end:   func(b *bubble, _ *weights.Server) { b.engines["a"].SetFaults(standengine.Faults{}) },
+		begin: func(b *cluster, _ *weights.Server) { b.engines["a"].SetFaults(standengine.Faults{FailOrders: true}) },
+		end:   func(b *cluster, _ *weights.Server) { b.engines["a"].SetFaults(standengine.Faults{}) },
 	},
 	{
 		name:  "weight store away",
-		begin: func(_ *bubble, s *weights.Server) { s.SetFaults(weights.Faults{Refuse: true}) },
-		end:   func(_ *bubble, s *weights.Server) { s.SetFaults(weights.Faults{}) },
+		begin: func(_ *cluster, s *weights.Server) { s.SetFaults(weights.Faults{Refuse: true}) },
+		end:   func(_ *cluster, s *weights.Server) { s.SetFaults(weights.Faults{}) },
 	},
 	{
 		name:  "weight store cuts",
-		begin: func(_ *bubble, s *weights.Server) { s.SetFaults(weights.Faults{CutAfterBytes: 1000}) },
-		end:   func(_ *bubble, s *weights.Server) { s.SetFaults(weights.Faults{}) },
+		begin: func(_ *cluster, s *weights.Server) { s.SetFaults(weights.Faults{CutAfterBytes: 1000}) },
+		end:   func(_ *cluster, s *weights.Server) { s.SetFaults(weights.Faults{}) },
 	},
 }
 
-// restartAgent kills an agent and starts its successor.
-func (b *bubble) restartAgent(name string) {
+// restartAgent kills an agent and starts a new incarnation of it.
+func (b *cluster) restartAgent(name string) {
 	old := b.agents[name]
 	b.kill(agentAddr(name))
 	old.Close()
 	b.agent(name, "", standengine.Default().MemoryTokens)
 }
 
-func (b *bubble) setDelay(name string, d time.Duration) {
+func (b *cluster) setDelay(name string, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.delay[name] = d
+	b.stateDelay[name] = d
 }
 
-// TestOrderFaultTable gives each kind of order under each fault, to engines
+// TestOrderFaultTable permits each kind of order under each fault, to engines
 // that check fencing numbers and to those that ignore them, and permits it
-// again until its effect is there. Orders never overlap and their numbers grow.
+// again until it has taken effect. Orders never overlap and their fencing
+// numbers increase.
 func TestOrderFaultTable(t *testing.T) {
 	for _, k := range orderKinds {
 		for _, f := range orderFaults {
 			for _, checks := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%s/%s/checks fencing %t", k.order.Kind, f.name, checks), func(t *testing.T) {
-					run(t, func(b *bubble) {
+					runSession(t, func(b *cluster) {
 						is := is.New(b.t)
-						store := b.store(1)
+						store := b.addWeightStore(1)
 						b.engine("a", func(c *standengine.Config) {
-							b.fromStore(c)
+							b.useWeightStore(c)
 							c.ChecksFencing = checks
 							c.Models = []string{model + "@1+" + styleOne}
 						})
-						h := b.prepare(k.order)
-						call := func(fault func(*bubble, *weights.Server)) {
+						h := b.declareOrderTarget(k.order)
+						call := func(fault func(*cluster, *weights.Server)) {
 							if fault != nil {
 								fault(b, store)
 							}
 						}
 						call(f.begin)
-						h.try(k.order)
+						h.permitOnce(k.order)
 						time.Sleep(2 * time.Second)
 						call(f.during)
 						time.Sleep(3 * time.Second)
-						h.try(k.order)
+						h.permitOnce(k.order)
 						time.Sleep(time.Minute)
 						call(f.end)
-						h.drive(k.order, k.done)
-						b.requireInTurn("a")
+						h.permitUntilDone(k.order, k.done)
+						b.requireSequentialOrders("a")
 						is.True(k.done(b.engines["a"].State()))
 					})
 				})
@@ -139,8 +141,8 @@
 	}
 }
 
-// prepare declares what the orders of the table ask for.
-func (b *bubble) prepare(o engine.Order) *hand {
+// declareOrderTarget declares what the order is to load or set.
+func (b *cluster) declareOrderTarget(o engine.Order) *placer {
 	m := b.doc.Models[0]
 	m.Weights = model + "-1"
 	m.Adapters = []*rudderv1.Adapter{{Name: "style", Version: "2", Weights: "style-2"}}
@@ -148,52 +150,53 @@
 		m.Version = "2"
 	}
 	b.doc.Endpoints[0].Role = o.Role
-	b.slots(2)
-	h := b.hand("a")
+	b.setMaxModels(2)
+	h := b.placerClient("a")
 	h.offer()
 	h.await()
 	return h
 }
 
-// try permits an order once, whatever comes of it.
-func (h *hand) try(o engine.Order) {
+// permitOnce sends one permit for an order and ignores the result.
+func (h *placer) permitOnce(o engine.Order) {
 	if h.b.agents["a"].Ready() {
 		h.place(h.permit(o))
 	}
 }
 
-// drive permits an order until its effect is there.
-func (h *hand) drive(o engine.Order, done func(engine.State) bool) {
+// permitUntilDone permits an order repeatedly until it has taken effect.
+func (h *placer) permitUntilDone(o engine.Order, done func(engine.State) bool) {
 	h.b.t.Helper()
 	for range 600 {
 		if done(h.b.engines["a"].State()) && h.report().Order == nil {
 			return
 		}
 		h.offer()
-		h.try(o)
+		h.permitOnce(o)
 		time.Sleep(time.Second)
 	}
-	h.b.t.Fatalf("no effect after ten minutes: %v, %v", h.report().Order, h.b.engines["a"].State())
+	h.b.t.Fatalf("order has no effect after ten minutes: order %v, engine state %v", h.report().Order, h.b.engines["a"].State())
 }
 
-// requireInTurn checks that an engine got its orders one at a time and under
-// growing fencing numbers.
-func (b *bubble) requireInTurn(name string) {
+// requireSequentialOrders checks that an engine got its orders one at a time
+// and with increasing fencing numbers.
+func (b *cluster) requireSequentialOrders(name string) {
 	b.t.Helper()
-	var last orderSeen
-	for _, o := range b.seen(name) {
-		if o.order.Fence <= last.order.Fence && b.fenced(name) {
-			b.t.Fatalf("fence %d after %d", o.order.Fence, last.order.Fence)
+	var last recordedOrder
+	for _, o := range b.ordersAt(name) {
+		if o.order.Fence <= last.order.Fence && b.hasFence(name) {
+			b.t.Fatalf("fencing number %d came after %d", o.order.Fence, last.order.Fence)
 		}
 		if o.status == http.StatusConflict {
-			b.t.Fatalf("%v refused: out of turn", o.order)
+			b.t.Fatalf("engine refused %v as conflicting", o.order)
 		}
 		if !last.begin.IsZero() && (last.end.IsZero() || o.begin.Before(last.end)) {
-			b.t.Fatalf("%v given at %v before the end of %v at %v", o.order, o.begin, last.order, last.end)
+			b.t.Fatalf("%v was sent at %v, before the end of %v at %v", o.order, o.begin, last.order, last.end)
 		}
 		last = o
 	}
 }
 
-// fenced tells whether the engine remembers the fencing number for the next agent.
-func (b *bubble) fenced(name string) bool { return b.engines[name].State().Fence > 0 }
+// hasFence reports whether the engine keeps the fencing number for the next
+// agent.
+func (b *cluster) hasFence(name string) bool { return b.engines[name].State().Fence > 0 }
--- a/e2e/orders_seen_test.go
+++ b/e2e/orders_seen_test.go
@@ -12,16 +12,17 @@
 	"github.com/micarudder/micarudder/rudderv1/rudderv1connect"
 )
 
-// orderSeen is one order as it reached an engine.
-type orderSeen struct {
+// recordedOrder is one order as received by an engine.
+type recordedOrder struct {
 	endpoint   string
 	order      engine.Order
 	begin, end time.Time // end is zero while the engine works on it
 	status     int
 }
 
-// logged records the orders that reach an engine.
-func (b *bubble) logged(name string, next http.Handler) http.Handler {
+// recordOrders wraps an engine's handler and records the orders that it
+// receives.
+func (b *cluster) recordOrders(name string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != engine.PathOrders {
 			next.ServeHTTP(w, r)
@@ -29,29 +30,29 @@
 		}
 		raw, _ := io.ReadAll(r.Body)
 		r.Body = io.NopCloser(bytes.NewReader(raw))
-		seen := orderSeen{endpoint: name, begin: time.Now()}
-		_ = json.Unmarshal(raw, &seen.order)
+		recorded := recordedOrder{endpoint: name, begin: time.Now()}
+		_ = json.Unmarshal(raw, &recorded.order)
 		b.mu.Lock()
-		at := len(b.orders)
-		b.orders = append(b.orders, seen)
+		i := len(b.orderLog)
+		b.orderLog = append(b.orderLog, recorded)
 		b.mu.Unlock()
 		sw := &statusWriter{ResponseWriter: w}
 		defer func() {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			b.orders[at].end = time.Now()
-			b.orders[at].status = sw.status
+			b.orderLog[i].end = time.Now()
+			b.orderLog[i].status = sw.status
 		}()
 		next.ServeHTTP(sw, r)
 	})
 }
 
-// seen returns the orders that reached an engine.
-func (b *bubble) seen(name string) []orderSeen {
+// ordersAt returns the orders that an engine received.
+func (b *cluster) ordersAt(name string) []recordedOrder {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var out []orderSeen
-	for _, o := range b.orders {
+	var out []recordedOrder
+	for _, o := range b.orderLog {
 		if o.endpoint == name {
 			out = append(out, o)
 		}
@@ -59,24 +60,24 @@
 	return out
 }
 
-// slowState delays an engine's word about its state on the way to the agent,
-// as if the agent had been paused after it asked.
-type slowState struct {
+// delayedState delays an engine's state on the way to the agent, as if the
+// agent had been paused after its query.
+type delayedState struct {
 	engine.Engine
-	b    *bubble
+	b    *cluster
 	name string
 }
 
-func (s *slowState) State(ctx context.Context) (engine.State, error) {
+func (s *delayedState) State(ctx context.Context) (engine.State, error) {
 	st, err := s.Engine.State(ctx)
 	s.b.mu.Lock()
-	d := s.b.delay[s.name]
+	d := s.b.stateDelay[s.name]
 	s.b.mu.Unlock()
 	time.Sleep(d)
 	return st, err
 }
 
-// statusWriter remembers the status of an answer.
+// statusWriter records the status code of an answer.
 type statusWriter struct {
 	http.ResponseWriter
 	status int
@@ -87,11 +88,12 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// onPlace lets a test stand between placers and an agent.
-func (b *bubble) onPlace(next http.Handler) http.Handler {
+// interceptPlace wraps an agent's handler so that placeHook can handle
+// placement requests.
+func (b *cluster) interceptPlace(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b.mu.Lock()
-		f := b.place
+		f := b.placeHook
 		b.mu.Unlock()
 		if f == nil || r.URL.Path != rudderv1connect.AgentServicePlaceProcedure {
 			next.ServeHTTP(w, r)
@@ -101,8 +103,8 @@
 	})
 }
 
-func (b *bubble) setPlace(f func(next http.Handler, w http.ResponseWriter, r *http.Request)) {
+func (b *cluster) setPlaceHook(f func(next http.Handler, w http.ResponseWriter, r *http.Request)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.place = f
+	b.placeHook = f
 }
--- a/e2e/part_test.go
+++ b/e2e/part_test.go
@@ -9,17 +9,17 @@
 	"github.com/micarudder/micarudder/inner"
 )
 
-// route is the way from a process to an address.
+// route is a connection path from a process to an address.
 type route struct{ from, to string }
 
 // dialFrom returns the dialer of one process.
-func (b *bubble) dialFrom(from string) inner.Dialer {
+func (b *cluster) dialFrom(from string) inner.Dialer {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		r := route{from, strings.TrimSuffix(addr, ":80")}
 		b.mu.Lock()
-		parted := b.parted[r] || b.dead[from] || b.net.isDead(from)
+		partitioned := b.partitioned[r] || b.crashed[from] || b.network.isDisconnected(from)
 		b.mu.Unlock()
-		if parted {
+		if partitioned {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: errors.New("no route")}
 		}
 		c, err := b.dial(ctx, network, addr)
@@ -29,32 +29,32 @@
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		c.(*conn).from = from
-		b.joined[r] = append(b.joined[r], c)
+		b.routeConns[r] = append(b.routeConns[r], c)
 		b.conns[from] = append(b.conns[from], c)
-		return b.net.join(from, r.to, c), nil
+		return b.network.connect(from, r.to, c), nil
 	}
 }
 
-// part cuts a process off from addresses: its connections break and no new
-// ones can be made until join.
-func (b *bubble) part(from string, to ...string) {
+// partition cuts a process off from addresses: its connections break and no new
+// ones can be made until heal.
+func (b *cluster) partition(from string, to ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, addr := range to {
 		r := route{from, addr}
-		b.parted[r] = true
-		for _, c := range b.joined[r] {
+		b.partitioned[r] = true
+		for _, c := range b.routeConns[r] {
 			_ = c.Close()
 		}
-		b.joined[r] = nil
+		b.routeConns[r] = nil
 	}
 }
 
-// join ends part.
-func (b *bubble) join(from string, to ...string) {
+// heal ends a partition.
+func (b *cluster) heal(from string, to ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, addr := range to {
-		delete(b.parted, route{from, addr})
+		delete(b.partitioned, route{from, addr})
 	}
 }
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -12,7 +12,7 @@
 const chatPath = "/v1/chat/completions"
 
 func TestCompletionStreamed(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.gateway("gw1")
@@ -28,7 +28,7 @@
 }
 
 func TestCompletionWhole(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.gateway("gw1")
@@ -41,7 +41,7 @@
 }
 
 func TestServiceCall(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.service("s", "bid-api")
 		b.gateway("gw1")
@@ -75,7 +75,7 @@
 		{"ticket count", "POST", "/v1/tickets", `{"model":"rudder-llm","count":0}`, nil, 400, 2001},
 		{"too large", "POST", chatPath, chat(strings.Repeat("x", 17<<20), 1, false), nil, 413, 2002},
 	}
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		b.engine("a", nil)
 		b.gateway("gw1")
 		b.publish()
@@ -84,7 +84,7 @@
 			r := b.ask("gw1", c.method, c.path, c.body, c.header)
 			var p map[string]any
 			if err := json.Unmarshal([]byte(r.body), &p); err != nil {
-				b.t.Fatalf("%s: %d %q %v %v", c.name, r.status, r.body, err, r.err)
+				b.t.Fatalf("%s: status %d %q %v %v", c.name, r.status, r.body, err, r.err)
 			}
 			b.t.Log(c.name, r.body)
 			is.Equal(r.status, c.status)
@@ -97,7 +97,7 @@
 }
 
 func TestSlowSender(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.gateway("gw1")
--- a/e2e/place_test.go
+++ b/e2e/place_test.go
@@ -21,34 +21,35 @@
 
 const (
 	weightsAddr = "weights:9000"
-	loadTime    = 10 * time.Second // of a model's weights when nobody else reads
+	loadTime    = 10 * time.Second // for a model's weights with a single reader
 	weightBytes = 1 << 20
 )
 
-// hand gives orders to one agent as a placer would.
-type hand struct {
-	b      *bubble
+// placer sends placement requests to one agent, as the placer in a gateway
+// does.
+type placer struct {
+	b      *cluster
 	client rudderv1connect.AgentServiceClient
 }
 
-func (b *bubble) hand(name string) *hand {
+func (b *cluster) placerClient(name string) *placer {
 	client, err := inner.NewClient(inner.KeyFiles{}, b.dial)
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	b.cleanup = append(b.cleanup, client.CloseIdleConnections)
-	return &hand{b, rudderv1connect.NewAgentServiceClient(client, client.URL(agentAddr(name)))}
+	return &placer{b, rudderv1connect.NewAgentServiceClient(client, client.URL(agentAddr(name)))}
 }
 
-// offer hands the agent the bubble's document.
-func (h *hand) offer() {
+// offer sends the agent the cluster's document.
+func (h *placer) offer() {
 	_, err := h.client.Offer(h.b.t.Context(), connect.NewRequest(&rudderv1.OfferRequest{Document: h.b.doc}))
 	if err != nil {
 		h.b.t.Fatal(err)
 	}
 }
 
-func (h *hand) place(req *rudderv1.PlaceRequest) *rudderv1.PlaceResponse {
+func (h *placer) place(req *rudderv1.PlaceRequest) *rudderv1.PlaceResponse {
 	h.b.t.Helper()
 	ctx, cancel := context.WithTimeout(h.b.t.Context(), time.Minute)
 	defer cancel()
@@ -59,10 +60,10 @@
 	return resp.Msg
 }
 
-func (h *hand) report() *rudderv1.AgentReport { return h.place(&rudderv1.PlaceRequest{}).Report }
+func (h *placer) report() *rudderv1.AgentReport { return h.place(&rudderv1.PlaceRequest{}).Report }
 
-// permit makes a permit on the agent's present report.
-func (h *hand) permit(o engine.Order) *rudderv1.PlaceRequest {
+// permit returns a permit based on the agent's present report.
+func (h *placer) permit(o engine.Order) *rudderv1.PlaceRequest {
 	r := h.report()
 	return &rudderv1.PlaceRequest{
 		Incarnation: r.Incarnation, Generation: r.Generation, Holds: r.Holds, ExpiresAgentMs: r.AgentMs + 1000,
@@ -71,7 +72,7 @@
 }
 
 // await waits until the agent has no order in progress and returns its report.
-func (h *hand) await() *rudderv1.AgentReport {
+func (h *placer) await() *rudderv1.AgentReport {
 	h.b.t.Helper()
 	for range 600 {
 		r := h.report()
@@ -80,26 +81,28 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	h.b.t.Fatal("the order does not end")
+	h.b.t.Fatal("order is still in progress after a minute")
 	return nil
 }
 
-// slots gives every declared endpoint room for n models.
-func (b *bubble) slots(n uint32) {
+// setMaxModels lets every declared endpoint hold n models.
+func (b *cluster) setMaxModels(n uint32) {
 	for _, e := range b.doc.Endpoints {
 		e.MaxModels = n
 	}
 }
 
-// store adds a weight store that serves n readers in loadTime.
-func (b *bubble) store(n int) *weights.Server {
-	s := weights.NewServer(weights.Config{BytesPerSecond: float64(n) * weightBytes / loadTime.Seconds(), DefaultBytes: weightBytes})
+// addWeightStore adds a weight store that serves the given number of concurrent
+// readers in loadTime.
+func (b *cluster) addWeightStore(readers int) *weights.Server {
+	s := weights.NewServer(weights.Config{BytesPerSecond: float64(readers) * weightBytes / loadTime.Seconds(), DefaultBytes: weightBytes})
 	b.serve(weightsAddr, s.Handler())
 	return s
 }
 
-// fromStore lets an engine read its weights from the store.
-func (b *bubble) fromStore(c *standengine.Config) {
+// useWeightStore configures an engine to read its weights from the weight
+// store.
+func (b *cluster) useWeightStore(c *standengine.Config) {
 	c.WeightsURL, c.HTTPClient = "http://"+weightsAddr, b.httpClient()
 }
 
@@ -108,8 +111,8 @@
 	unload1 = engine.Order{Kind: engine.OrderUnloadModel, Model: model, Version: "1"}
 )
 
-// nextVersion raises the document's model to the next version.
-func (b *bubble) nextVersion() {
+// nextVersion sets the document's model to its next version.
+func (b *cluster) nextVersion() {
 	b.doc = cloneDocument(b.doc)
 	b.doc.Generation++
 	b.doc.PlanId = "plan-" + string(rune('0'+b.doc.Generation))
@@ -118,12 +121,12 @@
 }
 
 func TestUnloadWaitsForRuns(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.gateway("gw1")
 		b.publish()
-		h := b.hand("a")
+		h := b.placerClient("a")
 		h.await()
 		answer := make(chan reply, 1)
 		go func() { answer <- b.ask("gw1", "POST", chatPath, chat("a long bid", 400, true), nil) }()
@@ -148,35 +151,35 @@
 func TestPermitsThatAreRefused(t *testing.T) {
 	cases := []struct {
 		name   string
-		change func(b *bubble, h *hand, p *rudderv1.PlaceRequest)
+		change func(b *cluster, h *placer, p *rudderv1.PlaceRequest)
 		want   result.Code
 	}{
-		{"older generation", func(b *bubble, h *hand, p *rudderv1.PlaceRequest) { b.nextVersion(); h.offer() }, result.OldGeneration},
-		{"unknown generation", func(b *bubble, h *hand, p *rudderv1.PlaceRequest) { p.Generation++ }, result.NotConfigured},
-		{"other incarnation", func(b *bubble, h *hand, p *rudderv1.PlaceRequest) { p.Incarnation = "x" }, result.IncarnationGone},
-		{"older report", func(b *bubble, h *hand, p *rudderv1.PlaceRequest) { p.Holds-- }, result.FenceOld},
-		{"late", func(b *bubble, h *hand, p *rudderv1.PlaceRequest) { time.Sleep(1100 * time.Millisecond) }, result.OrderExpired},
-		{"not held", func(b *bubble, h *hand, p *rudderv1.PlaceRequest) { p.Version = "7" }, result.NotAllowed},
-		{"unknown kind", func(b *bubble, h *hand, p *rudderv1.PlaceRequest) { p.Kind = "stop" }, result.NotAllowed},
-		{"not in the document", func(b *bubble, h *hand, p *rudderv1.PlaceRequest) { p.Kind, p.Version = string(load2.Kind), "7" }, result.NotAllowed},
-		{"full", func(b *bubble, h *hand, p *rudderv1.PlaceRequest) {
+		{"older generation", func(b *cluster, h *placer, p *rudderv1.PlaceRequest) { b.nextVersion(); h.offer() }, result.OldGeneration},
+		{"unknown generation", func(b *cluster, h *placer, p *rudderv1.PlaceRequest) { p.Generation++ }, result.NotConfigured},
+		{"other incarnation", func(b *cluster, h *placer, p *rudderv1.PlaceRequest) { p.Incarnation = "x" }, result.IncarnationGone},
+		{"older report", func(b *cluster, h *placer, p *rudderv1.PlaceRequest) { p.Holds-- }, result.FenceOld},
+		{"late", func(b *cluster, h *placer, p *rudderv1.PlaceRequest) { time.Sleep(1100 * time.Millisecond) }, result.OrderExpired},
+		{"not held", func(b *cluster, h *placer, p *rudderv1.PlaceRequest) { p.Version = "7" }, result.NotAllowed},
+		{"unknown kind", func(b *cluster, h *placer, p *rudderv1.PlaceRequest) { p.Kind = "stop" }, result.NotAllowed},
+		{"not in the document", func(b *cluster, h *placer, p *rudderv1.PlaceRequest) { p.Kind, p.Version = string(load2.Kind), "7" }, result.NotAllowed},
+		{"full", func(b *cluster, h *placer, p *rudderv1.PlaceRequest) {
 			b.nextVersion()
 			h.offer()
 			p.Kind, p.Version, p.Generation = string(load2.Kind), "2", 2
 		}, result.NotAllowed},
-		{"twice", func(b *bubble, h *hand, p *rudderv1.PlaceRequest) {
+		{"twice", func(b *cluster, h *placer, p *rudderv1.PlaceRequest) {
 			b.engines["a"].SetFaults(standengine.Faults{Hang: true})
 			if !h.place(p).Accepted {
-				b.t.Fatal("not accepted")
+				b.t.Fatal("the first permit was not accepted")
 			}
 		}, result.OrderInProgress},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			run(t, func(b *bubble) {
+			runSession(t, func(b *cluster) {
 				is := is.New(b.t)
 				b.engine("a", nil)
-				h := b.hand("a")
+				h := b.placerClient("a")
 				h.offer()
 				h.await()
 				p := h.permit(unload1)
@@ -191,11 +194,11 @@
 }
 
 func TestPermitBeforeTheEndpointIsKnown(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		synctest.Wait()
-		h := b.hand("a")
+		h := b.placerClient("a")
 		h.offer()
 		is.Equal(result.Code(h.place(h.permit(unload1)).Code), result.OrderInProgress)
 		is.Equal(h.report().Order.Phase, rudderv1.OrderPhase_ORDER_PHASE_FOUND)
@@ -204,15 +207,15 @@
 	})
 }
 
-// TestUnloadGivesGatewaysTime: a run that a gateway sends before it has heard
-// of the unload is taken, and the unload waits for it.
+// TestUnloadGivesGatewaysTime: a run that a gateway sends before it has learned
+// of the unload is accepted, and the unload waits for it.
 func TestUnloadGivesGatewaysTime(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.gateway("gw1")
 		b.publish()
-		h := b.hand("a")
+		h := b.placerClient("a")
 		h.await()
 		is.True(h.place(h.permit(unload1)).Accepted)
 		got := b.ask("gw1", "POST", chatPath, chat("just in time", 100, true), nil)
@@ -220,48 +223,49 @@
 		is.True(got.done)
 		time.Sleep(time.Second)
 		is.Equal(b.engines["a"].Counts().Died, 0)
-		is.Equal(b.seen("a")[0].order.Kind, engine.OrderUnloadModel)
+		is.Equal(b.ordersAt("a")[0].order.Kind, engine.OrderUnloadModel)
 	})
 }
 
-// TestPausedAgentGivesNothing pauses an agent between the endpoint's word and
-// the order, with and without a new generation in the meantime.
+// TestPausedAgentGivesNothing pauses an agent between reading the endpoint's
+// state and sending the order, with and without a new generation meanwhile. The
+// agent must not send the order.
 func TestPausedAgentGivesNothing(t *testing.T) {
-	for _, renewed := range []bool{false, true} {
-		run(t, func(b *bubble) {
+	for _, newGeneration := range []bool{false, true} {
+		runSession(t, func(b *cluster) {
 			is := is.New(b.t)
 			b.engine("a", nil)
-			h := b.hand("a")
+			h := b.placerClient("a")
 			h.offer()
 			h.await()
 			b.setDelay("a", time.Minute)
 			is.True(h.place(h.permit(unload1)).Accepted)
 			time.Sleep(time.Second)
-			if renewed {
+			if newGeneration {
 				b.nextVersion()
 				h.offer()
 			}
 			time.Sleep(2 * time.Minute)
 			b.setDelay("a", 0)
 			time.Sleep(2 * time.Minute)
-			is.Equal(len(b.seen("a")), 0)
+			is.Equal(len(b.ordersAt("a")), 0)
 			is.True(h.report().Order == nil)
 			is.True(!h.report().Models[0].Unloading)
 		})
 	}
 }
 
-// TestLateWordOfTheEndpoint: what the endpoint said before an order, and what
-// arrives after its end, changes nothing.
-func TestLateWordOfTheEndpoint(t *testing.T) {
-	run(t, func(b *bubble) {
+// TestLateEndpointStateIgnored: state that the endpoint reported before an
+// order and that arrives after the order's end changes nothing.
+func TestLateEndpointStateIgnored(t *testing.T) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
-		h := b.hand("a")
+		h := b.placerClient("a")
 		h.offer()
 		h.await()
 		b.setDelay("a", 30*time.Second)
-		time.Sleep(6 * time.Second) // a probe is on its way
+		time.Sleep(6 * time.Second) // a probe is in flight
 		b.setDelay("a", 0)
 		is.True(h.place(h.permit(unload1)).Accepted)
 		h.await()
--- a/e2e/placer_test.go
+++ b/e2e/placer_test.go
@@ -20,32 +20,32 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// freezeTime is how long a placer is frozen: the lease lapses meanwhile.
-const freezeTime = 25 * time.Second
+// placerFreezeTime is how long a placer is frozen; the lease expires meanwhile.
+const placerFreezeTime = 25 * time.Second
 
-// placeBatch is the time within which the permits of one round are sent.
-const placeBatch = 100 * time.Millisecond
+// permitBatchTime is the time within which the permits of one round are sent.
+const permitBatchTime = 100 * time.Millisecond
 
-// frozen holds back the permits of one placer from its next one on, as if it
-// had been paused right after it decided.
-type frozen struct {
-	b       *bubble
+// frozenPlacer holds back the permits of one placer, beginning with its next
+// one, as if it had been paused right after its decision.
+type frozenPlacer struct {
+	b       *cluster
 	gateway string
-	thaw    chan struct{} // closed at its end
+	thaw    chan struct{} // closed at the end of the freeze
 
 	mu    sync.Mutex
 	began time.Time
 	held  int
-	codes []result.Code // what became of the permits held back
+	codes []result.Code // results of the permits held back
 }
 
-func (b *bubble) freezePlacer() *frozen {
-	f := &frozen{b: b, gateway: b.placer(), thaw: make(chan struct{})}
-	b.setPlace(f.place)
+func (b *cluster) freezePlacer() *frozenPlacer {
+	f := &frozenPlacer{b: b, gateway: b.placer(), thaw: make(chan struct{})}
+	b.setPlaceHook(f.place)
 	return f
 }
 
-func (f *frozen) place(next http.Handler, w http.ResponseWriter, r *http.Request) {
+func (f *frozenPlacer) place(next http.Handler, w http.ResponseWriter, r *http.Request) {
 	raw, _ := io.ReadAll(r.Body)
 	var req rudderv1.PlaceRequest
 	_ = proto.Unmarshal(raw, &req)
@@ -64,39 +64,39 @@
 		panic(http.ErrAbortHandler)
 	}
 	<-f.thaw
-	late := httptest.NewRecorder()
-	next.ServeHTTP(late, r.WithContext(context.WithoutCancel(r.Context())))
+	recorder := httptest.NewRecorder()
+	next.ServeHTTP(recorder, r.WithContext(context.WithoutCancel(r.Context())))
 	var resp rudderv1.PlaceResponse
-	if err := proto.Unmarshal(late.Body.Bytes(), &resp); err != nil || late.Code != http.StatusOK {
-		f.b.t.Errorf("late permit: %d %v", late.Code, err)
+	if err := proto.Unmarshal(recorder.Body.Bytes(), &resp); err != nil || recorder.Code != http.StatusOK {
+		f.b.t.Errorf("permit after the thaw: status %d, %v", recorder.Code, err)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.codes = append(f.codes, result.Code(resp.Code))
 }
 
-// hold begins the freeze with the first permit and reports whether this one
-// was on its way then: a frozen process sends no more.
-func (f *frozen) hold() bool {
+// hold begins the freeze with the first permit and reports whether the present
+// permit was already in flight then: a frozen process sends no more.
+func (f *frozenPlacer) hold() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.began.IsZero() {
 		f.began = time.Now()
-		f.b.part(f.gateway, platformAddr)
+		f.b.partition(f.gateway, platformAddr)
 	}
-	if time.Since(f.began) > placeBatch {
+	if time.Since(f.began) > permitBatchTime {
 		return false
 	}
 	f.held++
 	return true
 }
 
-// await waits until the freeze has lasted its time.
-func (f *frozen) await() {
+// await waits until the freeze has lasted placerFreezeTime.
+func (f *frozenPlacer) await() {
 	for {
 		time.Sleep(100 * time.Millisecond)
 		f.mu.Lock()
-		over := !f.began.IsZero() && time.Since(f.began) >= freezeTime
+		over := !f.began.IsZero() && time.Since(f.began) >= placerFreezeTime
 		f.mu.Unlock()
 		if over {
 			return
@@ -104,12 +104,12 @@
 	}
 }
 
-// TestFrozenPlacerDoesNothing freezes the placer with permits on their way.
-// Another gateway takes over; the permits that arrive after the thaw are
+// TestFrozenPlacerDoesNothing freezes the placer with permits in flight.
+// Another gateway takes over, and the permits that arrive after the thaw are
 // refused, under the same generation and under a later one.
 func TestFrozenPlacerDoesNothing(t *testing.T) {
-	for _, renewed := range []bool{false, true} {
-		run(t, func(b *bubble) {
+	for _, newGeneration := range []bool{false, true} {
+		runSession(t, func(b *cluster) {
 			is := is.New(b.t)
 			r := newRollout(b, 6, 4)
 			b.gateway("gw1")
@@ -122,31 +122,33 @@
 			f := b.freezePlacer()
 			f.await()
 			is.True(b.placer() != f.gateway)
-			if renewed {
+			if newGeneration {
 				b.nextVersion()
 				b.publish()
 			}
 			close(f.thaw)
 			r.await(b.doc.Models[0].Version)
-			r.end()
+			r.finish()
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			is.True(f.held > 0)
 			is.Equal(len(f.codes), f.held)
 			for _, c := range f.codes {
-				// Refused for being late, not because the order makes no sense by now.
+				// Refused as late or outdated, not as invalid in the present
+				// state.
 				is.True(c == result.OrderExpired || c == result.FenceOld || c == result.OldGeneration || c == result.OrderInProgress)
 			}
 		})
 	}
 }
 
-// TestUnloadWaitsForGroups reserves memory for a group before its model is to go.
+// TestUnloadWaitsForGroups: the unload of a model waits until a group's
+// reservation for it has expired, and no new group can reserve meanwhile.
 func TestUnloadWaitsForGroups(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
-		h := b.hand("a")
+		h := b.placerClient("a")
 		h.offer()
 		h.await()
 		reserve := func(group string) *rudderv1.ReserveResponse {
@@ -161,16 +163,17 @@
 		time.Sleep(4 * time.Second)
 		is.Equal(h.report().Order.Phase, rudderv1.OrderPhase_ORDER_PHASE_WAITING)
 		is.True(!reserve("g2").Granted)
-		time.Sleep(5 * time.Second) // the lease is over
+		time.Sleep(5 * time.Second) // the lease has expired
 		h.await()
 		is.Equal(len(b.engines["a"].State().Models), 0)
 	})
 }
 
-// TestUnloadOfAdapterWaitsForItsRuns: runs of the model itself do not hold an
-// adapter's unload up, and go on.
+// TestUnloadOfAdapterWaitsForItsRuns: the unload of an adapter waits for the
+// adapter's own runs only; runs of the base model neither delay it nor are
+// affected.
 func TestUnloadOfAdapterWaitsForItsRuns(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.doc.Models[0].Adapters = []*rudderv1.Adapter{{Name: "style", Version: "1"}}
@@ -184,16 +187,16 @@
 		go ask("style", 200)
 		go ask(model, 400)
 		time.Sleep(500 * time.Millisecond)
-		h := b.hand("a")
+		h := b.placerClient("a")
 		is.True(h.place(h.permit(engine.Order{Kind: engine.OrderUnloadAdapter, Model: model, Version: "1", Adapter: styleOne})).Accepted)
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(h.report().Order.Runs, uint32(1))
 		is.True(hasAdapter(b.engines["a"].State(), styleOne))
 		is.Equal((<-answers).text, answerTo("of style", 200))
-		is.True(len(b.seen("a")) <= 2) // the load, and the unload at most just now
+		is.True(len(b.ordersAt("a")) <= 2) // the load and, at most, an unload that has just begun
 		is.Equal((<-answers).text, answerTo("of "+model, 400))
 		time.Sleep(time.Second)
-		is.Equal(b.seen("a")[1].order.Kind, engine.OrderUnloadAdapter)
+		is.Equal(b.ordersAt("a")[1].order.Kind, engine.OrderUnloadAdapter)
 		is.Equal(b.engines["a"].Counts().Died, 0)
 	})
 }
--- a/e2e/prefill_lost_test.go
+++ b/e2e/prefill_lost_test.go
@@ -9,22 +9,21 @@
 	standengine "github.com/micarudder/micarudder/internal/standin/engine"
 )
 
-// mostUnused is how long the users allow memory to stay reserved without use.
-const mostUnused = 9 * time.Second
+// maxUnusedReservation is how long memory may stay reserved without use.
+const maxUnusedReservation = 9 * time.Second
 
-// TestPrefillThatNeverBegins: a prompt over four engines waits for one that took the order for
-// its span and neither begins nor answers. The gateway renewed the leases over the memory of the
-// other three for as long as it waited, fifty minutes here, since it took the order that was under
-// way for use of the memory, and nobody else had it. Evidence: all engines are idle and their
-// memory is reserved.
+// TestPrefillThatNeverBegins: one of four engines accepts the order for its
+// span and never starts or answers. The gateway counted that pending order as
+// use of the memory and renewed the leases of the other three, here for fifty
+// minutes, although all engines were idle.
 func TestPrefillThatNeverBegins(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.fleet(5)
 		b.engines["e2"].SetFaults(standengine.Faults{LosePrefill: true})
 		prompt := longPrompt("archive", 1_000_000)
 		got := make(chan reply, 1)
-		go func() { got <- b.ask("gw1", "POST", chatPath, chat(prompt, 32, true), patient) }()
+		go func() { got <- b.ask("gw1", "POST", chatPath, chat(prompt, 32, true), longDeadline) }()
 		var unused, longest time.Duration
 		const step = 250 * time.Millisecond
 		for range int(20 * time.Minute / step) {
@@ -35,9 +34,9 @@
 				is.NoErr(r.err)
 				is.Equal(r.status, 200)
 				is.Equal(r.text, answerTo(prompt, 32))
-				is.True(longest <= mostUnused)
+				is.True(longest <= maxUnusedReservation)
 				time.Sleep(10 * time.Second)
-				b.allFree()
+				b.requireMemoryFree()
 				return
 			default:
 			}
@@ -50,8 +49,9 @@
 	})
 }
 
-// reservedUnused reports whether memory is reserved while no engine runs anything.
-func (b *bubble) reservedUnused() bool {
+// reservedUnused reports whether memory is reserved while no engine runs
+// anything.
+func (b *cluster) reservedUnused() bool {
 	reserved := false
 	for name := range b.engines {
 		if b.runs(name) > 0 {
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -22,9 +22,9 @@
 
 const processPort = 22600
 
-// ownAddress is a loopback address of this process alone, so that the tests of
-// several checkouts do not meet.
-func ownAddress() string {
+// processAddress returns a loopback address for this process only, so that
+// tests of several checkouts do not collide.
+func processAddress() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>14&0x7f, pid>>7&0x7f, 1+pid&0x7f)
 }
@@ -36,7 +36,7 @@
 	if out, err := exec.Command("go", "build", "-o", bin, "../cmd/rudder-gateway", "../cmd/rudder-agent", "../cmd/rudder-standin").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v %s", err, out)
 	}
-	c.BinDir, c.Dir, c.Address = bin, t.TempDir(), ownAddress()
+	c.BinDir, c.Dir, c.Address = bin, t.TempDir(), processAddress()
 	if c.BasePort == 0 {
 		c.BasePort = processPort
 	}
@@ -54,8 +54,8 @@
 	return f
 }
 
-// balancer sends each caller to the next gateway that was ready when it was
-// last probed.
+// balancer sends each caller to the next of the gateways that were ready at the
+// last probe.
 type balancer struct {
 	f     *fleet.Fleet
 	mu    sync.Mutex
@@ -121,7 +121,7 @@
 	return r
 }
 
-// executions reads what an engine executed.
+// executions reads an engine's execution counters.
 func executions(is *is.I, engine string) (c standengine.Counts) {
 	resp, err := http.Get(engine + "/executions")
 	is.NoErr(err)
@@ -131,8 +131,8 @@
 }
 
 // TestStopsOfProcesses: SIGTERM to an agent and to a gateway under load cuts
-// off no caller and runs nothing twice; a ticket of the stopped agent leads to
-// its answer.
+// off no caller and causes no second run. Tickets of the stopped agent still
+// lead to their answers.
 func TestStopsOfProcesses(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, fleet.Config{
@@ -142,11 +142,11 @@
 	})
 	b := newBalancer(t.Context(), f)
 	const tokens = 60
-	once := make(map[string]reply) // by prompt: unrepeatable requests before the stop
+	unrepeatable := make(map[string]reply) // replies to unrepeatable requests before the stop, by prompt
 	for i := range 6 {
 		prompt := fmt.Sprint("once ", i)
-		once[prompt] = askOver("POST", b.pick()+chatPath, chat(prompt, 5, true), map[string]string{"Rudder-Repeatable": "false"})
-		is.Equal(once[prompt].text, answerTo(prompt, 5))
+		unrepeatable[prompt] = askOver("POST", b.pick()+chatPath, chat(prompt, 5, true), map[string]string{"Rudder-Repeatable": "false"})
+		is.Equal(unrepeatable[prompt].text, answerTo(prompt, 5))
 	}
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
@@ -157,7 +157,7 @@
 			wg.Go(func() {
 				r := askOver("POST", b.pick()+chatPath, chat(prompt, tokens, true), nil)
 				if r.err != nil || !r.done || r.restart || r.text != answerTo(prompt, tokens) {
-					t.Errorf("%s: %d %v %s %s", prompt, r.status, r.err, r.problem, r.text)
+					t.Errorf("%s: status %d, %v %s %s", prompt, r.status, r.err, r.problem, r.text)
 				}
 			})
 			select {
@@ -176,7 +176,7 @@
 	time.Sleep(500 * time.Millisecond)
 	close(stop)
 	wg.Wait()
-	for prompt, r := range once {
+	for prompt, r := range unrepeatable {
 		again := askOver("POST", b.pick()+chatPath, chat(prompt, 5, true), map[string]string{"Rudder-Ticket": r.header.Get("Rudder-Ticket")})
 		is.Equal(again.text, answerTo(prompt, 5))
 	}
@@ -186,12 +186,12 @@
 		total, resumed = total+c.Total, resumed+len(c.Resumes)
 	}
 	t.Log("callers", callers+1, "executions", total, "resumed", resumed)
-	is.Equal(total, callers+1+len(once))
+	is.Equal(total, callers+1+len(unrepeatable))
 	is.Equal(resumed, 0)
 }
 
-// terminate sends SIGTERM and returns how long the process took to end in
-// order, and after how long the engine last began a run.
+// terminate sends SIGTERM, waits for a clean exit and returns how long it took,
+// and after how long the engine last started a run.
 func terminate(is *is.I, p *procs.Process, engine string) (ended, last time.Duration) {
 	before := executions(is, engine).Total
 	began := time.Now()
@@ -203,6 +203,6 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	ended = time.Since(began)
-	is.NoErr(p.Stop(context.Background())) // its exit status
+	is.NoErr(p.Stop(context.Background())) // checks its exit status
 	return ended, last
 }
--- a/e2e/report_test.go
+++ b/e2e/report_test.go
@@ -14,39 +14,39 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// heard is a report and when it came.
-type heard struct {
+// timedReport is a report with the time of its arrival.
+type timedReport struct {
 	*rudderv1.AgentReport
 	at time.Time
 }
 
-// reports subscribes at an agent and collects what it hears.
-func (b *bubble) reports(name string, req *rudderv1.SubscribeRequest) <-chan heard {
+// reports subscribes to an agent and returns a channel of the reports received.
+func (b *cluster) reports(name string, req *rudderv1.SubscribeRequest) <-chan timedReport {
 	b.t.Helper()
 	stream, err := b.agentClient(name).Subscribe(b.t.Context(), connect.NewRequest(req))
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	out := make(chan heard, 1000)
+	out := make(chan timedReport, 1000)
 	go func() {
 		for stream.Receive() {
-			out <- heard{proto.CloneOf(stream.Msg()), time.Now()}
+			out <- timedReport{proto.CloneOf(stream.Msg()), time.Now()}
 		}
 	}()
 	b.cleanup = append(b.cleanup, func() { _ = stream.Close() })
 	return out
 }
 
-// maxHeartbeat is the longest report without a change, in bytes.
+// maxHeartbeat is the maximum size in bytes of a report without changes.
 const maxHeartbeat = 16
 
 func TestHeartbeatIsShort(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		time.Sleep(time.Minute)
 		short := b.reports("a", &rudderv1.SubscribeRequest{Gateway: "gw1", ShortReports: true, ShortLoads: true})
-		whole := b.reports("a", &rudderv1.SubscribeRequest{Gateway: "gw2"})
+		full := b.reports("a", &rudderv1.SubscribeRequest{Gateway: "gw2"})
 		first := <-short
 		is.True(!first.GenerationOnly)
 		is.True(first.Load != nil)
@@ -54,19 +54,19 @@
 		is.True(next.GenerationOnly && next.Load == nil)
 		is.True(proto.Size(next.AgentReport) <= maxHeartbeat)
 		is.Equal(next.at.Sub(first.at), 5*time.Second)
-		<-whole
-		is.Equal((<-whole).Incarnation, b.agents["a"].Incarnation()) // it does not understand short reports
+		<-full
+		is.Equal((<-full).Incarnation, b.agents["a"].Incarnation()) // this subscriber does not accept short reports
 	})
 }
 
-// TestLoadReportsArePaced: the more endpoints stand in the data centre, the
-// less often each tells a changed load; everything else is told at once.
+// TestLoadReportsArePaced: the more endpoints a data centre has, the less often
+// each reports a changed load; all other changes are reported at once.
 func TestLoadReportsArePaced(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", func(c *standengine.Config) { c.Costs.DecodeToken = 600 * time.Millisecond })
 		for i := range 199 {
-			b.declare(fmt.Sprint("other-", i), "", 1)
+			b.declareEndpoint(fmt.Sprint("other-", i), "", 1)
 		}
 		ctx, c := b.t.Context(), b.agentClient("a")
 		_, err := c.Offer(ctx, connect.NewRequest(&rudderv1.OfferRequest{Document: b.doc}))
--- a/e2e/rollout_faults_test.go
+++ b/e2e/rollout_faults_test.go
@@ -18,11 +18,11 @@
 	"github.com/micarudder/micarudder/metastore"
 )
 
-// rolloutFaults happen in the middle of a roll-out: begin some seconds after
-// the document was accepted, end a minute later.
+// rolloutFaults happen in the middle of a rollout: begin runs some seconds
+// after the document was accepted, end a minute later.
 var rolloutFaults = []struct {
 	name       string
-	callers    bool // answers must stay whole
+	callers    bool // callers ask during the rollout; their answers must stay whole
 	begin, end func(r *rollout)
 }{
 	{name: "agents die", callers: true, begin: func(r *rollout) {
@@ -65,7 +65,7 @@
 	{name: "placer cut off from most agents", begin: func(r *rollout) {
 		holder := r.b.placer()
 		for i := range r.engines - 1 {
-			r.b.part(holder, agentAddr(engineName(i)))
+			r.b.partition(holder, agentAddr(engineName(i)))
 		}
 	}},
 	{name: "agents paused before their orders", callers: true, begin: func(r *rollout) {
@@ -78,16 +78,16 @@
 		}
 	}},
 	{name: "permits arrive a minute late", callers: true, begin: func(r *rollout) {
-		r.b.setPlace(func(next http.Handler, _ http.ResponseWriter, q *http.Request) {
+		r.b.setPlaceHook(func(next http.Handler, _ http.ResponseWriter, q *http.Request) {
 			raw, _ := io.ReadAll(q.Body)
 			time.Sleep(time.Minute)
-			q = q.WithContext(context.WithoutCancel(q.Context())) // the sender has given up
+			q = q.WithContext(context.WithoutCancel(q.Context())) // the sender has timed out
 			q.Body = io.NopCloser(bytes.NewReader(raw))
 			next.ServeHTTP(httptest.NewRecorder(), q)
 		})
-	}, end: func(r *rollout) { r.b.setPlace(nil) }},
+	}, end: func(r *rollout) { r.b.setPlaceHook(nil) }},
 	{name: "answers to permits lost", callers: true, begin: func(r *rollout) {
-		r.b.setPlace(func(next http.Handler, _ http.ResponseWriter, q *http.Request) {
+		r.b.setPlaceHook(func(next http.Handler, _ http.ResponseWriter, q *http.Request) {
 			next.ServeHTTP(httptest.NewRecorder(), q)
 			panic(http.ErrAbortHandler)
 		})
@@ -104,22 +104,23 @@
 	}
 }
 
-// isolate cuts a process off from new and present connections, or ends that.
-func (b *bubble) isolate(addr string, away bool) {
+// isolate breaks the connections to a process and refuses new ones, or ends
+// that.
+func (b *cluster) isolate(addr string, isolated bool) {
 	b.mu.Lock()
-	b.cut[addr] = away
+	b.unreachable[addr] = isolated
 	conns := b.conns[addr]
 	b.conns[addr] = nil
 	b.mu.Unlock()
-	if away {
+	if isolated {
 		for _, c := range conns {
 			_ = c.Close()
 		}
 	}
 }
 
-// placer returns the gateway that holds the lease of placement.
-func (b *bubble) placer() string {
+// placer returns the gateway that holds the placer lease.
+func (b *cluster) placer() string {
 	store, err := metastore.NewClient(metastore.Options{Addresses: []string{platformAddr}, HTTPClient: b.httpClient(), Timeout: time.Second})
 	if err != nil {
 		b.t.Fatal(err)
@@ -132,8 +133,8 @@
 	return name
 }
 
-// killGateway ends a gateway as a crash would: its lease is not given up.
-func (b *bubble) killGateway(name string) {
+// killGateway ends a gateway as a crash does: it does not release its lease.
+func (b *cluster) killGateway(name string) {
 	b.kill(name)
 	b.kill(innerAddr(name))
 	g := b.gateways[name]
@@ -143,15 +144,15 @@
 	b.isolate(platformAddr, false)
 }
 
-// TestRollOutUnderFaults: whatever happens in the middle of a roll-out, it
-// ends, the floor holds, the weight store is not overrun, orders come one at a
-// time, and no answer is cut off.
+// TestRollOutUnderFaults: whatever fault happens in the middle of a rollout,
+// the rollout ends, the floor holds, the weight store is not overloaded, orders
+// come one at a time, and no answer is cut off.
 func TestRollOutUnderFaults(t *testing.T) {
 	for _, f := range rolloutFaults {
 		for _, checks := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s/checks fencing %t", f.name, checks), func(t *testing.T) {
 				t.Parallel()
-				run(t, func(b *bubble) {
+				runSession(t, func(b *cluster) {
 					r := newRolloutOf(b, 6, 4, checks)
 					b.gateway("gw1")
 					b.gateway("gw2", "gw1")
@@ -167,39 +168,39 @@
 						f.end(r)
 					}
 					took := r.await(b.doc.Models[0].Version)
-					r.end()
-					b.t.Logf("%v after the fault's end, %d orders, lowest %d", took, len(b.orders), r.lowest)
+					r.finish()
+					b.t.Logf("%v after the fault's end, %d orders, fewest serving replicas %d", took, len(b.orderLog), r.minServing)
 				})
 			})
 		}
 	}
 }
 
-// TestEndpointLostIsReplaced: what an endpoint held that is away for good is
-// loaded elsewhere, also while the platform is away.
+// TestEndpointLostIsReplaced: the model of an endpoint that is lost for good is
+// loaded at another one, also during a platform outage.
 func TestEndpointLostIsReplaced(t *testing.T) {
 	for _, outage := range []bool{false, true} {
-		run(t, func(b *bubble) {
+		runSession(t, func(b *cluster) {
 			is := is.New(b.t)
 			r := newRollout(b, 3, 1)
 			b.doc.Models[0].Replicas[dataCentre] = 2
 			b.gateway("gw1")
 			b.publish()
-			time.Sleep(time.Minute) // one engine holds more than is wanted
+			time.Sleep(time.Minute) // the surplus engine unloads the model
 			is.Equal(r.serving(), 2)
-			var gone string
+			var lost string
 			for name, e := range b.engines {
-				if len(loaded(e.State())) > 0 {
-					gone = name
+				if len(loadedVersions(e.State())) > 0 {
+					lost = name
 				}
 			}
 			if outage {
 				b.kill(platformAddr)
 			}
-			b.isolate(agentAddr(gone), true)
-			b.agents[gone].Close()
+			b.isolate(agentAddr(lost), true)
+			b.agents[lost].Close()
 			time.Sleep(2 * time.Minute)
-			is.Equal(r.serving(), 3) // two that are reached, and the lost one
+			is.Equal(r.serving(), 3) // two reachable engines and the lost one
 		})
 	}
 }
--- a/e2e/rollout_test.go
+++ b/e2e/rollout_test.go
@@ -17,42 +17,45 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// storeReaders can read a model's weights in loadTime together.
+// storeReaders is the number of engines that can read a model's weights in
+// loadTime concurrently.
 const storeReaders = 2
 
 // answerTokens is the length of an answer.
 const answerTokens = 40
 
-// rollout is a data centre of engines under load while its model moves on.
+// rollout is a data centre of engines under load whose model moves to a new
+// version.
 type rollout struct {
-	b       *bubble
+	b       *cluster
 	engines int
 	store   *weights.Server
 	floor   int
 	stop    chan struct{}
-	work    sync.WaitGroup
+	wg      sync.WaitGroup
 
-	mu       sync.Mutex
-	lowest   int // copies that served at the same time
-	problems []string
-	answers  int
-	reading  int    // downloads in progress
-	readers  int    // most of them
-	crashed  bool   // an engine was
-	under    string // the name that callers ask under; empty: the model's
+	mu             sync.Mutex
+	minServing     int // lowest number of replicas that served at the same time
+	problems       []string
+	answers        int
+	downloads      int    // downloads in progress
+	maxDownloads   int    // highest number of concurrent downloads
+	crashed        bool   // an engine was crashed on purpose
+	requestedModel string // model name in the callers' requests; empty: the base model
 }
 
-// newRollout starts n engines with one gateway, moving at most two at a time.
-func newRollout(b *bubble, n, floor int) *rollout { return newRolloutOf(b, n, floor, false) }
+// newRollout starts n engines, of which at most two move to a new version at a
+// time.
+func newRollout(b *cluster, n, floor int) *rollout { return newRolloutOf(b, n, floor, false) }
 
-func newRolloutOf(b *bubble, n, floor int, checksFencing bool) *rollout {
-	r := &rollout{b: b, engines: n, floor: floor, stop: make(chan struct{}), lowest: n}
+func newRolloutOf(b *cluster, n, floor int, checksFencing bool) *rollout {
+	r := &rollout{b: b, engines: n, floor: floor, stop: make(chan struct{}), minServing: n}
 	store := weights.NewServer(weights.Config{BytesPerSecond: storeReaders * weightBytes / loadTime.Seconds(), DefaultBytes: weightBytes})
-	b.serve(weightsAddr, r.counted(store.Handler()))
+	b.serve(weightsAddr, r.countDownloads(store.Handler()))
 	r.store = store
 	for i := range n {
 		b.engine(engineName(i), func(c *standengine.Config) {
-			b.fromStore(c)
+			b.useWeightStore(c)
 			c.ChecksFencing = checksFencing
 			c.Costs.Step = 30 * time.Millisecond // an answer takes more than a second
 		})
@@ -65,29 +68,31 @@
 
 func engineName(i int) string { return fmt.Sprintf("e%02d", i) }
 
-// counted counts the downloads in progress.
-func (r *rollout) counted(next http.Handler) http.Handler {
+// countDownloads wraps the weight store's handler and counts the downloads in
+// progress.
+func (r *rollout) countDownloads(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.mu.Lock()
-		r.reading++
-		r.readers = max(r.readers, r.reading)
+		r.downloads++
+		r.maxDownloads = max(r.maxDownloads, r.downloads)
 		r.mu.Unlock()
 		defer func() {
 			r.mu.Lock()
-			r.reading--
+			r.downloads--
 			r.mu.Unlock()
 		}()
 		next.ServeHTTP(w, q)
 	})
 }
 
-// watch samples the copies that serve, and asks for answers all the time.
+// watch samples the number of serving replicas and, with callers, sends
+// requests all the time.
 func (r *rollout) watch(callers bool) {
-	r.work.Go(func() {
-		for r.going(50 * time.Millisecond) {
+	r.wg.Go(func() {
+		for r.tick(50 * time.Millisecond) {
 			n := r.serving()
 			r.mu.Lock()
-			r.lowest = min(r.lowest, n)
+			r.minServing = min(r.minServing, n)
 			r.mu.Unlock()
 		}
 	})
@@ -95,15 +100,15 @@
 		return
 	}
 	for i := range 2 {
-		r.work.Go(func() {
-			for n := 0; r.going(time.Duration(400+i*150) * time.Millisecond); n++ {
+		r.wg.Go(func() {
+			for n := 0; r.tick(time.Duration(400+i*150) * time.Millisecond); n++ {
 				r.ask(fmt.Sprintf("caller %d question %d", i, n))
 			}
 		})
 	}
 }
 
-func (r *rollout) going(pause time.Duration) bool {
+func (r *rollout) tick(pause time.Duration) bool {
 	select {
 	case <-r.stop:
 		return false
@@ -112,18 +117,18 @@
 	}
 }
 
-// serving counts the engines that hold the model.
+// serving counts the engines that have a model loaded.
 func (r *rollout) serving() int {
 	n := 0
 	for _, e := range r.b.engines {
-		if len(loaded(e.State())) > 0 {
+		if len(loadedVersions(e.State())) > 0 {
 			n++
 		}
 	}
 	return n
 }
 
-func loaded(st engine.State) []string {
+func loadedVersions(st engine.State) []string {
 	var out []string
 	for _, m := range st.Models {
 		if !m.Loading {
@@ -135,20 +140,20 @@
 
 func (r *rollout) ask(prompt string) {
 	body := chat(prompt, answerTokens, true)
-	if r.under != "" {
-		body = strings.Replace(body, model, r.under, 1)
+	if r.requestedModel != "" {
+		body = strings.Replace(body, model, r.requestedModel, 1)
 	}
-	got := r.b.ask("gw1", "POST", chatPath, body, nil)
+	answer := r.b.ask("gw1", "POST", chatPath, body, nil)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answers++
-	if got.err != nil || !got.done || got.restart || got.text != answerTo(prompt, answerTokens) {
-		r.problems = append(r.problems, fmt.Sprintf("%s: %v %d %s %s", prompt, got.err, got.status, got.problem, got.body))
+	if answer.err != nil || !answer.done || answer.restart || answer.text != answerTo(prompt, answerTokens) {
+		r.problems = append(r.problems, fmt.Sprintf("%s: %v, status %d %s %s", prompt, answer.err, answer.status, answer.problem, answer.body))
 	}
 }
 
 // await waits until every engine holds only the version and returns the time
-// it took.
+// that it took.
 func (r *rollout) await(version string) time.Duration {
 	r.b.t.Helper()
 	began := time.Now()
@@ -159,52 +164,52 @@
 		time.Sleep(time.Second)
 	}
 	for name, e := range r.b.engines {
-		r.b.t.Log(name, e.State().Models, r.b.hand(name).report())
+		r.b.t.Log(name, e.State().Models, r.b.placerClient(name).report())
 	}
-	r.b.t.Fatalf("version %s is not everywhere after an hour", version)
+	r.b.t.Fatalf("version %s is not loaded on every engine after an hour", version)
 	return 0
 }
 
 func (r *rollout) reached(version string) bool {
 	for _, e := range r.b.engines {
-		if got := loaded(e.State()); len(got) != 1 || got[0] != version {
+		if got := loadedVersions(e.State()); len(got) != 1 || got[0] != version {
 			return false
 		}
 	}
 	return true
 }
 
-// end stops the callers and checks what must hold.
-func (r *rollout) end() {
+// finish stops the callers and checks the invariants of a rollout.
+func (r *rollout) finish() {
 	r.b.t.Helper()
 	close(r.stop)
-	r.work.Wait()
+	r.wg.Wait()
 	for _, p := range r.problems {
 		r.b.t.Error(p)
 	}
-	if r.lowest < r.floor {
-		r.b.t.Errorf("%d copies served, floor %d", r.lowest, r.floor)
+	if r.minServing < r.floor {
+		r.b.t.Errorf("%d replicas served, below the floor of %d", r.minServing, r.floor)
 	}
-	if r.readers > 2 {
-		r.b.t.Errorf("%d readers of the weight store", r.readers)
+	if r.maxDownloads > 2 {
+		r.b.t.Errorf("%d concurrent readers of the weight store, more than 2", r.maxDownloads)
 	}
 	for name, e := range r.b.engines {
 		if n := e.Counts().Died; n > 0 && !r.crashed {
 			r.b.t.Errorf("%d runs were cut off at %s", n, name)
 		}
-		r.b.requireInTurn(name)
+		r.b.requireSequentialOrders(name)
 	}
 }
 
-// TestRollOut confirms a new version: it gets everywhere, no answer is cut
+// TestRollOut accepts a new version: it reaches every engine, no answer is cut
 // off, and the floor holds.
 func TestRollOut(t *testing.T) {
 	for _, slots := range []uint32{1, 2} {
 		t.Run(fmt.Sprintf("room for %d", slots), func(t *testing.T) {
 			t.Parallel()
-			run(t, func(b *bubble) {
+			runSession(t, func(b *cluster) {
 				r := newRollout(b, 8, 6)
-				b.slots(slots)
+				b.setMaxModels(slots)
 				b.gateway("gw1")
 				b.gateway("gw2", "gw1")
 				b.publish()
@@ -213,16 +218,17 @@
 				b.nextVersion()
 				b.publish()
 				took := r.await("2")
-				r.end()
-				b.t.Logf("%d engines in %v, %d answers, lowest %d, most readers %d, %d orders", r.engines, took, r.answers, r.lowest, r.readers, len(b.orders))
+				r.finish()
+				b.t.Logf("%d engines in %v, %d answers, fewest serving replicas %d, most concurrent readers %d, %d orders", r.engines, took, r.answers, r.minServing, r.maxDownloads, len(b.orderLog))
 			})
 		})
 	}
 }
 
-// TestAdaptersAreLoadedAndRouted declares an adapter, and later its next version.
+// TestAdaptersAreLoadedAndRouted declares an adapter and later its next
+// version; each is loaded and requests for it are served.
 func TestAdaptersAreLoadedAndRouted(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		r := newRollout(b, 4, 3)
 		b.gateway("gw1")
@@ -247,13 +253,14 @@
 		}
 		is.Equal(ask("style@1"), 503)
 		is.Equal(ask(model+"@1"), 200)
-		is.True(r.readers <= 2)
+		is.True(r.maxDownloads <= 2)
 	})
 }
 
-// TestRolesFollowTheDocument changes an endpoint's role.
+// TestRolesFollowTheDocument changes an endpoint's role in the document; the
+// engine gets one order to follow it.
 func TestRolesFollowTheDocument(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.gateway("gw1")
@@ -264,16 +271,16 @@
 		b.publish()
 		time.Sleep(20 * time.Second)
 		is.Equal(b.engines["a"].State().Role, "prefill")
-		is.Equal(len(b.seen("a")), 1)
+		is.Equal(len(b.ordersAt("a")), 1)
 	})
 }
 
-// TestAnswerKeepsItsVersion kills the endpoint of an answer in its middle
-// while two versions are served: it goes on under the version that it began
-// under, or begins again where nobody serves that any more.
+// TestAnswerKeepsItsVersion kills the agent of an answer in the middle while
+// two versions are served: the answer continues under the version that it began
+// with, or begins again if no engine serves that version any more.
 func TestAnswerKeepsItsVersion(t *testing.T) {
 	for _, other := range []string{"1", "2"} {
-		run(t, func(b *bubble) {
+		runSession(t, func(b *cluster) {
 			is := is.New(b.t)
 			b.engine("a", nil)
 			b.gateway("gw1")
@@ -297,13 +304,13 @@
 	}
 }
 
-// TestAdapterServedDuringRollOut: an adapter stays reachable while its model
-// moves to the next version, however few may load at once.
+// TestAdapterServedDuringRollOut: an adapter stays available while its model
+// moves to the next version, however few loads are allowed at once.
 func TestAdapterServedDuringRollOut(t *testing.T) {
 	for _, loads := range []uint32{1, 2} {
 		t.Run(fmt.Sprintf("%d loads", loads), func(t *testing.T) {
 			t.Parallel()
-			run(t, func(b *bubble) {
+			runSession(t, func(b *cluster) {
 				is := is.New(b.t)
 				r := newRollout(b, 6, 3)
 				b.doc.Placement.ConcurrentLoads, b.doc.Placement.MovingPercent = loads, 50
@@ -311,7 +318,7 @@
 				b.gateway("gw1")
 				b.publish()
 				time.Sleep(3 * time.Minute)
-				r.under = "style"
+				r.requestedModel = "style"
 				r.watch(true)
 				b.nextVersion()
 				b.publish()
@@ -320,7 +327,7 @@
 				for _, e := range b.engines {
 					is.Equal(e.State().Models[0].Adapters, []string{styleOne})
 				}
-				r.end()
+				r.finish()
 			})
 		})
 	}
--- a/e2e/rotation_test.go
+++ b/e2e/rotation_test.go
@@ -13,9 +13,9 @@
 
 var newKey = ticket.Key{ID: 2, Secret: []byte("fedcba9876543210")}
 
-// TestTicketKeysRotate: while the keys are rotated process by process, in the
-// three steps of the operators' page, a ticket from either gateway is good at
-// the other one and at the agent, and no call is refused.
+// TestTicketKeysRotate: while ticket keys are rotated process by process in the
+// three documented steps, a ticket from either gateway is valid at the other
+// one and at the agent, and no call is refused.
 func TestTicketKeysRotate(t *testing.T) {
 	t.Parallel()
 	steps := []struct {
@@ -26,7 +26,7 @@
 		{"sign with the new key", []ticket.Key{newKey, oldKey}},
 		{"drop the old key", []ticket.Key{newKey}},
 	}
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.service("s", "bid-api")
 		b.gateway("gw1", "gw2")
@@ -44,7 +44,7 @@
 		}
 		for i, step := range steps {
 			if i == len(steps)-1 {
-				time.Sleep(10 * time.Minute) // the life of a ticket
+				time.Sleep(10 * time.Minute) // the lifetime of a ticket
 			}
 			for _, process := range []string{"gw1", "s", "gw2"} {
 				is.NoErr(b.signers[process].Rotate(step.keys...))
@@ -57,8 +57,8 @@
 	})
 }
 
-// TestWorkspaceKeysRotate: a second key is added, callers change over, the
-// first is dropped; neither is refused while it is declared.
+// TestWorkspaceKeysRotate: a second key is added, callers switch to it, and the
+// first one is removed; neither is refused while it is declared.
 func TestWorkspaceKeysRotate(t *testing.T) {
 	t.Parallel()
 	const second = "second-key-of-the-bid-desk"
@@ -70,19 +70,19 @@
 		{[]string{bearer, second}, 200, 200},
 		{[]string{second}, 401, 200},
 	}
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.service("s", "bid-api")
 		b.gateway("gw1")
 		b.publish()
 		for _, step := range steps {
-			b.confirm(func(d *rudderv1.Document) {
+			b.acceptNext(func(d *rudderv1.Document) {
 				d.Workspaces[0].KeyDigests = nil
 				for _, k := range step.keys {
 					d.Workspaces[0].KeyDigests = append(d.Workspaces[0].KeyDigests, digestOf(k))
 				}
 			})
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 			for key, status := range map[string]int{bearer: step.first, second: step.second} {
 				r := b.ask("gw1", "GET", "/services/bid-api/x", "", map[string]string{"Authorization": "Bearer " + key})
 				is.Equal(r.status, status)
--- a/e2e/stops_test.go
+++ b/e2e/stops_test.go
@@ -17,10 +17,10 @@
 	"github.com/micarudder/micarudder/rudderv1"
 )
 
-// TestHostStop: a planned stop of an endpoint's host, agent first and engine
-// after it, under traffic through two gateways.
+// TestHostStop: a planned stop of an endpoint's host, first the agent and then
+// the engine, under traffic through two gateways.
 func TestHostStop(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.engine("b", nil)
@@ -28,7 +28,7 @@
 		b.gateway("gw1")
 		b.gateway("gw2")
 		b.publish()
-		flows := []*traffic{b.flow("gw1", 300*time.Millisecond, 50), b.flow("gw2", 400*time.Millisecond, 50)}
+		flows := []*traffic{b.startTraffic("gw1", 300*time.Millisecond, 50), b.startTraffic("gw2", 400*time.Millisecond, 50)}
 		time.Sleep(3 * time.Second)
 		began := time.Now()
 		var drained time.Duration
@@ -38,7 +38,7 @@
 			drained = time.Since(began)
 			b.kill(engineAddr("a"))
 		})
-		last := b.lastStart("a", began, 5*time.Second)
+		last := b.lastRunStart("a", began, 5*time.Second)
 		wg.Wait()
 		b.t.Log("drained in", drained, "last new run after", last)
 		is.True(last < 2*time.Second)
@@ -49,25 +49,25 @@
 	})
 }
 
-// TestQueueMovesOn: work that still waits at an agent that stops is done by
-// another one, and the endpoint gets none of it after two seconds.
+// TestQueueMovesOn: requests still queued at a stopping agent are served by
+// another one, and the endpoint starts none of them after two seconds.
 func TestQueueMovesOn(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.maxRunning = 1
 		b.engine("a", nil)
-		b.laterEngine("b")
+		b.engineWithoutAgent("b")
 		b.gateway("gw1")
 		b.publish()
-		f := b.flow("gw1", 10*time.Millisecond, 100)
+		f := b.startTraffic("gw1", 10*time.Millisecond, 100)
 		time.Sleep(35 * time.Millisecond)
-		f.stop() // four callers, a second of work each
+		f.stop() // four callers with a second of work each
 		b.startAgent("b")
 		time.Sleep(400 * time.Millisecond)
 		is.Equal(b.engines["a"].Counts().Total, 1)
 		began := time.Now()
 		go func() { _ = b.stopAgent("a", time.Minute) }()
-		last := b.lastStart("a", began, 5*time.Second)
+		last := b.lastRunStart("a", began, 5*time.Second)
 		b.t.Log("last new run after", last)
 		is.True(last < 2*time.Second)
 		f.end(100)
@@ -76,13 +76,14 @@
 	})
 }
 
-// TestSlowReaderAtStop: an agent that stops waits until its answers were taken.
+// TestSlowReaderAtStop: a stopping agent waits until its answers have been
+// read.
 func TestSlowReaderAtStop(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.service("s", "bid-api")
 		b.publish()
-		answer := make([]byte, 8<<20) // more than a connection takes in unread, however well compressed
+		answer := make([]byte, 8<<20) // incompressible and larger than a connection buffers
 		_, _ = rand.NewChaCha8([32]byte{}).Read(answer)
 		b.kill(engineAddr("s"))
 		b.serve(engineAddr("s"), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(answer) }))
@@ -108,17 +109,17 @@
 	})
 }
 
-// TestEngineStopsFirst: a host that takes its engine down before its agent
-// still cuts off no repeatable answer.
+// TestEngineStopsFirst: a host that stops its engine before its agent still
+// cuts off no repeatable answer.
 func TestEngineStopsFirst(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.engine("b", nil)
 		b.policy = routing.RoundRobin()
 		b.gateway("gw1")
 		b.publish()
-		f := b.flow("gw1", 200*time.Millisecond, 50)
+		f := b.startTraffic("gw1", 200*time.Millisecond, 50)
 		time.Sleep(3 * time.Second)
 		b.kill(engineAddr("a"))
 		is.NoErr(b.stopAgent("a", time.Minute))
@@ -127,13 +128,14 @@
 	})
 }
 
-// TestGatewayStop: a gateway that stops is not ready at once, serves what the
-// balancer still sends, then refuses, and ends what it has.
+// TestGatewayStop: a stopping gateway reports not ready immediately, serves what
+// the balancer still sends, then refuses new requests and finishes the present
+// ones.
 func TestGatewayStop(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
-		b.change = func(cfg *gateway.Config) { cfg.LeaveTime = 3 * time.Second }
+		b.configureGateway = func(cfg *gateway.Config) { cfg.LeaveTime = 3 * time.Second }
 		b.gateway("gw1")
 		b.publish()
 		var long, late, refused reply
@@ -150,7 +152,7 @@
 		is.Equal(late.text, answerTo("late", 5))
 		time.Sleep(2500 * time.Millisecond)
 		refused = b.ask("gw1", "POST", chatPath, chat("refused", 5, true), nil)
-		is.Equal(refused.fault().Outcome, "not run")
+		is.Equal(refused.parsedProblem().Outcome, "not run")
 		is.NoErr(<-stopped)
 		wg.Wait()
 		b.t.Log("stopped in", time.Since(began))
@@ -161,12 +163,13 @@
 	})
 }
 
-// TestGatewayStopRunsOut: a stream that outlasts the stop is attached to
-// elsewhere from its last event, without a gap and without a second run.
-func TestGatewayStopRunsOut(t *testing.T) {
+// TestStreamOutlastsGatewayStop: a stream that lasts longer than the stop is
+// continued through another gateway from its last event, without a gap and
+// without a second run.
+func TestStreamOutlastsGatewayStop(t *testing.T) {
 	for _, repeatable := range []string{"true", "false"} {
 		t.Run(repeatable, func(t *testing.T) {
-			run(t, func(b *bubble) {
+			runSession(t, func(b *cluster) {
 				is := is.New(b.t)
 				b.engine("a", nil)
 				b.gateway("gw1")
@@ -190,36 +193,36 @@
 	}
 }
 
-// TestFlappingHost: an endpoint that comes and goes is left alone while others
-// serve, and no caller notices.
+// TestFlappingHost: an endpoint that repeatedly dies and returns gets no
+// requests while others serve, and no caller notices.
 func TestFlappingHost(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.engine("b", nil)
 		b.policy = routing.RoundRobin()
 		b.gateway("gw1")
 		b.publish()
-		f := b.flow("gw1", 100*time.Millisecond, 5)
+		f := b.startTraffic("gw1", 100*time.Millisecond, 5)
 		for range 4 {
 			time.Sleep(1500 * time.Millisecond)
 			b.kill(agentAddr("a"))
 			b.startAgent("a")
 		}
 		time.Sleep(2 * time.Second)
-		damped := b.engines["a"].Counts().Total
+		before := b.engines["a"].Counts().Total
 		time.Sleep(3 * time.Second)
-		is.Equal(b.engines["a"].Counts().Total, damped)
+		is.Equal(b.engines["a"].Counts().Total, before)
 		time.Sleep(30 * time.Second)
-		is.True(b.engines["a"].Counts().Total > damped)
+		is.True(b.engines["a"].Counts().Total > before)
 		f.end(5)
 	})
 }
 
-// TestRackLoss: half of the endpoints die at once. Repeatable work goes on
-// elsewhere, and the lost endpoints are not tried again.
+// TestRackLoss: half of the endpoints die at once. Repeatable work continues at
+// the others, and the lost endpoints are not tried again.
 func TestRackLoss(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		names := []string{"a", "b", "c", "d", "e", "f"}
 		for _, name := range names {
@@ -228,7 +231,7 @@
 		b.policy = routing.RoundRobin()
 		g := b.gateway("gw1")
 		b.publish()
-		f := b.flow("gw1", 50*time.Millisecond, 30)
+		f := b.startTraffic("gw1", 50*time.Millisecond, 30)
 		time.Sleep(2 * time.Second)
 		for _, name := range names[:3] {
 			b.kill(agentAddr(name))
@@ -237,57 +240,57 @@
 		time.Sleep(5 * time.Second)
 		is.True(g.Ready())
 		f.end(30)
-		for _, name := range names[:3] { // a whole rack comes back
+		for _, name := range names[:3] { // the whole rack returns
 			b.serve(engineAddr(name), b.engines[name].Handler())
 			b.startAgent(name)
 		}
 		time.Sleep(8 * time.Second)
 		before := b.engines["a"].Counts().Total
-		f = b.flow("gw1", 50*time.Millisecond, 5)
+		f = b.startTraffic("gw1", 50*time.Millisecond, 5)
 		time.Sleep(time.Second)
 		f.end(5)
 		is.True(b.engines["a"].Counts().Total > before)
 	})
 }
 
-// TestGatewayCutOff: a gateway that reaches nobody leaves the balancer and
-// answers what still comes with a definite refusal; it recovers by itself. One
-// that only lost its agents stays ready.
+// TestGatewayCutOff: a gateway that reaches nobody becomes not ready, answers
+// remaining requests with "not run", and recovers by itself. One that lost only
+// its agents stays ready.
 func TestGatewayCutOff(t *testing.T) {
-	run(t, func(b *bubble) {
+	runSession(t, func(b *cluster) {
 		is := is.New(b.t)
 		b.engine("a", nil)
 		b.engine("b", nil)
 		b.listHosts()
 		g := b.gateway("gw1")
 		b.publish()
-		cut := func(addrs ...string) {
+		disconnect := func(addrs ...string) {
 			for _, addr := range addrs {
-				b.setCut(addr, true)
+				b.setUnreachable(addr, true)
 			}
 		}
-		cut(agentAddr("a"), agentAddr("b"))
+		disconnect(agentAddr("a"), agentAddr("b"))
 		time.Sleep(10 * time.Second)
-		is.True(g.Ready()) // the platform is heard: the agents are lost
-		cut(platformAddr)
+		is.True(g.Ready()) // the platform answers, so the agents are lost
+		disconnect(platformAddr)
 		time.Sleep(10 * time.Second)
-		is.True(g.Ready()) // silence of the agents began before that of the platform
+		is.True(g.Ready()) // the agents fell silent before the platform did
 		for _, addr := range []string{agentAddr("a"), agentAddr("b"), platformAddr} {
-			b.setCut(addr, false)
+			b.setUnreachable(addr, false)
 		}
 		time.Sleep(20 * time.Second)
-		cut(agentAddr("a"), agentAddr("b"), platformAddr)
+		disconnect(agentAddr("a"), agentAddr("b"), platformAddr)
 		time.Sleep(5 * time.Second)
 		is.True(!g.Ready())
 		var page strings.Builder
-		b.metrics["gw1"].WritePrometheus(&page)
+		b.gatewayMetrics["gw1"].WritePrometheus(&page)
 		is.True(strings.Contains(page.String(), "rudder_gateway_cut_off 1"))
 		is.True(strings.Contains(page.String(), `rudder_gateway_endpoints{state="silent"} 2`))
 		r := b.ask("gw1", "POST", chatPath, chat("x", 5, true), map[string]string{"Rudder-Deadline": "5s"})
-		is.Equal(r.fault().Outcome, "not run")
+		is.Equal(r.parsedProblem().Outcome, "not run")
 		is.True(strings.Contains(r.header.Get("Content-Type"), "problem+json"))
 		for _, addr := range []string{agentAddr("a"), agentAddr("b"), platformAddr} {
-			b.setCut(addr, false)
+			b.setUnreachable(addr, false)
 		}
 		time.Sleep(20 * time.Second)
 		is.True(g.Ready())
@@ -295,12 +298,13 @@
 	})
 }
 
-// setCut cuts a process off from all others, or ends that.
-func (b *bubble) setCut(addr string, cut bool) {
+// setUnreachable breaks the connections to a process and refuses new ones, or
+// ends that.
+func (b *cluster) setUnreachable(addr string, unreachable bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.cut[addr] = cut
-	if !cut {
+	b.unreachable[addr] = unreachable
+	if !unreachable {
 		return
 	}
 	for _, c := range b.conns[addr] {
