--- a/ctl/load.go
+++ b/ctl/load.go
@@ -50,7 +50,7 @@
 	if werr := c.write(rep); werr != nil {
 		return werr
 	}
-	if rep.Broken() {
+	if rep.HasBreaches() {
 		c.app.exit = ExitBroken
 	}
 	return err
--- a/e2e/engine_rest_test.go
+++ b/e2e/engine_rest_test.go
@@ -30,7 +30,7 @@
 				}
 				var resting *standengine.Server
 				for _, resting = range b.engines {
-					resting.SetFaults(standengine.Faults{Refuse: true, RestSeconds: 3})
+					resting.SetFaults(standengine.Faults{Refuse: true, RetryAfterSeconds: 3})
 					_, served := ask()
 					is.Equal(served, engines > 1)
 					if resting.Refused() > 0 {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -174,11 +174,11 @@
 	}
 }
 
-func disruptStore(t usersplatform.Trouble) func(*run, *rand.Rand, time.Duration) {
+func disruptStore(t usersplatform.Failure) func(*run, *rand.Rand, time.Duration) {
 	return func(r *run, _ *rand.Rand, length time.Duration) {
-		r.store.SetTrouble(t)
+		r.store.SetFailure(t)
 		time.Sleep(length)
-		r.store.SetTrouble(usersplatform.Fine)
+		r.store.SetFailure(usersplatform.NoFailure)
 	}
 }
 
--- a/internal/soak/memory.go
+++ b/internal/soak/memory.go
@@ -131,7 +131,7 @@
 	random := rand.New(rand.NewPCG(r.c.Seed, 0x2e57))
 	draw := func(limit time.Duration) time.Duration { return time.Duration(random.Int64N(int64(limit))) }
 	time.Sleep(draw(r.c.Length / 2))
-	snapshot := r.store.Copy()
+	snapshot := r.store.Snapshot()
 	time.Sleep(draw(maxSnapshotAge))
 	if ctx.Err() != nil {
 		return
--- a/internal/soak/said_test.go
+++ b/internal/soak/said_test.go
@@ -172,9 +172,9 @@
 
 // storeOutage makes the store unresponsive for two seconds.
 func storeOutage(r *run) {
-	r.store.SetTrouble(usersplatform.Silent)
+	r.store.SetFailure(usersplatform.Silent)
 	time.Sleep(2 * time.Second)
-	r.store.SetTrouble(usersplatform.Fine)
+	r.store.SetFailure(usersplatform.NoFailure)
 }
 
 // startMoreWorkers starts further workers shortly after the existing ones have announced that they
--- a/internal/standin/engine/fault.go
+++ b/internal/standin/engine/fault.go
@@ -17,8 +17,8 @@
 	SlowFactor float64 `json:"slow_factor,omitempty"`
 	// Refuse refuses new runs, spans and orders.
 	Refuse bool `json:"refuse,omitempty"`
-	// RestSeconds is the Retry-After of these refusals; 0: none.
-	RestSeconds int `json:"rest_seconds,omitempty"`
+	// RetryAfterSeconds is the Retry-After of these refusals; 0: none.
+	RetryAfterSeconds int `json:"rest_seconds,omitempty"`
 	// LoseStart starts the run and breaks the connection before any response.
 	LoseStart bool `json:"lose_start,omitempty"`
 	// FailStream ends each stream with an error event instead of its last token.
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -121,7 +121,7 @@
 // The caller holds the lock.
 func (s *Server) refuse() *refusal {
 	s.refused++
-	return &refusal{http.StatusServiceUnavailable, engine.CodeRefused, "the engine refuses work", s.faults.RestSeconds}
+	return &refusal{http.StatusServiceUnavailable, engine.CodeRefused, "the engine refuses work", s.faults.RetryAfterSeconds}
 }
 
 // Refused returns the number of such refusals since the process started.
--- a/internal/standin/usersplatform/store.go
+++ b/internal/standin/usersplatform/store.go
@@ -14,15 +14,15 @@
 	"time"
 )
 
-// Trouble is a failure mode of the store.
-type Trouble int
+// Failure is a failure mode of the store.
+type Failure int
 
 // Failure modes.
 const (
-	Fine   Trouble = iota
-	Busy           // every call gets 503
-	Silent         // no call is answered
-	Slow           // every response is delayed by slowDelay
+	NoFailure Failure = iota
+	Busy              // every call gets 503
+	Silent            // no call is answered
+	Slow              // every response is delayed by slowDelay
 )
 
 // slowDelay is the delay of every response of a slow store.
@@ -34,7 +34,7 @@
 	revision uint64
 	items    map[string]item
 	leases   map[uint64]time.Time
-	failure  Trouble
+	failure  Failure
 	calls    int
 	era      uint64 // incremented when the store is restored from an older copy
 	// writes holds what the operator and the workers wrote, the newest last.
@@ -68,8 +68,8 @@
 	return &Store{items: make(map[string]item), leases: make(map[uint64]time.Time), era: 1}
 }
 
-// Copy returns a snapshot of the store.
-func (s *Store) Copy() Snapshot {
+// Snapshot returns a snapshot of the store.
+func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Snapshot{s.revision, maps.Clone(s.items), maps.Clone(s.leases), len(s.writes)}
@@ -104,8 +104,8 @@
 	}
 }
 
-// SetTrouble sets the failure mode of the store.
-func (s *Store) SetTrouble(t Trouble) {
+// SetFailure sets the failure mode of the store.
+func (s *Store) SetFailure(t Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failure = t
--- a/load/experiment.go
+++ b/load/experiment.go
@@ -33,8 +33,8 @@
 	Records []Record `json:"-"`
 }
 
-// Broken reports whether any breach was found.
-func (r *Report) Broken() bool {
+// HasBreaches reports whether any breach was found.
+func (r *Report) HasBreaches() bool {
 	return len(r.Summary.Breaches) > 0 || r.Alone != nil && len(r.Alone.Breaches) > 0
 }
 
--- a/load/report_test.go
+++ b/load/report_test.go
@@ -27,7 +27,7 @@
 		is.Equal(rep.Summary.Finals[Whole], rep.Summary.Requests)
 		is.True(rep.Alone.Requests < rep.Summary.Requests)
 		is.True(!rep.Summary.Joined) // no executors configured
-		is.True(!rep.Broken())
+		is.True(!rep.HasBreaches())
 		var page bytes.Buffer
 		is.NoErr(rep.WriteHTML(&page))
 		text := page.String()
